--- a/packages/cli/src/hoistsaddle/cli/caller.py
+++ b/packages/cli/src/hoistsaddle/cli/caller.py
@@ -1,4 +1,4 @@
-"""Calls the operators' door of any bourse that answers."""
+"""Calls the operators' door of any registry that answers."""
 
 import asyncio
 import secrets
@@ -9,7 +9,7 @@
 import msgspec
 
 
-async def call_doors(
+async def call_first_available(
     *,
     doors: tuple[str, ...],
     method: str,
@@ -27,7 +27,7 @@
         headers["Content-Type"] = kind
     refused = {
         "kind": "unreachable",
-        "message": f"No bourse answers at {', '.join(doors)}.",
+        "message": f"No registry answers at {', '.join(doors)}.",
         "remedy": "Check the addresses given with --door or HOISTSADDLE_DOORS.",
         "field": "door",
     }
@@ -41,23 +41,27 @@
                     answer = response.status, msgspec.json.decode(await response.read(), type=dict)
             except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
                 continue
-            # A bourse cut off from the leader says 503; another one may reach it.
+            # A registry cut off from the leader says 503; another one may reach it.
             if answer[0] != 503:
                 return answer
     return answer
 
 
-def ask(*, doors: tuple[str, ...], method: str, path: str) -> tuple[int, dict]:
+def call(*, doors: tuple[str, ...], method: str, path: str) -> tuple[int, dict]:
     """A call whose refusal is an answer too, such as a ready check's."""
-    status, answer = asyncio.run(call_doors(doors=doors, method=method, path=path))
+    status, answer = asyncio.run(call_first_available(doors=doors, method=method, path=path))
     return status, answer
 
 
-def say(*, doors: tuple[str, ...], method: str, path: str, token: str = "", body: bytes = b"", kind: str = "") -> dict:
+def call_or_exit(
+    *, doors: tuple[str, ...], method: str, path: str, token: str = "", body: bytes = b"", kind: str = ""
+) -> dict:
     if not doors:
         click.echo("refused: no door given. Remedy: give --door IP:PORT or set HOISTSADDLE_DOORS.", err=True)
         sys.exit(2)
-    status, answer = asyncio.run(call_doors(doors=doors, method=method, path=path, token=token, body=body, kind=kind))
+    status, answer = asyncio.run(
+        call_first_available(doors=doors, method=method, path=path, token=token, body=body, kind=kind)
+    )
     refused = answer.get("refused")
     if status != 200 and refused:
         place = f" (field {refused['field']})" if refused.get("field") else ""
@@ -68,5 +72,5 @@
     return answer
 
 
-def show(answer: dict) -> None:
+def print_json(answer: dict) -> None:
     click.echo(msgspec.json.format(msgspec.json.encode(answer)).decode())
--- a/packages/cli/src/hoistsaddle/cli/commands.py
+++ b/packages/cli/src/hoistsaddle/cli/commands.py
@@ -13,49 +13,49 @@
 from hoistsaddle.cli.fleet_commands import fleet
 from hoistsaddle.cli.item_commands import items
 from hoistsaddle.cli.operator_commands import OPERATOR_COMMANDS
-from hoistsaddle.common.ending import LastResort
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import (
-    ControllerParams,
-    ProxyParams,
-    RegistryParams,
-    SidecarParams,
-    StoreParams,
-    read_params,
+    ControllerSettings,
+    ProxySettings,
+    RegistrySettings,
+    SidecarSettings,
+    StoreSettings,
+    read_settings_file,
 )
+from hoistsaddle.common.shutdown import ShutdownWatchdog
 
 # The grace, in seconds, of programs whose settings name none: longer than any of their own bounds.
 UNNAMED_GRACE = 60.0
 
 
-def _not_a_visitors_fault(record: logging.LogRecord) -> bool:
-    """Bytes that are no HTTP were answered with 400 by the library; they are no mishap of this process's."""
+def _not_a_clients_fault(record: logging.LogRecord) -> bool:
+    """Bytes that are no HTTP were answered with 400 by the library; they are no error of this process's."""
     return not (record.exc_info and isinstance(record.exc_info[1], HttpProcessingError))
 
 
 def _run(*, kind: type, service, params_file: str | None, flags: dict) -> None:
-    match read_params(kind=kind, path=params_file, flags=flags):
-        case Failure(mishap):
-            click.echo(f"refused: {mishap}", err=True)
+    match read_settings_file(kind=kind, path=params_file, flags=flags):
+        case Failure(error):
+            click.echo(f"refused: {error}", err=True)
             sys.exit(2)
-        case Success(params):
+        case Success(settings):
             pass
-    logging.getLogger("aiohttp.server").addFilter(_not_a_visitors_fault)
+    logging.getLogger("aiohttp.server").addFilter(_not_a_clients_fault)
     logger.remove()
     logger.add(sys.stderr, format="{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {message}", level="INFO")
     try:
-        with entrypoint(service(params=params), log_config=False) as loop:
-            grace = timedelta(seconds=getattr(params, "grace_seconds", UNNAMED_GRACE))
-            LastResort(grace=lambda: grace).watch()
+        with entrypoint(service(settings=settings), log_config=False) as loop:
+            grace = timedelta(seconds=getattr(settings, "grace_seconds", UNNAMED_GRACE))
+            ShutdownWatchdog(grace=lambda: grace).watch()
             loop.run_forever()
     except OSError as problem:
-        mishap = Mishap(
-            MishapKind.PARAMS,
+        error = MeshError(
+            ErrorKind.PARAMS,
             f"It can't start: {problem}.",
             "Free the address or mend the data folder, or name another in the settings.",
             "listen" if problem.errno in (98, 99) else "data_folder",
         )
-        click.echo(f"refused: {mishap}", err=True)
+        click.echo(f"refused: {error}", err=True)
         sys.exit(2)
 
 
@@ -63,9 +63,9 @@
     machines = []
     for value in values:
         replica, _, rest = value.partition("=")
-        warehouse, _, bourse = rest.partition(",")
+        store, _, registry = rest.partition(",")
         machines.append(
-            {"replica": int(replica) if replica.isdigit() else replica, "warehouse": warehouse, "bourse": bourse}
+            {"replica": int(replica) if replica.isdigit() else replica, "warehouse": store, "bourse": registry}
         )
     return machines or None
 
@@ -95,7 +95,7 @@
     from hoistsaddle.store.service import StoreService
 
     _run(
-        kind=StoreParams,
+        kind=StoreSettings,
         service=StoreService,
         params_file=params_file,
         flags={**flags, "core": _core_machines(core)},
@@ -114,7 +114,7 @@
     from hoistsaddle.registry.service import RegistryService
 
     _run(
-        kind=RegistryParams,
+        kind=RegistrySettings,
         service=RegistryService,
         params_file=params_file,
         flags={**flags, "core": _core_machines(core)},
@@ -126,14 +126,14 @@
 @click.option("--name")
 @click.option("--zone")
 @click.option("--listen", help="Mesh address, IP:PORT.")
-@click.option("--visitors", help="Visitors' HTTP address, IP:PORT.")
+@click.option("--visitors", help="Clients' HTTP address, IP:PORT.")
 @click.option("--inner", help="HTTP address for this machine's own server, IP:PORT.")
 @click.option("--seed", "seeds", multiple=True, help="A registry's mesh address; give three.")
 def proxy(params_file, seeds, **flags) -> None:
     """Runs the proxy beside a server."""
     from hoistsaddle.proxy.service import ProxyService
 
-    _run(kind=ProxyParams, service=ProxyService, params_file=params_file, flags={**flags, "seeds": list(seeds)})
+    _run(kind=ProxySettings, service=ProxyService, params_file=params_file, flags={**flags, "seeds": list(seeds)})
 
 
 @main.command()
@@ -149,10 +149,10 @@
 @click.option("--losses", type=int, help="How many core machines may be lost at once.")
 def controller(settings, params_file, seeds, **flags) -> None:
     """Runs both core programs in one process, for items. SETTINGS is a TOML file; flags win over it."""
-    from hoistsaddle.registry.controllerdoor import ControllerService
+    from hoistsaddle.registry.controller_api import ControllerService
 
     _run(
-        kind=ControllerParams,
+        kind=ControllerSettings,
         service=ControllerService,
         params_file=settings or params_file,
         flags={**flags, "seeds": list(seeds)},
@@ -165,8 +165,8 @@
 @click.option("--name")
 @click.option("--zone")
 @click.option("--listen", help="Mesh address, IP:PORT.")
-@click.option("--door", help="HTTP address for visitors and the own server, IP:PORT.")
-@click.option("--vitals-door", help="HTTP address where the own server tells its vitals, IP:PORT.")
+@click.option("--door", help="HTTP address for clients and the own server, IP:PORT.")
+@click.option("--vitals-door", help="HTTP address where the own server tells its health reports, IP:PORT.")
 @click.option("--ready-door", help="HTTP address where readiness is asked, IP:PORT.")
 @click.option("--service", help="The service of the server beside it.")
 @click.option("--server", help="That server's address, IP:PORT.")
@@ -176,7 +176,7 @@
     from hoistsaddle.sidecar.service import SidecarService
 
     _run(
-        kind=SidecarParams,
+        kind=SidecarSettings,
         service=SidecarService,
         params_file=settings or params_file,
         flags={**flags, "seeds": list(seeds)},
--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -19,7 +19,7 @@
     type=click.Path(file_okay=False),
     help="Where settings, logs and data go; a temporary folder by default.",
 )
-_rate = click.option("--rate", type=float, help="Visitor requests a second; the deployment's own by default.")
+_rate = click.option("--rate", type=float, help="Client requests a second; the deployment's own by default.")
 _seed = click.option("--seed", type=int, default=1, show_default=True)
 
 
@@ -35,7 +35,7 @@
 @_rate
 @_seed
 def run(deployment, folder, seconds, rate, seed) -> None:
-    """Starts it, founds it, rolls out its first bundle, and sends it visitors (none with --rate 0)."""
+    """Starts it, founds it, rolls out its first bundle, and sends it clients (none with --rate 0)."""
 
     async def work(running, stopped: asyncio.Event):
         from hoistsaddle.testbed.fleet import AUTHOR, SIGNER
@@ -43,18 +43,20 @@
         from hoistsaddle.testbed.proof import Proof
 
         click.echo(f"export HOISTSADDLE_DOORS='{' '.join(running.doors)}'")
-        click.echo(f"export HOISTSADDLE_STALLS='{' '.join(running.visitor_doors())}'")
+        click.echo(f"export HOISTSADDLE_STALLS='{' '.join(running.client_addresses())}'")
         click.echo(f"operators: {AUTHOR[0]} has token {AUTHOR[1]}, {SIGNER[0]} has token {SIGNER[1]}")
-        click.echo(f"a visitor: curl -i http://{running.visitor_doors()[0]}{running.deployment.asks[0].path}")
+        click.echo(
+            f"a client: curl -i http://{running.client_addresses()[0]}{running.deployment.request_kinds[0].path}"
+        )
         async with Load(
             deployment=running.deployment,
-            doors=running.visitor_doors(),
+            doors=running.client_addresses(),
             history=running.history,
             seed=random.Random(seed),
             rate=rate,
         ) as load:
             loading = asyncio.ensure_future(load.run(10**9)) if rate != 0 else None
-            proof = Proof(fleet=running, load=load, say=click.echo)
+            proof = Proof(fleet=running, load=load, write_line=click.echo)
             wiping: list[asyncio.Task] = []
 
             def wipe() -> None:
@@ -94,7 +96,7 @@
     async def work(running, stopped: asyncio.Event):
         from hoistsaddle.testbed.proof import prove as proof
 
-        return await proof(fleet=running, seed=seed, rate=rate, say=click.echo)
+        return await proof(fleet=running, seed=seed, rate=rate, write_line=click.echo)
 
     _with_fleet(deployment, folder, seed, work, former=former, older=older)
 
@@ -137,7 +139,7 @@
         elif not quiet:
             click.echo(
                 f"{run.scenario} seed {run.seed}: {outcome.answered} of {outcome.asked} answered, "
-                f"further sends at most {outcome.further:.2f} of the bound, held"
+                f"further sends at most {outcome.retry_share:.2f} of the bound, held"
             )
     click.echo(f"{len(runs)} runs of {len(chosen)} scenarios on {deployment}, {broken} broken")
     sys.exit(1 if broken else 0)
@@ -164,39 +166,39 @@
         sys.exit(2)
     kept = None if places is None else tuple(int(place) for place in places)
     numbers = range(int(first), int(last or first) + 1)
-    most = {number: len(hunting.day_of(hunting.Hunted(number, small)).happenings) for number in numbers}
+    most = {number: len(hunting.day_of(hunting.DayCase(number, small)).events) for number in numbers}
     if kept is not None and (beyond := [number for number in numbers if max(kept, default=-1) >= most[number]]):
         click.echo(
             f"refused: params: seed {beyond[0]} has {most[beyond[0]]} happenings. Remedy: name places below that.",
             err=True,
         )
         sys.exit(2)
-    days = [hunting.Hunted(number, small, kept) for number in numbers]
+    days = [hunting.DayCase(number, small, kept) for number in numbers]
     broken = 0
     for verdict in hunting.hunt(days, workers=workers):
         if not verdict.broken and not verdict.failed:
-            click.echo(f"seed {verdict.hunted.seed}: {verdict.served} of {verdict.sent} served, held")
+            click.echo(f"seed {verdict.day_case.seed}: {verdict.served} of {verdict.sent} served, held")
             continue
         broken += 1
-        _tell_broken(verdict)
+        _print_broken(verdict)
         if verdict.broken and not no_shrink:
-            smaller = hunting.make_smaller(verdict, say=click.echo)
-            _tell_broken(smaller)
-            for happening in hunting.day_of(smaller.hunted).happenings:
-                click.echo(f"  {happening}")
+            smaller = hunting.make_smaller(verdict, write_line=click.echo)
+            _print_broken(smaller)
+            for event in hunting.day_of(smaller.day_case).events:
+                click.echo(f"  {event}")
     click.echo(f"{len(days)} days, {broken} broken")
     sys.exit(1 if broken else 0)
 
 
-def _tell_broken(verdict) -> None:
-    hunted = verdict.hunted
-    again = f"hoistsaddle fleet hunt --seeds {hunted.seed}" + (" --small" if hunted.small else "")
-    if hunted.only is not None:
-        again += f" --only {','.join(str(place) for place in hunted.only)}"
-    told = verdict.failed or "; ".join(
+def _print_broken(verdict) -> None:
+    day_case = verdict.day_case
+    again = f"hoistsaddle fleet hunt --seeds {day_case.seed}" + (" --small" if day_case.small else "")
+    if day_case.only is not None:
+        again += f" --only {','.join(str(place) for place in day_case.only)}"
+    summary = verdict.failed or "; ".join(
         f"{rule} ({len(found)}): {found[0]}" for rule, found in sorted(verdict.broken.items())
     )
-    click.echo(f"BROKEN seed {hunted.seed}: {told} (again: {again})")
+    click.echo(f"BROKEN seed {day_case.seed}: {summary} (again: {again})")
 
 
 @fleet.command()
@@ -207,7 +209,7 @@
     """Model check of the log, its voters and its snapshots: small spaces walked through whole, then random walks."""
     from hoistsaddle.testbed.modelcheck import check as checking
 
-    sys.exit(1 if checking.check(minutes=minutes, seed=seed, workers=workers, say=click.echo) else 0)
+    sys.exit(1 if checking.check(minutes=minutes, seed=seed, workers=workers, write_line=click.echo) else 0)
 
 
 @fleet.command()
@@ -249,15 +251,15 @@
         sys.exit(2)
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as temporary:
         work = {
-            "commits": lambda: measuring.commits(folder=Path(temporary), say=click.echo),
-            "catch-up": lambda: measuring.catch_up(folder=Path(temporary), say=click.echo),
-            "growth": lambda: measuring.growth(folder=Path(temporary), say=click.echo),
-            "news": lambda: measuring.news(
-                folder=Path(temporary), say=click.echo, deployment=DEPLOYMENTS["brindlefield"]
+            "commits": lambda: measuring.commits(folder=Path(temporary), write_line=click.echo),
+            "catch-up": lambda: measuring.catch_up(folder=Path(temporary), write_line=click.echo),
+            "growth": lambda: measuring.growth(folder=Path(temporary), write_line=click.echo),
+            "news": lambda: measuring.update_propagation(
+                folder=Path(temporary), write_line=click.echo, deployment=DEPLOYMENTS["brindlefield"]
             ),
-            "added-latency": lambda: measuring.added_latency(folder=Path(temporary), say=click.echo),
-            "versions": lambda: measuring.versions(folder=Path(temporary), say=click.echo, older=older),
-            "takeover": lambda: measuring.takeover(folder=Path(temporary), say=click.echo),
+            "added-latency": lambda: measuring.added_latency(folder=Path(temporary), write_line=click.echo),
+            "versions": lambda: measuring.versions(folder=Path(temporary), write_line=click.echo, older=older),
+            "takeover": lambda: measuring.takeover(folder=Path(temporary), write_line=click.echo),
         }[what]
         asyncio.run(work())
 
@@ -271,21 +273,21 @@
     "--rounds", type=click.IntRange(1, 100), default=5, show_default=True, help="Of each timed piece of work."
 )
 @click.option("--core", type=click.IntRange(1, 7), default=3, show_default=True, help="Core machines of a fleet.")
-@click.option("--whole", type=click.IntRange(0, 8), default=2, show_default=True, help="Whole stalls among its nodes.")
+@click.option("--whole", type=click.IntRange(0, 8), default=2, show_default=True, help="Whole proxies among its nodes.")
 @click.option("--together", type=click.IntRange(1, 400), default=32, show_default=True, help="Hollow ones a process.")
 @click.option("--stretch", type=float, default=0.0, help="Seconds here for one of the mesh; by the size if left out.")
 @click.option("--quiet-seconds", type=float, default=8.0, show_default=True, help="Of the mesh, with nothing asked.")
 @click.option("--load-seconds", type=float, default=4.0, show_default=True, help="Of the mesh, with calls and claims.")
 @click.option("--calls", type=float, default=100.0, show_default=True, help="Plain calls a second of the whole fleet.")
 @click.option("--keyed", type=float, default=40.0, show_default=True, help="Keyed calls a second of the whole fleet.")
-@click.option("--losses", default="1,1", show_default=True, help="How many stalls are lost at once, in turn.")
+@click.option("--losses", default="1,1", show_default=True, help="How many proxies are lost at once, in turn.")
 @click.option("--most-seconds", type=float, default=1200.0, show_default=True, help="Of this machine, for one fleet.")
 @click.option("--figures", type=click.Path(dir_okay=False, path_type=Path), help="All figures: .csv or .parquet.")
 @click.option("--plot", "picture", type=click.Path(dir_okay=False, path_type=Path), help="A picture: .png or .svg.")
 @click.option("--list", "listing", is_flag=True, help="Names the slopes and ends.")
 @_seed
 def scale(sizes, slopes, no_slopes, small, listing, figures, picture, rounds, seed, losses, **needs) -> None:
-    """Measures what control costs as the fleet grows: hollow stalls beside a real core, and the cores' own slopes."""
+    """Measures what control costs as the fleet grows: hollow proxies beside a real core, and the cores' own slopes."""
     from hoistsaddle.testbed.scale import report
     from hoistsaddle.testbed.scale.run import Plan, run_fleet
     from hoistsaddle.testbed.scale.slopes import SLOPES, Measured, take
@@ -307,10 +309,10 @@
     found: list[Measured] = []
     if not no_slopes:
         chosen = list(slopes or SLOPES)
-        found += take(chosen, small=small, rounds=1 if small else rounds, say=click.echo)
+        found += take(chosen, small=small, rounds=1 if small else rounds, write_line=click.echo)
     rows = []
     for size in (int(number) for number in sizes.split(",") if number.strip()):
-        # So that all hollow stalls together need about one core of this machine.
+        # So that all hollow proxies together need about one core of this machine.
         stretch = needs["stretch"] or max(1.0, round(size / 38))
         plan = Plan(
             nodes=size,
@@ -319,7 +321,7 @@
             **{**needs, "stretch": stretch},
         )
         click.echo(f"{size} nodes, {plan.core} core machines, one second of the mesh in {stretch:g} here")
-        rows += asyncio.run(run_fleet(plan, say=click.echo))
+        rows += asyncio.run(run_fleet(plan, write_line=click.echo))
     found += report.of_fleet(rows)
     for line in report.table_of(found):
         click.echo(line)
@@ -350,7 +352,7 @@
     from hoistsaddle.testbed.checkers import check_all
     from hoistsaddle.testbed.deployments import DEPLOYMENTS
     from hoistsaddle.testbed.fleet import Fleet
-    from hoistsaddle.testbed.history import Got
+    from hoistsaddle.testbed.history import RequestResult
 
     deployment = DEPLOYMENTS[name]
     stopped = asyncio.Event()
@@ -368,13 +370,15 @@
     async with Fleet(deployment=deployment, folder=folder, seed=seed, **needs) as running:
         click.echo(f"seed {seed}; settings, logs and data in {folder}")
         await running.start()
-        click.echo(f"{name} is up: {deployment.core} core machines, {len(running.stalls)} stalls, each with its server")
+        click.echo(
+            f"{name} is up: {deployment.core} core machines, {len(running.proxies)} proxies, each with its server"
+        )
         load = await work(running, stopped)
-        outcomes = Counter(got.outcome for got in running.history.of(Got))
+        outcomes = Counter(got.outcome for got in running.history.of(RequestResult))
         if load.latencies:
             ordered = sorted(load.latencies)
             click.echo(
-                f"visitors: {sum(outcomes.values())} asked, {dict(outcomes)}, median "
+                f"clients: {sum(outcomes.values())} asked, {dict(outcomes)}, median "
                 f"{statistics.median(ordered) * 1000:.1f} ms, 99th of 100 "
                 f"{ordered[int(len(ordered) * 0.99)] * 1000:.1f} ms"
             )
--- a/packages/cli/src/hoistsaddle/cli/operator_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/operator_commands.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Success
 
-from hoistsaddle.cli.caller import ask, say, show
+from hoistsaddle.cli.caller import call, call_or_exit, print_json
 from hoistsaddle.cli.export import export
 from hoistsaddle.cli.holds import holds
 from hoistsaddle.cli.plan import plan
@@ -20,7 +20,7 @@
     "doors",
     multiple=True,
     envvar="HOISTSADDLE_DOORS",
-    help="A bourse's operators' address; repeat, or set HOISTSADDLE_DOORS (spaces between).",
+    help="A registry's operators' address; repeat, or set HOISTSADDLE_DOORS (spaces between).",
 )
 _token = click.option(
     "--token", envvar="HOISTSADDLE_TOKEN", required=True, help="Your token, or set HOISTSADDLE_TOKEN."
@@ -46,7 +46,7 @@
     for operator in operators:
         name, _, token = operator.partition("=")
         digests[name] = hashlib.sha256(token.encode()).hexdigest()
-    show(say(doors=doors, method="POST", path="/found", body=_encode(operators=digests)))
+    print_json(call_or_exit(doors=doors, method="POST", path="/found", body=_encode(operators=digests)))
 
 
 @click.command()
@@ -59,11 +59,11 @@
         click.echo("refused: bundle-broken: the file is not UTF-8 text. Remedy: save it as UTF-8.", err=True)
         sys.exit(1)
     match read_bundle(text):
-        case Failure(mishap):
-            click.echo(f"refused: {mishap}", err=True)
+        case Failure(error):
+            click.echo(f"refused: {error}", err=True)
             sys.exit(1)
         case Success(bundle):
-            show(
+            print_json(
                 {
                     "number": bundle.number,
                     "based_on": bundle.based_on,
@@ -79,7 +79,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def submit(doors, token, file) -> None:
     """Submits a bundle; a second person signs it."""
-    show(say(doors=doors, method="POST", path="/bundles", token=token, body=Path(file).read_bytes()))
+    print_json(call_or_exit(doors=doors, method="POST", path="/bundles", token=token, body=Path(file).read_bytes()))
 
 
 @click.command()
@@ -89,8 +89,12 @@
 @click.option("--digest", help="The digest you read; without it the digest the mesh shows is signed.")
 def sign(doors, token, number, digest) -> None:
     """Signs a bundle off and puts its first stage in force."""
-    digest = digest or say(doors=doors, method="GET", path=f"/bundles/{number}")["digest"]
-    show(say(doors=doors, method="POST", path=f"/bundles/{number}/sign", token=token, body=_encode(digest=digest)))
+    digest = digest or call_or_exit(doors=doors, method="GET", path=f"/bundles/{number}")["digest"]
+    print_json(
+        call_or_exit(
+            doors=doors, method="POST", path=f"/bundles/{number}/sign", token=token, body=_encode(digest=digest)
+        )
+    )
 
 
 @click.command()
@@ -100,8 +104,8 @@
 @click.option("--from-stage", type=int, required=True, help="The stage it is in now.")
 def advance(doors, token, number, from_stage) -> None:
     """Moves a rolling bundle one stage on."""
-    show(
-        say(
+    print_json(
+        call_or_exit(
             doors=doors,
             method="POST",
             path=f"/bundles/{number}/advance",
@@ -117,7 +121,7 @@
 @click.argument("number", type=int)
 def abort(doors, token, number) -> None:
     """Takes a draft or rolling bundle back."""
-    show(say(doors=doors, method="POST", path=f"/bundles/{number}/abort", token=token))
+    print_json(call_or_exit(doors=doors, method="POST", path=f"/bundles/{number}/abort", token=token))
 
 
 @click.command()
@@ -125,7 +129,7 @@
 @click.argument("number", type=int)
 def status(doors, number) -> None:
     """Shows a bundle and what each machine makes of it."""
-    show(say(doors=doors, method="GET", path=f"/bundles/{number}"))
+    print_json(call_or_exit(doors=doors, method="GET", path=f"/bundles/{number}"))
 
 
 @click.command()
@@ -134,29 +138,33 @@
 @click.argument("stall")
 @click.option("--undo", is_flag=True, help="Take the mark away again.")
 def drain(doors, token, stall, undo) -> None:
-    """Marks the server beside a stall as leaving; it gets no new work."""
-    show(say(doors=doors, method="POST", path=f"/servers/{stall}/drain", token=token, body=_encode(drain=not undo)))
+    """Marks the server beside a proxy as leaving; it gets no new work."""
+    print_json(
+        call_or_exit(
+            doors=doors, method="POST", path=f"/servers/{stall}/drain", token=token, body=_encode(drain=not undo)
+        )
+    )
 
 
 @click.command()
 @_door
 def setup(doors) -> None:
-    """Reads the whole setup back, confirmed by the leader."""
-    show(say(doors=doors, method="GET", path="/setup"))
+    """Reads the whole configuration back, confirmed by the leader."""
+    print_json(call_or_exit(doors=doors, method="GET", path="/setup"))
 
 
 @click.command()
 @_door
 def core(doors) -> None:
     """Shows the core machines and who leads."""
-    show(say(doors=doors, method="GET", path="/core"))
+    print_json(call_or_exit(doors=doors, method="GET", path="/core"))
 
 
 @click.command()
 @_door
 def counters(doors) -> None:
-    """Shows a bourse's counters and those of the warehouses."""
-    show(say(doors=doors, method="GET", path="/counters"))
+    """Shows a registry's counters and those of the stores."""
+    print_json(call_or_exit(doors=doors, method="GET", path="/counters"))
 
 
 @click.command()
@@ -165,9 +173,9 @@
     """Asks each core machine whether it is ready; exit 1 names those that aren't."""
     waiting = False
     for door in doors:
-        status, answer = ask(doors=(door,), method="GET", path="/ready")
+        status, answer = call(doors=(door,), method="GET", path="/ready")
         waiting = waiting or status != 200
-        show({"door": door, **answer})
+        print_json({"door": door, **answer})
     if waiting:
         sys.exit(1)
 
@@ -179,7 +187,9 @@
 
 def _propose(doors, token, name, new_token) -> None:
     digest = hashlib.sha256(new_token.encode()).hexdigest()
-    show(say(doors=doors, method="POST", path=f"/operators/{name}", token=token, body=_encode(digest=digest)))
+    print_json(
+        call_or_exit(doors=doors, method="POST", path=f"/operators/{name}", token=token, body=_encode(digest=digest))
+    )
 
 
 _new_token = click.option("--new-token", envvar="HOISTSADDLE_NEW_TOKEN", required=True, help="Only its digest is sent.")
@@ -211,7 +221,7 @@
 @click.argument("name")
 def operator_remove(doors, token, name) -> None:
     """Proposes that somebody is an operator no longer."""
-    show(say(doors=doors, method="POST", path=f"/operators/{name}/remove", token=token))
+    print_json(call_or_exit(doors=doors, method="POST", path=f"/operators/{name}/remove", token=token))
 
 
 @operator.command("sign")
@@ -222,9 +232,13 @@
 def operator_sign(doors, token, name, change) -> None:
     """Signs a proposed change as the second person; it is in force at once."""
     if change is None:
-        proposed = say(doors=doors, method="GET", path="/operators")["changes"]
+        proposed = call_or_exit(doors=doors, method="GET", path="/operators")["changes"]
         change = next((each["change"] for each in proposed if each["name"] == name), "")
-    show(say(doors=doors, method="POST", path=f"/operators/{name}/sign", token=token, body=_encode(change=change)))
+    print_json(
+        call_or_exit(
+            doors=doors, method="POST", path=f"/operators/{name}/sign", token=token, body=_encode(change=change)
+        )
+    )
 
 
 @operator.command("drop")
@@ -233,14 +247,14 @@
 @click.argument("name")
 def operator_drop(doors, token, name) -> None:
     """Takes a proposed change back."""
-    show(say(doors=doors, method="POST", path=f"/operators/{name}/drop", token=token))
+    print_json(call_or_exit(doors=doors, method="POST", path=f"/operators/{name}/drop", token=token))
 
 
 @operator.command("list")
 @_door
 def operator_list(doors) -> None:
     """Shows the operators and the changes that wait for a second person."""
-    show(say(doors=doors, method="GET", path="/operators"))
+    print_json(call_or_exit(doors=doors, method="GET", path="/operators"))
 
 
 OPERATOR_COMMANDS = (
--- a/packages/cli/src/hoistsaddle/cli/watch.py
+++ b/packages/cli/src/hoistsaddle/cli/watch.py
@@ -7,9 +7,9 @@
 import click
 import msgspec
 
-from hoistsaddle.cli.caller import say
+from hoistsaddle.cli.caller import call_or_exit
 
-_words = {
+_TEMPLATES = {
     "bundle submitted": "bundle {number} arrives from {author}",
     "bundle refused": "a bundle from {author} is refused: {mishap}",
     "operator refused": "{operator} is refused: {wanted}, {mishap}",
@@ -49,12 +49,12 @@
 }
 
 
-def line_of(happening: dict) -> str:
+def format_event(happening: dict) -> str:
     kind = happening["kind"]
-    shape = _words.get(kind)
+    template = _TEMPLATES.get(kind)
     detail = happening["detail"]
     try:
-        text = shape.format(**detail) if shape else ""
+        text = template.format(**detail) if template else ""
     except KeyError:
         # A process of another revision may tell it with other details.
         text = ""
@@ -62,7 +62,7 @@
     return f"{happening['moment'][11:23]}  {happening['owner']:<14} {text}"
 
 
-async def happenings_of(*, session: aiohttp.ClientSession, address: str) -> dict | None:
+async def fetch_events(*, session: aiohttp.ClientSession, address: str) -> dict | None:
     try:
         async with session.get(f"http://{address}") as response:
             return msgspec.json.decode(await response.read()) if response.status == 200 else None
@@ -73,38 +73,42 @@
 async def follow(*, sources: list[str], seconds: float | None, past: bool, echo) -> None:
     loop = asyncio.get_running_loop()
     end = None if seconds is None else loop.time() + seconds
-    seen: dict[str, int] = {}
+    newest_seen: dict[str, int] = {}
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.5)) as session:
         while end is None or loop.time() < end:
-            asked = [f"{source}{'&' if '?' in source else '?'}after={seen.get(source, -1)}" for source in sources]
-            gathered = await asyncio.gather(*(happenings_of(session=session, address=address) for address in asked))
-            fresh: list[dict] = []
-            for source, told in zip(sources, gathered, strict=True):
-                if told is None:
+            urls = [f"{source}{'&' if '?' in source else '?'}after={newest_seen.get(source, -1)}" for source in sources]
+            gathered = await asyncio.gather(*(fetch_events(session=session, address=address) for address in urls))
+            new_events: list[dict] = []
+            for source, answer in zip(sources, gathered, strict=True):
+                if answer is None:
                     continue
-                newest, happenings = told["newest"], told["happenings"]
+                newest, happenings = answer["newest"], answer["happenings"]
                 # A process that started anew counts from one again: then all it says is new.
-                if newest < seen.get(source, -1):
-                    seen[source] = -1
+                if newest < newest_seen.get(source, -1):
+                    newest_seen[source] = -1
                     continue
-                if source in seen or past:
-                    fresh += happenings
-                seen[source] = newest
-            for happening in sorted(fresh, key=lambda each: each["moment"]):
-                echo(line_of(happening))
+                if source in newest_seen or past:
+                    new_events += happenings
+                newest_seen[source] = newest
+            for happening in sorted(new_events, key=lambda each: each["moment"]):
+                echo(format_event(happening))
             await asyncio.sleep(0.2)
 
 
 @click.command()
 @click.option(
-    "--door", "doors", multiple=True, envvar="HOISTSADDLE_DOORS", help="A bourse's operators' address; repeat for each."
+    "--door",
+    "doors",
+    multiple=True,
+    envvar="HOISTSADDLE_DOORS",
+    help="A registry's operators' address; repeat for each.",
 )
 @click.option(
     "--stall",
     "stalls",
     multiple=True,
     envvar="HOISTSADDLE_STALLS",
-    help="A stall's visitors' address; repeat for each.",
+    help="A proxy's clients' address; repeat for each.",
 )
 @click.option("--seconds", type=float, help="Stop after this long; without it, watch until interrupted.")
 @click.option("--past", is_flag=True, help="Begin with what the processes still remember.")
@@ -118,10 +122,10 @@
         )
         sys.exit(2)
     sources = [f"{door}/happenings" for door in doors]
-    # The bourses also speak for the warehouses. Which there are is read once; each is asked through a door of its own.
-    replicas = sorted(say(doors=doors, method="GET", path="/core")["machines"], key=int) if doors else []
+    # The registries also speak for the stores. Which there are is read once; each is asked through a door of its own.
+    replicas = sorted(call_or_exit(doors=doors, method="GET", path="/core")["machines"], key=int) if doors else []
     sources += [f"{doors[place % len(doors)]}/happenings?warehouse={replica}" for place, replica in enumerate(replicas)]
-    sources += [f"{stall}/hoistsaddle/happenings" for stall in stalls]
+    sources += [f"{proxy}/hoistsaddle/happenings" for proxy in stalls]
     try:
         asyncio.run(follow(sources=sources, seconds=seconds, past=past, echo=click.echo))
     except KeyboardInterrupt:
--- a/packages/common/src/hoistsaddle/common/pause.py
+++ b/packages/common/src/hoistsaddle/common/backoff.py
@@ -5,7 +5,7 @@
 from hoistsaddle.common.clock import ZERO
 
 
-class GrowingPause:
+class ExponentialBackoff:
     """From `least`, twice as long each time, up to `most`; a success starts it over.
 
     Several tries that fail side by side are one failure: it grows once for each span that has passed.
--- a/packages/common/src/hoistsaddle/common/counters.py
+++ b/packages/common/src/hoistsaddle/common/counters.py
@@ -8,9 +8,9 @@
 from loguru import logger
 
 
-class Happening(NamedTuple):
+class Event(NamedTuple):
     number: int
-    moment: datetime
+    timestamp: datetime
     kind: str
     detail: dict
 
@@ -21,11 +21,11 @@
         self._counts: defaultdict[str, float] = defaultdict(float)
         self._gauges: dict[str, float] = {}
         self._lock = threading.Lock()
-        self._happenings: deque[Happening] = deque(maxlen=keep)
+        self._events: deque[Event] = deque(maxlen=keep)
         self._number = 0
 
     def add(self, name: str, amount: float = 1) -> None:
-        # The warehouse's disk thread counts too, hence the short lock.
+        # The store's disk thread counts too, hence the short lock.
         with self._lock:
             self._counts[name] += amount
 
@@ -33,25 +33,25 @@
         with self._lock:
             self._gauges[name] = value
 
-    def happen(self, kind: str, **detail) -> None:
+    def record_event(self, kind: str, **detail) -> None:
         """A change of state: counted, kept for `hoistsaddle watch`, and one log line."""
         with self._lock:
             self._number += 1
             self._counts[f"happening.{kind}"] += 1
-            self._happenings.append(Happening(self._number, datetime.now(UTC), kind, detail))
+            self._events.append(Event(self._number, datetime.now(UTC), kind, detail))
         logger.info("{} {} {}", self.owner, kind, detail)
 
-    def happenings(self, *, after: int) -> dict:
+    def events(self, *, after: int) -> dict:
         with self._lock:
             told = [
                 {
                     "number": each.number,
-                    "moment": each.moment.isoformat(),
+                    "moment": each.timestamp.isoformat(),
                     "owner": self.owner,
                     "kind": each.kind,
                     "detail": each.detail,
                 }
-                for each in self._happenings
+                for each in self._events
                 if each.number > after
             ]
             return {"newest": self._number, "happenings": told}
--- a/packages/common/src/hoistsaddle/common/errors.py
+++ b/packages/common/src/hoistsaddle/common/errors.py
@@ -1,10 +1,10 @@
-"""Typed mishaps. Every kind is told together with what to do about it."""
+"""Typed errors. Every kind is told together with what to do about it."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
-class MishapKind(StrEnum):
+class ErrorKind(StrEnum):
     PARAMS = "params"
     BUNDLE_BROKEN = "bundle-broken"
     BUNDLE_STALE = "bundle-stale"
@@ -45,15 +45,15 @@
     WRONG_INSTANCE = "wrong-instance"
     WINDING_DOWN = "winding-down"
     SERVER_FULL = "server-full"
-    NO_SETUP = "no-setup"
-    BACKLOG_FULL = "backlog-full"
+    NO_CONFIGURATION = "no-setup"
+    QUEUE_FULL = "backlog-full"
     BUDGET_SPENT = "budget-spent"
     FURTHER_SENDS_SPENT = "further-sends-spent"
     KEY_MISSING = "key-missing"
     KEY_OTHER_BODY = "key-other-body"
     KEY_HELD = "key-held"
-    KEY_VISITOR_UNSURE = "key-visitor-unsure"
-    VISITOR_MISSING = "visitor-missing"
+    KEY_CLIENT_UNSURE = "key-visitor-unsure"
+    CLIENT_MISSING = "visitor-missing"
     CALLER_UNNAMED = "caller-unnamed"
     BODY_TOO_LARGE = "body-too-large"
     REQUEST_BROKEN = "request-broken"
@@ -63,7 +63,7 @@
     FROZEN = "frozen"
 
 
-class Mishap(NamedTuple):
+class MeshError(NamedTuple):
     kind: str
     message: str
     remedy: str
--- a/packages/common/src/hoistsaddle/common/settings.py
+++ b/packages/common/src/hoistsaddle/common/settings.py
@@ -8,18 +8,36 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind, field_in
+from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
 
+# Attributes whose name in settings files, flags and refusals is another one, which stays.
+DOCUMENTED_NAMES = {
+    "store": "warehouse",
+    "registry": "bourse",
+    "health_seconds": "vitals_seconds",
+    "clients": "visitors",
+    "registry_port": "bourse_port",
+    "store_port": "warehouse_port",
+    "applied_version_seconds": "uptake_seconds",
+    "health_door": "vitals_door",
+}
+ATTRIBUTES = {documented: attribute for attribute, documented in DOCUMENTED_NAMES.items()}
+
+
+def attribute_of(setting: str) -> str:
+    """The attribute that holds a setting, by the setting's documented name."""
+    return ATTRIBUTES.get(setting, setting)
 
-class CoreMachine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+
+class CoreMachine(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
     replica: int
-    warehouse: str
-    bourse: str
+    store: str
+    registry: str
     operators: str = ""
     zone: str = ""
 
 
-class StoreParams(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
     replica: int
     zone: str
     listen: str
@@ -37,28 +55,28 @@
     line_faults: str = ""
 
 
-class RegistryParams(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RegistrySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
     replica: int
     zone: str
     listen: str
     operators: str
     core: list[CoreMachine]
     lease_seconds: float = 1.5
-    vitals_seconds: float = 1.5
+    health_seconds: float = 1.5
     release_level: int = 0
     # For proofs alone: a file that names the lines to drop. Daemons in service leave it empty.
     line_faults: str = ""
 
 
-class ProxyParams(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ProxySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
     name: str
     zone: str
     listen: str
-    visitors: str
+    clients: str
     inner: str
     seeds: list[str]
     lease_seconds: float = 1.5
-    vitals_seconds: float = 1.5
+    health_seconds: float = 1.5
     backlog: int = 200
     outstanding: int = 100
     release_level: int = 0
@@ -66,7 +84,7 @@
     line_faults: str = ""
 
 
-class ControllerParams(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ControllerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
     """One core machine whose two core programs share a process, in a core that founds itself and grows by its log."""
 
     host: str
@@ -77,18 +95,18 @@
     cold_start: bool
     # How many core machines may be lost at once: the voters wanted are twice as many and one.
     losses: int = 1
-    bourse_port: int = 7100
-    warehouse_port: int = 7101
+    registry_port: int = 7100
+    store_port: int = 7101
     operators_port: int = 7102
     # Who answers for patches: their author and the standing sign-off under which they count at once.
     desk: str = "desk"
     standing_sign_off: str = "standing"
     lease_seconds: float = 1.5
-    vitals_seconds: float = 4.0
+    health_seconds: float = 4.0
     checkpoint_records: int = 600
     chunk_bytes: int = 65536
-    # How long a patch waits to be seen in force on every stall before it is acknowledged all the same.
-    uptake_seconds: float = 0.35
+    # How long a patch waits to be seen in force on every proxy before it is acknowledged all the same.
+    applied_version_seconds: float = 0.35
     write_seconds: float = 0.5
     # A machine counts as lost for so long after it is back, or after its successor's start.
     settle_seconds: float = 4.0
@@ -98,23 +116,23 @@
     resend_seconds: float = 600.0
 
 
-class SidecarParams(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One stall that serves items: a door for visitors and its own server, and the way to that server."""
+class SidecarSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
+    """One proxy that serves items: a door for clients and its own server, and the way to that server."""
 
     name: str
     zone: str
     listen: str
-    # The door, where visitors and the own server call.
+    # The door, where clients and the own server call.
     door: str
-    # Where the platform asks whether it is ready, and where the server tells its vitals.
-    vitals_door: str
+    # Where the platform asks whether it is ready, and where the server tells its health reports.
+    health_door: str
     ready_door: str
     seeds: list[str]
     # The server beside it: its service and address, as the machine's settings have them.
     service: str
     server: str
     lease_seconds: float = 1.5
-    vitals_seconds: float = 5.0
+    health_seconds: float = 5.0
     backlog: int = 400
     outstanding: int = 400
     release_level: int = 0
@@ -123,13 +141,13 @@
     further_margin: int = 10
     # A key stays held for so long.
     key_seconds: float = 75.0
-    # After its stop a stall goes on for so long at most; a server that leaves gets no work after that long.
+    # After its stop a proxy goes on for so long at most; a server that leaves gets no work after that long.
     grace_seconds: float = 6.0
     drain_seconds: float = 2.0
 
 
 _plain = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
-RANGES: dict[str, tuple[float, float]] = {
+ALLOWED_RANGES: dict[str, tuple[float, float]] = {
     "replica": (1, 1000),
     "lease_seconds": (0.1, 60),
     "vitals_seconds": (0.1, 60),
@@ -154,7 +172,7 @@
     "settle_seconds": (0.1, 3600),
     "drain_seconds": (0.1, 600),
 }
-Params = StoreParams | RegistryParams | ProxyParams | ControllerParams | SidecarParams
+Settings = StoreSettings | RegistrySettings | ProxySettings | ControllerSettings | SidecarSettings
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -162,123 +180,131 @@
     return host, int(port)
 
 
-def check_address(*, field: str, address: str) -> Mishap | None:
+def check_address(*, field: str, address: str) -> MeshError | None:
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        whole = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
+        complete = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
     except ValueError:
-        whole = False
-    if whole:
+        complete = False
+    if complete:
         return None
-    return Mishap(
-        MishapKind.PARAMS, f"{address!r} is not an IP number and port.", "Write it like 127.0.0.1:7100.", field
+    return MeshError(
+        ErrorKind.PARAMS, f"{address!r} is not an IP number and port.", "Write it like 127.0.0.1:7100.", field
     )
 
 
-def _mishaps(params: Params) -> Mishap | None:
+def _first_error(settings: Settings) -> MeshError | None:
     for field in ("listen", "visitors", "inner", "operators"):
-        if hasattr(params, field) and (found := check_address(field=field, address=getattr(params, field))):
+        if hasattr(settings, attribute_of(field)) and (
+            found := check_address(field=field, address=getattr(settings, attribute_of(field)))
+        ):
             return found
-    for field, (least, most) in RANGES.items():
+    for field, (least, most) in ALLOWED_RANGES.items():
         # Written so that "not a number" is refused too.
-        if hasattr(params, field) and not least <= getattr(params, field) <= most:
-            return Mishap(
-                MishapKind.PARAMS,
-                f"{getattr(params, field)} is out of range.",
+        if hasattr(settings, attribute_of(field)) and not least <= getattr(settings, attribute_of(field)) <= most:
+            return MeshError(
+                ErrorKind.PARAMS,
+                f"{getattr(settings, attribute_of(field))} is out of range.",
                 f"Leave it out for the default, or give {least:g} to {most:g}.",
                 field,
             )
     for field in ("name", "zone", "service", "desk", "standing_sign_off"):
-        if hasattr(params, field) and not _plain.match(getattr(params, field)):
-            return Mishap(
-                MishapKind.PARAMS, "That is no plain name.", "Use letters, digits, . _ and -, 64 at most.", field
+        if hasattr(settings, attribute_of(field)) and not _plain.match(getattr(settings, attribute_of(field))):
+            return MeshError(
+                ErrorKind.PARAMS, "That is no plain name.", "Use letters, digits, . _ and -, 64 at most.", field
             )
-    folder = getattr(params, "data_folder", "here")
+    folder = getattr(settings, "data_folder", "here")
     if not folder or "\0" in folder:
-        return Mishap(MishapKind.PARAMS, "That is no folder.", "Name one that this process may write.", "data_folder")
-    match params:
-        case ProxyParams(seeds=seeds):
+        return MeshError(ErrorKind.PARAMS, "That is no folder.", "Name one that this process may write.", "data_folder")
+    match settings:
+        case ProxySettings(seeds=seeds):
             # Three seeds, so that any one of them may be down when a process starts.
             if len(seeds) != 3:
-                return Mishap(
-                    MishapKind.PARAMS, f"{len(seeds)} seeds given.", "Give three seed addresses of bourses.", "seeds"
+                return MeshError(
+                    ErrorKind.PARAMS, f"{len(seeds)} seeds given.", "Give three seed addresses of registries.", "seeds"
                 )
             for place, seed in enumerate(seeds):
                 if found := check_address(field=f"seeds[{place}]", address=seed):
                     return found
-        case SidecarParams() as broker:
-            if not 1 <= len(broker.seeds) <= 3:
-                return Mishap(MishapKind.PARAMS, f"{len(broker.seeds)} seeds given.", "Give one to three.", "seeds")
+        case SidecarSettings() as sidecar:
+            if not 1 <= len(sidecar.seeds) <= 3:
+                return MeshError(ErrorKind.PARAMS, f"{len(sidecar.seeds)} seeds given.", "Give one to three.", "seeds")
             for field in ("door", "vitals_door", "ready_door", "server"):
-                if found := check_address(field=field, address=getattr(broker, field)):
+                if found := check_address(field=field, address=getattr(sidecar, attribute_of(field))):
                     return found
-            for place, seed in enumerate(broker.seeds):
+            for place, seed in enumerate(sidecar.seeds):
                 if found := check_address(field=f"seeds[{place}]", address=seed):
                     return found
-        case ControllerParams() as market:
-            if len({market.bourse_port, market.warehouse_port, market.operators_port}) < 3:
-                return Mishap(MishapKind.PARAMS, "Two ports are the same.", "Give each its own.", "bourse_port")
-            if market.desk == market.standing_sign_off:
+        case ControllerSettings() as controller:
+            if len({controller.registry_port, controller.store_port, controller.operators_port}) < 3:
+                return MeshError(ErrorKind.PARAMS, "Two ports are the same.", "Give each its own.", "bourse_port")
+            if controller.desk == controller.standing_sign_off:
                 # Whoever sends a patch must not be the one who answers for what counts at once.
-                return Mishap(
-                    MishapKind.PARAMS, "The desk signs its own patches.", "Name another person.", "standing_sign_off"
+                return MeshError(
+                    ErrorKind.PARAMS, "The desk signs its own patches.", "Name another person.", "standing_sign_off"
+                )
+            if not 1 <= len(controller.seeds) <= 3:
+                return MeshError(
+                    ErrorKind.PARAMS, f"{len(controller.seeds)} seeds given.", "Give one to three.", "seeds"
                 )
-            if not 1 <= len(market.seeds) <= 3:
-                return Mishap(MishapKind.PARAMS, f"{len(market.seeds)} seeds given.", "Give one to three.", "seeds")
             for field, host in (
-                ("host", market.host),
-                *((f"seeds[{place}]", each) for place, each in enumerate(market.seeds)),
+                ("host", controller.host),
+                *((f"seeds[{place}]", each) for place, each in enumerate(controller.seeds)),
             ):
                 if found := check_address(field=field, address=f"{host}:1"):
                     return found
-        case StoreParams(replica=replica, core=core) | RegistryParams(replica=replica, core=core):
+        case StoreSettings(replica=replica, core=core) | RegistrySettings(replica=replica, core=core):
             if replica not in [machine.replica for machine in core]:
-                return Mishap(
-                    MishapKind.PARAMS,
+                return MeshError(
+                    ErrorKind.PARAMS,
                     f"Replica {replica} is not among the core machines.",
                     "Add it under [[core]].",
                     "replica",
                 )
             if len({machine.replica for machine in core}) != len(core):
-                return Mishap(
-                    MishapKind.PARAMS, "Two core machines share a replica number.", "Give each its own.", "core"
+                return MeshError(
+                    ErrorKind.PARAMS, "Two core machines share a replica number.", "Give each its own.", "core"
                 )
             for place, machine in enumerate(core):
                 for field in ("warehouse", "bourse"):
-                    if found := check_address(field=f"core[{place}].{field}", address=getattr(machine, field)):
+                    if found := check_address(
+                        field=f"core[{place}].{field}", address=getattr(machine, attribute_of(field))
+                    ):
                         return found
     return None
 
 
-def check_params(params: Params) -> Result[Params, Mishap]:
+def check_settings(settings: Settings) -> Result[Settings, MeshError]:
     """The whole check for params that another format brought."""
-    found = _mishaps(params)
-    return Failure(found) if found else Success(params)
+    found = _first_error(settings)
+    return Failure(found) if found else Success(settings)
 
 
-def read_params(*, kind: type, path: str | None, flags: dict) -> Result[Params, Mishap]:
+def read_settings_file(*, kind: type, path: str | None, flags: dict) -> Result[Settings, MeshError]:
     values: dict = {}
     if path is not None:
         try:
             values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
         except (OSError, UnicodeDecodeError) as problem:
             return Failure(
-                Mishap(MishapKind.PARAMS, f"{path} can't be read: {problem}.", "Name a readable TOML file.", "settings")
+                MeshError(
+                    ErrorKind.PARAMS, f"{path} can't be read: {problem}.", "Name a readable TOML file.", "settings"
+                )
             )
         except (tomllib.TOMLDecodeError, RecursionError, ValueError) as problem:
             return Failure(
-                Mishap(MishapKind.PARAMS, f"{path} is not TOML: {problem}.", "Mend the line it names.", "settings")
+                MeshError(ErrorKind.PARAMS, f"{path} is not TOML: {problem}.", "Mend the line it names.", "settings")
             )
     # Flags win over the file: they are what the person starting the process typed last.
     values.update({name: value for name, value in flags.items() if value not in (None, (), [])})
     try:
-        params: Params = msgspec.convert(values, kind)
+        settings: Settings = msgspec.convert(values, kind)
     except (msgspec.ValidationError, RecursionError) as problem:
         return Failure(
-            Mishap(
-                MishapKind.PARAMS, f"{problem}.", "Give the field in the settings file or as a flag.", field_in(problem)
+            MeshError(
+                ErrorKind.PARAMS, f"{problem}.", "Give the field in the settings file or as a flag.", field_in(problem)
             )
         )
-    found = _mishaps(params)
-    return Failure(found) if found else Success(params)
+    found = _first_error(settings)
+    return Failure(found) if found else Success(settings)
--- a/packages/common/src/hoistsaddle/common/ending.py
+++ b/packages/common/src/hoistsaddle/common/shutdown.py
@@ -12,19 +12,19 @@
 from loguru import logger
 
 # The share of the grace after which it acts: the signal may have waited for the processor, and ending takes a while.
-LAST_SHARE = 0.97
+GRACE_FRACTION = 0.97
 # What a supervisor is told of a stop that did not finish by itself.
-UNFINISHED = 1
+UNFINISHED_EXIT_CODE = 1
 
 
-def _leave() -> None:
+def _exit_process() -> None:
     """Ends the process whatever its other threads do: one may hang in a call to a disk that answers nothing."""
     logger.error("the stop was not finished within its grace: something still waited, the process ends all the same")
     sys.stderr.flush()
-    os._exit(UNFINISHED)
+    os._exit(UNFINISHED_EXIT_CODE)
 
 
-class LastResort:
+class ShutdownWatchdog:
     """Ends a process that still is there shortly before its grace is over.
 
     Whatever a stop waits for, a task, a thread, a closing file: the platform kills the process at the end of its
@@ -35,11 +35,11 @@
         self,
         *,
         grace: Callable[[], timedelta],
-        leave: Callable[[], None] = _leave,
+        exit_process: Callable[[], None] = _exit_process,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
         self.grace = grace
-        self.leave = leave
+        self.exit_process = exit_process
         self.sleep = sleep
         self.armed = False
 
@@ -51,16 +51,16 @@
         threading.Thread(target=self._wait, name="last resort", daemon=True).start()
 
     def _wait(self) -> None:
-        self.sleep(self.grace().total_seconds() * LAST_SHARE)
-        self.leave()
+        self.sleep(self.grace().total_seconds() * GRACE_FRACTION)
+        self.exit_process()
 
     def watch(self, number: signal.Signals = signal.SIGTERM) -> None:
         """Arms itself with the signal that stops the process, before whoever handles the signal so far."""
-        before = signal.getsignal(number)
+        previous_handler = signal.getsignal(number)
 
-        def stopped(told: int, frame: FrameType | None) -> None:
+        def stopped(signal_number: int, frame: FrameType | None) -> None:
             self.arm()
-            if callable(before):
-                before(told, frame)
+            if callable(previous_handler):
+                previous_handler(signal_number, frame)
 
         signal.signal(number, stopped)
--- a/packages/config/src/hoistsaddle/config/bundle.py
+++ b/packages/config/src/hoistsaddle/config/bundle.py
@@ -8,17 +8,17 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind, field_in
+from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
 
-VISITORS = "visitors"
-LARGEST_BODY = 8 * 1024 * 1024
-LARGEST_ONCE_ANSWER = 256 * 1024
-LONGEST_BUDGET = 60.0
-LARGEST_NUMBER = 1_000_000_000
+CLIENTS = "visitors"
+MAX_BODY_BYTES = 8 * 1024 * 1024
+MAX_ONCE_ANSWER_BYTES = 256 * 1024
+MAX_BUDGET_SECONDS = 60.0
+MAX_BUNDLE_NUMBER = 1_000_000_000
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"})
 _name = re.compile(r"^[a-z][a-z0-9-]{0,62}$")
-_visitor = re.compile(r"^(header|cookie):[A-Za-z0-9_-]{1,64}$")
+_client = re.compile(r"^(header|cookie):[A-Za-z0-9_-]{1,64}$")
 _path = re.compile(r"^(/[A-Za-z0-9._~-]+)+$")
 
 
@@ -29,7 +29,7 @@
     further_margin: int = 10
 
 
-class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     name: str
     service: str
     path: str
@@ -41,29 +41,29 @@
     answer_bytes: int = 1048576
 
 
-class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"proxies": "stalls"}):
     name: str
-    stalls: list[str] = []
+    proxies: list[str] = []
     zones: list[str] = []
     everyone: bool = False
 
-    def holds(self, *, stall: str, zone: str) -> bool:
-        return self.everyone or stall in self.stalls or zone in self.zones
+    def holds(self, *, proxy: str, zone: str) -> bool:
+        return self.everyone or proxy in self.proxies or zone in self.zones
 
 
-class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"client": "visitor"}):
     number: int
     based_on: int
     services: list[Service]
-    entries: list[Entry]
+    entries: list[Route]
     stages: list[Stage] = []
     note: str = ""
-    # By what a visitor is known beyond its credentials of the day: "header:NAME" or "cookie:NAME".
-    visitor: str = ""
+    # By what a client is known beyond its credentials of the day: "header:NAME" or "cookie:NAME".
+    client: str = ""
 
     def level(self) -> int:
         """The release level that reads every field used here."""
-        return 2 if self.visitor else 1
+        return 2 if self.client else 1
 
     def rollout(self) -> list[Stage]:
         # Without stages the whole fleet is the one stage.
@@ -72,10 +72,10 @@
     def service(self, name: str) -> Service | None:
         return next((service for service in self.services if service.name == name), None)
 
-    def in_stage(self, *, stage: int, stall: str, zone: str) -> bool:
-        return any(each.holds(stall=stall, zone=zone) for each in self.rollout()[:stage])
+    def in_stage(self, *, stage: int, proxy: str, zone: str) -> bool:
+        return any(each.holds(proxy=proxy, zone=zone) for each in self.rollout()[:stage])
 
-    def select_entry(self, *, method: str, path: str) -> Entry | None:
+    def select_entry(self, *, method: str, path: str) -> Route | None:
         """The longest declared path that the request's path equals or continues."""
         found = None
         for entry in self.entries:
@@ -84,11 +84,11 @@
                 found = entry
         return found
 
-    def entry(self, name: str) -> Entry | None:
+    def entry(self, name: str) -> Route | None:
         return next((entry for entry in self.entries if entry.name == name), None)
 
 
-def budget_of(entry: Entry) -> timedelta:
+def budget_of(entry: Route) -> timedelta:
     return timedelta(seconds=entry.budget_seconds)
 
 
@@ -96,13 +96,13 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def _broken(field: str, message: str, remedy: str) -> Mishap:
-    return Mishap(MishapKind.BUNDLE_BROKEN, message, remedy, field)
+def _broken(field: str, message: str, remedy: str) -> MeshError:
+    return MeshError(ErrorKind.BUNDLE_BROKEN, message, remedy, field)
 
 
-def _check_entry(*, place: int, entry: Entry, services: set[str]) -> Mishap | None:
+def _check_entry(*, place: int, entry: Route, services: set[str]) -> MeshError | None:
     where = f"entries[{place}]"
-    callers = services | {VISITORS}
+    callers = services | {CLIENTS}
     checks = (
         (
             not _name.match(entry.name),
@@ -135,7 +135,7 @@
             bool(set(entry.callers) - callers),
             "callers",
             f"Unknown callers {sorted(set(entry.callers) - callers)}.",
-            f"Use declared services or {VISITORS!r}.",
+            f"Use declared services or {CLIENTS!r}.",
         ),
         (
             entry.once and bool(set(entry.methods) & SAFE_METHODS),
@@ -144,28 +144,28 @@
             "Split the entry in two.",
         ),
         (
-            not 0 < entry.budget_seconds <= LONGEST_BUDGET,
+            not 0 < entry.budget_seconds <= MAX_BUDGET_SECONDS,
             "budget_seconds",
             "The budget is out of range.",
-            f"Give above 0 and up to {LONGEST_BUDGET:g} seconds.",
+            f"Give above 0 and up to {MAX_BUDGET_SECONDS:g} seconds.",
         ),
         (
-            not 0 < entry.body_bytes <= LARGEST_BODY,
+            not 0 < entry.body_bytes <= MAX_BODY_BYTES,
             "body_bytes",
             "The limit is out of range.",
-            f"Give 1 to {LARGEST_BODY}.",
+            f"Give 1 to {MAX_BODY_BYTES}.",
         ),
         (
-            not 0 < entry.answer_bytes <= LARGEST_BODY,
+            not 0 < entry.answer_bytes <= MAX_BODY_BYTES,
             "answer_bytes",
             "The limit is out of range.",
-            f"Give 1 to {LARGEST_BODY}.",
+            f"Give 1 to {MAX_BODY_BYTES}.",
         ),
         (
-            entry.once and entry.answer_bytes > LARGEST_ONCE_ANSWER,
+            entry.once and entry.answer_bytes > MAX_ONCE_ANSWER_BYTES,
             "answer_bytes",
             "A once entry's answer is kept with its key and must stay small.",
-            f"Give at most {LARGEST_ONCE_ANSWER}.",
+            f"Give at most {MAX_ONCE_ANSWER_BYTES}.",
         ),
     )
     for wrong, field, message, remedy in checks:
@@ -174,22 +174,22 @@
     return None
 
 
-def _check(bundle: Bundle) -> Mishap | None:
-    if not 1 <= bundle.number <= LARGEST_NUMBER:
-        return _broken("number", f"Bundles are numbered from 1 to {LARGEST_NUMBER}.", "Take the next free number.")
+def _check(bundle: Bundle) -> MeshError | None:
+    if not 1 <= bundle.number <= MAX_BUNDLE_NUMBER:
+        return _broken("number", f"Bundles are numbered from 1 to {MAX_BUNDLE_NUMBER}.", "Take the next free number.")
     if not 0 <= bundle.based_on < bundle.number:
         return _broken(
             "based_on", "A bundle replaces an older one.", "Give the number in force, or 0 for the first bundle."
         )
-    if bundle.visitor and not _visitor.match(bundle.visitor):
-        return _broken("visitor", f"{bundle.visitor!r} is no mark.", 'Write "header:NAME" or "cookie:NAME".')
-    if bundle.visitor.lower() == "header:cookie" or bundle.visitor.lower().startswith("header:x-hoistsaddle-"):
+    if bundle.client and not _client.match(bundle.client):
+        return _broken("visitor", f"{bundle.client!r} is no mark.", 'Write "header:NAME" or "cookie:NAME".')
+    if bundle.client.lower() == "header:cookie" or bundle.client.lower().startswith("header:x-hoistsaddle-"):
         return _broken("visitor", "That header can't tell visitors apart.", 'Name another, or one "cookie:NAME".')
     if not bundle.services:
         return _broken("services", "No service is declared.", "Declare at least one.")
     names = [service.name for service in bundle.services]
     for place, service in enumerate(bundle.services):
-        if not _name.match(service.name) or service.name == VISITORS:
+        if not _name.match(service.name) or service.name == CLIENTS:
             return _broken(
                 f"services[{place}].name",
                 f"{service.name!r} is no service name.",
@@ -220,12 +220,12 @@
             "Add a stage with everyone = true.",
         )
     for place, stage in enumerate(bundle.stages):
-        if not (stage.everyone or stage.stalls or stage.zones):
+        if not (stage.everyone or stage.proxies or stage.zones):
             return _broken(f"stages[{place}]", "The stage names nobody.", "Give stalls, zones or everyone = true.")
     return None
 
 
-def read_bundle(text: str) -> Result[Bundle, Mishap]:
+def read_bundle(text: str) -> Result[Bundle, MeshError]:
     try:
         bundle = msgspec.convert(tomllib.loads(text), Bundle)
     except msgspec.ValidationError as problem:
--- a/packages/config/src/hoistsaddle/config/items.py
+++ b/packages/config/src/hoistsaddle/config/items.py
@@ -11,10 +11,10 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind, field_in
+from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
 
-REPEATABLE = "repeatable"
-ONCE_PER_SEND = "once per send"
+IDEMPOTENT = "repeatable"
+ONCE_PER_ATTEMPT = "once per send"
 ONCE_PER_KEY = "once per key"
 UPLOAD = "upload"
 Kind = Literal["entry", "service", "limits"]
@@ -22,14 +22,14 @@
 SERVICE: Kind = "service"
 LIMITS: Kind = "limits"
 # An aim may lie above the longest hold by less than this: further off, one of the two is a slip of the pen.
-AIM_ABOVE_HOLD = 60.0
-LARGEST_REVISION = 2**62
+MAX_TARGET_ABOVE_HOLD_SECONDS = 60.0
+MAX_REVISION = 2**62
 # Bytes of a content's digest: 2**48 contents under one revision before two of them are taken for one.
 DIGEST_BYTES = 12
 # Far above any that is meant; their sum stays a number.
-LARGEST_WEIGHT = 1e12
+MAX_WEIGHT = 1e12
 # A longer hold or aim than a day counts as a day: clocks and schedules end somewhere.
-LONGEST = 86400.0
+MAX_DURATION_SECONDS = 86400.0
 
 
 class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -39,7 +39,7 @@
     weight: float = 1.0
 
 
-class EntryItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RouteItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     name: str
     host: str
     # Begins and ends with a slash; of a host's entries the longest that begins the path is taken.
@@ -51,13 +51,13 @@
     aim_seconds: float
     # 0 is served first.
     rank: int = 0
-    # The most servers one send of a visitor may go to.
+    # The most servers one send of a client may go to.
     most_sends: int = 1
 
 
-class ServiceItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ServiceItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"health_path": "vitals_path"}):
     name: str
-    vitals_path: str = "/"
+    health_path: str = "/"
     # The most connections a server of it takes from all of the mesh.
     connections: int = 100
     # Its servers keep their own record of keys.
@@ -65,7 +65,7 @@
 
 
 class LimitsItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a visitor may send, and how long it may take over it or say nothing."""
+    """What a client may send, and how long it may take over it or say nothing."""
 
     name: str = LIMITS
     header_bytes: int = 16384
@@ -74,11 +74,11 @@
     idle_seconds: float = 60.0
 
 
-Item = EntryItem | ServiceItem | LimitsItem
-KINDS: dict[str, type] = {ENTRY: EntryItem, SERVICE: ServiceItem, LIMITS: LimitsItem}
+Item = RouteItem | ServiceItem | LimitsItem
+KINDS: dict[str, type] = {ENTRY: RouteItem, SERVICE: ServiceItem, LIMITS: LimitsItem}
 
 
-class Setting(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ItemUpsert(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One item with its revision; said is the operator's own text of it, given back word for word."""
 
     kind: Kind
@@ -87,15 +87,15 @@
     said: bytes = b""
 
 
-class Dropping(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ItemDeletion(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     kind: Kind
     revision: int
     name: str
 
 
 class Patch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    sets: list[Setting] = []
-    drops: list[Dropping] = []
+    sets: list[ItemUpsert] = []
+    drops: list[ItemDeletion] = []
 
 
 def key_of(kind: str, name: str) -> str:
@@ -142,11 +142,11 @@
 DROPPED_DIGEST = hashlib.blake2b(b"dropped", digest_size=DIGEST_BYTES).digest()
 
 
-def _broken(field: str, message: str, remedy: str) -> Mishap:
-    return Mishap(MishapKind.ITEM_BROKEN, message, remedy, field)
+def _broken(field: str, message: str, remedy: str) -> MeshError:
+    return MeshError(ErrorKind.ITEM_BROKEN, message, remedy, field)
 
 
-def _check_entry(entry: EntryItem, where: str) -> Mishap | None:
+def _check_entry(entry: RouteItem, where: str) -> MeshError | None:
     checks = (
         (not entry.host, "host", "An entry needs a host.", "Name the host that visitors call."),
         (
@@ -157,7 +157,7 @@
         ),
         (not entry.parts, "parts", "No service is named.", "Name at least one."),
         (
-            any(not 0 <= part.weight <= LARGEST_WEIGHT for part in entry.parts),
+            any(not 0 <= part.weight <= MAX_WEIGHT for part in entry.parts),
             "parts",
             "A weight is below 0 or too large.",
             "Give 0 or more for each service.",
@@ -171,7 +171,7 @@
         (not entry.hold_seconds > 0, "hold_seconds", "The longest hold is 0.", "Give above 0 seconds."),
         (not entry.aim_seconds >= 0, "aim_seconds", "The aim is below 0.", "Give 0 seconds or more."),
         (
-            not entry.aim_seconds < entry.hold_seconds + AIM_ABOVE_HOLD,
+            not entry.aim_seconds < entry.hold_seconds + MAX_TARGET_ABOVE_HOLD_SECONDS,
             "aim_seconds",
             "The aim is far above the longest hold.",
             "Lower the aim or raise the hold.",
@@ -185,45 +185,45 @@
 
 
 def _too_wide(value: object) -> bool:
-    """Numbers go through the log and to every stall as 64 bits."""
-    return isinstance(value, int) and not -LARGEST_REVISION <= value <= LARGEST_REVISION
+    """Numbers go through the log and to every proxy as 64 bits."""
+    return isinstance(value, int) and not -MAX_REVISION <= value <= MAX_REVISION
 
 
-class Checked(NamedTuple):
+class ValidatedPatch(NamedTuple):
     """A patch that is right in itself."""
 
-    sets: list[tuple[Setting, Item]]
-    drops: list[Dropping]
+    sets: list[tuple[ItemUpsert, Item]]
+    drops: list[ItemDeletion]
 
 
-def check_patch(patch: Patch) -> Result[Checked, Mishap]:
-    sets: list[tuple[Setting, Item]] = []
-    for place, setting in enumerate(patch.sets):
+def check_patch(patch: Patch) -> Result[ValidatedPatch, MeshError]:
+    sets: list[tuple[ItemUpsert, Item]] = []
+    for place, upsert in enumerate(patch.sets):
         where = f"sets[{place}]"
         try:
-            item: Item = msgspec.convert(setting.item, KINDS[setting.kind])
+            item: Item = msgspec.convert(upsert.item, KINDS[upsert.kind])
         except msgspec.ValidationError as problem:
             return Failure(_broken(f"{where}.{field_in(problem)}", f"{problem}.", "Mend the field."))
         if wide := [name for name in item.__struct_fields__ if _too_wide(getattr(item, name))]:
             return Failure(_broken(f"{where}.{wide[0]}", "The number is out of range.", "Give a smaller one."))
         if not item.name:
             return Failure(_broken(f"{where}.name", "An item needs a name.", "Give one."))
-        if not 0 <= setting.revision <= LARGEST_REVISION:
+        if not 0 <= upsert.revision <= MAX_REVISION:
             return Failure(_broken(f"{where}.revision", "The revision is out of range.", "Give 0 or more."))
-        if isinstance(item, EntryItem) and (found := _check_entry(item, where)):
+        if isinstance(item, RouteItem) and (found := _check_entry(item, where)):
             return Failure(found)
         if isinstance(item, LimitsItem) and min(item.header_bytes, item.body_bytes) <= 0:
             return Failure(_broken(f"{where}.body_bytes", "A limit is 0.", "Give above 0."))
         if isinstance(item, LimitsItem) and not (item.header_seconds >= 0 and item.idle_seconds >= 0):
             return Failure(_broken(f"{where}.idle_seconds", "A limit is below 0.", "Give 0 seconds or more."))
-        sets.append((setting, item))
-    for place, dropping in enumerate(patch.drops):
-        if not dropping.name or not 0 <= dropping.revision <= LARGEST_REVISION:
+        sets.append((upsert, item))
+    for place, deletion in enumerate(patch.drops):
+        if not deletion.name or not 0 <= deletion.revision <= MAX_REVISION:
             return Failure(_broken(f"drops[{place}]", "A drop needs a name and a revision.", "Give both."))
-    return Success(Checked(sets, list(patch.drops)))
+    return Success(ValidatedPatch(sets, list(patch.drops)))
 
 
-def read_patch(data: bytes) -> Result[Checked, Mishap]:
+def read_patch(data: bytes) -> Result[ValidatedPatch, MeshError]:
     try:
         patch = msgspec.msgpack.decode(data, type=Patch)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
@@ -231,16 +231,16 @@
     return check_patch(patch)
 
 
-class ItemSetup:
+class ItemConfiguration:
     """The items in force, ready for look-ups."""
 
     def __init__(self, *, items: dict[str, Item]) -> None:
-        self.entries: dict[str, list[EntryItem]] = {}
+        self.entries: dict[str, list[RouteItem]] = {}
         self.services: dict[str, ServiceItem] = {}
         self.limits = LimitsItem()
         for item in items.values():
             match item:
-                case EntryItem(host=host):
+                case RouteItem(host=host):
                     self.entries.setdefault(host, []).append(item)
                 case ServiceItem(name=name):
                     self.services[name] = item
@@ -250,16 +250,16 @@
             # Longest first, so that the first that begins the path is the one; names settle ties the same everywhere.
             entries.sort(key=lambda entry: (-len(entry.prefix), entry.name))
 
-    def select_entry(self, *, host: str, path: str) -> EntryItem | None:
+    def select_entry(self, *, host: str, path: str) -> RouteItem | None:
         for entry in self.entries.get(host, ()):
             if path.startswith(entry.prefix):
                 return entry
         return None
 
 
-def hold_of(entry: EntryItem) -> timedelta:
-    return timedelta(seconds=min(entry.hold_seconds, LONGEST))
+def hold_timeout(entry: RouteItem) -> timedelta:
+    return timedelta(seconds=min(entry.hold_seconds, MAX_DURATION_SECONDS))
 
 
-def aim_of(entry: EntryItem) -> timedelta:
-    return timedelta(seconds=min(entry.aim_seconds, LONGEST))
+def latency_target(entry: RouteItem) -> timedelta:
+    return timedelta(seconds=min(entry.aim_seconds, MAX_DURATION_SECONDS))
--- a/packages/config/src/hoistsaddle/config/itemtext.py
+++ b/packages/config/src/hoistsaddle/config/patch_text.py
@@ -12,10 +12,10 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind, field_in
-from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, Dropping, Kind, Patch, Setting, check_patch
+from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
+from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, ItemUpsert, Kind, Patch, check_patch
 
-LARGEST_TEXT = 4 * 1024 * 1024
+MAX_TEXT_BYTES = 4 * 1024 * 1024
 
 
 class _Drop(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -31,11 +31,11 @@
     drop: list[_Drop] = []
 
 
-def _broken(message: str, remedy: str, field: str = "") -> Mishap:
-    return Mishap(MishapKind.ITEM_BROKEN, message, remedy, field)
+def _broken(message: str, remedy: str, field: str = "") -> MeshError:
+    return MeshError(ErrorKind.ITEM_BROKEN, message, remedy, field)
 
 
-def _setting(kind: Kind, name: str, table: dict) -> Result[Setting, Mishap]:
+def _setting(kind: Kind, name: str, table: dict) -> Result[ItemUpsert, MeshError]:
     place = kind if kind == LIMITS else f"{kind}.{name}"
     revision = table.get("revision")
     if not isinstance(revision, int) or isinstance(revision, bool):
@@ -43,7 +43,7 @@
     if "name" in table:
         return Failure(_broken("The name stands in the table's head.", "Leave it out here.", f"{place}.name"))
     item: dict[str, Any] = {key: value for key, value in table.items() if key != "revision"}
-    return Success(Setting(kind, revision, {**item, "name": name}, msgspec.json.encode(table, order="sorted")))
+    return Success(ItemUpsert(kind, revision, {**item, "name": name}, msgspec.json.encode(table, order="sorted")))
 
 
 def _named(field: str, places: list[str]) -> str:
@@ -54,9 +54,9 @@
     return ".".join(part for part in (places[int(head[5:-1])], rest) if part)
 
 
-def read_text(text: str, *, json: bool = False) -> Result[Patch, Mishap]:
+def read_text(text: str, *, json: bool = False) -> Result[Patch, MeshError]:
     """The whole patch, checked as the log will check it again."""
-    if len(text) > LARGEST_TEXT:
+    if len(text) > MAX_TEXT_BYTES:
         return Failure(_broken("The patch is too large.", "Keep it under 4 MiB; send it in parts."))
     try:
         plain = msgspec.json.decode(text) if json else tomllib.loads(text)
@@ -72,16 +72,16 @@
     sets = []
     for kind, name, table in tables:
         match _setting(kind, name, table):
-            case Failure(mishap):
-                return Failure(mishap)
-            case Success(setting):
-                sets.append(setting)
-    patch = Patch(sets, [Dropping(each.kind, each.revision, each.name) for each in told.drop])
+            case Failure(error):
+                return Failure(error)
+            case Success(upsert):
+                sets.append(upsert)
+    patch = Patch(sets, [ItemDeletion(each.kind, each.revision, each.name) for each in told.drop])
     if not sets and not told.drop:
         return Failure(_broken("The patch is empty.", "Set or drop at least one item."))
     match check_patch(patch):
-        case Failure(mishap):
+        case Failure(error):
             places = [kind if kind == LIMITS else f"{kind}.{name}" for kind, name, _ in tables]
-            return Failure(mishap._replace(field=_named(mishap.field, places)))
+            return Failure(error._replace(field=_named(error.field, places)))
         case Success(_):
             return Success(patch)
--- a/packages/membership/src/hoistsaddle/membership/packing.py
+++ b/packages/membership/src/hoistsaddle/membership/packing.py
@@ -8,29 +8,29 @@
 
 import msgspec
 
-from hoistsaddle.rpc.messages import NewsItem
+from hoistsaddle.rpc.messages import ConfigurationItem
 
 # The fastest level: higher ones take twice the time for a tenth less.
 LEVEL = 1
 # A block that unpacks to more than this is damaged: no configuration is near it.
-LARGEST_BLOCK = 64 * 1024 * 1024
+MAX_BLOCK_BYTES = 64 * 1024 * 1024
 
-_decoder = msgspec.msgpack.Decoder(list[NewsItem])
+_decoder = msgspec.msgpack.Decoder(list[ConfigurationItem])
 
 
-def pack_items(items: Iterable[NewsItem]) -> bytes:
+def pack_items(items: Iterable[ConfigurationItem]) -> bytes:
     """The items as one block; empty for none."""
-    told = list(items)
-    return zlib.compress(msgspec.msgpack.encode(told), LEVEL) if told else b""
+    transmissions = list(items)
+    return zlib.compress(msgspec.msgpack.encode(transmissions), LEVEL) if transmissions else b""
 
 
-def unpack_items(block: bytes) -> tuple[NewsItem, ...]:
+def unpack_items(block: bytes) -> tuple[ConfigurationItem, ...]:
     """The items of a block. Raises ValueError for one that is damaged."""
     if not block:
         return ()
     unpacker = zlib.decompressobj()
     try:
-        data = unpacker.decompress(block, LARGEST_BLOCK)
+        data = unpacker.decompress(block, MAX_BLOCK_BYTES)
         if not unpacker.eof:
             raise ValueError("a block of items is cut short or too large")
         return tuple(_decoder.decode(data))
--- a/packages/membership/src/hoistsaddle/membership/changes.py
+++ b/packages/membership/src/hoistsaddle/membership/removal_history.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 # Removals that a relay remembers. A child that is further behind gets every range that differs, as after damage.
-MOST_REMOVALS = 2048
+MAX_REMOVALS = 2048
 
 
 class RemovalHistory:
@@ -32,7 +32,7 @@
         self._trim()
 
     def _trim(self) -> None:
-        while len(self._removed) > MOST_REMOVALS:
+        while len(self._removed) > MAX_REMOVALS:
             oldest = min(self._removed.values())
             self.since = max(self.since, oldest)
             self._removed = {key: revision for key, revision in self._removed.items() if revision > oldest}
--- a/packages/planner/src/hoistsaddle/planner/forecast.py
+++ b/packages/planner/src/hoistsaddle/planner/forecast.py
@@ -1,4 +1,4 @@
-"""The planner: what a change would move, weighed against the setup read back. It changes nothing."""
+"""The planner: what a change would move, weighed against the configuration read back. It changes nothing."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -6,8 +6,8 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.config.bundle import Bundle, Entry, digest_of, read_bundle
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.config.bundle import Bundle, Route, digest_of, read_bundle
 from hoistsaddle.membership.relay import select_parents
 from hoistsaddle.statemachine.state import DRAFT, GONE, READY
 
@@ -18,11 +18,11 @@
     drain: tuple[str, ...] = ()
     undrain: tuple[str, ...] = ()
     gone: tuple[str, ...] = ()
-    # Stall and the service whose server would come beside it.
+    # Proxy and the service whose server would come beside it.
     server: tuple[tuple[str, str], ...] = ()
 
 
-def _stalls(setup: dict) -> dict[str, str]:
+def _proxies(setup: dict) -> dict[str, str]:
     return {node["node"]: node["zone"] for node in setup["nodes"] if node["kind"] == "stall" and node["state"] != GONE}
 
 
@@ -33,46 +33,46 @@
 
 
 def _open_servers(setup: dict) -> dict[str, tuple[str, str]]:
-    """Stall to (service, zone) for every server that may get new work."""
-    stalls = _stalls(setup)
+    """Proxy to (service, zone) for every server that may get new work."""
+    proxies = _proxies(setup)
     return {
         server["stall"]: (server["service"], server["zone"])
         for server in setup["servers"]
-        if server["state"] == READY and not server["drained_by"] and server["stall"] in stalls
+        if server["state"] == READY and not server["drained_by"] and server["stall"] in proxies
     }
 
 
 def shares(setup: dict) -> dict[str, dict[str, float]]:
-    """Each service's work by server, if requests enter evenly at all stalls: the own zone's servers first, else all."""
-    stalls = _stalls(setup)
+    """Each service's work by server, if requests enter evenly at all proxies: own zone first, else all servers."""
+    proxies = _proxies(setup)
     by_service: dict[str, dict[str, str]] = defaultdict(dict)
-    for stall, (service, zone) in _open_servers(setup).items():
-        by_service[service][stall] = zone
+    for proxy, (service, zone) in _open_servers(setup).items():
+        by_service[service][proxy] = zone
     found: dict[str, dict[str, float]] = {}
     for service, servers in by_service.items():
         share = dict.fromkeys(servers, 0.0)
-        for zone in stalls.values():
-            near = [stall for stall, other in servers.items() if other == zone] or list(servers)
-            for stall in near:
-                share[stall] += 1 / len(near) / len(stalls)
-        found[service] = {stall: round(value, 3) for stall, value in sorted(share.items())}
+        for zone in proxies.values():
+            near = [proxy for proxy, other in servers.items() if other == zone] or list(servers)
+            for proxy in near:
+                share[proxy] += 1 / len(near) / len(proxies)
+        found[service] = {proxy: round(value, 3) for proxy, value in sorted(share.items())}
     return found
 
 
 def parents(setup: dict) -> dict[str, str]:
-    """Each stall's relay parent by name."""
+    """Each proxy's relay parent by name."""
     names = {node["address"]: node["node"] for node in setup["nodes"]}
-    stalls = [
+    proxies = [
         (node["node"], node["address"]) for node in setup["nodes"] if node["kind"] == "stall" and node["state"] != GONE
     ]
     return {
         name: names[found[0]]
-        for name, _ in stalls
-        if (found := select_parents(node=name, stalls=stalls, roots=_roots(setup)))
+        for name, _ in proxies
+        if (found := select_parents(node=name, proxies=proxies, roots=_roots(setup)))
     }
 
 
-def _moved(before: dict, after: dict) -> dict[str, dict]:
+def _differences(before: dict, after: dict) -> dict[str, dict]:
     return {
         name: {"from": before.get(name), "to": after.get(name)}
         for name in sorted({*before, *after})
@@ -80,55 +80,55 @@
     }
 
 
-def changed_setup(setup: dict, change: Change) -> Result[dict, Mishap]:
-    """The setup as it would be after the change."""
-    known = _stalls(setup)
-    for stall in (*change.drain, *change.undrain, *change.gone, *(stall for stall, _ in change.server)):
-        if stall not in known:
+def changed_configuration(setup: dict, change: Change) -> Result[dict, MeshError]:
+    """The configuration as it would be after the change."""
+    known = _proxies(setup)
+    for proxy in (*change.drain, *change.undrain, *change.gone, *(proxy for proxy, _ in change.server)):
+        if proxy not in known:
             return Failure(
-                Mishap(
-                    MishapKind.NO_SERVER,
-                    f"{stall} is no stall of this mesh.",
-                    "Read the setup back and name one of its stalls.",
+                MeshError(
+                    ErrorKind.NO_SERVER,
+                    f"{proxy} is no proxy of this mesh.",
+                    "Read the configuration back and name one of its proxies.",
                     "stall",
                 )
             )
     servers = []
     for server in setup["servers"]:
-        stall = server["stall"]
-        replaced = dict(change.server).get(stall)
+        proxy = server["stall"]
+        replaced = dict(change.server).get(proxy)
         if replaced is not None:
             # A mark belongs to the instance that leaves.
             servers.append({**server, "service": replaced, "instance": "planned", "state": READY, "drained_by": ""})
-        elif stall in change.gone:
+        elif proxy in change.gone:
             servers.append({**server, "state": GONE})
-        elif stall in change.drain:
+        elif proxy in change.drain:
             servers.append({**server, "drained_by": "planned"})
-        elif stall in change.undrain:
+        elif proxy in change.undrain:
             servers.append({**server, "drained_by": ""})
         else:
             servers.append(server)
-    beside = {server["stall"] for server in setup["servers"]}
+    proxies_with_server = {server["stall"] for server in setup["servers"]}
     servers += [
         {
-            "stall": stall,
+            "stall": proxy,
             "service": service,
-            "zone": known[stall],
+            "zone": known[proxy],
             "state": READY,
             "drained_by": "",
             "instance": "planned",
         }
-        for stall, service in change.server
-        if stall not in beside
+        for proxy, service in change.server
+        if proxy not in proxies_with_server
     ]
     nodes = [{**node, "state": GONE} if node["node"] in change.gone else node for node in setup["nodes"]]
     return Success({**setup, "servers": servers, "nodes": nodes})
 
 
-def weigh_change(setup: dict, change: Change) -> Result[dict, Mishap]:
-    match changed_setup(setup, change):
-        case Failure(mishap):
-            return Failure(mishap)
+def forecast_change(setup: dict, change: Change) -> Result[dict, MeshError]:
+    match changed_configuration(setup, change):
+        case Failure(error):
+            return Failure(error)
         case Success(after):
             pass
     before_shares, after_shares = shares(setup), shares(after)
@@ -146,9 +146,9 @@
             "work": {
                 service: moved
                 for service in sorted({*before_shares, *after_shares})
-                if (moved := _moved(before_shares.get(service, {}), after_shares.get(service, {})))
+                if (moved := _differences(before_shares.get(service, {}), after_shares.get(service, {})))
             },
-            "relay_parents": _moved(parents(setup), parents(after)),
+            "relay_parents": _differences(parents(setup), parents(after)),
             "warnings": warnings,
         }
     )
@@ -158,20 +158,20 @@
     """What the log would refuse now, in the order in which it looks."""
     known = {each["number"]: each for each in setup["bundles"]}
     newest = max([number for number, each in known.items() if each["phase"] != DRAFT], default=0)
-    found: list[Mishap] = []
+    found: list[MeshError] = []
     if bundle.number in known:
         same = known[bundle.number]["digest"] == digest_of(text)
         kind = (
-            MishapKind.BUNDLE_DUPLICATE
+            ErrorKind.BUNDLE_DUPLICATE
             if same
-            else MishapKind.BUNDLE_CONFLICT
+            else ErrorKind.BUNDLE_CONFLICT
             if known[bundle.number]["phase"] == DRAFT
-            else MishapKind.BUNDLE_STALE
+            else ErrorKind.BUNDLE_STALE
         )
         # A draft of this very text is not refused when it is signed, only when it is submitted again.
         if not (same and known[bundle.number]["phase"] == DRAFT):
             found.append(
-                Mishap(
+                MeshError(
                     kind,
                     f"Bundle {bundle.number} is known and {known[bundle.number]['phase']}.",
                     "Take the next free number.",
@@ -180,14 +180,14 @@
             )
     elif bundle.number <= newest:
         found.append(
-            Mishap(
-                MishapKind.BUNDLE_STALE, f"Bundle {newest} was signed already.", f"Number it above {newest}.", "number"
+            MeshError(
+                ErrorKind.BUNDLE_STALE, f"Bundle {newest} was signed already.", f"Number it above {newest}.", "number"
             )
         )
     if bundle.based_on != setup["in_force"]:
         found.append(
-            Mishap(
-                MishapKind.BUNDLE_WRONG_BASE,
+            MeshError(
+                ErrorKind.BUNDLE_WRONG_BASE,
                 f"It is based on {bundle.based_on}, but {setup['in_force']} is in force.",
                 f"Rework it on top of {setup['in_force']}.",
                 "based_on",
@@ -195,17 +195,17 @@
         )
     if setup["rolling"]:
         found.append(
-            Mishap(
-                MishapKind.BUNDLE_CONFLICT,
+            MeshError(
+                ErrorKind.BUNDLE_CONFLICT,
                 f"Bundle {setup['rolling']} is rolling out: it can be submitted, not signed.",
                 f"Finish or abort {setup['rolling']} first.",
                 "number",
             )
         )
-    return [mishap.describe() for mishap in found]
+    return [error.describe() for error in found]
 
 
-def _entry_changes(before: Entry | None, after: Entry | None) -> dict:
+def _entry_changes(before: Route | None, after: Route | None) -> dict:
     if before is None or after is None:
         return {"added" if before is None else "removed": msgspec.to_builtins(after or before)}
     old, new = msgspec.to_builtins(before), msgspec.to_builtins(after)
@@ -220,10 +220,10 @@
     return found
 
 
-def weigh_bundle(setup: dict, text: str) -> Result[dict, Mishap]:
+def forecast_bundle(setup: dict, text: str) -> Result[dict, MeshError]:
     match read_bundle(text):
-        case Failure(mishap):
-            return Failure(mishap)
+        case Failure(error):
+            return Failure(error)
         case Success(bundle):
             pass
     current = read_bundle(setup["texts"][str(setup["in_force"])]).value_or(None) if setup["in_force"] else None
@@ -244,16 +244,16 @@
     new_services = {service.name: msgspec.to_builtins(service) for service in bundle.services}
     stages, reached = [], set()
     for place, stage in enumerate(bundle.rollout(), start=1):
-        stalls = [
-            stall
-            for stall, zone in sorted(_stalls(setup).items())
-            if stage.holds(stall=stall, zone=zone) and stall not in reached
+        proxies = [
+            proxy
+            for proxy, zone in sorted(_proxies(setup).items())
+            if stage.holds(proxy=proxy, zone=zone) and proxy not in reached
         ]
-        reached.update(stalls)
-        stages.append({"stage": place, "name": stage.name, "takes_up": stalls})
+        reached.update(proxies)
+        stages.append({"stage": place, "name": stage.name, "takes_up": proxies})
     open_services = {service for service, _ in _open_servers(setup).values()}
     warnings = [
-        f"stage {each['stage']} ({each['name']}) reaches no stall that isn't reached before"
+        f"stage {each['stage']} ({each['name']}) reaches no proxy that isn't reached before"
         for each in stages
         if not each["takes_up"]
     ]
@@ -268,7 +268,7 @@
             "replaces": setup["in_force"],
             "refused": _refusals(setup, bundle, text),
             "entries": entries,
-            "services": _moved(old_services, new_services),
+            "services": _differences(old_services, new_services),
             "stages": stages,
             "warnings": warnings,
         }
--- a/packages/proxy/src/hoistsaddle/proxy/visitors.py
+++ b/packages/proxy/src/hoistsaddle/proxy/client_identity.py
@@ -1,17 +1,17 @@
-"""By what a visitor is known, for keys that must run once."""
+"""By what a client is known, for keys that must run once."""
 
 import hashlib
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.statemachine.keys import BY_CREDENTIALS
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.statemachine.idempotency import BY_CREDENTIALS
 
 BY_SERVICE = "service"
 
 
-class KnownBy(NamedTuple):
-    """What kind of mark it is, and the mark's digest: no credential leaves the stall in another form."""
+class ClientIdentity(NamedTuple):
+    """What kind of mark it is, and the mark's digest: no credential leaves the proxy in another form."""
 
     by: str
     who: str
@@ -32,15 +32,15 @@
     return values.pop() if len(values) == 1 else ""
 
 
-def known_by(
+def identify_client(
     *, caller: str, declared: str, headers: Mapping[str, str], twice: tuple[str, ...] = ()
-) -> KnownBy | Mishap:
-    """A service is known by its door. A visitor by what the bundle declares, or else by its credentials.
+) -> ClientIdentity | MeshError:
+    """A service is known by its door. A client by what the bundle declares, or else by its credentials.
 
     An address is no mark: a phone changes it, and a whole school may share one. Nor is a cookie nobody named.
     """
     if caller:
-        return KnownBy(BY_SERVICE, digest_of_parts(BY_SERVICE, caller))
+        return ClientIdentity(BY_SERVICE, digest_of_parts(BY_SERVICE, caller))
     kind, _, name = declared.partition(":")
     match kind:
         case "header":
@@ -50,14 +50,14 @@
         case _:
             by, shown, carrier = BY_CREDENTIALS, _header(headers, "Authorization"), "Authorization"
     if carrier.lower() in twice:
-        return Mishap(
-            MishapKind.REQUEST_BROKEN, f"{carrier} came twice, so the visitor can't be told.", "Send it once.", carrier
+        return MeshError(
+            ErrorKind.REQUEST_BROKEN, f"{carrier} came twice, so the client can't be told.", "Send it once.", carrier
         )
     if not shown:
-        return Mishap(
-            MishapKind.VISITOR_MISSING,
+        return MeshError(
+            ErrorKind.CLIENT_MISSING,
             f"Nothing shows whose key this is: no {declared or 'Authorization'} came.",
             f"Send it: {declared}." if declared else "Send Authorization, or have a bundle declare visitor.",
             carrier,
         )
-    return KnownBy(by, digest_of_parts(by, shown))
+    return ClientIdentity(by, digest_of_parts(by, shown))
--- a/packages/proxy/src/hoistsaddle/proxy/messages.py
+++ b/packages/proxy/src/hoistsaddle/proxy/messages.py
@@ -1,10 +1,10 @@
-"""Events that reach a stall's core and the commands it answers with."""
+"""Events that reach a proxy's core and the commands it answers with."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-from hoistsaddle.common.errors import Mishap
-from hoistsaddle.rpc.messages import PassAnswer, PassCall
+from hoistsaddle.common.errors import MeshError
+from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
 from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold, SettleHold
 from hoistsaddle.statemachine.view import View
 
@@ -17,9 +17,9 @@
 
 class RequestArrived(NamedTuple):
     ticket: int
-    # The service whose server calls through its own door; empty for a visitor.
+    # The service whose server calls through its own door; empty for a client.
     caller: str
-    visitor: str
+    client: str
     method: str
     path: str
     query: str
@@ -31,8 +31,8 @@
     twice: tuple[str, ...] = ()
 
 
-class RequestGone(NamedTuple):
-    """The visitor hung up; what was sent is still followed to its end."""
+class ClientDisconnected(NamedTuple):
+    """The client hung up; what was sent is still followed to its end."""
 
     ticket: int
 
@@ -44,28 +44,28 @@
     outcome: Outcome | None
 
 
-class PassAnswered(NamedTuple):
+class ForwardAnswered(NamedTuple):
     number: int
-    answer: PassAnswer
+    answer: BundleForwardAnswer
 
 
-class PassMissed(NamedTuple):
+class ForwardFailed(NamedTuple):
     """No answer. unsent means that nothing was ever written to the target."""
 
     number: int
     unsent: bool
 
 
-class PassHeld(NamedTuple):
-    """This stall held the send back itself, directly before its first byte: its lease had lapsed, or
+class ForwardWithheld(NamedTuple):
+    """This proxy held the send back itself, directly before its first byte: its lease had lapsed, or
     it had stood still."""
 
     number: int
 
 
-class PassArrived(NamedTuple):
+class ForwardArrived(NamedTuple):
     ticket: int
-    call: PassCall
+    call: BundleForwardCall
     frozen: bool
 
 
@@ -76,20 +76,20 @@
     body: bytes
 
 
-class ServerMissed(NamedTuple):
+class ServerFailed(NamedTuple):
     number: int
     unsent: bool
-    mishap: Mishap
+    error: MeshError
 
 
-class VitalsArrived(NamedTuple):
+class HealthReported(NamedTuple):
     service: str
     instance: str
     address: str
     state: str
 
 
-class SetupChanged(NamedTuple):
+class ConfigurationChanged(NamedTuple):
     view: View
 
 
@@ -97,7 +97,7 @@
     start: timedelta
 
 
-class StopAsked(NamedTuple):
+class StopRequested(NamedTuple):
     pass
 
 
@@ -105,41 +105,41 @@
     pass
 
 
-class AnswerVisitor(NamedTuple):
+class AnswerClient(NamedTuple):
     ticket: int
     outcome: str
     status: int
     headers: dict[str, str]
     body: bytes
-    mishap: Mishap | None
+    error: MeshError | None
     retry_after: timedelta | None
 
 
-class AskHold(NamedTuple):
+class SubmitHold(NamedTuple):
     number: int
     command: ClaimHold | SettleHold | ReleaseHold
 
 
-class PassOn(NamedTuple):
+class ForwardRequest(NamedTuple):
     number: int
     address: str
-    call: PassCall
+    call: BundleForwardCall
     within: timedelta
 
 
-class RunServer(NamedTuple):
+class RunOnServer(NamedTuple):
     number: int
     address: str
-    call: PassCall
+    call: BundleForwardCall
     within: timedelta
 
 
-class AnswerPass(NamedTuple):
+class AnswerForward(NamedTuple):
     ticket: int
-    answer: PassAnswer
+    answer: BundleForwardAnswer
 
 
-class ReportVitals(NamedTuple):
+class ReportHealth(NamedTuple):
     """The server's standing changed and must travel at once, not with the next heartbeat."""
 
 
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -1,4 +1,4 @@
-"""One stall without its HTTP doors: the line to other processes, the relay, vitals, and the schedule of its core."""
+"""One proxy without its HTTP listeners: connections to other processes, the relay, health reports, its timers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -7,48 +7,48 @@
 
 from returns.result import Success
 
+from hoistsaddle.common.backoff import ExponentialBackoff
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.common.pause import GrowingPause
-from hoistsaddle.common.settings import ProxyParams, SidecarParams
-from hoistsaddle.membership.holding import POLL_HOLD, hold_poll
-from hoistsaddle.membership.member import Member, MemberPace
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.common.settings import ProxySettings, SidecarSettings
+from hoistsaddle.membership.long_poll import LONG_POLL_TIMEOUT, answer_long_poll
+from hoistsaddle.membership.member import Member, MemberTimings
 from hoistsaddle.membership.membership import ALIVE
 from hoistsaddle.membership.relay import Relay, select_parents
 from hoistsaddle.proxy.core import ProxyCore
+from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.messages import (
     Announce,
-    AnswerPass,
-    AnswerVisitor,
-    AskHold,
+    AnswerClient,
+    AnswerForward,
+    ClientDisconnected,
+    ConfigurationChanged,
+    ForwardAnswered,
+    ForwardArrived,
+    ForwardFailed,
+    ForwardRequest,
+    ForwardWithheld,
     HoldAnswered,
     LeaseRenewed,
-    PassAnswered,
-    PassArrived,
-    PassHeld,
-    PassMissed,
-    PassOn,
-    ReportVitals,
+    ReportHealth,
     RequestArrived,
-    RequestGone,
-    RunServer,
-    SetupChanged,
-    StopAsked,
+    RunOnServer,
+    StopRequested,
+    SubmitHold,
     Ticked,
 )
-from hoistsaddle.proxy.standing import ProxyParamsView
 from hoistsaddle.rpc.messages import (
-    PassAnswer,
-    PassCall,
+    AppliedVersion,
+    BundleForwardAnswer,
+    BundleForwardCall,
+    HealthAnswer,
+    HealthCall,
+    IndirectProbeCall,
+    MemberState,
     PollAnswer,
     PollCall,
     ProbeCall,
-    ProbeForCall,
-    Rumour,
-    Uptake,
-    VitalsAnswer,
-    VitalsCall,
     WriteAnswer,
     WriteCall,
 )
@@ -60,48 +60,48 @@
 TICK = milliseconds(50)
 # A gap this long between ticks means the process stood still; what is read right after may be old.
 FROZEN_GAP = milliseconds(400)
-VITALS_EVERY = milliseconds(400)
+HEALTH_EVERY = milliseconds(400)
 POLL_SPAN = milliseconds(600)
 # A poll that was given up is waited for this many spans in all, and so many of them at once.
 LATE_POLL_SPANS = 4
 MOST_LATE_POLLS = 2
 HOLD_SPAN = milliseconds(1500)
-# One bourse gets this long; the same command is then tried at the next, which may not be frozen.
+# One registry gets this long; the same command is then tried at the next, which may not be frozen.
 HOLD_TRY = milliseconds(500)
 STOP_SPAN = timedelta(seconds=20)
 # Between two parents, or two registries, that gave nothing: the first round goes fast, and then each slower.
 PAUSE_LEAST = milliseconds(30)
-VITALS_PAUSE_LEAST = milliseconds(50)
-VITALS_PAUSE_MOST = milliseconds(800)
+HEALTH_PAUSE_LEAST = milliseconds(50)
+HEALTH_PAUSE_MOST = milliseconds(800)
 # What a poll came to.
 RENEWED = "renewed"
 SAME = "same"
 MISSED = "missed"
 
-# Runs a request on the server beside the stall (a RunServer, or a broker's Serve) and gives what came of it.
+# Runs a request on the server beside the proxy (a RunServer, or a sidecar's Serve) and gives what came of it.
 Runner = Callable[[Any], Awaitable[tuple]]
 
 
 class ProxyNode:
     # What a deployment with thin links sets wider.
-    poll_hold = POLL_HOLD
-    vitals_every = VITALS_EVERY
+    poll_hold = LONG_POLL_TIMEOUT
+    health_every = HEALTH_EVERY
     poll_span = POLL_SPAN
     tick = TICK
     # How many answers in a row that renew nothing a parent may give before it is left.
     same_polls = 0
-    member_pace = MemberPace()
+    member_timings = MemberTimings()
 
-    def __init__(self, *, params: ProxyParams | SidecarParams, runtime: Runtime, run_server: Runner) -> None:
-        self.params = params
+    def __init__(self, *, settings: ProxySettings | SidecarSettings, runtime: Runtime, run_server: Runner) -> None:
+        self.settings = settings
         self.runtime = runtime
         self.run_server = run_server
         self.incarnation = runtime.token(6)
-        self.level = params.release_level or LEVEL
-        self.counters = Counters(owner=params.name)
-        span = timedelta(seconds=params.lease_seconds)
+        self.level = settings.release_level or LEVEL
+        self.counters = Counters(owner=settings.name)
+        span = timedelta(seconds=settings.lease_seconds)
         self.core = self._make_core()
-        self.relay = Relay(node=params.name, incarnation=self.incarnation, lease_span=span)
+        self.relay = Relay(node=settings.name, incarnation=self.incarnation, lease_span=span)
         self.news = asyncio.Condition()
         self.answers: dict[int, asyncio.Future] = {}
         self.tickets = 0
@@ -109,51 +109,53 @@
         self.ticked_at = self.thawed_at = runtime.now()
         # How long the last standstill was.
         self.stood = timedelta()
-        self.bourses: list[str] = list(params.seeds)
-        self.parent = params.seeds[0]
+        self.registries: list[str] = list(settings.seeds)
+        self.parent = settings.seeds[0]
         # At most a third of a lease: once somebody has news again, hearing of it costs no more than that.
-        self.poll_pause = GrowingPause(least=PAUSE_LEAST, most=span / 3)
-        self.hold_pause = GrowingPause(least=PAUSE_LEAST, most=span / 3)
+        self.poll_pause = ExponentialBackoff(least=PAUSE_LEAST, most=span / 3)
+        self.hold_pause = ExponentialBackoff(least=PAUSE_LEAST, most=span / 3)
         # While no registry answers, one claim at a time is tried; the others hear what came of it.
         self.hold_probing = False
         self.hold_news = asyncio.Event()
-        self.vitals_pause = GrowingPause(least=VITALS_PAUSE_LEAST, most=VITALS_PAUSE_MOST)
+        self.health_pause = ExponentialBackoff(least=HEALTH_PAUSE_LEAST, most=HEALTH_PAUSE_MOST)
         # Polls whose span is over and whose answers may still come.
         self.late_polls: set[asyncio.Task] = set()
         # The parent whose news was taken last, and the one whose news was refused as older.
         self.fed_by = self.older_from = ""
         self.older_told = False
-        self.vitals_due = asyncio.Event()
-        self.vitals_told = (0, "")
-        me = Rumour(params.name, "stall", params.listen, params.zone, self.incarnation, 0, ALIVE)
-        self.member = Member(me=me, seeds=params.seeds, runtime=runtime, counters=self.counters, pace=self.member_pace)
-
-    def _params_view(self) -> ProxyParamsView:
-        params = self.params
-        return ProxyParamsView(
-            params.name,
-            params.zone,
+        self.health_due = asyncio.Event()
+        self.health_acknowledged = (0, "")
+        me = MemberState(settings.name, "stall", settings.listen, settings.zone, self.incarnation, 0, ALIVE)
+        self.member = Member(
+            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, pace=self.member_timings
+        )
+
+    def _core_settings_view(self) -> CoreSettings:
+        settings = self.settings
+        return CoreSettings(
+            settings.name,
+            settings.zone,
             self.incarnation,
-            timedelta(seconds=params.lease_seconds),
-            timedelta(seconds=params.vitals_seconds),
-            params.backlog,
-            params.outstanding,
+            timedelta(seconds=settings.lease_seconds),
+            timedelta(seconds=settings.health_seconds),
+            settings.backlog,
+            settings.outstanding,
         )
 
     def _make_core(self) -> Any:
-        return ProxyCore(params=self._params_view(), seed=self.runtime.random, now=self.runtime.now())
+        return ProxyCore(settings=self._core_settings_view(), seed=self.runtime.random, now=self.runtime.now())
 
     async def start(self) -> None:
-        self.server = await self.runtime.serve(self.params.listen, self.answer)
+        self.server = await self.runtime.serve(self.settings.listen, self.answer)
         self.tasks = [
             asyncio.ensure_future(work)
-            for work in (self.member.run(), self._poll(), self._ticks(), self._tell_vitals())
+            for work in (self.member.run(), self._poll(), self._ticks(), self._report_health())
         ]
-        self.counters.happen("stall up", incarnation=self.incarnation)
+        self.counters.record_event("proxy up", incarnation=self.incarnation)
 
     async def finish(self) -> None:
         """Planned stop: refuse new work at once, have the log mark the server, finish what is mid-answer."""
-        self.feed(StopAsked())
+        self.feed(StopRequested())
         await self.settle()
         # Others may still have requests on their way here for as long as their news can be old.
         await asyncio.sleep(milliseconds(300).total_seconds())
@@ -169,18 +171,20 @@
             task.cancel()
         self.member.stop()
         await self.server.stop()
-        self.runtime.lines.close()
+        self.runtime.rpc_client.close()
 
     def _told_stopping(self) -> bool:
-        return self.core.server is None or (self.vitals_told[0] >= self.core.serial and self.vitals_told[1] != READY)
+        return self.core.server is None or (
+            self.health_acknowledged[0] >= self.core.serial and self.health_acknowledged[1] != READY
+        )
 
-    async def request(self, make: Callable[[int], RequestArrived]) -> AnswerVisitor:
+    async def request(self, make: Callable[[int], RequestArrived]) -> AnswerClient:
         ticket, future = self._ticket()
         self.feed(make(ticket))
         try:
             return await future
         except asyncio.CancelledError:
-            self.feed(RequestGone(ticket))
+            self.feed(ClientDisconnected(ticket))
             raise
 
     # -- the owner ---------------------------------------------------------------------------------------------------
@@ -188,20 +192,20 @@
     def feed(self, event: tuple) -> None:
         for command in self.core.handle(event, now=self.runtime.now()):
             match command:
-                case AnswerVisitor(ticket=ticket) | AnswerPass(ticket=ticket):
+                case AnswerClient(ticket=ticket) | AnswerForward(ticket=ticket):
                     future = self.answers.pop(ticket, None)
                     if future is not None and not future.done():
                         future.set_result(command)
-                case AskHold():
+                case SubmitHold():
                     self._spawn(self._ask_hold(command))
-                case PassOn():
-                    self._spawn(self._pass_on(command))
-                case RunServer():
+                case ForwardRequest():
+                    self._spawn(self._forward(command))
+                case RunOnServer():
                     self._spawn(self._run(command))
-                case ReportVitals():
-                    self.vitals_due.set()
+                case ReportHealth():
+                    self.health_due.set()
                 case Announce(kind=kind, detail=detail):
-                    self.counters.happen(kind, **detail)
+                    self.counters.record_event(kind, **detail)
 
     def _spawn(self, work: Coroutine) -> asyncio.Task:
         task = asyncio.ensure_future(work)
@@ -218,7 +222,7 @@
         while True:
             now = self.runtime.now()
             if now - self.ticked_at > FROZEN_GAP:
-                self.counters.happen("stood still", seconds=round((now - self.ticked_at).total_seconds(), 3))
+                self.counters.record_event("stood still", seconds=round((now - self.ticked_at).total_seconds(), 3))
                 # What came in meanwhile is read over the next moments, in pieces; none of it is young.
                 self.thawed_at = now + FROZEN_GAP
                 self.stood = now - self.ticked_at
@@ -241,30 +245,30 @@
 
     async def answer(self, message: tuple) -> tuple | None:
         match message:
-            case PassCall():
+            case BundleForwardCall():
                 ticket, future = self._ticket()
-                self.feed(PassArrived(ticket, message, self._frozen()))
+                self.feed(ForwardArrived(ticket, message, self._frozen()))
                 return (await future).answer
             case PollCall():
-                if self.relay.heard(message.uptakes, now=self.runtime.now()):
+                if self.relay.heard(message.applied_versions, now=self.runtime.now()):
                     # Somebody below took something up: the own poll may be held just now, so a second one tells it.
                     self._spawn(self._poll_once(self.parent, within=self.poll_span))
-                return await hold_poll(
+                return await answer_long_poll(
                     runtime=self.runtime, relay=self.relay, news=self.news, call=message, hold=self.poll_hold
                 )
-            case ProbeCall() | ProbeForCall():
+            case ProbeCall() | IndirectProbeCall():
                 return await self.member.answer(message)
         return None
 
     # -- commands ----------------------------------------------------------------------------------------------------
 
-    async def _ask_hold(self, ask: AskHold) -> None:
+    async def _ask_hold(self, ask: SubmitHold) -> None:
         """Asks one registry after the other; while none grants anything, one call at a time for all keys here."""
         self.counters.add(f"holds.{type(ask.command).__name__}")
-        call = WriteCall(self.params.name, (pack_command(ask.command),))
+        call = WriteCall(self.settings.name, (pack_command(ask.command),))
         deadline = self.runtime.now() + HOLD_SPAN
         outcome: Outcome | None = None
-        for _ in range(len(self.bourses) * 2):
+        for _ in range(len(self.registries) * 2):
             if not self.hold_pause.failing:
                 outcome = await self._try_hold(call, min(HOLD_TRY, deadline - self.runtime.now()))
             elif not self.hold_probing:
@@ -297,25 +301,25 @@
             pass
 
     async def _try_hold(self, call: WriteCall, within: timedelta) -> Outcome | None:
-        address = self.bourses[0]
-        match await self.runtime.lines.call(address, call, within=within):
-            case Success(WriteAnswer(mishap="", leader=leader, outcomes=(outcome,))):
+        address = self.registries[0]
+        match await self.runtime.rpc_client.call(address, call, within=within):
+            case Success(WriteAnswer(error="", leader=leader, outcomes=(outcome,))):
                 self.hold_pause.reset()
                 self._lead_hint(leader)
                 return unpack_outcome(outcome)
-        # The next bourse may reach the leader; the command is the same command there.
-        if self.bourses[0] == address:
-            self.bourses = [*self.bourses[1:], address]
+        # The next registry may reach the leader; the command is the same command there.
+        if self.registries[0] == address:
+            self.registries = [*self.registries[1:], address]
         self.hold_pause.failed(now=self.runtime.now())
         return None
 
     def _lead_hint(self, leader: int) -> None:
-        """The bourse beside the leader is asked first from now on."""
+        """The registry beside the leader is asked first from now on."""
         known = self.core.view.nodes.get(f"bourse-{leader}")
-        if known is not None and known.address in self.bourses and self.bourses[0] != known.address:
-            self.bourses = [known.address, *(each for each in self.bourses if each != known.address)]
+        if known is not None and known.address in self.registries and self.registries[0] != known.address:
+            self.registries = [known.address, *(each for each in self.registries if each != known.address)]
 
-    async def _pass_on(self, command: PassOn) -> None:
+    async def _forward(self, command: ForwardRequest) -> None:
         self.counters.add(f"sends.{command.call.service_name}")
         decided = self.runtime.now()
         held = False
@@ -327,33 +331,33 @@
             held = now - decided >= FROZEN_GAP or self._frozen() or not self.relay.fresh(now=now)
             return not held
 
-        match await self.runtime.lines.call(command.address, command.call, within=command.within, still=still):
-            case Success(PassAnswer() as answer):
-                self.feed(PassAnswered(command.number, answer))
+        match await self.runtime.rpc_client.call(command.address, command.call, within=command.within, still=still):
+            case Success(BundleForwardAnswer() as answer):
+                self.feed(ForwardAnswered(command.number, answer))
             case _ if held:
-                self.feed(PassHeld(command.number))
+                self.feed(ForwardWithheld(command.number))
             case result:
-                self.feed(PassMissed(command.number, result.failure().kind == MishapKind.UNREACHABLE))
+                self.feed(ForwardFailed(command.number, result.failure().kind == ErrorKind.UNREACHABLE))
 
-    async def _run(self, command: RunServer) -> None:
+    async def _run(self, command: RunOnServer) -> None:
         self.counters.add("runs")
         event = await self.run_server(command)
         self.feed(event)
 
-    # -- news and vitals ---------------------------------------------------------------------------------------------
+    # -- updates and health reports -------------------------------------------------------------------------
 
-    def _uptake(self) -> Uptake:
+    def _applied_version(self) -> AppliedVersion:
         view = self.core.view
-        return Uptake(
-            self.params.name, view.revision, view.bundle_number, view.refusal, self.incarnation, view.refused_bundle
+        return AppliedVersion(
+            self.settings.name, view.revision, view.bundle_number, view.refusal, self.incarnation, view.refused_bundle
         )
 
     def _parents(self) -> list[str]:
         members = self.member.core
-        stalls = [(member.node, member.address) for member in members.alive(kind="stall")]
+        proxies = [(member.node, member.address) for member in members.alive(kind="stall")]
         roots = [(member.node, member.address) for member in members.alive(kind="bourse")]
-        parents = select_parents(node=self.params.name, stalls=stalls, roots=roots)
-        return parents + [seed for seed in self.params.seeds if seed not in parents]
+        parents = select_parents(node=self.settings.name, proxies=proxies, roots=roots)
+        return parents + [seed for seed in self.settings.seeds if seed not in parents]
 
     async def _poll_in_time(self, address: str) -> str:
         """One poll, as missed once its span is over. Its answer still counts if it comes later.
@@ -373,8 +377,10 @@
     async def _poll_once(self, address: str, *, within: timedelta) -> str:
         """Asks one parent: whether that renewed the lease, brought nothing newer, or failed."""
         sent = self.runtime.now()
-        match await self.runtime.lines.call(address, self.relay.poll(own=self._uptake(), now=sent), within=within):
-            case Success(PollAnswer() as answer) if not answer.mishap:
+        match await self.runtime.rpc_client.call(
+            address, self.relay.poll(own=self._applied_version(), now=sent), within=within
+        ):
+            case Success(PollAnswer() as answer) if not answer.error:
                 pass
             case _:
                 self.counters.add("news.polls_missed")
@@ -387,17 +393,17 @@
             view = read_view(
                 revision=self.relay.copy.revision,
                 items=self.relay.copy.items,
-                node=self.params.name,
-                zone=self.params.zone,
+                node=self.settings.name,
+                zone=self.settings.zone,
                 before=self.core.view,
             )
             self.counters.add("news.taken")
             self._note_feeder(address, answer)
-            self.feed(SetupChanged(view))
+            self.feed(ConfigurationChanged(view))
             known = [node.address for node in view.nodes.values() if node.kind == "bourse" and node.state != GONE]
-            self.bourses = [each for each in self.bourses if each in known] + [
-                each for each in known if each not in self.bourses
-            ] or list(self.params.seeds)
+            self.registries = [each for each in self.registries if each in known] + [
+                each for each in known if each not in self.registries
+            ] or list(self.settings.seeds)
         if self.relay.lease_start is not None:
             self.feed(LeaseRenewed(self.relay.lease_start))
             self.counters.gauge(
@@ -415,7 +421,7 @@
             self.older_from, self.older_told = address, False
         elif not self.older_told:
             self.older_told = True
-            self.counters.happen(
+            self.counters.record_event(
                 "older news refused",
                 parent=address,
                 revision=answer.revision,
@@ -428,7 +434,7 @@
         self.older_from = ""
         if self.fed_by != address:
             self.fed_by = address
-            self.counters.happen(
+            self.counters.record_event(
                 "fed by",
                 parent=address,
                 revision=answer.revision,
@@ -459,17 +465,17 @@
             self.counters.add("news.polls_paused")
             await asyncio.sleep(self.poll_pause.span.total_seconds())
 
-    async def _tell_vitals(self) -> None:
+    async def _report_health(self) -> None:
         turn = 0
         while True:
             server = self.core.server
             state = self.core.server_state() if server is not None else ""
             serial = self.core.serial
-            call = VitalsCall(
-                self.params.name,
+            call = HealthCall(
+                self.settings.name,
                 self.incarnation,
-                self.params.listen,
-                self.params.zone,
+                self.settings.listen,
+                self.settings.zone,
                 server.service if server else "",
                 server.instance if server else "",
                 server.address if server else "",
@@ -480,22 +486,22 @@
             )
             duty = self.core.view.duties.get(WARDEN)
             warden = self.core.view.nodes.get(duty.node) if duty is not None else None
-            addresses = ([warden.address] if warden is not None and turn == 0 else []) + self.bourses
-            self.vitals_due.clear()
-            match await self.runtime.lines.call(addresses[turn % len(addresses)], call, within=milliseconds(900)):
-                case Success(VitalsAnswer(mishap="") as answer):
-                    self.vitals_told = (serial, answer.state)
-                    self.vitals_pause.reset()
+            addresses = ([warden.address] if warden is not None and turn == 0 else []) + self.registries
+            self.health_due.clear()
+            match await self.runtime.rpc_client.call(addresses[turn % len(addresses)], call, within=milliseconds(900)):
+                case Success(HealthAnswer(error="") as answer):
+                    self.health_acknowledged = (serial, answer.state)
+                    self.health_pause.reset()
                     turn = 0
                 case _:
                     self.counters.add("vitals.missed")
                     turn += 1
                     if turn % len(addresses) == 0:
-                        self.vitals_pause.failed(now=self.runtime.now())
-                    await asyncio.sleep(self.vitals_pause.span.total_seconds())
+                        self.health_pause.failed(now=self.runtime.now())
+                    await asyncio.sleep(self.health_pause.span.total_seconds())
                     continue
             try:
-                async with asyncio.timeout(self.vitals_every.total_seconds()):
-                    await self.vitals_due.wait()
+                async with asyncio.timeout(self.health_every.total_seconds()):
+                    await self.health_due.wait()
             except TimeoutError:
                 pass
--- a/packages/proxy/src/hoistsaddle/proxy/further.py
+++ b/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
@@ -24,12 +24,12 @@
 SLOT = "slot"
 
 
-def part_of(*, service: str, stall: str, stalls: list[str], margin: int) -> int:
-    """This stall's whole units. Who gets one more of an uneven margin differs from service to service."""
-    if stall not in stalls:
+def retry_quota_of(*, service: str, proxy: str, proxies: list[str], margin: int) -> int:
+    """This proxy's whole units. Who gets one more of an uneven margin differs from service to service."""
+    if proxy not in proxies:
         return 0
-    order = sorted(stalls, key=lambda name: hashlib.sha256(f"{service} {name}".encode()).digest())
-    return margin // len(order) + (order.index(stall) < margin % len(order))
+    order = sorted(proxies, key=lambda name: hashlib.sha256(f"{service} {name}".encode()).digest())
+    return margin // len(order) + (order.index(proxy) < margin % len(order))
 
 
 class _Limit:
@@ -53,7 +53,7 @@
 
 class _Account:
     def __init__(self, *, wait: timedelta) -> None:
-        # A newborn stall begins with nothing: it can't know what its former life spent.
+        # A newborn proxy begins with nothing: it can't know what its former life spent.
         self.cap = _Limit(wait=wait)
         self.slots = _Limit(wait=wait + WINDOW)
         # Fractions, because a fifth has no exact float and the bound is meant exactly.
@@ -61,7 +61,7 @@
         self.used: deque[timedelta] = deque()
 
 
-class FurtherSends:
+class RetryBudget:
     def __init__(self, *, wait: timedelta) -> None:
         self.wait = wait
         self.accounts: dict[str, _Account] = {}
@@ -102,7 +102,7 @@
         return ""
 
     def give_back(self, service: str, way: str) -> None:
-        """A further send that never left this stall was none."""
+        """A further send that never left this proxy was none."""
         account = self._account(service)
         if way == SHARE:
             account.tokens = min(account.tokens + 1, Fraction(account.cap.value))
--- a/packages/proxy/src/hoistsaddle/proxy/service.py
+++ b/packages/proxy/src/hoistsaddle/proxy/service.py
@@ -1,4 +1,4 @@
-"""The stall's HTTP: a door for visitors, one for its own server, and the way to that server."""
+"""The proxy's HTTP: a door for clients, one for its own server, and the way to that server."""
 
 import asyncio
 import hashlib
@@ -12,22 +12,22 @@
 from aiomisc import Service
 from returns.result import Failure, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.reading import plain_name, read_body, whole_number
-from hoistsaddle.common.settings import ProxyParams, check_address, split_address
-from hoistsaddle.config.bundle import LARGEST_BODY
+from hoistsaddle.common.settings import ProxySettings, check_address, split_address
+from hoistsaddle.config.bundle import MAX_BODY_BYTES
 from hoistsaddle.proxy.messages import (
     ANSWERED,
     REFUSED,
-    AnswerVisitor,
+    AnswerClient,
+    HealthReported,
     RequestArrived,
-    RunServer,
+    RunOnServer,
     ServerAnswered,
-    ServerMissed,
-    VitalsArrived,
+    ServerFailed,
 )
 from hoistsaddle.proxy.node import ProxyNode
-from hoistsaddle.rpc.messages import PassCall
+from hoistsaddle.rpc.messages import BundleForwardCall
 from hoistsaddle.rpc.runtime import RealRuntime
 from hoistsaddle.statemachine.state import GONE
 
@@ -62,21 +62,21 @@
     }
 
 
-def path_mishap(raw_path: str) -> Mishap | None:
+def path_error(raw_path: str) -> MeshError | None:
     # A path that two programs could read differently must not pass a gate that compares paths.
     if not raw_path.isascii():
-        return Mishap(MishapKind.REQUEST_BROKEN, "The path is not ASCII.", "Escape it with %.", "path")
+        return MeshError(ErrorKind.REQUEST_BROKEN, "The path is not ASCII.", "Escape it with %.", "path")
     lowered = raw_path.partition("?")[0].lower()
     if any(part in lowered for part in ("%2f", "%2e", "%5c", "%00", "\\", "//", "/../", "/./")) or lowered.endswith(
         ("/..", "/.")
     ):
-        return Mishap(
-            MishapKind.REQUEST_BROKEN, "The path has parts that can be read two ways.", "Send a plain path.", "path"
+        return MeshError(
+            ErrorKind.REQUEST_BROKEN, "The path has parts that can be read two ways.", "Send a plain path.", "path"
         )
     return None
 
 
-class _Vitals(msgspec.Struct, frozen=True):
+class _Health(msgspec.Struct, frozen=True):
     """What a server says of itself about once a second; what else it says is passed over."""
 
     service: str
@@ -85,37 +85,37 @@
     state: Literal["ready", "winding down", "gone"]
 
 
-def header_mishap(headers) -> Mishap | None:
+def header_error(headers) -> MeshError | None:
     """Bytes that aren't text can't travel as text: every hop might read them another way."""
     for name, value in headers.items():
         try:
             (name + value).encode()
         except UnicodeEncodeError:
-            return Mishap(
-                MishapKind.REQUEST_BROKEN, f"Header {ascii(name)} is not UTF-8.", "Send plain text.", ascii(name)
+            return MeshError(
+                ErrorKind.REQUEST_BROKEN, f"Header {ascii(name)} is not UTF-8.", "Send plain text.", ascii(name)
             )
     return None
 
 
 class ProxyService(Service):
-    def __init__(self, *, params: ProxyParams) -> None:
+    def __init__(self, *, settings: ProxySettings) -> None:
         super().__init__()
-        self.stall_params = params
+        self.proxy_settings = settings
 
     async def start(self) -> None:
-        params = self.stall_params
+        settings = self.proxy_settings
         # Each run has a connection of its own: a kept one may die under a request and tempt a library to repeat it.
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
         )
-        runtime = RealRuntime(line_faults=params.line_faults)
-        self.node = ProxyNode(params=params, runtime=runtime, run_server=self.run_server)
+        runtime = RealRuntime(line_faults=settings.line_faults)
+        self.node = ProxyNode(settings=settings, runtime=runtime, run_server=self.run_server)
         await self.node.start()
         self.runners = [
-            await self._open_door(params.visitors, inner=False),
-            await self._open_door(params.inner, inner=True),
+            await self._open_door(settings.clients, inner=False),
+            await self._open_door(settings.inner, inner=True),
         ]
         self.start_event.set()
 
@@ -136,15 +136,15 @@
     # -- doors -------------------------------------------------------------------------------------------------------
 
     async def _open_door(self, address: str, *, inner: bool) -> web.AppRunner:
-        application = web.Application(client_max_size=LARGEST_BODY + 1024)
+        application = web.Application(client_max_size=MAX_BODY_BYTES + 1024)
         application.router.add_get("/hoistsaddle/ready", self._ready)
         application.router.add_get("/hoistsaddle/counters", self._counters)
         application.router.add_get("/hoistsaddle/happenings", self._happenings)
         application.router.add_get("/hoistsaddle/usage", self._usage)
         application.router.add_get("/hoistsaddle/holds", self._holds)
         if inner:
-            application.router.add_post("/hoistsaddle/vitals", self._take_vitals)
-        application.router.add_route("*", "/{tail:.*}", self._inner if inner else self._visitor)
+            application.router.add_post("/hoistsaddle/vitals", self._take_health)
+        application.router.add_route("*", "/{tail:.*}", self._inner if inner else self._client)
         runner = web.AppRunner(application, access_log=None, shutdown_timeout=5)
         await runner.setup()
         host, port = split_address(address)
@@ -152,30 +152,30 @@
         return runner
 
     async def _ready(self, request: web.Request) -> web.Response:
-        mishap = self.node.core.ready()
+        error = self.node.core.ready()
         state = {
-            "ready": mishap is None,
+            "ready": error is None,
             "bundle": self.node.core.view.bundle_number,
             "revision": self.node.core.view.revision,
             "server": self.node.core.server_state(),
             "life": self.node.incarnation,
         }
-        if mishap is not None:
-            state["why"] = mishap.describe()
-        return web.json_response(state, status=200 if mishap is None else 503)
+        if error is not None:
+            state["why"] = error.describe()
+        return web.json_response(state, status=200 if error is None else 503)
 
     async def _counters(self, request: web.Request) -> web.Response:
         return web.json_response(self.node.counters.read())
 
     async def _happenings(self, request: web.Request) -> web.Response:
         match whole_number(request.query.get("after", "0"), field="after"):
-            case Failure(mishap):
-                return web.json_response({"refused": mishap.describe()}, status=400)
+            case Failure(error):
+                return web.json_response({"refused": error.describe()}, status=400)
             case Success(after):
-                return web.json_response(self.node.counters.happenings(after=after))
+                return web.json_response(self.node.counters.events(after=after))
 
     async def _holds(self, request: web.Request) -> web.Response:
-        """This stall's room for further sends, by service."""
+        """This proxy's room for further sends, by service."""
         core = self.node.core
         room = {
             name: {
@@ -184,19 +184,19 @@
             }
             for name, account in sorted(core.further.accounts.items())
         }
-        return web.json_response({"stall": self.stall_params.name, "room": room})
+        return web.json_response({"stall": self.proxy_settings.name, "room": room})
 
     async def _usage(self, request: web.Request) -> web.Response:
         names = ("service", "entry", "caller", "outcome", "requests", "further_sends", "body_bytes", "answer_bytes")
         usage = [
             dict(zip(names, (*key, *amounts), strict=True)) for key, amounts in sorted(self.node.core.usage.items())
         ]
-        return web.json_response({"stall": self.stall_params.name, "life": self.node.incarnation, "usage": usage})
+        return web.json_response({"stall": self.proxy_settings.name, "life": self.node.incarnation, "usage": usage})
 
-    async def _take_vitals(self, request: web.Request) -> web.Response:
-        match read_body(await request.read(), _Vitals):
-            case Failure(mishap):
-                return web.json_response({"refused": mishap.describe()}, status=400)
+    async def _take_health(self, request: web.Request) -> web.Response:
+        match read_body(await request.read(), _Health):
+            case Failure(error):
+                return web.json_response({"refused": error.describe()}, status=400)
             case Success(told):
                 pass
         wrong = check_address(field="address", address=told.address)
@@ -204,54 +204,54 @@
             wrong = wrong or plain_name(getattr(told, field), field=field).swap().value_or(None)
         if wrong is not None:
             return web.json_response({"refused": wrong.describe()}, status=400)
-        self.node.feed(VitalsArrived(told.service, told.instance, told.address, told.state))
+        self.node.feed(HealthReported(told.service, told.instance, told.address, told.state))
         return web.json_response({"heard": True})
 
-    async def _visitor(self, request: web.Request) -> web.Response:
-        # What servers are told of a visitor: a digest of its credentials, or else of where it calls from.
+    async def _client(self, request: web.Request) -> web.Response:
+        # What servers are told of a client: a digest of its credentials, or else of where it calls from.
         shown = request.headers.get("Authorization") or request.headers.get("Cookie") or f"from {request.remote}"
-        visitor = hashlib.sha256(shown.encode(errors="surrogateescape")).hexdigest()[:32]
-        return await self._request(request, caller="", visitor=visitor)
+        client = hashlib.sha256(shown.encode(errors="surrogateescape")).hexdigest()[:32]
+        return await self._request(request, caller="", client=client)
 
     async def _inner(self, request: web.Request) -> web.Response:
         server = self.node.core.server
         if server is None or self.node.core.server_state() == GONE:
-            mishap = Mishap(
-                MishapKind.NO_SERVER,
-                "No server has reported its vitals here.",
-                "Post vitals to /hoistsaddle/vitals first.",
+            error = MeshError(
+                ErrorKind.NO_SERVER,
+                "No server has reported its health here.",
+                "Post health reports to /hoistsaddle/vitals first.",
             )
-            return self._respond(AnswerVisitor(0, REFUSED, 403, {}, b"", mishap, None))
-        return await self._request(request, caller=server.service, visitor=f"service {server.service}")
+            return self._respond(AnswerClient(0, REFUSED, 403, {}, b"", error, None))
+        return await self._request(request, caller=server.service, client=f"service {server.service}")
 
-    async def _request(self, request: web.Request, *, caller: str, visitor: str) -> web.Response:
+    async def _request(self, request: web.Request, *, caller: str, client: str) -> web.Response:
         raw_path, _, query = request.raw_path.partition("?")
-        if (mishap := path_mishap(request.raw_path) or header_mishap(request.headers)) is not None:
-            return self._respond(AnswerVisitor(0, REFUSED, 400, {}, b"", mishap, None))
+        if (error := path_error(request.raw_path) or header_error(request.headers)) is not None:
+            return self._respond(AnswerClient(0, REFUSED, 400, {}, b"", error, None))
         try:
             body = await request.read()
         except web.HTTPRequestEntityTooLarge:
-            mishap = Mishap(
-                MishapKind.BODY_TOO_LARGE, f"The body is over {LARGEST_BODY} bytes.", "Send a smaller body.", "body"
+            error = MeshError(
+                ErrorKind.BODY_TOO_LARGE, f"The body is over {MAX_BODY_BYTES} bytes.", "Send a smaller body.", "body"
             )
-            return self._respond(AnswerVisitor(0, REFUSED, 413, {}, b"", mishap, None))
+            return self._respond(AnswerClient(0, REFUSED, 413, {}, b"", error, None))
         self.node.counters.add("requests.inner" if caller else "requests.visitors")
         headers, key = clean_headers(request.headers), request.headers.get("Idempotency-Key", "")
         came = [name.lower() for name in request.headers]
         twice = tuple(sorted({name for name in came if came.count(name) > 1}))
         if "idempotency-key" in twice:
-            mishap = Mishap(MishapKind.REQUEST_BROKEN, "Two keys came.", "Send one.", "Idempotency-Key")
-            return self._respond(AnswerVisitor(0, REFUSED, 400, {}, b"", mishap, None))
-        # Stripped from the headers that go on: it is the server's word to its own stall.
+            error = MeshError(ErrorKind.REQUEST_BROKEN, "Two keys came.", "Send one.", "Idempotency-Key")
+            return self._respond(AnswerClient(0, REFUSED, 400, {}, b"", error, None))
+        # Stripped from the headers that go on: it is the server's word to its own proxy.
         instance = request.headers.get("X-Hoistsaddle-Instance", "") if caller else ""
         answer = await self.node.request(
             lambda ticket: RequestArrived(
-                ticket, caller, visitor, request.method, raw_path, query, headers, body, key, instance, twice
+                ticket, caller, client, request.method, raw_path, query, headers, body, key, instance, twice
             )
         )
         return self._respond(answer)
 
-    def _respond(self, answer: AnswerVisitor) -> web.Response:
+    def _respond(self, answer: AnswerClient) -> web.Response:
         self.node.counters.add(f"outcomes.{answer.outcome}")
         headers = {"X-Hoistsaddle-Outcome": answer.outcome}
         if self.node.core.stopping:
@@ -261,32 +261,32 @@
             headers["Retry-After"] = str(max(1, round(answer.retry_after.total_seconds())))
         if answer.outcome == ANSWERED:
             return web.Response(status=answer.status, headers={**answer.headers, **headers}, body=answer.body)
-        self.node.counters.add(f"mishaps.{answer.mishap.kind}")
+        self.node.counters.add(f"mishaps.{answer.error.kind}")
         # A kept connection would carry the rest of a body nobody read.
         return web.json_response(
-            {"outcome": answer.outcome, "mishap": answer.mishap.describe()}, status=answer.status, headers=headers
+            {"outcome": answer.outcome, "mishap": answer.error.describe()}, status=answer.status, headers=headers
         )
 
     # -- the server beside it
 
-    async def run_server(self, command: RunServer) -> tuple:
+    async def run_server(self, command: RunOnServer) -> tuple:
         call = command.call
         headers = {
             **call.headers,
             "X-Hoistsaddle-Caller": call.caller,
-            "X-Hoistsaddle-Visitor": call.visitor,
+            "X-Hoistsaddle-Visitor": call.client,
             "X-Hoistsaddle-Send": call.send,
             "X-Hoistsaddle-Service": call.service_name,
             "X-Hoistsaddle-Instance": call.instance,
             "X-Hoistsaddle-Ordinal": str(call.ordinal),
         }
-        silent = Mishap(
-            MishapKind.SILENT,
+        silent = MeshError(
+            ErrorKind.SILENT,
             "The server gave no whole answer.",
             "Ask what became of the request before sending it again.",
         )
-        broken = Mishap(
-            MishapKind.ANSWER_BROKEN,
+        broken = MeshError(
+            ErrorKind.ANSWER_BROKEN,
             "The server's answer is not whole JSON.",
             "Ask what became of the request before sending it again.",
         )
@@ -301,31 +301,31 @@
                 timeout=timeout,
                 allow_redirects=False,
             ) as answer:
-                body = await answer.content.read(LARGEST_BODY + 1)
-                while not answer.content.at_eof() and len(body) <= LARGEST_BODY:
-                    body += await answer.content.read(LARGEST_BODY + 1 - len(body))
-                mishap = self._answer_mishap(call, answer, body)
-                if mishap is None:
+                body = await answer.content.read(MAX_BODY_BYTES + 1)
+                while not answer.content.at_eof() and len(body) <= MAX_BODY_BYTES:
+                    body += await answer.content.read(MAX_BODY_BYTES + 1 - len(body))
+                error = self._answer_error(call, answer, body)
+                if error is None:
                     return ServerAnswered(command.number, answer.status, clean_headers(answer.headers), body)
         except aiohttp.ClientConnectorError:
-            return ServerMissed(
+            return ServerFailed(
                 command.number,
                 True,
-                Mishap(MishapKind.UNREACHABLE, "The server takes no connection.", "Send it elsewhere."),
+                MeshError(ErrorKind.UNREACHABLE, "The server takes no connection.", "Send it elsewhere."),
             )
         except (aiohttp.ClientPayloadError, aiohttp.ClientResponseError):
-            mishap = broken
+            error = broken
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
-            mishap = silent
-        self.node.counters.add(f"runs.{mishap.kind}")
-        return ServerMissed(command.number, False, mishap)
+            error = silent
+        self.node.counters.add(f"runs.{error.kind}")
+        return ServerFailed(command.number, False, error)
 
     @staticmethod
-    def _answer_mishap(call: PassCall, answer: aiohttp.ClientResponse, body: bytes) -> Mishap | None:
+    def _answer_error(call: BundleForwardCall, answer: aiohttp.ClientResponse, body: bytes) -> MeshError | None:
         """Whole and readable, or not passed on at all."""
-        if len(body) > LARGEST_BODY or (not call.hold and len(body) > call.answer_bytes):
-            return Mishap(
-                MishapKind.ANSWER_TOO_LARGE,
+        if len(body) > MAX_BODY_BYTES or (not call.hold and len(body) > call.answer_bytes):
+            return MeshError(
+                ErrorKind.ANSWER_TOO_LARGE,
                 "The answer is over its limit.",
                 "Raise answer_bytes in a bundle, or have the server say less.",
                 "answer_bytes",
@@ -336,8 +336,8 @@
         unmarked = bool(body) and length is None and not chunked
         short = length is not None and call.method != "HEAD" and length != str(len(body))
         if unmarked or short or "Content-Encoding" in answer.headers:
-            return Mishap(
-                MishapKind.ANSWER_BROKEN,
+            return MeshError(
+                ErrorKind.ANSWER_BROKEN,
                 "Nothing shows that the answer is whole.",
                 "Have the server send Content-Length and plain JSON.",
             )
@@ -345,5 +345,5 @@
             try:
                 msgspec.json.decode(body)
             except msgspec.DecodeError:
-                return Mishap(MishapKind.ANSWER_BROKEN, "The answer is not JSON.", "Look at the server's log.")
+                return MeshError(ErrorKind.ANSWER_BROKEN, "The answer is not JSON.", "Look at the server's log.")
         return None
--- a/packages/raft/src/hoistsaddle/raft/applying.py
+++ b/packages/raft/src/hoistsaddle/raft/applying.py
@@ -1,7 +1,7 @@
 """Applies committed records to the state, tells what they changed, and captures checkpoints."""
 
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.raft.events import Capture, Concluded, Mark
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.raft.events import Capture, OffsetAndEpoch, ProposalResult
 from hoistsaddle.raft.replica import LEADER, Replica
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import AddVoter, DropVoter, Outcome, ReplaceVoter, SwapVoter
@@ -23,11 +23,11 @@
                 payload=record.payload,
                 supported=self.level,
             )
-            if outcome.mishap == MishapKind.OTHER_RELEASE:
+            if outcome.error == ErrorKind.OTHER_RELEASE:
                 return self._halt(outcome.message)
             self._tell_changes(before, outcome)
-            if self.swaps and self.swaps[0][0] <= record.offset:
-                _, swap = self.swaps.pop(0)
+            if self.pending_voter_changes and self.pending_voter_changes[0][0] <= record.offset:
+                _, swap = self.pending_voter_changes.pop(0)
                 match swap:
                     case SwapVoter(replica=replica, old=old, new=new):
                         self._announce("voter swapped", voter=replica, old=old, new=new)
@@ -45,11 +45,11 @@
                 held[1].append(outcome)
                 if len(held[1]) == held[0]:
                     del self.waiting[ticket]
-                    self._out.append(Concluded(ticket, "", self.replica, record.offset, tuple(held[1])))
+                    self._out.append(ProposalResult(ticket, "", self.replica, record.offset, tuple(held[1])))
         latest = self.checkpoint.offset if self.checkpoint else 0
-        if self.capturing is None and self.whole and self.state.offset - latest > self.pace.checkpoint_records:
+        if self.capturing is None and self.complete and self.state.offset - latest > self.timings.checkpoint_records:
             # The state is immutable, so keeping this reference is the whole capture; records go on applying.
-            self.capturing = Mark(self.state.offset, self.state.epoch)
+            self.capturing = OffsetAndEpoch(self.state.offset, self.state.epoch)
             self._out.append(Capture(self.capturing, self.state))
 
     def _tell_changes(self, before: State, outcome: Outcome) -> None:
@@ -58,7 +58,7 @@
         if self.state.purged != before.purged:
             self._announce("gone forgotten", **outcome.detail)
         # Expiry is everybody's; one voice tells it.
-        if self.state.swept != before.swept and self.standing == LEADER:
+        if self.state.swept != before.swept and self.role == LEADER:
             for scope, hold in sorted(before.holds.items()):
                 if scope not in self.state.holds:
                     self._announce("key expired", scope=scope[:12], entry=hold.entry, was=hold.phase)
--- a/packages/raft/src/hoistsaddle/raft/checkpoint.py
+++ b/packages/raft/src/hoistsaddle/raft/checkpoint.py
@@ -6,8 +6,8 @@
 
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.raft.events import Mark
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.raft.events import OffsetAndEpoch
 from hoistsaddle.statemachine.state import State, pack_state, unpack_state
 
 MAGIC = b"HOISTSADDLE-CHECKPOINT-1\n"
@@ -16,25 +16,25 @@
 _file_name = re.compile(r"^(\d{20})-(\d+)\.checkpoint$")
 
 
-def name_of(mark: Mark) -> str:
-    return f"{mark.offset:020d}-{mark.epoch}.checkpoint"
+def checkpoint_file_name(checkpoint_id: OffsetAndEpoch) -> str:
+    return f"{checkpoint_id.offset:020d}-{checkpoint_id.epoch}.checkpoint"
 
 
-def mark_of(name: str) -> Mark | None:
+def parse_checkpoint_file_name(name: str) -> OffsetAndEpoch | None:
     found = _file_name.match(name)
-    return Mark(int(found[1]), int(found[2])) if found else None
+    return OffsetAndEpoch(int(found[1]), int(found[2])) if found else None
 
 
-def pack_checkpoint(*, mark: Mark, state: State) -> bytes:
-    body = MAGIC + _mark.pack(*mark) + pack_state(state)
+def pack_checkpoint(*, checkpoint_id: OffsetAndEpoch, state: State) -> bytes:
+    body = MAGIC + _mark.pack(*checkpoint_id) + pack_state(state)
     return body + _footer.pack(len(body), hashlib.sha256(body).digest())
 
 
-def unpack_checkpoint(*, mark: Mark, data: bytes) -> Result[State, Mishap]:
+def unpack_checkpoint(*, checkpoint_id: OffsetAndEpoch, data: bytes) -> Result[State, MeshError]:
     torn = Failure(
-        Mishap(
-            MishapKind.CHECKPOINT_TORN,
-            f"{name_of(mark)} fails its check.",
+        MeshError(
+            ErrorKind.CHECKPOINT_TORN,
+            f"{checkpoint_file_name(checkpoint_id)} fails its check.",
             "It is set aside; an older one or the leader's is used.",
         )
     )
@@ -43,9 +43,9 @@
     if data.startswith(family) and not data.startswith(MAGIC):
         # Not torn but written by another release; setting it aside would throw away what it holds.
         return Failure(
-            Mishap(
-                MishapKind.OTHER_RELEASE,
-                f"{name_of(mark)} was written by another release.",
+            MeshError(
+                ErrorKind.OTHER_RELEASE,
+                f"{checkpoint_file_name(checkpoint_id)} was written by another release.",
                 "Start the release that wrote it.",
             )
         )
@@ -56,6 +56,6 @@
     if length != len(body) or hashlib.sha256(body).digest() != digest:
         return torn
     place = len(MAGIC)
-    if Mark(*_mark.unpack(body[place : place + _mark.size])) != mark:
+    if OffsetAndEpoch(*_mark.unpack(body[place : place + _mark.size])) != checkpoint_id:
         return torn
     return Success(unpack_state(body[place + _mark.size :]))
--- a/packages/raft/src/hoistsaddle/raft/contact.py
+++ b/packages/raft/src/hoistsaddle/raft/contact.py
@@ -44,8 +44,8 @@
     """The newest moment after which a majority of every voter set still followed."""
     oldest = now
     for voters in voter_sets:
-        moments = [now if voter == me else heard.get(voter) for voter in voters.items()]
-        known = sorted((moment for moment in moments if moment is not None), reverse=True)
+        timestamps = [now if voter == me else heard.get(voter) for voter in voters.items()]
+        known = sorted((timestamp for timestamp in timestamps if timestamp is not None), reverse=True)
         needed = len(voters) // 2 + 1
         if not voters or len(known) < needed:
             return None
--- a/packages/raft/src/hoistsaddle/raft/core.py
+++ b/packages/raft/src/hoistsaddle/raft/core.py
@@ -13,14 +13,14 @@
     AnswerArrived,
     CallArrived,
     CallRefused,
+    CheckpointFailed,
     CheckpointLoaded,
-    CheckpointMishap,
     CheckpointStored,
     ProposalArrived,
     RaiseArrived,
     ReadArrived,
     Send,
-    StopAsked,
+    StopRequested,
     Synced,
     Ticked,
 )
@@ -37,18 +37,18 @@
 )
 from hoistsaddle.raft.replication import Replication
 from hoistsaddle.raft.snapshots import Snapshots
-from hoistsaddle.raft.voterchanges import VoterChanges
+from hoistsaddle.raft.voter_changes import VoterChanges
 from hoistsaddle.rpc.messages import (
     UNSET,
-    BallotAnswer,
-    BallotCall,
+    BeginEpochCall,
+    EndEpochCall,
     FetchAnswer,
     FetchCall,
+    FetchSnapshotAnswer,
+    FetchSnapshotCall,
     Heard,
-    LeadCall,
-    PullAnswer,
-    PullCall,
-    ResignCall,
+    VoteAnswer,
+    VoteCall,
 )
 from hoistsaddle.statemachine.commands import Tick, pack_command
 
@@ -86,18 +86,18 @@
                 self._read(ticket)
             case RaiseArrived(ticket=ticket, level=level):
                 self._raise(ticket, level)
-            case CheckpointStored(mark=mark):
+            case CheckpointStored(checkpoint_id=checkpoint_id):
                 self.capturing = None
                 # A follower that threw its log away meanwhile has no use for the old capture.
-                if self.whole and mark.offset >= self.begin.offset:
-                    self.checkpoints.append((mark, self.now))
+                if self.complete and checkpoint_id.offset >= self.begin.offset:
+                    self.checkpoints.append((checkpoint_id, self.now))
                     self.checkpoint = max((each for each, _ in self.checkpoints), key=lambda each: each.offset)
                     self._raise_begin()
-            case CheckpointMishap():
+            case CheckpointFailed():
                 self.capturing = None
-            case CheckpointLoaded(mark=mark, state=state):
-                self._loaded(mark, state)
-            case StopAsked(span=span):
+            case CheckpointLoaded(checkpoint_id=checkpoint_id, state=state):
+                self._loaded(checkpoint_id, state)
+            case StopRequested(span=span):
                 self._stop(span)
         return self._out
 
@@ -105,16 +105,16 @@
         match message:
             case FetchCall():
                 self._fetch_call(ticket, message)
-            case PullCall():
-                self._pull_call(ticket, message)
-            case BallotCall():
-                self._ballot_call(ticket, message)
-            case LeadCall(mesh=mesh, epoch=epoch, leader=leader):
+            case FetchSnapshotCall():
+                self._fetch_snapshot_call(ticket, message)
+            case VoteCall():
+                self._vote_call(ticket, message)
+            case BeginEpochCall(mesh=mesh, epoch=epoch, leader=leader):
                 # A leader of another mesh is no leader here; a blank disk takes the first that calls.
                 if (not self.mesh or mesh == self.mesh) and epoch >= self.epoch and leader != self.replica:
                     self._follow(epoch, leader)
                 self._answer(ticket, Heard(self.epoch))
-            case ResignCall():
+            case EndEpochCall():
                 self._resigned(message)
                 self._answer(ticket, Heard(self.epoch))
 
@@ -125,11 +125,11 @@
                     self._fetch_answer(replica, message)
                 else:
                     self._late_answer(number, replica, message)
-            case PullAnswer():
-                if number == self.pull_number:
-                    self._pull_answer(message)
-            case BallotAnswer():
-                self._ballot_answer(message)
+            case FetchSnapshotAnswer():
+                if number == self.snapshot_fetch_number:
+                    self._fetch_snapshot_answer(message)
+            case VoteAnswer():
+                self._vote_answer(message)
             case Heard(epoch=epoch):
                 # A higher epoch elsewhere means this leadership is over or can't reach that replica: stand again.
                 if epoch > self.epoch:
@@ -140,62 +140,65 @@
             self._leave_tick()
         if self.halted or self.ended:
             return
-        if self.standing == LEADER:
+        if self.role == LEADER:
             self._lead_tick()
             return
         if self.leader != UNSET:
             # A fetch that got no answer is sent again; the old answer, if it still comes, is passed over.
-            if self.fetch_sent is None or self.now - self.fetch_sent > self.pace.fetch_retry:
+            if self.fetch_sent is None or self.now - self.fetch_sent > self.timings.fetch_timeout:
                 self._fetch()
             if (
-                self.pulling is not None
+                self.fetching_snapshot is not None
                 and not self.loading
-                and (self.pull_sent is None or self.now - self.pull_sent > self.pace.fetch_retry * 2)
+                and (
+                    self.snapshot_fetch_sent is None
+                    or self.now - self.snapshot_fetch_sent > self.timings.fetch_timeout * 2
+                )
             ):
-                self._pull()
+                self._fetch_snapshot()
         if self.leader != UNSET:
             self.led_at = self.now
         # A voter without a leader for long may have been dropped while it was away: then nobody calls it either.
-        unknown = not self.is_voter() or self.now - self.led_at >= self.pace.alive_span
-        if self.leader == UNSET and unknown and self.now - self.sought_at >= self.pace.seek_every:
+        unknown = not self.is_voter() or self.now - self.led_at >= self.timings.liveness_timeout
+        if self.leader == UNSET and unknown and self.now - self.sought_at >= self.timings.leader_discovery_interval:
             self._seek()
         if self.now >= self.election_at:
             if self._can_stand():
                 # A trial first: a replica that was merely cut off must not raise everyone's epoch.
-                self._stand(trial=True)
+                self._stand(pre_vote=True)
             else:
                 self.leader = UNSET
                 self.election_at = self.now + self._election_span()
 
     def _lead_tick(self) -> None:
-        if self.unsynced and self.now - self.unsynced[0][2] > self.pace.disk_stall:
+        if self.unsynced and self.now - self.unsynced[0][2] > self.timings.disk_stall_timeout:
             self._announce("disk stalled", since=str(self.now - self.unsynced[0][2]))
             for replica in self.replicas:
                 if replica != self.replica:
                     self.number += 1
-                    self._out.append(Send(self.number, replica, ResignCall(self.epoch, self.replica), 0))
+                    self._out.append(Send(self.number, replica, EndEpochCall(self.epoch, self.replica), 0))
             self._step_down(self.epoch, UNSET)
             return
         # No majority fetching means no majority following: the leader says so by stepping down.
         recent = {
-            key for key, progress in self.progress.items() if self.now - progress.heard < self.pace.quorum_silence
+            key for key, progress in self.progress.items() if self.now - progress.heard < self.timings.quorum_timeout
         }
-        if self.now - self.lead_since > self.pace.quorum_silence and not self._majority(
+        if self.now - self.lead_since > self.timings.quorum_timeout and not self._majority(
             recent | {(self.replica, self.incarnation)}
         ):
             self._announce("majority lost", heard=sorted(replica for replica, _ in recent))
             self._step_down(self.epoch, UNSET)
             return
         self._note_newest(self._contact())
-        if self.now - self.lead_sent >= self.pace.lead_every:
+        if self.now - self.lead_sent >= self.timings.begin_epoch_interval:
             self._call_to_follow(everyone=False)
-        self._answer_held()
+        self._answer_pending_fetches()
         self._raise_begin()
         self._review_voters()
         # Time must go on for holds to expire even when nothing else is written.
         if (
             self.state.holds
-            and self.now - self.appended_at >= self.pace.tick_record
+            and self.now - self.appended_at >= self.timings.tick_record_interval
             and self.state.offset == self.last.offset
         ):
             self._append((self._record(pack_command(Tick(self.replica))),))
--- a/packages/raft/src/hoistsaddle/raft/disk.py
+++ b/packages/raft/src/hoistsaddle/raft/disk.py
@@ -16,13 +16,18 @@
 from returns.result import Failure, Success
 
 from hoistsaddle.common.clock import from_microseconds, to_microseconds
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.raft.checkpoint import mark_of, name_of, pack_checkpoint, unpack_checkpoint
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.raft.checkpoint import (
+    checkpoint_file_name,
+    pack_checkpoint,
+    parse_checkpoint_file_name,
+    unpack_checkpoint,
+)
 from hoistsaddle.raft.core import OFFSET_OUT_OF_RANGE, SNAPSHOT_NOT_FOUND
-from hoistsaddle.raft.events import Boot, Mark, Write
+from hoistsaddle.raft.events import Boot, OffsetAndEpoch, Write
 from hoistsaddle.raft.files import Files
 from hoistsaddle.rpc.messages import Record
-from hoistsaddle.statemachine.state import State, found_state
+from hoistsaddle.statemachine.state import State, initial_state
 
 # Damaged files are kept for whoever looks into them, but only so many: a small disk must not fill up with them.
 MOST_ASIDE = 8
@@ -35,14 +40,14 @@
 WRITE_AHEAD_PAGES = 1000
 
 
-def _holds(*, begin: Mark, records: tuple[Record, ...], mark: Mark) -> bool:
+def _holds(*, begin: OffsetAndEpoch, records: tuple[Record, ...], checkpoint_id: OffsetAndEpoch) -> bool:
     """Whether the log goes on from the checkpoint: without a gap, and with its own record of that epoch in place."""
     if any(record.offset != begin.offset + place for place, record in enumerate(records, start=1)):
         return False
-    if mark.offset == begin.offset:
-        return mark.epoch == begin.epoch
-    place = mark.offset - begin.offset - 1
-    return place < len(records) and records[place].epoch == mark.epoch
+    if checkpoint_id.offset == begin.offset:
+        return checkpoint_id.epoch == begin.epoch
+    place = checkpoint_id.offset - begin.offset - 1
+    return place < len(records) and records[place].epoch == checkpoint_id.epoch
 
 
 class Disk:
@@ -130,7 +135,7 @@
         """Lays the folder anew: a blank disk under a new incarnation."""
         # Checkpoints of a former life first: kept beside a new one, a newer mark of theirs would be taken at a later
         # start for this life's state.
-        former = [path for path in sorted(self.checkpoints.iterdir()) if mark_of(path.name)]
+        former = [path for path in sorted(self.checkpoints.iterdir()) if parse_checkpoint_file_name(path.name)]
         for path in former:
             self._set_aside(path)
         if former:
@@ -158,7 +163,7 @@
             vote=tuple(vote) if vote else None,
             voters=tuple((replica, incarnation) for replica, incarnation in self._fact("voters") or ()),
             mesh=mesh,
-            begin=Mark(*(self._fact("begin") or (0, 0))),
+            begin=OffsetAndEpoch(*(self._fact("begin") or (0, 0))),
             catching=bool(self._fact("catching")),
             committed=self._fact("committed") or 0,
         )
@@ -178,45 +183,53 @@
             )
             self._lay()
             return Boot(replica=self.replica, incarnation=self._fact("incarnation"))
-        mark, state = found
+        checkpoint_id, state = found
         begin = known.begin
-        if not _holds(begin=begin, records=records, mark=mark):
+        if not _holds(begin=begin, records=records, checkpoint_id=checkpoint_id):
             # The checkpoint was synced and the log up to it was not, or the log parts from what was agreed below it:
             # the committed state in the checkpoint stands, and nothing above it in such a log was ever agreed.
-            records, begin = (), mark
-            self._drop_log(mark)
-        return known._replace(begin=begin, records=records, checkpoint=mark, state=state)
+            records, begin = (), checkpoint_id
+            self._drop_log(checkpoint_id)
+        return known._replace(begin=begin, records=records, checkpoint=checkpoint_id, state=state)
 
-    def _drop_log(self, begin: Mark) -> None:
+    def _drop_log(self, begin: OffsetAndEpoch) -> None:
         """At once: left to the next write, records above it would be found again above that write's own."""
         self.connection.execute("BEGIN")
         self.connection.execute("DELETE FROM log")
         self._set_fact("begin", begin)
         self.connection.execute("COMMIT")
 
-    def _newest_checkpoint(self, *, least: int, mesh: str) -> tuple[Mark, State] | None:
-        marks = sorted((mark for path in self.checkpoints.iterdir() if (mark := mark_of(path.name))), reverse=True)
-        for mark in marks:
-            if mark.offset < least:
+    def _newest_checkpoint(self, *, least: int, mesh: str) -> tuple[OffsetAndEpoch, State] | None:
+        marks = sorted(
+            (
+                checkpoint_id
+                for path in self.checkpoints.iterdir()
+                if (checkpoint_id := parse_checkpoint_file_name(path.name))
+            ),
+            reverse=True,
+        )
+        for checkpoint_id in marks:
+            if checkpoint_id.offset < least:
                 break
-            path = self.checkpoints / name_of(mark)
-            match unpack_checkpoint(mark=mark, data=path.read_bytes()):
+            path = self.checkpoints / checkpoint_file_name(checkpoint_id)
+            match unpack_checkpoint(checkpoint_id=checkpoint_id, data=path.read_bytes()):
                 case Success(state) if state.mesh == mesh:
-                    return mark, state
+                    return checkpoint_id, state
                 case Success(state):
                     self.remarks.append(f"{path.name} belongs to mesh {state.mesh} and was set aside")
                     self._set_aside(path)
-                case Failure(mishap) if mishap.kind == MishapKind.OTHER_RELEASE:
-                    raise OSError(errno.EPROTO, str(mishap))
-                case Failure(mishap):
-                    self.remarks.append(str(mishap))
+                case Failure(error) if error.kind == ErrorKind.OTHER_RELEASE:
+                    raise OSError(errno.EPROTO, str(error))
+                case Failure(error):
+                    self.remarks.append(str(error))
                     self._set_aside(path)
         return None
 
     def found(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> None:
         """Founding: the first checkpoint, at offset and epoch zero, then the facts that make it count."""
         self.store_checkpoint(
-            mark=Mark(0, 0), state=found_state(mesh=mesh, voters=voters, operators=operators, level=level)
+            checkpoint_id=OffsetAndEpoch(0, 0),
+            state=initial_state(mesh=mesh, voters=voters, operators=operators, level=level),
         )
         self.connection.execute("BEGIN")
         self._set_fact("mesh", mesh)
@@ -259,8 +272,8 @@
                 self.connection.execute("ROLLBACK")
             raise
 
-    def _store(self, mark: Mark, data: bytes) -> None:
-        temporary = self.checkpoints / (name_of(mark) + PART)
+    def _store(self, checkpoint_id: OffsetAndEpoch, data: bytes) -> None:
+        temporary = self.checkpoints / (checkpoint_file_name(checkpoint_id) + PART)
         try:
             self.files.write(temporary, data)
             self.files.sync(temporary)
@@ -268,17 +281,17 @@
             # On a full disk half a file would take the room that the log needs.
             self.files.remove(temporary)
             raise
-        self.files.rename(temporary, self.checkpoints / name_of(mark))
+        self.files.rename(temporary, self.checkpoints / checkpoint_file_name(checkpoint_id))
         self.files.sync_folder(self.checkpoints)
 
-    def store_checkpoint(self, *, mark: Mark, state: State) -> int:
-        data = pack_checkpoint(mark=mark, state=state)
-        self._store(mark, data)
+    def store_checkpoint(self, *, checkpoint_id: OffsetAndEpoch, state: State) -> int:
+        data = pack_checkpoint(checkpoint_id=checkpoint_id, state=state)
+        self._store(checkpoint_id, data)
         return len(data)
 
-    def store_chunk(self, *, mark: Mark, position: int, data: bytes, last: bool) -> State | None:
+    def store_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, data: bytes, last: bool) -> State | None:
         """Puts a pulled piece in its place; after the last one the whole file is checked, synced and named."""
-        partial = self.checkpoints / (name_of(mark) + PULLED)
+        partial = self.checkpoints / (checkpoint_file_name(checkpoint_id) + PULLED)
         if not position:
             # A pull that was given up for a newer checkpoint leaves its pieces behind.
             for path in sorted(self.checkpoints.glob(f"*{PULLED}")):
@@ -286,17 +299,17 @@
         self.files.write(partial, data, position=position)
         if not last:
             return None
-        whole = partial.read_bytes()
+        complete = partial.read_bytes()
         self.files.remove(partial)
-        match unpack_checkpoint(mark=mark, data=whole):
+        match unpack_checkpoint(checkpoint_id=checkpoint_id, data=complete):
             case Success(state):
-                self._store(mark, whole)
+                self._store(checkpoint_id, complete)
                 return state
             case _:
                 return None
 
-    def read_chunk(self, *, mark: Mark, position: int, max_bytes: int) -> tuple[str, bytes, bool]:
-        path = self.checkpoints / name_of(mark)
+    def read_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, max_bytes: int) -> tuple[str, bytes, bool]:
+        path = self.checkpoints / checkpoint_file_name(checkpoint_id)
         try:
             size = path.stat().st_size
             if not 0 <= position <= size:
@@ -308,10 +321,10 @@
             return SNAPSHOT_NOT_FOUND, b"", False
         return "", data, position + len(data) < size
 
-    def drop_checkpoints(self, *, below: int, keep: tuple[Mark, ...] = ()) -> None:
+    def drop_checkpoints(self, *, below: int, keep: tuple[OffsetAndEpoch, ...] = ()) -> None:
         for path in sorted(self.checkpoints.iterdir()):
-            mark = mark_of(path.name.removesuffix(PART).removesuffix(PULLED))
-            if mark is not None and mark.offset < below and mark not in keep:
+            checkpoint_id = parse_checkpoint_file_name(path.name.removesuffix(PART).removesuffix(PULLED))
+            if checkpoint_id is not None and checkpoint_id.offset < below and checkpoint_id not in keep:
                 self.files.remove(path)
         self.files.sync_folder(self.checkpoints)
 
--- a/packages/raft/src/hoistsaddle/raft/jobs.py
+++ b/packages/raft/src/hoistsaddle/raft/disk_jobs.py
@@ -14,31 +14,31 @@
 from hoistsaddle.raft.events import (
     Boot,
     Capture,
+    CheckpointFailed,
     CheckpointLoaded,
-    CheckpointMishap,
     CheckpointStored,
     DropCheckpoints,
-    Mark,
+    OffsetAndEpoch,
     ReadChunk,
     StoreChunk,
     Synced,
     Write,
 )
-from hoistsaddle.rpc.messages import PullAnswer
+from hoistsaddle.rpc.messages import FetchSnapshotAnswer
 
 DISK_RETRY = timedelta(milliseconds=200)
 # How long the end waits for the thread's last write: part of what the hand-over leaves of the grace.
-END_SPAN = timedelta(seconds=1)
+STOP_TIMEOUT = timedelta(seconds=1)
 
 
-class Founding(NamedTuple):
+class BootstrapMesh(NamedTuple):
     mesh: str
     voters: dict[int, str]
     operators: dict[str, str]
     level: int = 1
 
 
-class Founded(NamedTuple):
+class MeshBootstrapped(NamedTuple):
     """boot is None when the disk refused."""
 
     boot: Boot | None
@@ -46,7 +46,7 @@
 
 class ChunkRead(NamedTuple):
     ticket: int
-    answer: PullAnswer
+    answer: FetchSnapshotAnswer
 
 
 class DiskWorker(Protocol):
@@ -86,45 +86,49 @@
                     return self._do(job)
                 except (OSError, sqlite3.Error):
                     self.counters.add("disk.mishaps")
-                    return self._report_mishap(job)
+                    return self._report_error(job)
 
     def _do(self, job: tuple) -> tuple | None:
         began = time.monotonic()
         match job:
-            case Capture(mark=mark, state=state):
-                size = self.disk.store_checkpoint(mark=mark, state=state)
+            case Capture(checkpoint_id=checkpoint_id, state=state):
+                size = self.disk.store_checkpoint(checkpoint_id=checkpoint_id, state=state)
                 self.counters.add("checkpoint.generated")
                 self.counters.gauge("checkpoint.generate_milliseconds", (time.monotonic() - began) * 1000)
                 self.counters.gauge("checkpoint.size_bytes", size)
-                return CheckpointStored(mark, size)
-            case StoreChunk(mark=mark, position=position, data=data, last=last):
-                state = self.disk.store_chunk(mark=mark, position=position, data=data, last=last)
+                return CheckpointStored(checkpoint_id, size)
+            case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
+                state = self.disk.store_chunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last)
                 if not last:
                     return None
                 self.counters.add("checkpoint.pulled")
                 self.counters.gauge("checkpoint.load_milliseconds", (time.monotonic() - began) * 1000)
-                return CheckpointLoaded(mark, state)
+                return CheckpointLoaded(checkpoint_id, state)
             case ReadChunk(ticket=ticket, epoch=epoch, call=call, max_bytes=max_bytes):
-                mark = Mark(call.checkpoint_offset, call.checkpoint_epoch)
-                mishap, data, continues = self.disk.read_chunk(mark=mark, position=call.position, max_bytes=max_bytes)
+                checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
+                error, data, continues = self.disk.read_chunk(
+                    checkpoint_id=checkpoint_id, position=call.position, max_bytes=max_bytes
+                )
                 self.counters.add("checkpoint.chunks_served")
-                return ChunkRead(ticket, PullAnswer(mishap, epoch, *mark, call.position, data, continues))
-            case Founding(mesh=mesh, voters=voters, operators=operators, level=level):
+                return ChunkRead(
+                    ticket, FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
+                )
+            case BootstrapMesh(mesh=mesh, voters=voters, operators=operators, level=level):
                 self.disk.found(mesh=mesh, voters=voters, operators=operators, level=level)
-                return Founded(self.disk.boot())
+                return MeshBootstrapped(self.disk.boot())
             case DropCheckpoints(below=below, keep=keep):
                 self.disk.drop_checkpoints(below=below, keep=keep)
         return None
 
     @staticmethod
-    def _report_mishap(job: tuple) -> tuple | None:
+    def _report_error(job: tuple) -> tuple | None:
         match job:
-            case Capture(mark=mark):
-                return CheckpointMishap(mark)
-            case StoreChunk(mark=mark):
-                return CheckpointLoaded(mark, None)
-            case Founding():
-                return Founded(None)
+            case Capture(checkpoint_id=checkpoint_id):
+                return CheckpointFailed(checkpoint_id)
+            case StoreChunk(checkpoint_id=checkpoint_id):
+                return CheckpointLoaded(checkpoint_id, None)
+            case BootstrapMesh():
+                return MeshBootstrapped(None)
         return None
 
 
@@ -165,5 +169,5 @@
     def stop(self) -> bool:
         self.stopped.set()
         self.queue.put(None)
-        self.thread.join(END_SPAN.total_seconds())
+        self.thread.join(STOP_TIMEOUT.total_seconds())
         return not self.thread.is_alive()
--- a/packages/raft/src/hoistsaddle/raft/events.py
+++ b/packages/raft/src/hoistsaddle/raft/events.py
@@ -3,12 +3,12 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from hoistsaddle.rpc.messages import PullCall, Record
+from hoistsaddle.rpc.messages import FetchSnapshotCall, Record
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.statemachine.state import State
 
 
-class Mark(NamedTuple):
+class OffsetAndEpoch(NamedTuple):
     """Names a checkpoint: the largest offset it includes and that record's epoch."""
 
     offset: int
@@ -24,10 +24,10 @@
     vote: tuple[int, str] | None = None
     voters: tuple[tuple[int, str], ...] = ()
     mesh: str = ""
-    begin: Mark = Mark(0, 0)
+    begin: OffsetAndEpoch = OffsetAndEpoch(0, 0)
     catching: bool = False
     records: tuple[Record, ...] = ()
-    checkpoint: Mark | None = None
+    checkpoint: OffsetAndEpoch | None = None
     state: State | None = None
     # Up to here the log was known to be committed when it was last written.
     committed: int = 0
@@ -66,18 +66,18 @@
 
 
 class CheckpointStored(NamedTuple):
-    mark: Mark
+    checkpoint_id: OffsetAndEpoch
     size: int
 
 
-class CheckpointMishap(NamedTuple):
-    mark: Mark
+class CheckpointFailed(NamedTuple):
+    checkpoint_id: OffsetAndEpoch
 
 
 class CheckpointLoaded(NamedTuple):
     """A pulled checkpoint, whole and checked; state is None when the check failed."""
 
-    mark: Mark
+    checkpoint_id: OffsetAndEpoch
     state: State | None
 
 
@@ -90,7 +90,7 @@
     ticket: int
 
 
-class StopAsked(NamedTuple):
+class StopRequested(NamedTuple):
     """The process is to end. Within the span the replica hands over what hangs on it alone; then it ends regardless."""
 
     span: timedelta = timedelta()
@@ -115,7 +115,7 @@
     vote: tuple[int, str] | None
     voters: tuple[tuple[int, str], ...]
     mesh: str
-    begin: Mark
+    begin: OffsetAndEpoch
     catching: bool
     clear: bool
     truncate_from: int
@@ -124,7 +124,7 @@
 
 
 class Capture(NamedTuple):
-    mark: Mark
+    checkpoint_id: OffsetAndEpoch
     state: State
 
 
@@ -132,11 +132,11 @@
     """Those below the offset go, but for any that somebody is still pulling."""
 
     below: int
-    keep: tuple[Mark, ...] = ()
+    keep: tuple[OffsetAndEpoch, ...] = ()
 
 
 class StoreChunk(NamedTuple):
-    mark: Mark
+    checkpoint_id: OffsetAndEpoch
     position: int
     data: bytes
     last: bool
@@ -145,21 +145,21 @@
 class ReadChunk(NamedTuple):
     ticket: int
     epoch: int
-    call: PullCall
+    call: FetchSnapshotCall
     max_bytes: int
 
 
-class Concluded(NamedTuple):
+class ProposalResult(NamedTuple):
     ticket: int
-    mishap: str
+    error: str
     leader: int
     offset: int
     outcomes: tuple[Outcome, ...]
 
 
-class ReadReady(NamedTuple):
+class ReadResult(NamedTuple):
     ticket: int
-    mishap: str
+    error: str
     leader: int
     state: State | None
 
@@ -175,40 +175,40 @@
     detail: dict
 
 
-class Pace(NamedTuple):
+class RaftTimings(NamedTuple):
     """Spans and sizes of the ledger; the defaults are ours and measured in docs/measurements.md."""
 
-    fetch_wait: timedelta = timedelta(milliseconds=100)
+    fetch_max_wait: timedelta = timedelta(milliseconds=100)
     # How long new records wait for each other before they go to a replica without a vote: nothing commits by its
     # fetches, and each costs the leader as much as a voter's.
-    observer_wait: timedelta = timedelta(milliseconds=40)
+    observer_batch_delay: timedelta = timedelta(milliseconds=40)
     # The least time between two answers with records to one voter: under load records then go in batches, and the first
     # after a pause still goes at once.
-    voter_gap: timedelta = timedelta()
-    fetch_retry: timedelta = timedelta(milliseconds=350)
-    election_least: timedelta = timedelta(milliseconds=500)
-    election_most: timedelta = timedelta(milliseconds=850)
+    voter_batch_interval: timedelta = timedelta()
+    fetch_timeout: timedelta = timedelta(milliseconds=350)
+    election_timeout_min: timedelta = timedelta(milliseconds=500)
+    election_timeout_max: timedelta = timedelta(milliseconds=850)
     # The part of an election's span that a replica waits for a leader after its own start.
-    boot_share: float = 1.0
-    ballot_retry: timedelta = timedelta(milliseconds=250)
-    quorum_silence: timedelta = timedelta(milliseconds=1000)
-    lead_every: timedelta = timedelta(milliseconds=150)
-    alive_span: timedelta = timedelta(seconds=3)
+    startup_election_fraction: float = 1.0
+    vote_retry_interval: timedelta = timedelta(milliseconds=250)
+    quorum_timeout: timedelta = timedelta(milliseconds=1000)
+    begin_epoch_interval: timedelta = timedelta(milliseconds=150)
+    liveness_timeout: timedelta = timedelta(seconds=3)
     lag_wait: timedelta = timedelta(seconds=10)
-    disk_stall: timedelta = timedelta(seconds=1)
-    tick_record: timedelta = timedelta(seconds=1)
+    disk_stall_timeout: timedelta = timedelta(seconds=1)
+    tick_record_interval: timedelta = timedelta(seconds=1)
     checkpoint_records: int = 2000
     # How often a replica that no leader knows of asks for one.
-    seek_every: timedelta = timedelta(milliseconds=300)
+    leader_discovery_interval: timedelta = timedelta(milliseconds=300)
     # How long a voter must be silent to be replaced: replace_span_of the defaults of the settings.
-    replace_span: timedelta = timedelta(seconds=1)
+    replacement_timeout: timedelta = timedelta(seconds=1)
     chunk_bytes: int = 65536
     fetch_records: int = 500
     # An answer larger than this would take longer than a fetch waits, on a slow link shared with other traffic.
     fetch_bytes: int = 256 * 1024
 
 
-def replace_span_of(*, settle: timedelta, losses: int) -> timedelta:
+def replacement_timeout_for(*, settle: timedelta, losses: int) -> timedelta:
     """How long a voter must be silent before a ready successor takes its place.
 
     From the successor's readiness to its counted vote no more than half of the settling span may go by, also when as
@@ -216,4 +216,4 @@
     that half, and the silence that must come first is one part more. Below two fetches that got no answer a voter that
     is merely busy would look lost.
     """
-    return max(settle / 2 / (losses + 1), Pace().fetch_retry * 2)
+    return max(settle / 2 / (losses + 1), RaftTimings().fetch_timeout * 2)
--- a/packages/raft/src/hoistsaddle/raft/fetching.py
+++ b/packages/raft/src/hoistsaddle/raft/fetching.py
@@ -2,9 +2,9 @@
 
 from datetime import timedelta
 
-from hoistsaddle.raft.events import Mark
+from hoistsaddle.raft.events import OffsetAndEpoch
 from hoistsaddle.raft.replica import LEADER, RELEASE_OLD, WRONG_MESH, Replica
-from hoistsaddle.rpc.messages import UNSAID, UNSET, FetchAnswer, FetchCall
+from hoistsaddle.rpc.messages import UNKNOWN_AGE, UNSET, FetchAnswer, FetchCall
 
 # So many fetches are remembered for their late answers; more are never under way at once.
 REMEMBERED_FETCHES = 4
@@ -16,12 +16,12 @@
     def _fetch(self) -> None:
         if self.leader in (UNSET, self.replica) or self.halted or self.ended:
             return
-        if self.pulling is None and (not self.whole or self.starting_over):
+        if self.fetching_snapshot is None and (not self.complete or self.starting_over):
             # Offset and epoch zero ask the leader where to begin.
-            offset, epoch, whole = 0, 0, False
+            offset, epoch, complete = 0, 0, False
         else:
             offset, epoch = self._log_end.offset + 1, self._log_end.epoch
-            whole = self.pulling is None
+            complete = self.fetching_snapshot is None
         self.fetch_sent = self.now
         self.fetch_number = self._send(
             self.leader,
@@ -33,29 +33,29 @@
                 offset,
                 epoch,
                 self.round_seen,
-                whole,
+                complete,
                 self.level,
                 self.stopping,
             ),
         )
-        self.fetched_from[self.fetch_number] = Mark(offset - 1, epoch)
+        self.fetched_from[self.fetch_number] = OffsetAndEpoch(offset - 1, epoch)
         while len(self.fetched_from) > REMEMBERED_FETCHES:
             del self.fetched_from[next(iter(self.fetched_from))]
 
     @property
-    def _log_end(self) -> Mark:
+    def _log_end(self) -> OffsetAndEpoch:
         """Where the log that is being fetched ends: the one above a checkpoint on its way, or the own."""
-        if self.pulling is None:
+        if self.fetching_snapshot is None:
             return self.last
-        return Mark(self.staged[-1].offset, self.staged[-1].epoch) if self.staged else self.pulling
+        return OffsetAndEpoch(self.staged[-1].offset, self.staged[-1].epoch) if self.staged else self.fetching_snapshot
 
     def _late_answer(self, number: int, replica: int, answer: FetchAnswer) -> None:
         """Records that took longer than a fetch waits. Were they dropped, a slow link would never bring them."""
         if (
             replica == self.leader
-            and self.standing != LEADER
+            and self.role != LEADER
             and answer.epoch == self.epoch
-            and not answer.mishap
+            and not answer.error
             and answer.records
             and self.fetched_from.get(number) == self._log_end
         ):
@@ -64,13 +64,13 @@
 
     def _fetch_answer(self, replica: int, answer: FetchAnswer) -> None:
         sent, self.fetch_sent = self.fetch_sent, None
-        if answer.mishap == WRONG_MESH:
+        if answer.error == WRONG_MESH:
             self._announce("wrong mesh", leader=replica)
             return None
-        if answer.mishap == RELEASE_OLD:
+        if answer.error == RELEASE_OLD:
             return self._halt(f"the mesh is past release level {self.level}")
         if answer.epoch > self.epoch or (
-            answer.mishap and answer.epoch == self.epoch and answer.leader not in (UNSET, self.leader)
+            answer.error and answer.epoch == self.epoch and answer.leader not in (UNSET, self.leader)
         ):
             # A leader of a newer epoch takes over; "nobody" leaves this replica to its election schedule.
             if answer.leader not in (UNSET, self.replica):
@@ -78,13 +78,13 @@
             else:
                 self._step_down(answer.epoch, UNSET)
             return None
-        if self.leader == UNSET and not answer.mishap and answer.epoch == self.epoch and answer.leader == replica:
+        if self.leader == UNSET and not answer.error and answer.epoch == self.epoch and answer.leader == replica:
             # The one that was asked on the off chance leads itself.
             return self._follow(answer.epoch, replica)
-        if answer.mishap and answer.epoch == self.epoch and replica == self.leader:
+        if answer.error and answer.epoch == self.epoch and replica == self.leader:
             # It led once and says it no longer does: wait for a call to follow, or for the election schedule.
             self.leader = UNSET
-        if answer.mishap or answer.epoch < self.epoch or replica != self.leader or self.standing == LEADER:
+        if answer.error or answer.epoch < self.epoch or replica != self.leader or self.role == LEADER:
             return None
         end = self.last
         self.heard_leader = self.now
@@ -93,10 +93,10 @@
         if self.stopping:
             self._heard_leave(answer)
         if answer.checkpoint_offset != UNSET:
-            self._begin_pull(answer)
+            self._begin_snapshot_fetch(answer)
         elif answer.diverging_offset != UNSET:
-            if self.pulling is not None:
-                self._give_up_pull("the log above it parts from the leader's")
+            if self.fetching_snapshot is not None:
+                self._abandon_snapshot_fetch("the log above it parts from the leader's")
             elif not self._diverge(answer) or self.last == end:
                 # Asked to forget what was committed, or for nothing that is here: ask again no sooner than the
                 # schedule does, or two that don't agree would send without end.
@@ -104,7 +104,7 @@
                 return None
         else:
             self._take_records(answer)
-            if self.whole and self.pulling is None:
+            if self.complete and self.fetching_snapshot is None:
                 self._date_state(answer, sent)
         self._fetch()
 
@@ -112,13 +112,13 @@
         end = self._log_end.offset
         fresh = tuple(record for record in answer.records if record.offset > end)
         fits = bool(fresh) and fresh[0].offset == end + 1
-        if self.pulling is not None:
+        if self.fetching_snapshot is not None:
             if fits:
                 self._stage(fresh)
             return
-        if fits and self.whole:
+        if fits and self.complete:
             self._append(fresh)
-        if self.whole:
+        if self.complete:
             self.high_watermark = max(self.high_watermark, min(answer.high_watermark, self.last.offset))
             self._apply()
             # Followers adopt the begin offset once their own checkpoint covers it.
@@ -135,7 +135,9 @@
             return
         # No clocks are compared: the age was taken after this fetch was sent. A leader of a former release says none;
         # it steps down after so long a silence of the others.
-        self._note_newest(sent - (self.pace.quorum_silence if answer.contact_age == UNSAID else answer.contact_age))
+        self._note_newest(
+            sent - (self.timings.quorum_timeout if answer.contact_age == UNKNOWN_AGE else answer.contact_age)
+        )
 
     def _diverge(self, answer: FetchAnswer) -> bool:
         offset = min(answer.diverging_offset, self.last.offset)
@@ -146,13 +148,13 @@
     def _truncate(self, offset: int) -> bool:
         """Drops every record from the offset on."""
         # Committed records never go; a leader that asks for it is not of this mesh.
-        if offset <= max(self.high_watermark, self.state.offset if self.whole else 0):
+        if offset <= max(self.high_watermark, self.state.offset if self.complete else 0):
             self._announce("truncation refused", offset=offset, high_watermark=self.high_watermark)
             return False
         self.log = self.log[: max(0, offset - self.begin_offset)]
-        self.swaps = [(place, swap) for place, swap in self.swaps if place < offset]
+        self.pending_voter_changes = [(place, swap) for place, swap in self.pending_voter_changes if place < offset]
         self.durable = min(self.durable, offset - 1)
-        self.unsynced = [(sequence, min(end, offset - 1), moment) for sequence, end, moment in self.unsynced]
+        self.unsynced = [(sequence, min(end, offset - 1), timestamp) for sequence, end, timestamp in self.unsynced]
         self._write(truncate_from=offset)
         return True
 
