--- a/packages/raft/src/hoistsaddle/raft/leaving.py
+++ b/packages/raft/src/hoistsaddle/raft/leaving.py
@@ -10,7 +10,7 @@
 
 from hoistsaddle.raft.events import Ended
 from hoistsaddle.raft.replica import LEADER, Replica
-from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNSAID, LEAVE_WAIT, UNSET, FetchAnswer, FetchCall
+from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNANSWERED, LEAVE_WAIT, UNSET, FetchAnswer, FetchCall
 from hoistsaddle.statemachine.commands import LEVEL_OF, ReplaceVoter
 
 Life = tuple[int, str]
@@ -26,12 +26,12 @@
         self.stop_asked_at = self.now
         self.stop_by = self.now + span
         if not span:
-            if self.standing == LEADER:
+            if self.role == LEADER:
                 self._resign()
             self._end("no time given")
-        elif self.halted or not self.whole or not self.is_voter():
+        elif self.halted or not self.complete or not self.is_voter():
             self._end("no vote here")
-        elif self.standing != LEADER and self.leader != UNSET:
+        elif self.role != LEADER and self.leader != UNSET:
             # At once, in place of the fetch that the leader may hold.
             self._fetch()
 
@@ -40,12 +40,12 @@
             return
         waited = self.now - self.stop_asked_at
         if self.now >= self.stop_by:
-            if self.standing == LEADER:
+            if self.role == LEADER:
                 self._resign()
             self._end("time over")
-        elif self.standing == LEADER:
+        elif self.role == LEADER:
             self._leave_the_lead(waited)
-        elif self.now - max(self.led_at, self.stop_asked_at) >= self.pace.quorum_silence:
+        elif self.now - max(self.led_at, self.stop_asked_at) >= self.timings.quorum_timeout:
             # Most likely everybody stops at once: there is nobody to wait for.
             self._end("nobody leads")
 
@@ -60,17 +60,17 @@
             self.voteless_since = self.now
         heir = self._heir()
         if heir is None:
-            if waited >= self.pace.quorum_silence:
+            if waited >= self.timings.quorum_timeout:
                 self._resign()
                 self._end("nobody to hand over to")
             return
-        if self.voteless_since is not None and self.now - self.voteless_since < self.pace.fetch_wait * 2:
+        if self.voteless_since is not None and self.now - self.voteless_since < self.timings.fetch_max_wait * 2:
             # The others must hear that this vote is gone, or they would ask for it when they elect.
             return
         # Orders under way are concluded first: whoever sent them gets a clear answer.
         if self.handing_since is None:
             self.handing_since = self.now
-        waits_in_vain = self.now - self.handing_since >= self.pace.quorum_silence / 2
+        waits_in_vain = self.now - self.handing_since >= self.timings.quorum_timeout / 2
         if self.high_watermark == self.last.offset or waits_in_vain:
             self._announce("lead handed over", successor=heir)
             self._resign(successor=heir)
@@ -82,9 +82,9 @@
             for (replica, incarnation), progress in self.progress.items()
             if self.state.voters.get(replica) == incarnation
             and replica != self.replica
-            and progress.whole
+            and progress.complete
             and not progress.leaving
-            and self.now - progress.heard < self.pace.fetch_retry
+            and self.now - progress.heard < self.timings.fetch_timeout
         ]
         return max(live)[1] if live else None
 
@@ -94,7 +94,7 @@
             self._end("handed over")
         elif answer.leave == LEAVE_WAIT:
             self.unsaid = 0
-        elif answer.leave == LEAVE_UNSAID and answer.records == () and answer.high_watermark != UNSET:
+        elif answer.leave == LEAVE_UNANSWERED and answer.records == () and answer.high_watermark != UNSET:
             self.unsaid += 1
             if self.unsaid > 1:
                 self._end("the leader's release knows no leave")
@@ -113,13 +113,13 @@
         word = self._leave_word(life)
         if word == LEAVE_GO and life in self.progress:
             # From here on nothing may be committed on its word.
-            self.progress[life].whole = False
+            self.progress[life].complete = False
             self.progress[life].gone = True
         return word
 
     def _leave_word(self, life: Life) -> int:
         """Whether this replica may go: nothing that is committed may hang on fewer disks than a majority without it."""
-        if self.high_watermark < self.epoch_began or self.swaps:
+        if self.high_watermark < self.epoch_began or self.pending_voter_changes:
             return LEAVE_WAIT
         voters = dict(self.state.voters)
         if voters.get(life[0]) == life[1] and self._successors_to_come():
@@ -132,9 +132,9 @@
                 holders += self.durable >= self.high_watermark
                 continue
             progress = self.progress.get(voter)
-            if progress is None or progress.gone or self.now - progress.heard >= self.pace.quorum_silence:
+            if progress is None or progress.gone or self.now - progress.heard >= self.timings.quorum_timeout:
                 continue
-            if not progress.whole or progress.offset < self.high_watermark:
+            if not progress.complete or progress.offset < self.high_watermark:
                 return LEAVE_WAIT
             holders += 1
         # A leader that goes too, with nobody to take its place, has nothing to keep the others for.
@@ -148,6 +148,6 @@
         return any(
             life[0] not in self.state.voters
             and not progress.leaving
-            and self.now - progress.heard < self.pace.quorum_silence
+            and self.now - progress.heard < self.timings.quorum_timeout
             for life, progress in self.progress.items()
         )
--- a/packages/raft/src/hoistsaddle/raft/reads.py
+++ b/packages/raft/src/hoistsaddle/raft/reads.py
@@ -2,9 +2,9 @@
 
 from datetime import timedelta
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.raft.contact import NEVER, majority_contact
-from hoistsaddle.raft.events import ReadReady
+from hoistsaddle.raft.events import ReadResult
 from hoistsaddle.raft.replica import LEADER, Replica
 
 
@@ -12,12 +12,12 @@
     """Confirmed reads: a majority must have fetched after the read began."""
 
     def _read(self, ticket: int) -> None:
-        if self.standing != LEADER:
-            self._out.append(ReadReady(ticket, str(MishapKind.NOT_LEADER), self.leader, None))
+        if self.role != LEADER:
+            self._out.append(ReadResult(ticket, str(ErrorKind.NOT_LEADER), self.leader, None))
             return
         # Only fetches sent after this round was announced prove that nobody else led when the read began.
         self.reads.append((ticket, self.rounds.begin(now=self.now)))
-        self._answer_held(everyone=True)
+        self._answer_pending_fetches(everyone=True)
         self._confirm_reads()
 
     def _confirm_reads(self) -> None:
@@ -29,7 +29,7 @@
                 (self.replica, self.incarnation)
             }
             if self._majority(agreed):
-                self._out.append(ReadReady(ticket, "", self.replica, self.state))
+                self._out.append(ReadResult(ticket, "", self.replica, self.state))
             else:
                 left.append((ticket, number))
         self.reads = left
@@ -49,6 +49,6 @@
         contact = self._contact()
         return NEVER if contact is None else self.now - contact
 
-    def _note_newest(self, moment: timedelta | None) -> None:
-        if moment is not None and (self.newest is None or moment > self.newest):
-            self.newest = moment
+    def _note_newest(self, timestamp: timedelta | None) -> None:
+        if timestamp is not None and (self.newest is None or timestamp > self.newest):
+            self.newest = timestamp
--- a/packages/raft/src/hoistsaddle/raft/replica.py
+++ b/packages/raft/src/hoistsaddle/raft/replica.py
@@ -8,10 +8,10 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import ZERO
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.raft.contact import Rounds
-from hoistsaddle.raft.events import Announce, Answer, Boot, Mark, Pace, Send, Write
-from hoistsaddle.raft.voters import change_in, changed
+from hoistsaddle.raft.events import Announce, Answer, Boot, OffsetAndEpoch, RaftTimings, Send, Write
+from hoistsaddle.raft.voters import apply_voter_change, voter_change_in
 from hoistsaddle.rpc.messages import (
     UNSET,
     FetchAnswer,
@@ -28,8 +28,8 @@
 SNAPSHOT_NOT_FOUND = "SNAPSHOT_NOT_FOUND"
 OFFSET_OUT_OF_RANGE = "OFFSET_OUT_OF_RANGE"
 NOT_LEADER_FOR_PARTITION = "NOT_LEADER_FOR_PARTITION"
-WRONG_MESH = str(MishapKind.WRONG_MESH)
-RELEASE_OLD = str(MishapKind.RELEASE_OLD)
+WRONG_MESH = str(ErrorKind.WRONG_MESH)
+RELEASE_OLD = str(ErrorKind.RELEASE_OLD)
 
 
 class Progress:
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.offset = -1
-        self.whole = False
+        self.complete = False
         self.heard = ZERO
         # When it was sent records, or a word that there are none, last.
         self.answered = ZERO
@@ -59,7 +59,7 @@
         *,
         boot: Boot,
         replicas: tuple[int, ...],
-        pace: Pace,
+        timings: RaftTimings,
         seed: random.Random,
         now: timedelta,
         level: int = LEVEL,
@@ -75,7 +75,7 @@
         self.sought_at = now
         # When a leader was last known here.
         self.led_at = now
-        self.pace = pace
+        self.timings = timings
         self.level = min(level, LEVEL)
         # Why this replica can't go on; empty while it can.
         self.halted = ""
@@ -84,10 +84,10 @@
         self.epoch = boot.epoch
         self.vote = boot.vote
         self.mesh = boot.mesh
-        self.standing = FOLLOWER
+        self.role = FOLLOWER
         self.leader = UNSET
         self.checkpoint = boot.checkpoint
-        self.checkpoints: list[tuple[Mark, timedelta]] = [(boot.checkpoint, now)] if boot.checkpoint else []
+        self.checkpoints: list[tuple[OffsetAndEpoch, timedelta]] = [(boot.checkpoint, now)] if boot.checkpoint else []
         self.known_voters = boot.voters
         # What a former life knew to be committed; this one's high-watermark begins below it.
         self.committed_before = 0 if boot.catching else boot.committed
@@ -112,31 +112,31 @@
         self._begin_following()
         # After a start nobody is known to lead. Should somebody, its call comes first, and the voters that hear it
         # refuse the trial; if nobody does, all were down and every moment counts.
-        self.election_at = now + self._election_span() * pace.boot_share
+        self.election_at = now + self._election_span() * timings.startup_election_fraction
         # Candidate's side.
-        self.trial = False
+        self.pre_vote = False
         self.granted: set[tuple[int, str]] = set()
         self._begin_leading()
         self._check_level()
 
     def _begin_log(self, boot: Boot) -> None:
         # A log without a checkpoint between its begin and its high-watermark counts as empty.
-        self.whole = boot.state is not None and not boot.catching
-        if self.whole:
+        self.complete = boot.state is not None and not boot.catching
+        if self.complete:
             self.state = boot.state
             self.begin = boot.begin
             self.log = list(boot.records)
             self.high_watermark = boot.state.offset
         else:
             self.state = State()
-            self.begin = Mark(0, 0)
+            self.begin = OffsetAndEpoch(0, 0)
             self.log = []
             self.high_watermark = 0
         self.durable = self.last.offset
-        self.swaps = [
+        self.pending_voter_changes = [
             (record.offset, swap)
             for record in self.log
-            if record.offset > self.state.offset and (swap := change_in(record.payload))
+            if record.offset > self.state.offset and (swap := voter_change_in(record.payload))
         ]
 
     def _begin_following(self) -> None:
@@ -145,17 +145,17 @@
         self.heard_leader: timedelta | None = None
         self.round_seen = 0
         # Where each of the last fetches asked the log to go on: a late answer counts if it still goes on there.
-        self.fetched_from: dict[int, Mark] = {}
+        self.fetched_from: dict[int, OffsetAndEpoch] = {}
         # A moment at which this replica's applied state held all that was committed anywhere; None while none is known.
         self.newest: timedelta | None = None
-        self.pulling: Mark | None = None
+        self.fetching_snapshot: OffsetAndEpoch | None = None
         # The log above the checkpoint that is being pulled; log and state stay what they were until that is loaded.
         self.staged: list[Record] = []
         # After a failed pull the leader is asked anew where to begin, whatever is held here.
         self.starting_over = False
-        self.pull_number = 0
-        self.pull_sent: timedelta | None = None
-        self.pull_position = 0
+        self.snapshot_fetch_number = 0
+        self.snapshot_fetch_sent: timedelta | None = None
+        self.snapshot_position = 0
         self.loading = False
 
     def _begin_leading(self) -> None:
@@ -169,11 +169,11 @@
         self.reads: list[tuple[int, int]] = []
         self.waiting: dict[int, list] = {}
         self.ticket_of: dict[int, int] = {}
-        self.capturing: Mark | None = None
+        self.capturing: OffsetAndEpoch | None = None
         # The checkpoint that each replica is pulling from here, and when it last asked for a piece.
-        self.pulls: dict[int, tuple[Mark, timedelta]] = {}
+        self.snapshot_fetches: dict[int, tuple[OffsetAndEpoch, timedelta]] = {}
         # Checkpoints that were left only because somebody was pulling them.
-        self.spared: tuple[Mark, ...] = ()
+        self.spared: tuple[OffsetAndEpoch, ...] = ()
 
     @property
     def round(self) -> int:
@@ -182,17 +182,17 @@
     # -- what is known ---------------------------------------------------------------------------------------------
 
     @property
-    def last(self) -> Mark:
-        return Mark(self.log[-1].offset, self.log[-1].epoch) if self.log else self.begin
+    def last(self) -> OffsetAndEpoch:
+        return OffsetAndEpoch(self.log[-1].offset, self.log[-1].epoch) if self.log else self.begin
 
     @property
     def begin_offset(self) -> int:
         return self.begin.offset + 1
 
     @property
-    def vote_mark(self) -> Mark:
+    def vote_position(self) -> OffsetAndEpoch:
         # KIP-630: with an incomplete checkpoint a replica votes as if its log were empty.
-        return self.last if self.whole else Mark(-1, -1)
+        return self.last if self.complete else OffsetAndEpoch(-1, -1)
 
     def epoch_at(self, offset: int) -> int | None:
         if offset == self.begin.offset:
@@ -207,10 +207,10 @@
         them, only the last is open; and not even that if a former life knew it to be committed. To ask the sets before
         them as well would ask for disks that may have been lost and replaced since.
         """
-        voters = dict(self.state.voters) if self.whole else dict(self.known_voters)
+        voters = dict(self.state.voters) if self.complete else dict(self.known_voters)
         sets = [voters]
-        for offset, swap in self.swaps:
-            voters = changed(voters, swap)
+        for offset, swap in self.pending_voter_changes:
+            voters = apply_voter_change(voters, swap)
             sets = [voters] if offset <= self.committed_before else [sets[-1], voters]
         return sets
 
@@ -248,7 +248,7 @@
 
     def _write(self, *, records: tuple[Record, ...] = (), truncate_from: int = UNSET, clear: bool = False) -> None:
         self.sequence += 1
-        if self.whole:
+        if self.complete:
             self.known_voters = tuple(sorted(self.state.voters.items()))
         self._out.append(
             Write(
@@ -258,7 +258,7 @@
                 self.known_voters,
                 self.mesh,
                 self.begin,
-                not self.whole,
+                not self.complete,
                 clear,
                 truncate_from,
                 records,
@@ -270,21 +270,21 @@
     def _append(self, records: tuple[Record, ...]) -> None:
         for record in records:
             self.log.append(record)
-            if swap := change_in(record.payload):
-                self.swaps.append((record.offset, swap))
+            if swap := voter_change_in(record.payload):
+                self.pending_voter_changes.append((record.offset, swap))
         self.appended_at = self.now
         self._write(records=records)
 
     def _check_level(self) -> None:
-        if self.whole and self.state.level > self.level:
+        if self.complete and self.state.level > self.level:
             self._halt(f"the log is at release level {self.state.level}, this release supports {self.level}")
 
     def _halt(self, why: str) -> None:
         """Going on without a record would let this replica differ from the others: it stops, and says so."""
         self.halted = why
-        if self.standing == LEADER:
+        if self.role == LEADER:
             self._resign()
-        self.standing = FOLLOWER
+        self.role = FOLLOWER
         self.leader = UNSET
         self._announce("halted", why=why)
 
@@ -292,7 +292,7 @@
         while self.unsynced and self.unsynced[0][0] <= sequence:
             _, end, _ = self.unsynced.pop(0)
             self.durable = end
-        if self.standing == LEADER:
+        if self.role == LEADER:
             self._advance()
 
     # -- what the parts ask of one another -------------------------------------------------------------------------
@@ -312,7 +312,7 @@
     def _record(self, payload: bytes) -> Record:
         raise NotImplementedError
 
-    def _answer_held(self, *, everyone: bool = False) -> None:
+    def _answer_pending_fetches(self, *, everyone: bool = False) -> None:
         raise NotImplementedError
 
     def _advance(self) -> None:
@@ -324,7 +324,7 @@
     def _contact_age(self) -> timedelta:
         raise NotImplementedError
 
-    def _note_newest(self, moment: timedelta | None) -> None:
+    def _note_newest(self, timestamp: timedelta | None) -> None:
         raise NotImplementedError
 
     def _confirm_reads(self) -> None:
@@ -333,10 +333,10 @@
     def _set_begin(self, offset: int) -> None:
         raise NotImplementedError
 
-    def _begin_pull(self, answer: FetchAnswer) -> None:
+    def _begin_snapshot_fetch(self, answer: FetchAnswer) -> None:
         raise NotImplementedError
 
-    def _give_up_pull(self, why: str) -> None:
+    def _abandon_snapshot_fetch(self, why: str) -> None:
         raise NotImplementedError
 
     def _stage(self, records: tuple[Record, ...]) -> None:
--- a/packages/raft/src/hoistsaddle/raft/replication.py
+++ b/packages/raft/src/hoistsaddle/raft/replication.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from hoistsaddle.common.clock import ZERO
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.raft.events import Concluded
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.raft.events import ProposalResult
 from hoistsaddle.raft.replica import LEADER, NOT_LEADER_FOR_PARTITION, RELEASE_OLD, WRONG_MESH, Progress, Replica
-from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNSAID, UNSET, FetchAnswer, FetchCall, Record
+from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNANSWERED, UNSET, FetchAnswer, FetchCall, Record
 from hoistsaddle.statemachine.commands import RaiseLevel, pack_command
 
 
@@ -22,10 +22,10 @@
         return Record(self.last.offset + 1, self.epoch, self.mesh_time(), payload)
 
     def _propose(self, ticket: int, payloads: tuple[bytes, ...]) -> None:
-        if self.standing != LEADER or self.handing_since is not None:
+        if self.role != LEADER or self.handing_since is not None:
             # A leader that leaves takes nothing more: its successor will in a moment.
-            leader = UNSET if self.standing == LEADER else self.leader
-            self._out.append(Concluded(ticket, str(MishapKind.NOT_LEADER), leader, UNSET, ()))
+            leader = UNSET if self.role == LEADER else self.leader
+            self._out.append(ProposalResult(ticket, str(ErrorKind.NOT_LEADER), leader, UNSET, ()))
             return
         records = []
         offset = self.last.offset
@@ -36,24 +36,26 @@
             self.ticket_of[offset] = ticket
         self.waiting[ticket] = [len(payloads), []]
         self._append(tuple(records))
-        self._answer_held()
+        self._answer_pending_fetches()
         self._advance()
 
     def _raise(self, ticket: int, level: int) -> None:
         """Logs a higher release level, once every voter is seen to support it. Nodes are the asker's affair."""
-        if self.standing != LEADER:
-            self._out.append(Concluded(ticket, str(MishapKind.NOT_LEADER), self.leader, UNSET, ()))
+        if self.role != LEADER:
+            self._out.append(ProposalResult(ticket, str(ErrorKind.NOT_LEADER), self.leader, UNSET, ()))
             return
         recent = {
-            key: each.level for key, each in self.progress.items() if self.now - each.heard < self.pace.alive_span
+            key: each.level
+            for key, each in self.progress.items()
+            if self.now - each.heard < self.timings.liveness_timeout
         }
         recent[(self.replica, self.incarnation)] = self.level
         levels = [recent.get(voter, 0) for voters in self.voter_sets() for voter in voters.items()]
         if min(levels) < level or self.high_watermark < self.epoch_began:
-            self._out.append(Concluded(ticket, str(MishapKind.RELEASE_LEVEL), self.replica, UNSET, ()))
+            self._out.append(ProposalResult(ticket, str(ErrorKind.RELEASE_LEVEL), self.replica, UNSET, ()))
             return
         if self.state.level >= level:
-            self._out.append(Concluded(ticket, "", self.replica, self.state.offset, ()))
+            self._out.append(ProposalResult(ticket, "", self.replica, self.state.offset, ()))
             return
         self.raising = level
         self._propose(ticket, (pack_command(RaiseLevel(level)),))
@@ -63,7 +65,7 @@
             return self._answer(ticket, FetchAnswer(WRONG_MESH, self.epoch, self.leader))
         if call.epoch > self.epoch and self.is_voter():
             self._step_down(call.epoch, UNSET)
-        if self.standing != LEADER or call.epoch != self.epoch:
+        if self.role != LEADER or call.epoch != self.epoch:
             return self._answer(ticket, FetchAnswer(NOT_LEADER_FOR_PARTITION, self.epoch, self.leader))
         # A former release passes over records it doesn't know, so it must not get any that came later.
         if call.level < max(self.state.level, self.raising):
@@ -90,10 +92,10 @@
                 return self._answer(ticket, self._to_checkpoint(answer, progress))
             return self._answer(ticket, answer._replace(diverging_offset=offset, diverging_epoch=self.epoch_at(offset)))
         # Records above a checkpoint still being pulled don't count: without what lies below they save nothing.
-        progress.whole = call.whole
+        progress.complete = call.complete
         progress.offset = call.fetch_offset - 1
         reached = self.high_watermark if progress.committed is None else progress.committed
-        progress.keeps_up = call.whole and progress.offset >= reached
+        progress.keeps_up = call.complete and progress.offset >= reached
         progress.committed = self.high_watermark
         old = self.held.pop(call.replica, None)
         if old is not None:
@@ -113,32 +115,36 @@
         lacking = self.last.offset - call.fetch_offset + 1
         if lacking <= 0:
             return False
-        if lacking >= self.pace.fetch_records:
+        if lacking >= self.timings.fetch_records:
             return True
         life = (call.replica, call.incarnation)
         if any(life in voters.items() for voters in self.voter_sets()):
-            return self.now - self.progress[life].answered >= self.pace.voter_gap
-        return self.now - arrived >= self.pace.observer_wait
+            return self.now - self.progress[life].answered >= self.timings.voter_batch_interval
+        return self.now - arrived >= self.timings.observer_batch_delay
 
     def _to_checkpoint(self, answer: FetchAnswer, progress: Progress) -> FetchAnswer:
-        progress.whole = progress.keeps_up = False
+        progress.complete = progress.keeps_up = False
         progress.committed = None
-        mark = self.checkpoint
-        return answer._replace(checkpoint_offset=mark.offset, checkpoint_epoch=mark.epoch, next_offset=mark.offset + 1)
+        checkpoint_id = self.checkpoint
+        return answer._replace(
+            checkpoint_offset=checkpoint_id.offset,
+            checkpoint_epoch=checkpoint_id.epoch,
+            next_offset=checkpoint_id.offset + 1,
+        )
 
     def _answer_fetch(self, ticket: int, call: FetchCall, *, held: timedelta = ZERO) -> None:
         self.progress[(call.replica, call.incarnation)].answered = self.now
         age = self._contact_age()
-        if self.now - self.rounds.latest() >= self.pace.fetch_wait / 4:
+        if self.now - self.rounds.latest() >= self.timings.fetch_max_wait / 4:
             # The fetch that follows this answer proves that the follower still followed at this moment.
             self.rounds.begin(now=self.now)
         records = []
         size = 0
         place = max(0, call.fetch_offset - self.begin_offset)
-        for record in self.log[place : place + self.pace.fetch_records]:
+        for record in self.log[place : place + self.timings.fetch_records]:
             records.append(record)
             size += len(record.payload)
-            if size >= self.pace.fetch_bytes:
+            if size >= self.timings.fetch_bytes:
                 break
         self._answer(
             ticket,
@@ -150,7 +156,7 @@
                 self.begin_offset,
                 tuple(records),
                 round=self.round,
-                leave=self._tell_leaving(call) if call.leaving else LEAVE_UNSAID,
+                leave=self._tell_leaving(call) if call.leaving else LEAVE_UNANSWERED,
                 # The follower counts from when it sent the fetch: it was here for that long already.
                 contact_age=age - held,
             ),
@@ -159,9 +165,13 @@
         answer: Any = self._out.pop()
         self._out.append(answer._replace(after=0))
 
-    def _answer_held(self, *, everyone: bool = False) -> None:
+    def _answer_pending_fetches(self, *, everyone: bool = False) -> None:
         for replica, (ticket, call, arrived) in list(self.held.items()):
-            if everyone or self._has_records_for(call, arrived=arrived) or self.now - arrived >= self.pace.fetch_wait:
+            if (
+                everyone
+                or self._has_records_for(call, arrived=arrived)
+                or self.now - arrived >= self.timings.fetch_max_wait
+            ):
                 del self.held[replica]
                 if call.fetch_offset < self.begin_offset:
                     # The begin offset rose while the fetch was held: the next fetch is sent to the checkpoint.
@@ -176,7 +186,7 @@
 
     def _advance(self) -> None:
         """Raises the high-watermark to what a majority of every voter set has synced."""
-        if self.standing != LEADER:
+        if self.role != LEADER:
             return
         least = None
         for voters in self.voter_sets():
@@ -186,7 +196,7 @@
                     offsets.append(self.durable)
                 else:
                     progress = self.progress.get(key)
-                    offsets.append(progress.offset if progress is not None and progress.whole else -1)
+                    offsets.append(progress.offset if progress is not None and progress.complete else -1)
             agreed = sorted(offsets, reverse=True)[len(offsets) // 2]
             least = agreed if least is None else min(least, agreed)
         # Only a record of this epoch commits by counting; older ones commit beneath it.
--- a/packages/raft/src/hoistsaddle/raft/shell.py
+++ b/packages/raft/src/hoistsaddle/raft/runner.py
@@ -10,9 +10,10 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
+from hoistsaddle.raft.disk_jobs import BootstrapMesh, ChunkRead, DiskThread, DiskWorker, MeshBootstrapped
 from hoistsaddle.raft.events import (
     Announce,
     Answer,
@@ -21,37 +22,36 @@
     CallArrived,
     CallRefused,
     Capture,
-    Concluded,
     DropCheckpoints,
     Ended,
-    Pace,
     ProposalArrived,
+    ProposalResult,
+    RaftTimings,
     RaiseArrived,
     ReadArrived,
     ReadChunk,
-    ReadReady,
+    ReadResult,
     Send,
-    StopAsked,
+    StopRequested,
     StoreChunk,
     Synced,
     Ticked,
     Write,
 )
-from hoistsaddle.raft.jobs import ChunkRead, DiskThread, DiskWorker, Founded, Founding
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import LEVEL
 
 TICK = timedelta(milliseconds=15)
-CALL_SPAN = timedelta(milliseconds=900)
+CALL_TIMEOUT = timedelta(milliseconds=900)
 
 
-class RaftShell:
+class RaftRunner:
     def __init__(
         self,
         *,
         disk: Disk,
         addresses: dict[int, str],
-        pace: Pace,
+        timings: RaftTimings,
         counters: Counters,
         runtime: Runtime,
         make_worker: Callable[..., DiskWorker] = DiskThread,
@@ -61,7 +61,7 @@
         self.wanted_voters = wanted_voters
         self.disk = disk
         self.addresses = addresses
-        self.pace = pace
+        self.timings = timings
         self.counters = counters
         self.runtime = runtime
         self.make_worker = make_worker
@@ -83,7 +83,7 @@
         boot = self.disk.boot()
         self.counters.gauge("checkpoint.load_milliseconds", (time.monotonic() - began) * 1000)
         for remark in self.disk.remarks:
-            self.counters.happen("disk remark", remark=remark)
+            self.counters.record_event("disk remark", remark=remark)
         self.disk.remarks.clear()
         self.synced = 0
         self.core = self._core_of(boot)
@@ -94,28 +94,28 @@
         return RaftCore(
             boot=boot,
             replicas=tuple(self.addresses),
-            pace=self.pace,
+            timings=self.timings,
             seed=self.runtime.random,
             now=self.runtime.now(),
             level=self.level,
             wanted_voters=self.wanted_voters,
         )
 
-    def revise(
-        self, *, wanted_voters: int, replace_span: timedelta, lag_wait: timedelta, seeds: tuple[int, ...]
+    def apply_settings(
+        self, *, wanted_voters: int, replacement_timeout: timedelta, lag_wait: timedelta, seeds: tuple[int, ...]
     ) -> None:
         self.wanted_voters = wanted_voters
-        self.pace = self.pace._replace(replace_span=replace_span, lag_wait=lag_wait)
+        self.timings = self.timings._replace(replacement_timeout=replacement_timeout, lag_wait=lag_wait)
         if self.core is not None:
             self.core.wanted_voters = wanted_voters
-            self.core.pace = self.pace
+            self.core.timings = self.timings
             self.core.seeds = tuple(dict.fromkeys((*seeds, *self.core.seeds)))
 
     async def found(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> bool:
         """Called while nothing is founded: the core starts over from what founding wrote."""
         # Until the disk thread is done, nothing the unfounded core does may be written over the founding.
         self.founding = self.loop.create_future()
-        self.worker.put(Founding(mesh, voters, operators, level))
+        self.worker.put(BootstrapMesh(mesh, voters, operators, level))
         boot = await self.founding
         self.founding = None
         if boot is None:
@@ -140,7 +140,7 @@
 
     def feed(self, event: tuple) -> None:
         if self.founding is not None:
-            if isinstance(event, Founded):
+            if isinstance(event, MeshBootstrapped):
                 self.founding.set_result(event.boot)
             return
         if isinstance(event, ChunkRead):
@@ -166,10 +166,10 @@
                 self._settle(ticket, message)
             case Write() | Capture() | StoreChunk() | DropCheckpoints() | ReadChunk():
                 self.worker.put(command)
-            case Concluded(ticket=ticket) | ReadReady(ticket=ticket):
+            case ProposalResult(ticket=ticket) | ReadResult(ticket=ticket):
                 self._settle(ticket, command)
             case Announce(kind=kind, detail=detail):
-                self.counters.happen(kind, **detail)
+                self.counters.record_event(kind, **detail)
             case Ended():
                 self.ended.set()
 
@@ -180,12 +180,12 @@
 
     async def _call(self, send: Send) -> None:
         self.counters.add(f"sends.{type(send.message).__name__}")
-        match await self.runtime.lines.call(self.addresses[send.replica], send.message, within=CALL_SPAN):
+        match await self.runtime.rpc_client.call(self.addresses[send.replica], send.message, within=CALL_TIMEOUT):
             case Success(message):
                 self.feed(AnswerArrived(send.number, send.replica, message))
             case result:
                 self.counters.add("sends.mishaps")
-                if result.failure().kind == MishapKind.UNREACHABLE:
+                if result.failure().kind == ErrorKind.UNREACHABLE:
                     self.feed(CallRefused(send.replica))
 
     async def ask(self, make: Callable[[int], tuple]) -> tuple:
@@ -202,18 +202,18 @@
     async def call(self, message: tuple) -> tuple:
         return await self.ask(lambda ticket: CallArrived(ticket, message))
 
-    async def propose(self, payloads: tuple[bytes, ...]) -> Concluded:
+    async def propose(self, payloads: tuple[bytes, ...]) -> ProposalResult:
         return await self.ask(lambda ticket: ProposalArrived(ticket, payloads))
 
-    async def raise_level(self, level: int) -> Concluded:
+    async def raise_level(self, level: int) -> ProposalResult:
         return await self.ask(lambda ticket: RaiseArrived(ticket, level))
 
-    async def read(self) -> ReadReady:
+    async def read(self) -> ReadResult:
         return await self.ask(lambda ticket: ReadArrived(ticket))
 
     async def stop(self, *, within: timedelta = timedelta()) -> None:
         """Ends the replica. Within the span it hands over what would hang on fewer disks without it."""
-        self.feed(StopAsked(within))
+        self.feed(StopRequested(within))
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.ended.wait(), within.total_seconds())
         # The last words are on their way; they get a moment to leave, no more.
@@ -224,4 +224,4 @@
             self.disk.close()
         else:
             # Closing would wait on this loop for the call that hangs in the thread.
-            self.counters.happen("disk left open", why="it still hangs in a call")
+            self.counters.record_event("disk left open", why="it still hangs in a call")
--- a/packages/raft/src/hoistsaddle/raft/voterchanges.py
+++ b/packages/raft/src/hoistsaddle/raft/voter_changes.py
@@ -26,14 +26,14 @@
     def _review_voters(self) -> None:
         """Logs the change that is due now, if one is."""
         # One change at a time, and only once this epoch has committed something.
-        if self.swaps or self.high_watermark < self.epoch_began:
+        if self.pending_voter_changes or self.high_watermark < self.epoch_began:
             return
         change = self._blank_disk()
         if change is None and self.wanted_voters and self.state.level >= LEVEL_OF[AddVoter]:
             change = self._growth_or_replacement()
         if change is not None:
             self._append((self._record(pack_command(change)),))
-            self._answer_held()
+            self._answer_pending_fetches()
 
     def _blank_disk(self) -> VoterChange | None:
         """A caught-up new disk takes the place of the one that was at its address.
@@ -59,7 +59,11 @@
             return AddVoter(*ready[0])
         leaving = self._leaving_voters()
         lost = sorted(
-            (life for life in voters.items() if life != self._self() and self._silence(life) > self.pace.replace_span),
+            (
+                life
+                for life in voters.items()
+                if life != self._self() and self._silence(life) > self.timings.replacement_timeout
+            ),
             key=lambda life: (-self._silence(life), life),
         )
         if not leaving and not lost:
@@ -77,10 +81,10 @@
     def _is_ready(self, life: Life) -> bool:
         progress = self.progress[life]
         return (
-            progress.whole
+            progress.complete
             and progress.keeps_up
             and not progress.leaving
-            and self.now - progress.heard < self.pace.fetch_retry
+            and self.now - progress.heard < self.timings.fetch_timeout
         )
 
     def _successors(self) -> list[Life]:
--- a/packages/raft/src/hoistsaddle/raft/voters.py
+++ b/packages/raft/src/hoistsaddle/raft/voters.py
@@ -5,7 +5,7 @@
 VoterChange = SwapVoter | AddVoter | DropVoter | ReplaceVoter
 
 
-def change_in(payload: bytes) -> VoterChange | None:
+def voter_change_in(payload: bytes) -> VoterChange | None:
     """The voter change that a record holds, if it holds one."""
     # Cheap look first: nearly no record is a voter change.
     if b"Voter" not in payload[:16]:
@@ -14,7 +14,7 @@
     return command if isinstance(command, VoterChange) else None
 
 
-def changed(voters: dict[int, str], change: VoterChange) -> dict[int, str]:
+def apply_voter_change(voters: dict[int, str], change: VoterChange) -> dict[int, str]:
     """The set of voters after the change."""
     match change:
         case SwapVoter(replica=replica, new=new):
--- a/packages/registry/src/hoistsaddle/registry/places.py
+++ b/packages/registry/src/hoistsaddle/registry/addresses.py
@@ -15,7 +15,7 @@
     return str(ipaddress.IPv4Address(number))
 
 
-class Places(dict[int, str]):
+class ReplicaAddresses(dict[int, str]):
     """Replica to address at one port; any IP number has one, the known ones are listed."""
 
     def __init__(self, *, port: int, hosts: Iterable[str]) -> None:
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -1,4 +1,4 @@
-"""Writes and confirmed reads at whichever warehouse leads, found by asking and by following hints.
+"""Writes and confirmed reads at whichever store leads, found by asking and by following hints.
 
 Whoever asks here gets an answer inside the span that it gave, also on a machine that is cut off: an order that is still
 unanswered then is told so, and whether the core may have taken it. While nobody leads, one call at a time goes out for
@@ -11,157 +11,159 @@
 
 from returns.result import Failure, Result, Success
 
+from hoistsaddle.common.backoff import ExponentialBackoff
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.common.pause import GrowingPause
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.rpc.messages import UNSET, ReadAnswer, ReadCall, WriteAnswer, WriteCall
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import Command, Outcome, pack_command, unpack_outcome
 
-CALL_SPAN = timedelta(milliseconds=700)
-# How long a warehouse that gave no answer is passed by, whatever the others believe of it.
-PASSED_BY = timedelta(seconds=1)
-MOST_IN_BATCH = 128
-MOST_IN_FLIGHT = 6
+CALL_TIMEOUT = timedelta(milliseconds=700)
+# How long a store that gave no answer is passed by, whatever the others believe of it.
+UNRESPONSIVE_HOLDOFF = timedelta(seconds=1)
+MAX_BATCH_COMMANDS = 128
+MAX_BATCHES_IN_FLIGHT = 6
 # Between two tries: long enough that a hint's hop isn't busy work, short enough to be no part of an election's second.
-PAUSE_LEAST = milliseconds(20)
-PAUSE_MOST = milliseconds(320)
+MIN_BACKOFF = milliseconds(20)
+MAX_BACKOFF = milliseconds(320)
 
-NO_LEADER = Mishap(
-    MishapKind.NO_LEADER,
-    "No warehouse leads with a majority at the moment.",
+NO_LEADER = MeshError(
+    ErrorKind.NO_LEADER,
+    "No store leads with a majority at the moment.",
     "Ask again shortly; if it lasts, docs/operators/replacing-core-machines.md names the ways out.",
 )
-UNSURE = Mishap(
-    MishapKind.UNSURE,
+UNSURE = MeshError(
+    ErrorKind.UNSURE,
     "It was handed to the core, which hasn't said yet whether it is taken.",
     "Send the same again, here or to another machine: what was taken is confirmed, and nothing counts twice.",
 )
 
 
-class _Entry:
+class _PendingWrite:
     """One command under way."""
 
     def __init__(self, *, payload: bytes, future: asyncio.Future) -> None:
         self.payload = payload
         self.future = future
-        # Whether a warehouse may hold it: true from the moment it is sent, until that warehouse says it never took it.
-        self.perhaps_taken = False
+        # Whether a store may hold it: true from the moment it is sent, until that store says it never took it.
+        self.maybe_accepted = False
 
 
 class Writer:
-    def __init__(
-        self, *, name: str, warehouses: dict[int, str], home: int, runtime: Runtime, counters: Counters
-    ) -> None:
+    def __init__(self, *, name: str, stores: dict[int, str], home: int, runtime: Runtime, counters: Counters) -> None:
         self.name = name
-        self.warehouses = warehouses
+        self.stores = stores
         self.leader = home
         self.runtime = runtime
         self.counters = counters
-        self.silent: dict[int, timedelta] = {}
-        self.backlog: list[_Entry] = []
+        self.unresponsive_since: dict[int, timedelta] = {}
+        self.backlog: list[_PendingWrite] = []
         self.in_flight = 0
         self.tasks: set[asyncio.Task] = set()
-        self.pause = GrowingPause(least=PAUSE_LEAST, most=PAUSE_MOST)
+        self.backoff = ExponentialBackoff(least=MIN_BACKOFF, most=MAX_BACKOFF)
         # The leader that the replica beside this writer follows, where there is one; and what wakes those that pause.
         self.known_leader = UNSET
-        self.woken = asyncio.Event()
+        self.leader_changed = asyncio.Event()
         # While tries fail, one task tries again for all that wait.
         self.retrying = False
         self.stopped = False
 
-    def leader_known(self, leader: int) -> None:
+    def note_leader(self, leader: int) -> None:
         """What the replica in the same process knows; a leader newly known ends all pauses."""
         if leader == self.known_leader:
             return
         self.known_leader = leader
         if leader != UNSET:
             self.leader = leader
-            self.pause.reset()
-            self.woken.set()
-            self.woken = asyncio.Event()
+            self.backoff.reset()
+            self.leader_changed.set()
+            self.leader_changed = asyncio.Event()
 
-    def _follow_hint(self, hint: int, tried: int) -> None:
+    def _follow_hint(self, hint: int, target: int) -> None:
         now = self.runtime.now()
-        passed_by = {replica for replica, moment in self.silent.items() if now - moment < PASSED_BY}
-        if hint in self.warehouses and hint != tried and hint not in passed_by:
+        unresponsive = {
+            replica for replica, timestamp in self.unresponsive_since.items() if now - timestamp < UNRESPONSIVE_HOLDOFF
+        }
+        if hint in self.stores and hint != target and hint not in unresponsive:
             self.leader = hint
-        elif self.leader == tried or hint in passed_by:
+        elif self.leader == target or hint in unresponsive:
             # Nobody knows, or they still name the one that fell silent: go round.
-            order = sorted(self.warehouses)
-            turn = order[order.index(tried) + 1 :] + order[: order.index(tried)]
-            self.leader = next((replica for replica in turn if replica not in passed_by), turn[0] if turn else tried)
-
-    def _fell_silent(self, tried: int) -> None:
-        self.silent[tried] = self.runtime.now()
-        self._follow_hint(UNSET, tried)
-
-    async def _rest(self) -> None:
-        left = self.pause.left(now=self.runtime.now())
-        self.counters.gauge("writes.pause_milliseconds", self.pause.span.total_seconds() * 1000)
+            order = sorted(self.stores)
+            rotation = order[order.index(target) + 1 :] + order[: order.index(target)]
+            self.leader = next(
+                (replica for replica in rotation if replica not in unresponsive), rotation[0] if rotation else target
+            )
+
+    def _mark_unresponsive(self, target: int) -> None:
+        self.unresponsive_since[target] = self.runtime.now()
+        self._follow_hint(UNSET, target)
+
+    async def _wait_for_backoff(self) -> None:
+        left = self.backoff.left(now=self.runtime.now())
+        self.counters.gauge("writes.pause_milliseconds", self.backoff.span.total_seconds() * 1000)
         try:
             async with asyncio.timeout(left.total_seconds()):
-                await self.woken.wait()
+                await self.leader_changed.wait()
         except TimeoutError:
             pass
 
-    async def read(self, *, part: str, known_revision: int, within: timedelta) -> Result[ReadAnswer, Mishap]:
+    async def read(self, *, part: str, known_revision: int, within: timedelta) -> Result[ReadAnswer, MeshError]:
         deadline = self.runtime.now() + within
         while (left := deadline - self.runtime.now()) > timedelta():
-            tried = self.leader
-            match await self.runtime.lines.call(
-                self.warehouses[tried], ReadCall(self.name, part, known_revision), within=min(left, CALL_SPAN)
+            target = self.leader
+            match await self.runtime.rpc_client.call(
+                self.stores[target], ReadCall(self.name, part, known_revision), within=min(left, CALL_TIMEOUT)
             ):
-                case Success(ReadAnswer(mishap="") as answer):
-                    self.pause.reset()
+                case Success(ReadAnswer(error="") as answer):
+                    self.backoff.reset()
                     return Success(answer)
                 case Success(ReadAnswer(leader=leader)):
-                    self._follow_hint(leader, tried)
+                    self._follow_hint(leader, target)
                 case _:
-                    self._fell_silent(tried)
+                    self._mark_unresponsive(target)
             self.counters.add("reads.again")
-            self.pause.failed(now=self.runtime.now())
-            if self.runtime.now() + self.pause.span >= deadline:
+            self.backoff.failed(now=self.runtime.now())
+            if self.runtime.now() + self.backoff.span >= deadline:
                 break
-            await self._rest()
+            await self._wait_for_backoff()
         return Failure(NO_LEADER)
 
-    async def write(self, command: Command, *, within: timedelta) -> Result[Outcome, Mishap]:
+    async def write(self, command: Command, *, within: timedelta) -> Result[Outcome, MeshError]:
         """Every command may be forwarded again: each carries what makes its repetition recognisable in the log."""
         return (await self.write_payloads([pack_command(command)], within=within))[0]
 
-    async def write_payloads(self, payloads: Iterable[bytes], *, within: timedelta) -> list[Result[Outcome, Mishap]]:
+    async def write_payloads(self, payloads: Iterable[bytes], *, within: timedelta) -> list[Result[Outcome, MeshError]]:
         loop = asyncio.get_running_loop()
-        entries = [_Entry(payload=payload, future=loop.create_future()) for payload in payloads]
-        if not entries:
+        pending_writes = [_PendingWrite(payload=payload, future=loop.create_future()) for payload in payloads]
+        if not pending_writes:
             return []
-        self.backlog += entries
+        self.backlog += pending_writes
         self._flush()
         # The asker's own span ends the wait, whatever call is still in flight and whoever stands before it in line.
-        await asyncio.wait([entry.future for entry in entries], timeout=within.total_seconds())
-        return [self._told(entry) for entry in entries]
+        await asyncio.wait([pending_write.future for pending_write in pending_writes], timeout=within.total_seconds())
+        return [self._result_of(pending_write) for pending_write in pending_writes]
 
-    def _told(self, entry: _Entry) -> Result[Outcome, Mishap]:
-        if entry.future.done():
-            return entry.future.result()
-        entry.future.cancel()
-        self.counters.add("writes.unsure" if entry.perhaps_taken else "writes.not_taken")
-        return Failure(UNSURE if entry.perhaps_taken else NO_LEADER)
+    def _result_of(self, pending_write: _PendingWrite) -> Result[Outcome, MeshError]:
+        if pending_write.future.done():
+            return pending_write.future.result()
+        pending_write.future.cancel()
+        self.counters.add("writes.unsure" if pending_write.maybe_accepted else "writes.not_taken")
+        return Failure(UNSURE if pending_write.maybe_accepted else NO_LEADER)
 
     def _flush(self) -> None:
-        self.backlog = [entry for entry in self.backlog if not entry.future.done()]
+        self.backlog = [pending_write for pending_write in self.backlog if not pending_write.future.done()]
         if self.stopped:
             return
-        if self.pause.failing:
+        if self.backoff.failing:
             if self.backlog and not self.retrying:
                 self.retrying = True
                 self._spawn(self._retry(), at_end=self._retry_ended)
             return
         # A few batches in flight at most: what arrives meanwhile goes together into the next.
-        while self.backlog and self.in_flight < MOST_IN_FLIGHT:
+        while self.backlog and self.in_flight < MAX_BATCHES_IN_FLIGHT:
             self.in_flight += 1
-            self._spawn(self._carry(self._next_batch()), at_end=self._carry_ended)
+            self._spawn(self._send_batch(self._next_batch()), at_end=self._batch_ended)
 
     def _spawn(self, work: Coroutine, *, at_end: Callable[[], None]) -> None:
         """Runs `work` as a task. `at_end` follows in a callback, which a task that is only collected never runs."""
@@ -174,7 +176,7 @@
 
         task.add_done_callback(ended)
 
-    def _carry_ended(self) -> None:
+    def _batch_ended(self) -> None:
         self.in_flight -= 1
         self._flush()
 
@@ -182,50 +184,52 @@
         self.retrying = False
         self._flush()
 
-    def _next_batch(self) -> list[_Entry]:
-        waiting = [entry for entry in self.backlog if not entry.future.done()]
-        batch, self.backlog = waiting[:MOST_IN_BATCH], waiting[MOST_IN_BATCH:]
+    def _next_batch(self) -> list[_PendingWrite]:
+        waiting = [pending_write for pending_write in self.backlog if not pending_write.future.done()]
+        batch, self.backlog = waiting[:MAX_BATCH_COMMANDS], waiting[MAX_BATCH_COMMANDS:]
         return batch
 
-    async def _carry(self, batch: list[_Entry]) -> None:
-        if not await self._try(batch):
+    async def _send_batch(self, batch: list[_PendingWrite]) -> None:
+        if not await self._attempt(batch):
             self.backlog = [*batch, *self.backlog]
 
     async def _retry(self) -> None:
         """While tries fail, this one goes on for all that wait, with those that are still waited for at its moment."""
-        while self.pause.failing:
-            await self._rest()
+        while self.backoff.failing:
+            await self._wait_for_backoff()
             if not (batch := self._next_batch()):
                 return
-            if not await self._try(batch):
+            if not await self._attempt(batch):
                 self.backlog = [*batch, *self.backlog]
 
-    async def _try(self, batch: list[_Entry]) -> bool:
+    async def _attempt(self, batch: list[_PendingWrite]) -> bool:
         """One call with the whole batch; true once all of it is concluded."""
-        tried = self.leader
-        before = {entry for entry in batch if entry.perhaps_taken}
-        for entry in batch:
-            entry.perhaps_taken = True
-        call = WriteCall(self.name, tuple(entry.payload for entry in batch))
-        match await self.runtime.lines.call(self.warehouses[tried], call, within=CALL_SPAN):
-            case Success(WriteAnswer(mishap="", outcomes=outcomes)):
+        target = self.leader
+        maybe_accepted_before = {pending_write for pending_write in batch if pending_write.maybe_accepted}
+        for pending_write in batch:
+            pending_write.maybe_accepted = True
+        call = WriteCall(self.name, tuple(pending_write.payload for pending_write in batch))
+        match await self.runtime.rpc_client.call(self.stores[target], call, within=CALL_TIMEOUT):
+            case Success(WriteAnswer(error="", outcomes=outcomes)):
                 self.counters.add("writes.carried", len(batch))
-                self.pause.reset()
-                for entry, outcome in zip(batch, outcomes, strict=True):
-                    if not entry.future.done():
-                        entry.future.set_result(Success(unpack_outcome(outcome)))
+                self.backoff.reset()
+                for pending_write, outcome in zip(batch, outcomes, strict=True):
+                    if not pending_write.future.done():
+                        pending_write.future.set_result(Success(unpack_outcome(outcome)))
                 return True
-            case Success(WriteAnswer(mishap=mishap, leader=leader)):
-                never = mishap != MishapKind.UNSURE
-                self._follow_hint(leader, tried)
+            case Success(WriteAnswer(error=error, leader=leader)):
+                certainly_not_accepted = error != ErrorKind.UNSURE
+                self._follow_hint(leader, target)
             case result:
-                never = not isinstance(result, Success) and result.failure().kind == MishapKind.UNREACHABLE
-                self._fell_silent(tried)
-        if never:
+                certainly_not_accepted = (
+                    not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
+                )
+                self._mark_unresponsive(target)
+        if certainly_not_accepted:
             # It took none of it; an earlier try at another one may still have.
-            for entry in batch:
-                entry.perhaps_taken = entry in before
-        self.pause.failed(now=self.runtime.now())
+            for pending_write in batch:
+                pending_write.maybe_accepted = pending_write in maybe_accepted_before
+        self.backoff.failed(now=self.runtime.now())
         self.counters.add("writes.again")
         return False
 
--- a/packages/rpc/src/hoistsaddle/rpc/connection.py
+++ b/packages/rpc/src/hoistsaddle/rpc/connection.py
@@ -14,16 +14,16 @@
 from loguru import logger
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import split_address
-from hoistsaddle.rpc.ages import Ages, CallAge
-from hoistsaddle.rpc.messages import Frame, PulseAnswer, PulseCall, pack, unpack_frame
+from hoistsaddle.rpc.frame_ages import Ages, CallAge
+from hoistsaddle.rpc.messages import Frame, PingAnswer, PingCall, pack, unpack_frame
 
 Handler = Callable[[tuple], Awaitable[tuple]]
 # A peer that is there takes a connection within milliseconds. Waiting longer spends a budget on one that isn't.
-CONNECT_SPAN = timedelta(seconds=1)
+CONNECT_TIMEOUT = timedelta(seconds=1)
 # Where packets wait for longer than that, a connection is still opened for those that call within this.
-OPEN_SPAN = timedelta(seconds=3)
+OPEN_TIMEOUT = timedelta(seconds=3)
 LARGEST_FRAME = 64 * 1024 * 1024
 IN = "in"
 OUT = "out"
@@ -71,7 +71,7 @@
     return len(data) + _length.size
 
 
-class Pulse(NamedTuple):
+class KeepAlive(NamedTuple):
     """How a line with calls under way is felt: asked after this long a silence, given up after that long a one.
 
     A machine without power says nothing. Without pulses a call to it would wait out its whole budget. Bytes that the
@@ -89,11 +89,11 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         traffic: Traffic,
-        pulse: Pulse | None = None,
+        keep_alive: KeepAlive | None = None,
     ) -> None:
         self.writer = writer
         self.traffic = traffic
-        self.pulse = pulse
+        self.keep_alive = keep_alive
         self.heard = 0.0
         # Bytes written to the line; how many of them had left this process when it was felt last, and whether others
         # waited here for the other side to take them.
@@ -124,12 +124,12 @@
 
     def feel(self) -> None:
         """Called with each call: a line that nobody waits on needs no pulse."""
-        if self.pulse is not None and self.felt is None:
+        if self.keep_alive is not None and self.felt is None:
             self.heard = asyncio.get_running_loop().time()
             self._feel_later()
 
     def _feel_later(self) -> None:
-        self.felt = asyncio.get_running_loop().call_later(self.pulse.every.total_seconds(), self._feel)
+        self.felt = asyncio.get_running_loop().call_later(self.keep_alive.every.total_seconds(), self._feel)
 
     def _feel(self) -> None:
         self.felt = None
@@ -138,14 +138,16 @@
         self._feel_progress()
         silence = asyncio.get_running_loop().time() - self.heard
         # A process that was late itself reads what came in meanwhile before it gives anyone up.
-        if silence >= (self.pulse.span + self.pulse.every * 2).total_seconds():
-            self.heard = asyncio.get_running_loop().time() - (self.pulse.span - self.pulse.every).total_seconds()
-        elif silence >= self.pulse.span.total_seconds():
+        if silence >= (self.keep_alive.span + self.keep_alive.every * 2).total_seconds():
+            self.heard = (
+                asyncio.get_running_loop().time() - (self.keep_alive.span - self.keep_alive.every).total_seconds()
+            )
+        elif silence >= self.keep_alive.span.total_seconds():
             return self.close()
-        if silence >= self.pulse.every.total_seconds() * 0.9:
+        if silence >= self.keep_alive.every.total_seconds() * 0.9:
             try:
                 # Number 0 is no call's: its answer only shows that somebody is there.
-                self.write(number=0, message=PulseCall(""))
+                self.write(number=0, message=PingCall(""))
             except OSError:
                 return self.close()
         self._feel_later()
@@ -168,15 +170,15 @@
         self._task.cancel()
 
 
-def silent_at(address: str) -> Mishap:
-    return Mishap(
-        MishapKind.SILENT,
+def silent_at(address: str) -> MeshError:
+    return MeshError(
+        ErrorKind.SILENT,
         f"{address} gave no answer in time.",
         "The call may have been carried out: ask before repeating it.",
     )
 
 
-class LineFaults:
+class ConnectionFaults:
     """Cuts of single lines, one way or both, as the proofs on real processes write them into a file.
 
     A one-way cut from one process to another is two entries: the one drops its calls to the other, and the other
@@ -209,18 +211,18 @@
         return address in self.answers
 
 
-class Lines:
-    """Calls other processes. A mishap says whether the call can have reached the other side."""
+class RpcClient:
+    """Calls other processes. An error says whether the call can have reached the other side."""
 
     def __init__(
         self,
         *,
-        faults: "LineFaults | None" = None,
-        pulse: Pulse | None = None,
-        connect_span: timedelta = CONNECT_SPAN,
+        faults: "ConnectionFaults | None" = None,
+        keep_alive: KeepAlive | None = None,
+        connect_timeout: timedelta = CONNECT_TIMEOUT,
     ) -> None:
-        self.pulse = pulse
-        self.connect_span = connect_span
+        self.keep_alive = keep_alive
+        self.connect_timeout = connect_timeout
         self.traffic = Traffic()
         # Addresses that this very process serves: a call to one of them is a call of a function.
         self.home: dict[str, Handler] = {}
@@ -248,19 +250,19 @@
 
     async def _open(self, address: str) -> _Connection:
         host, port = split_address(address)
-        async with asyncio.timeout(OPEN_SPAN.total_seconds()):
+        async with asyncio.timeout(OPEN_TIMEOUT.total_seconds()):
             reader, writer = await asyncio.open_connection(host, port)
-        connection = _Connection(reader=reader, writer=writer, traffic=self.traffic, pulse=self.pulse)
+        connection = _Connection(reader=reader, writer=writer, traffic=self.traffic, keep_alive=self.keep_alive)
         self._connections[address] = connection
         return connection
 
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = lambda: True
-    ) -> Result[tuple, Mishap]:
+    ) -> Result[tuple, MeshError]:
         """still is asked directly before the first byte is written: a freeze may lie between deciding and sending."""
         unreachable = Failure(
-            Mishap(
-                MishapKind.UNREACHABLE,
+            MeshError(
+                ErrorKind.UNREACHABLE,
                 f"{address} takes no connection.",
                 "Check that the process runs and the address is right.",
             )
@@ -283,7 +285,7 @@
             await asyncio.sleep(within.total_seconds())
             return Failure(silent_at(address))
         try:
-            async with asyncio.timeout_at(min(deadline, loop.time() + self.connect_span.total_seconds())):
+            async with asyncio.timeout_at(min(deadline, loop.time() + self.connect_timeout.total_seconds())):
                 connection = await self._connect(address)
         except (OSError, TimeoutError):
             # Nothing was written, so the other side can't have heard of this call.
@@ -322,7 +324,7 @@
             connection.close()
 
 
-class LineServer:
+class RpcServer:
     def __init__(self, *, address: str, handler: Handler, traffic: Traffic | None = None) -> None:
         self.address = address
         self.handler = handler
@@ -344,8 +346,8 @@
                 number, _, message, sent = await _read_frame(reader, self.traffic)
                 # The task that answers it takes this along.
                 _call_age.set(ages.age(sent=sent, now=loop.time()))
-                if isinstance(message, PulseCall):
-                    _write_frame(writer, self.traffic, number=number, answer=True, message=PulseAnswer(""))
+                if isinstance(message, PingCall):
+                    _write_frame(writer, self.traffic, number=number, answer=True, message=PingAnswer(""))
                     continue
                 if message is None:
                     # A newer release's call: unanswered, so its sender knows that it isn't understood here.
--- a/packages/rpc/src/hoistsaddle/rpc/messages.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages.py
@@ -18,7 +18,7 @@
 
 UNSET = -1
 # An age that nobody told: from a former release, or where nothing is known.
-UNSAID = timedelta(microseconds=-1)
+UNKNOWN_AGE = timedelta(microseconds=-1)
 
 
 class Record(NamedTuple):
@@ -36,7 +36,7 @@
     fetch_offset: int
     fetch_epoch: int
     round: int
-    whole: bool
+    complete: bool
     # The highest release level the replica supports; a former release doesn't say.
     level: int = 1
     # Its process was told to stop: it goes once the leader says that it may.
@@ -44,13 +44,13 @@
 
 
 # What a leader says to a replica that leaves; a former release says nothing.
-LEAVE_UNSAID = 0
+LEAVE_UNANSWERED = 0
 LEAVE_WAIT = 1
 LEAVE_GO = 2
 
 
 class FetchAnswer(NamedTuple):
-    mishap: str
+    error: str
     epoch: int
     leader: int
     high_watermark: int = UNSET
@@ -62,12 +62,12 @@
     checkpoint_epoch: int = UNSET
     next_offset: int = UNSET
     round: int = 0
-    leave: int = LEAVE_UNSAID
+    leave: int = LEAVE_UNANSWERED
     # How long ago, when this was made, the leader last knew that a majority followed it and its state was the newest.
-    contact_age: timedelta = UNSAID
+    contact_age: timedelta = UNKNOWN_AGE
 
 
-class PullCall(NamedTuple):
+class FetchSnapshotCall(NamedTuple):
     replica: int
     epoch: int
     checkpoint_offset: int
@@ -76,8 +76,8 @@
     max_bytes: int
 
 
-class PullAnswer(NamedTuple):
-    mishap: str
+class FetchSnapshotAnswer(NamedTuple):
+    error: str
     epoch: int
     checkpoint_offset: int
     checkpoint_epoch: int
@@ -86,35 +86,35 @@
     continues: bool = False
 
 
-class BallotCall(NamedTuple):
+class VoteCall(NamedTuple):
     mesh: str
     epoch: int
     replica: int
     incarnation: str
     last_offset: int
     last_epoch: int
-    trial: bool
+    pre_vote: bool
     level: int = 1
     # The leader named this replica for its place: whoever still hears that leader may vote all the same.
     handed: bool = False
 
 
-class BallotAnswer(NamedTuple):
+class VoteAnswer(NamedTuple):
     epoch: int
     replica: int
     incarnation: str
     granted: bool
-    trial: bool
-    ballot_epoch: int
+    pre_vote: bool
+    vote_epoch: int
 
 
-class LeadCall(NamedTuple):
+class BeginEpochCall(NamedTuple):
     mesh: str
     epoch: int
     leader: int
 
 
-class ResignCall(NamedTuple):
+class EndEpochCall(NamedTuple):
     epoch: int
     leader: int
     # Whom the leader calls to stand at once; UNSET if it names nobody.
@@ -125,49 +125,49 @@
     epoch: int
 
 
-class FoundCall(NamedTuple):
+class BootstrapCall(NamedTuple):
     mesh: str
     voters: dict[int, str]
     operators: dict[str, str]
     level: int = 1
 
 
-class FoundAnswer(NamedTuple):
-    mishap: str
+class BootstrapAnswer(NamedTuple):
+    error: str
     mesh: str
     incarnation: str
 
 
-class LookCall(NamedTuple):
+class StatusCall(NamedTuple):
     asker: str
     # Happenings above this number go along; by default none.
     after: int = 2**62
 
 
-class LookAnswer(NamedTuple):
+class StatusAnswer(NamedTuple):
     mesh: str
     replica: int
     incarnation: str
     epoch: int
     leader: int
-    standing: str
+    role: str
     last_offset: int
     high_watermark: int
     begin_offset: int
     counters: bytes
-    happenings: bytes
+    events: bytes
     level: int = 1
     halted: str = ""
     # How long the oldest write has been waiting for its sync.
     unsynced: timedelta = timedelta()
 
 
-class RaiseCall(NamedTuple):
+class RaiseLevelCall(NamedTuple):
     level: int
 
 
-class RaiseAnswer(NamedTuple):
-    mishap: str
+class RaiseLevelAnswer(NamedTuple):
+    error: str
     message: str
 
 
@@ -177,7 +177,7 @@
 
 
 class WriteAnswer(NamedTuple):
-    mishap: str
+    error: str
     leader: int
     outcomes: tuple[bytes, ...] = ()
     offset: int = UNSET
@@ -190,7 +190,7 @@
 
 
 class ReadAnswer(NamedTuple):
-    mishap: str
+    error: str
     leader: int
     revision: int = UNSET
     offset: int = UNSET
@@ -201,7 +201,7 @@
     epoch: int = 0
 
 
-class Uptake(NamedTuple):
+class AppliedVersion(NamedTuple):
     node: str
     revision: int
     bundle: int
@@ -210,7 +210,7 @@
     refused_bundle: int
 
 
-class NewsItem(NamedTuple):
+class ConfigurationItem(NamedTuple):
     key: str
     revision: int
     value: bytes
@@ -222,7 +222,7 @@
     mesh: str
     revision: int
     digests: tuple[int, ...]
-    uptakes: tuple[Uptake, ...]
+    applied_versions: tuple[AppliedVersion, ...]
     # Whether the answer may hold the changes since `revision` alone, and its items in one block. A former release knows
     # neither.
     takes_changes: bool = False
@@ -230,13 +230,13 @@
 
 
 class PollAnswer(NamedTuple):
-    mishap: str
+    error: str
     mesh: str
     revision: int
     lease_age: timedelta
     ranges: tuple[int, ...] = ()
-    items: tuple[NewsItem, ...] = ()
-    vouched: tuple[int, ...] = ()
+    items: tuple[ConfigurationItem, ...] = ()
+    expected_digests: tuple[int, ...] = ()
     # Under which leader's epoch the news was confirmed; 0 from a former release.
     epoch: int = 0
     # The items are what was set since the asker's revision, and `removed` what was removed since; no range is whole.
@@ -246,16 +246,16 @@
     block: bytes = b""
 
 
-class UptakeCall(NamedTuple):
+class AppliedVersionsCall(NamedTuple):
     asker: str
 
 
-class UptakeAnswer(NamedTuple):
-    uptakes: tuple[Uptake, ...]
+class AppliedVersionsAnswer(NamedTuple):
+    applied_versions: tuple[AppliedVersion, ...]
     level: int = 1
 
 
-class VitalsCall(NamedTuple):
+class HealthCall(NamedTuple):
     node: str
     incarnation: str
     address: str
@@ -269,13 +269,13 @@
     level: int = 1
 
 
-class VitalsAnswer(NamedTuple):
-    mishap: str
+class HealthAnswer(NamedTuple):
+    error: str
     state: str
     serial: int
 
 
-class Rumour(NamedTuple):
+class MemberState(NamedTuple):
     node: str
     kind: str
     address: str
@@ -287,28 +287,28 @@
 
 class ProbeCall(NamedTuple):
     asker: str
-    rumours: tuple[Rumour, ...]
+    member_states: tuple[MemberState, ...]
 
 
 class ProbeAnswer(NamedTuple):
     node: str
-    rumours: tuple[Rumour, ...]
+    member_states: tuple[MemberState, ...]
 
 
-class ProbeForCall(NamedTuple):
+class IndirectProbeCall(NamedTuple):
     asker: str
     address: str
 
 
-class ProbeForAnswer(NamedTuple):
+class IndirectProbeAnswer(NamedTuple):
     alive: bool
-    rumours: tuple[Rumour, ...]
+    member_states: tuple[MemberState, ...]
 
 
-class PassCall(NamedTuple):
+class BundleForwardCall(NamedTuple):
     send: str
     caller: str
-    visitor: str
+    client: str
     service_name: str
     target: str
     instance: str
@@ -325,10 +325,10 @@
     ordinal: int = 1
 
 
-class PassAnswer(NamedTuple):
+class BundleForwardAnswer(NamedTuple):
     send: str
     outcome: str
-    mishap: str = ""
+    error: str = ""
     detail: str = ""
     status: int = 0
     headers: dict[str, str] = {}
@@ -336,7 +336,7 @@
     digest: str = ""
 
 
-class DealCall(NamedTuple):
+class ForwardCall(NamedTuple):
     """A request under items. Headers are msgpack of name, value pairs of bytes, in their order."""
 
     send: str
@@ -352,16 +352,16 @@
     headers: bytes
     body: bytes
     caller: str
-    # The visitor's own id of this try.
-    send_id: str
+    # The client's own id of this try.
+    client_attempt_id: str
     ordinal: int = 1
     repeatable: bool = False
 
 
-class DealAnswer(NamedTuple):
+class ForwardAnswer(NamedTuple):
     send: str
     outcome: str
-    mishap: str = ""
+    error: str = ""
     status: int = 0
     headers: bytes = b""
     body: bytes = b""
@@ -391,22 +391,22 @@
     known: bool
 
 
-class RecallCall(NamedTuple):
+class ClaimQueryCall(NamedTuple):
     claim: str
 
 
-class RecallAnswer(NamedTuple):
+class ClaimQueryAnswer(NamedTuple):
     standing: str
     status: int = 0
     headers: bytes = b""
     body: bytes = b""
 
 
-class PulseCall(NamedTuple):
+class PingCall(NamedTuple):
     asker: str
 
 
-class PulseAnswer(NamedTuple):
+class PingAnswer(NamedTuple):
     node: str
 
 
@@ -495,9 +495,9 @@
 
 
 def pack(*, number: int, answer: bool, message: tuple, sent: float = 0.0) -> bytes:
-    parcel = mesh_thrift.Parcel(**{tag_of(type(message)): to_thrift(message)})
+    message = mesh_thrift.Message(**{tag_of(type(message)): to_thrift(message)})
     return serialize(
-        mesh_thrift.Frame(number=number, answer=answer, parcel=parcel, sent=round(sent * 1e6) or None), _protocol
+        mesh_thrift.Frame(number=number, answer=answer, message=message, sent=round(sent * 1e6) or None), _protocol
     )
 
 
@@ -512,7 +512,7 @@
 
 def unpack_frame(data: bytes) -> Frame:
     frame = deserialize(mesh_thrift.Frame(), data, _protocol)
-    message = next((from_thrift(value) for value in vars(frame.parcel).values() if value is not None), None)
+    message = next((from_thrift(value) for value in vars(frame.message).values() if value is not None), None)
     return Frame(frame.number, bool(frame.answer), message, (frame.sent or 0) / 1e6)
 
 
--- a/packages/rpc/src/hoistsaddle/rpc/runtime.py
+++ b/packages/rpc/src/hoistsaddle/rpc/runtime.py
@@ -10,14 +10,14 @@
 from returns.result import Result
 
 from hoistsaddle.common.clock import monotonic_now
-from hoistsaddle.common.errors import Mishap
-from hoistsaddle.rpc.connection import CONNECT_SPAN, Handler, LineFaults, Lines, LineServer, Pulse
+from hoistsaddle.common.errors import MeshError
+from hoistsaddle.rpc.connection import CONNECT_TIMEOUT, ConnectionFaults, Handler, KeepAlive, RpcClient, RpcServer
 
 
 class Calls(Protocol):
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = ...
-    ) -> Result[tuple, Mishap]: ...
+    ) -> Result[tuple, MeshError]: ...
 
     def close(self) -> None: ...
 
@@ -30,7 +30,7 @@
     random: random.Random
 
     @property
-    def lines(self) -> Calls: ...
+    def rpc_client(self) -> Calls: ...
 
     def now(self) -> timedelta: ...
 
@@ -44,14 +44,16 @@
         self,
         *,
         line_faults: str = "",
-        pulse: Pulse | None = None,
-        connect_span: timedelta = CONNECT_SPAN,
+        keep_alive: KeepAlive | None = None,
+        connect_timeout: timedelta = CONNECT_TIMEOUT,
         home: bool = False,
     ) -> None:
         self.home = home
         self.random = random.Random()
-        self.lines = Lines(
-            faults=LineFaults(path=Path(line_faults)) if line_faults else None, pulse=pulse, connect_span=connect_span
+        self.rpc_client = RpcClient(
+            faults=ConnectionFaults(path=Path(line_faults)) if line_faults else None,
+            keep_alive=keep_alive,
+            connect_timeout=connect_timeout,
         )
 
     def now(self) -> timedelta:
@@ -60,9 +62,9 @@
     def token(self, size: int) -> str:
         return secrets.token_hex(size)
 
-    async def serve(self, address: str, handler: Handler) -> LineServer:
-        server = LineServer(address=address, handler=handler, traffic=self.lines.traffic)
+    async def serve(self, address: str, handler: Handler) -> RpcServer:
+        server = RpcServer(address=address, handler=handler, traffic=self.rpc_client.traffic)
         await server.start()
         if self.home:
-            self.lines.home[address] = handler
+            self.rpc_client.home[address] = handler
         return server
--- a/packages/sidecar/src/hoistsaddle/sidecar/sidedoors.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
@@ -1,4 +1,4 @@
-"""A stall's own side doors, for deployments without a platform: readiness, vitals, counters, happenings, holds."""
+"""A proxy's own admin API, for deployments without a platform: readiness, health reports, counters, events, holds."""
 
 from datetime import timedelta
 from typing import Annotated, Literal
@@ -7,16 +7,16 @@
 from aiohttp import web
 from returns.result import Failure, Success
 
-from hoistsaddle.common.errors import Mishap
+from hoistsaddle.common.errors import MeshError
 from hoistsaddle.common.reading import plain_name, read_body, whole_number
-from hoistsaddle.common.settings import SidecarParams, check_address, split_address
-from hoistsaddle.sidecar.messages import Vitals
+from hoistsaddle.common.settings import SidecarSettings, check_address, split_address
+from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.sidecar.node import SidecarNode
 
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class _Vitals(msgspec.Struct, frozen=True):
+class _Health(msgspec.Struct, frozen=True):
     """What a server says of itself about once a second; what else it says is passed over."""
 
     service: _Name
@@ -28,30 +28,30 @@
     cold_seconds: Annotated[float, msgspec.Meta(ge=0, le=86400)] = 0.0
 
 
-def _refuse(mishap: Mishap) -> web.Response:
-    return web.json_response({"refused": mishap.describe()}, status=400)
+def _refuse(error: MeshError) -> web.Response:
+    return web.json_response({"refused": error.describe()}, status=400)
 
 
-class SideDoors:
-    def __init__(self, *, node: SidecarNode, params: SidecarParams) -> None:
+class AdminApi:
+    def __init__(self, *, node: SidecarNode, settings: SidecarSettings) -> None:
         self.node = node
-        self.params = params
+        self.settings = settings
 
     async def open(self) -> list[web.AppRunner]:
-        # One address may serve for both; vitals are the own server's affair and taken at its door alone.
+        # One address may serve for both; health reports are the own server's affair and taken at its door alone.
         return [
-            await self._open(address, vitals=address == self.params.vitals_door)
-            for address in dict.fromkeys((self.params.ready_door, self.params.vitals_door))
+            await self._open(address, health=address == self.settings.health_door)
+            for address in dict.fromkeys((self.settings.ready_door, self.settings.health_door))
         ]
 
-    async def _open(self, address: str, *, vitals: bool) -> web.AppRunner:
+    async def _open(self, address: str, *, health: bool) -> web.AppRunner:
         application = web.Application(client_max_size=65536)
         application.router.add_get("/hoistsaddle/ready", self._ready)
         application.router.add_get("/hoistsaddle/counters", self._counters)
         application.router.add_get("/hoistsaddle/happenings", self._happenings)
         application.router.add_get("/hoistsaddle/holds", self._holds)
-        if vitals:
-            application.router.add_post("/hoistsaddle/vitals", self._take_vitals)
+        if health:
+            application.router.add_post("/hoistsaddle/vitals", self._take_health)
         runner = web.AppRunner(application, access_log=None, shutdown_timeout=1)
         await runner.setup()
         host, port = split_address(address)
@@ -60,30 +60,30 @@
 
     async def _ready(self, request: web.Request) -> web.Response:
         core = self.node.core
-        mishap = core.ready()
+        error = core.ready()
         state = {
-            "ready": mishap is None,
-            "items": len(core.view.item_marks),
+            "ready": error is None,
+            "items": len(core.view.item_revisions),
             "revision": core.view.revision,
             "server": core.server_state(),
             "life": self.node.incarnation,
         }
-        if mishap is None:
+        if error is None:
             return web.json_response(state)
-        return web.json_response({**state, "why": mishap.describe()}, status=503, headers={"Retry-After": "1"})
+        return web.json_response({**state, "why": error.describe()}, status=503, headers={"Retry-After": "1"})
 
     async def _counters(self, request: web.Request) -> web.Response:
         return web.json_response(self.node.counters.read())
 
     async def _happenings(self, request: web.Request) -> web.Response:
         match whole_number(request.query.get("after", "0"), field="after"):
-            case Failure(mishap):
-                return _refuse(mishap)
+            case Failure(error):
+                return _refuse(error)
             case Success(after):
-                return web.json_response(self.node.counters.happenings(after=after))
+                return web.json_response(self.node.counters.events(after=after))
 
     async def _holds(self, request: web.Request) -> web.Response:
-        """This stall's room for further sends by service, and what it keeps of the keys it holds."""
+        """This proxy's room for further sends by service, and what it keeps of the keys it holds."""
         core = self.node.core
         room = {
             name: {
@@ -96,12 +96,12 @@
         for each in core.kept.values():
             standing = "kept" if each.answer is not None else each.standing
             kept[standing] = kept.get(standing, 0) + 1
-        return web.json_response({"stall": self.params.name, "room": room, "keys": kept})
+        return web.json_response({"stall": self.settings.name, "room": room, "keys": kept})
 
-    async def _take_vitals(self, request: web.Request) -> web.Response:
-        match read_body(await request.read(), _Vitals):
-            case Failure(mishap):
-                return _refuse(mishap)
+    async def _take_health(self, request: web.Request) -> web.Response:
+        match read_body(await request.read(), _Health):
+            case Failure(error):
+                return _refuse(error)
             case Success(told):
                 pass
         wrong = check_address(field="address", address=told.address)
@@ -110,5 +110,5 @@
         if wrong is not None:
             return _refuse(wrong)
         cold = timedelta(seconds=told.cold_seconds)
-        self.node.feed(Vitals(told.service, told.instance, told.address, told.state, told.room, cold))
+        self.node.feed(HealthReported(told.service, told.instance, told.address, told.state, told.room, cold))
         return web.json_response({"heard": True})
--- a/packages/sidecar/src/hoistsaddle/sidecar/wording.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/header_names.py
@@ -3,11 +3,11 @@
 from typing import NamedTuple
 
 
-class Wording(NamedTuple):
+class HeaderNames(NamedTuple):
     """Names of headers, in any case."""
 
     # The id of one try, which an answer carries back.
-    send_id: str = "X-Hoistsaddle-Send"
+    client_attempt_id: str = "X-Hoistsaddle-Send"
     # Milliseconds the caller will wait.
     budget: str = "X-Hoistsaddle-Budget"
     # The operation that runs once, whichever try brings it.
--- a/packages/sidecar/src/hoistsaddle/sidecar/door.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/listener.py
@@ -1,4 +1,4 @@
-"""The door of a stall that serves items: any method, any bytes, whole requests in and whole answers out."""
+"""The door of a proxy that serves items: any method, any bytes, whole requests in and whole answers out."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,17 +8,17 @@
 from aiohttp.web_protocol import RequestHandler
 
 from hoistsaddle.common.settings import split_address
-from hoistsaddle.sidecar.messages import Asked, Reply
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.messages import Reply, RequestArrived
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.serverconnection import HOP_BY_HOP, pack_pairs, unpack_pairs
-from hoistsaddle.sidecar.wording import Wording
+from hoistsaddle.sidecar.server_connections import HOP_BY_HOP, pack_pairs, unpack_pairs
 
 LARGEST_HEADER = 262144
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 _rewritten = HOP_BY_HOP | {b"date", b"server"}
 
 
-async def open_door(*, address: str, handler: Handler, idle: timedelta = timedelta(seconds=75)) -> web.ServerRunner:
+async def open_listener(*, address: str, handler: Handler, idle: timedelta = timedelta(seconds=75)) -> web.ServerRunner:
     """A plain HTTP door; its runner closes it."""
     server = web.Server(
         handler,
@@ -38,10 +38,10 @@
     return runner
 
 
-class Door:
-    def __init__(self, *, node: SidecarNode, wording: Wording) -> None:
+class IngressHandler:
+    def __init__(self, *, node: SidecarNode, header_names: HeaderNames) -> None:
         self.node = node
-        self.wording = wording
+        self.header_names = header_names
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
@@ -56,12 +56,12 @@
         began = loop.time()
         body = await request.read()
         raw = request.raw_headers
-        budget = _milliseconds(request.headers.get(self.wording.budget))
+        budget = _milliseconds(request.headers.get(self.header_names.budget))
         if budget is not None:
             # Its client's time runs from its first byte: a large body on a thin link may use up much of it.
             budget -= timedelta(seconds=loop.time() - began)
-        answer = await self.node.request_items(
-            lambda ticket: Asked(
+        answer = await self.node.handle_request(
+            lambda ticket: RequestArrived(
                 ticket,
                 request.method,
                 (request.headers.get("Host") or "").partition(":")[0].lower(),
@@ -70,15 +70,15 @@
                 sum(len(name) + len(value) + 4 for name, value in raw),
                 body,
                 budget,
-                request.headers.get(self.wording.key, ""),
-                request.headers.get(self.wording.send_id, ""),
+                request.headers.get(self.header_names.key, ""),
+                request.headers.get(self.header_names.client_attempt_id, ""),
             )
         )
         return self._respond(answer)
 
     def _respond(self, answer: Reply) -> web.Response:
         counters = self.node.counters
-        if answer.mishap is None:
+        if answer.error is None:
             response = web.Response(status=answer.status, body=answer.body)
             response.headers.pop("Content-Type", None)
             for name, value in unpack_pairs(answer.headers):
@@ -86,8 +86,8 @@
                     response.headers.add(name.decode("utf-8", "replace"), value.decode("utf-8", "replace"))
             counters.add("replies.answered")
         else:
-            response = web.json_response({"error": str(answer.mishap)}, status=answer.status)
-            counters.add(f"replies.{answer.status}.{answer.mishap.kind}")
+            response = web.json_response({"error": str(answer.error)}, status=answer.status)
+            counters.add(f"replies.{answer.status}.{answer.error.kind}")
         if answer.retry_after is not None:
             response.headers["Retry-After"] = f"{answer.retry_after.total_seconds():.3f}"
         if self.node.core.stopping:
@@ -103,7 +103,7 @@
         return None
 
 
-async def close_door(runner: web.ServerRunner, *, wait: timedelta) -> None:
+async def close_listener(runner: web.ServerRunner, *, wait: timedelta) -> None:
     """New connections first; one that stood already may hold a request nobody has read yet, and gets its answer."""
     for site in list(runner.sites):
         await site.stop()
--- a/packages/sidecar/src/hoistsaddle/sidecar/messages.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/messages.py
@@ -1,22 +1,22 @@
-"""Events that reach a broker's core and the commands it answers with. Headers are msgpack of pairs of bytes."""
+"""Events that reach a sidecar's core and the commands it answers with. Headers are msgpack of pairs of bytes."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
-from hoistsaddle.common.errors import Mishap
+from hoistsaddle.common.errors import MeshError
 from hoistsaddle.rpc.messages import (
     AbandonAnswer,
     AbandonCall,
-    DealAnswer,
-    DealCall,
+    ClaimQueryAnswer,
+    ClaimQueryCall,
     FollowCall,
-    RecallAnswer,
-    RecallCall,
+    ForwardAnswer,
+    ForwardCall,
 )
 
 
-class Asked(NamedTuple):
-    """A request at this stall's door, read whole."""
+class RequestArrived(NamedTuple):
+    """A request at this proxy's door, read whole."""
 
     ticket: int
     method: str
@@ -29,32 +29,32 @@
     # What its sender gives it; None leaves it to the entry.
     budget: timedelta | None
     key: str
-    send_id: str
+    client_attempt_id: str
     # For how long this process may have left it unread, as far as it stood still itself.
     unread: timedelta = timedelta()
 
 
-class Gone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client hung up. What may not be repeated is followed to its end; the rest is given up."""
 
     ticket: int
 
 
-class DealAnswered(NamedTuple):
+class ForwardAnswered(NamedTuple):
     number: int
-    answer: DealAnswer
+    answer: ForwardAnswer
 
 
-class DealMissed(NamedTuple):
+class ForwardFailed(NamedTuple):
     """No answer. unsent means that nothing was ever written to the target."""
 
     number: int
     unsent: bool
 
 
-class DealArrived(NamedTuple):
+class ForwardArrived(NamedTuple):
     ticket: int
-    call: DealCall
+    call: ForwardCall
     # How old it was as it was read: its words say what time it had left as it was written.
     age: timedelta = timedelta()
 
@@ -68,7 +68,7 @@
     """What the target's life said of the attempt; answer is None when nobody said anything."""
 
     number: int
-    answer: DealAnswer | None
+    answer: ForwardAnswer | None
     # Nobody listens at its address.
     refused: bool = False
 
@@ -78,7 +78,7 @@
     call: AbandonCall
 
 
-class Served(NamedTuple):
+class ServerAnswered(NamedTuple):
     number: int
     status: int
     headers: bytes
@@ -87,25 +87,25 @@
     not_run: bool
 
 
-class ServeMissed(NamedTuple):
+class ServerFailed(NamedTuple):
     number: int
     unsent: bool
-    mishap: Mishap
+    error: MeshError
 
 
-class RecallArrived(NamedTuple):
+class ClaimQueryArrived(NamedTuple):
     ticket: int
-    call: RecallCall
+    call: ClaimQueryCall
 
 
-class RecallAnswered(NamedTuple):
-    """answer is None when the stall that holds the key said nothing."""
+class ClaimQueryAnswered(NamedTuple):
+    """answer is None when the proxy that holds the key said nothing."""
 
     number: int
-    answer: RecallAnswer | None
+    answer: ClaimQueryAnswer | None
 
 
-class Vitals(NamedTuple):
+class HealthReported(NamedTuple):
     """What the own server says of itself."""
 
     service: str
@@ -116,11 +116,11 @@
     cold: timedelta
 
 
-class CloseAsked(NamedTuple):
-    """Nothing more comes through this stall: what runs is finished, and no more taken."""
+class CloseRequested(NamedTuple):
+    """Nothing more comes through this proxy: what runs is finished, and no more taken."""
 
 
-class GraceSpent(NamedTuple):
+class GraceExpired(NamedTuple):
     """The process ends in a moment: every request that still waits here gets its final answer now."""
 
 
@@ -136,7 +136,7 @@
     answer: AbandonAnswer
 
 
-class AbortServe(NamedTuple):
+class CancelRun(NamedTuple):
     """Break off what runs on the own server under this number: its connection closes, and its end isn't told."""
 
     number: int
@@ -149,14 +149,14 @@
     status: int
     headers: bytes
     body: bytes
-    mishap: Mishap | None
+    error: MeshError | None
     retry_after: timedelta | None
 
 
-class DealOn(NamedTuple):
+class ForwardRequest(NamedTuple):
     number: int
     address: str
-    call: DealCall
+    call: ForwardCall
     within: timedelta
 
 
@@ -169,24 +169,24 @@
     within: timedelta
 
 
-class Serve(NamedTuple):
+class RunOnServer(NamedTuple):
     number: int
     address: str
-    call: DealCall
+    call: ForwardCall
     within: timedelta
 
 
-class Recall(NamedTuple):
+class QueryClaim(NamedTuple):
     number: int
     address: str
-    call: RecallCall
+    call: ClaimQueryCall
 
 
-class AnswerDeal(NamedTuple):
+class AnswerForward(NamedTuple):
     ticket: int
-    answer: DealAnswer
+    answer: ForwardAnswer
 
 
-class AnswerRecall(NamedTuple):
+class AnswerClaimQuery(NamedTuple):
     ticket: int
-    answer: RecallAnswer
+    answer: ClaimQueryAnswer
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -1,4 +1,4 @@
-"""A stall's node with the broker's core: the same lines, tree, vitals and schedule, other requests."""
+"""A proxy's node with the sidecar's core: the same lines, tree, health reports and schedule, other requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,45 +9,52 @@
 from returns.result import Success
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.common.settings import SidecarParams
-from hoistsaddle.membership.member import MemberPace
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.membership.member import MemberTimings
 from hoistsaddle.membership.relay import select_parents
-from hoistsaddle.proxy.messages import Announce, AskHold, ReportVitals, StopAsked
+from hoistsaddle.proxy.messages import Announce, ReportHealth, StopRequested, SubmitHold
 from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
 from hoistsaddle.rpc.connection import call_age
-from hoistsaddle.rpc.messages import AbandonCall, DealAnswer, DealCall, FollowCall, RecallAnswer, RecallCall
+from hoistsaddle.rpc.messages import (
+    AbandonCall,
+    ClaimQueryAnswer,
+    ClaimQueryCall,
+    FollowCall,
+    ForwardAnswer,
+    ForwardCall,
+)
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import (
     Abandon,
     AbandonArrived,
-    AbortServe,
     AnswerAbandon,
-    AnswerDeal,
-    AnswerRecall,
-    Asked,
-    CloseAsked,
-    DealAnswered,
-    DealArrived,
-    DealMissed,
-    DealOn,
+    AnswerClaimQuery,
+    AnswerForward,
+    CancelRun,
+    ClaimQueryAnswered,
+    ClaimQueryArrived,
+    ClientDisconnected,
+    CloseRequested,
     Follow,
     FollowArrived,
     Followed,
-    Gone,
-    GraceSpent,
-    Recall,
-    RecallAnswered,
-    RecallArrived,
+    ForwardAnswered,
+    ForwardArrived,
+    ForwardFailed,
+    ForwardRequest,
+    GraceExpired,
+    QueryClaim,
     Reply,
-    Serve,
+    RequestArrived,
+    RunOnServer,
 )
 from hoistsaddle.statemachine.state import GONE
 from hoistsaddle.statemachine.view import View
 
-# How much of its last moments a stopping stall waits for its door to fall quiet. The rest is for what it took by then:
-# a platform that sends it visitors to the end must not have them cut off.
+# How much of its last moments a stopping proxy waits for its door to fall quiet. The rest is for what it took by then:
+# a platform that sends it clients to the end must not have them cut off.
 OPEN_SHARE = 0.55
 RECALL_SPAN = milliseconds(400)
 # Whoever doesn't hear within this that a client has left finds out by the attempt's deadline.
@@ -55,27 +62,27 @@
 FAN_OUT = 8
 # The roots' links are far wider than a sidecar's: they feed a zone of this size themselves.
 ROOT_FAN_OUT = 24
-Server = Callable[[Serve], Awaitable[tuple]]
+Server = Callable[[RunOnServer], Awaitable[tuple]]
 
 
 class SidecarNode(ProxyNode):
     poll_hold = milliseconds(300)
-    vitals_every = timedelta(seconds=1)
+    health_every = timedelta(seconds=1)
     poll_span = milliseconds(800)
     tick = milliseconds(20)
     same_polls = 1
-    member_pace = MemberPace(
+    member_timings = MemberTimings(
         period=timedelta(seconds=1),
-        probe_span=milliseconds(500),
-        opinion_span=milliseconds(900),
+        probe_timeout=milliseconds(500),
+        indirect_probe_timeout=milliseconds(900),
         suspicion=timedelta(seconds=2),
-        seed_turns=20,
-        spread=6,
+        seed_interval=20,
+        retransmit_limit=6,
     )
 
-    def __init__(self, *, params: SidecarParams, runtime: Runtime, serve: Server) -> None:
+    def __init__(self, *, settings: SidecarSettings, runtime: Runtime, serve: Server) -> None:
         self.serve = serve
-        self.broker_params = params
+        self.sidecar_settings = settings
         # The tree's places follow from the view alone: looked up anew with each view, not with each poll.
         self.parents_of: View | None = None
         self.parents: list[str] = []
@@ -83,30 +90,30 @@
         self.serving: dict[int, asyncio.Task] = {}
         # When the door was last called.
         self.asked_at = runtime.now()
-        super().__init__(params=params, runtime=runtime, run_server=serve)
+        super().__init__(settings=settings, runtime=runtime, run_server=serve)
 
     def _make_core(self) -> Any:
-        params = self.broker_params
+        settings = self.sidecar_settings
         return SidecarCore(
-            params=self._params_view(),
+            settings=self._core_settings_view(),
             seed=self.runtime.random,
             now=self.runtime.now(),
-            server=params.server,
-            drain_span=timedelta(seconds=params.drain_seconds),
-            further_percent=params.further_percent,
-            further_margin=params.further_margin,
-            key_span=timedelta(seconds=params.key_seconds),
-            service=params.service,
+            server=settings.server,
+            drain_span=timedelta(seconds=settings.drain_seconds),
+            further_percent=settings.further_percent,
+            further_margin=settings.further_margin,
+            key_span=timedelta(seconds=settings.key_seconds),
+            service=settings.service,
         )
 
-    async def request_items(self, make: Callable[[int], Asked]) -> Reply:
+    async def handle_request(self, make: Callable[[int], RequestArrived]) -> Reply:
         self.asked_at = self.runtime.now()
         ticket, future = self._ticket()
         self.feed(make(ticket)._replace(unread=self.unread()))
         try:
             return await future
         except asyncio.CancelledError:
-            self.feed(Gone(ticket))
+            self.feed(ClientDisconnected(ticket))
             raise
 
     def feed(self, event: tuple) -> None:
@@ -114,40 +121,40 @@
             match command:
                 case (
                     Reply(ticket=ticket)
-                    | AnswerDeal(ticket=ticket)
-                    | AnswerRecall(ticket=ticket)
+                    | AnswerForward(ticket=ticket)
+                    | AnswerClaimQuery(ticket=ticket)
                     | AnswerAbandon(ticket=ticket)
                 ):
                     future = self.answers.pop(ticket, None)
                     if future is not None and not future.done():
                         future.set_result(command)
-                case DealOn():
-                    self._spawn(self._deal_on(command, decided=self.runtime.now()))
-                case Serve():
-                    task = self._spawn(self._run_deal(command, decided=self.runtime.now()))
+                case ForwardRequest():
+                    self._spawn(self._forward_attempt(command, decided=self.runtime.now()))
+                case RunOnServer():
+                    task = self._spawn(self._run_on_server(command, decided=self.runtime.now()))
                     self.serving[command.number] = task
                     task.add_done_callback(lambda _, number=command.number: self.serving.pop(number, None))
-                case AbortServe(number=number):
+                case CancelRun(number=number):
                     if (task := self.serving.pop(number, None)) is not None:
                         task.cancel()
                 case Abandon():
                     self._spawn(self._abandon(command))
                 case Follow():
                     self._spawn(self._follow(command))
-                case AskHold():
+                case SubmitHold():
                     self._spawn(self._ask_hold(command))
-                case Recall():
+                case QueryClaim():
                     self._spawn(self._recall(command))
-                case ReportVitals():
-                    self.vitals_due.set()
+                case ReportHealth():
+                    self.health_due.set()
                 case Announce(kind=kind, detail=detail):
-                    self.counters.happen(kind, **detail)
+                    self.counters.record_event(kind, **detail)
 
     async def answer(self, message: tuple) -> tuple | None:
         match message:
-            case DealCall():
+            case ForwardCall():
                 ticket, future = self._ticket()
-                self.feed(DealArrived(ticket, message, self._age()))
+                self.feed(ForwardArrived(ticket, message, self._age()))
                 return (await future).answer
             case FollowCall():
                 ticket, future = self._ticket()
@@ -157,9 +164,9 @@
                 ticket, future = self._ticket()
                 self.feed(AbandonArrived(ticket, message))
                 return (await future).answer
-            case RecallCall():
+            case ClaimQueryCall():
                 ticket, future = self._ticket()
-                self.feed(RecallArrived(ticket, message))
+                self.feed(ClaimQueryArrived(ticket, message))
                 return (await future).answer
         return await super().answer(message)
 
@@ -169,46 +176,46 @@
         age = timedelta(seconds=known.age)
         return age + self.unread() if known.first else age
 
-    async def _deal_on(self, command: DealOn, *, decided: timedelta) -> None:
+    async def _forward_attempt(self, command: ForwardRequest, *, decided: timedelta) -> None:
         self.counters.add(f"sends.{command.call.service_name}")
 
         def still() -> bool:
             # Nothing goes out that was decided before a standstill of this process: its time is told as it was then.
             return self.runtime.now() - decided <= FROZEN_GAP
 
-        match await self.runtime.lines.call(command.address, command.call, within=command.within, still=still):
-            case Success(DealAnswer() as answer):
-                self.feed(DealAnswered(command.number, answer))
+        match await self.runtime.rpc_client.call(command.address, command.call, within=command.within, still=still):
+            case Success(ForwardAnswer() as answer):
+                self.feed(ForwardAnswered(command.number, answer))
             case result:
-                unsent = not isinstance(result, Success) and result.failure().kind == MishapKind.UNREACHABLE
+                unsent = not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
                 self.counters.add("sends.missed")
-                self.feed(DealMissed(command.number, unsent))
+                self.feed(ForwardFailed(command.number, unsent))
 
-    async def _run_deal(self, command: Serve, *, decided: timedelta) -> None:
+    async def _run_on_server(self, command: RunOnServer, *, decided: timedelta) -> None:
         self.counters.add("runs")
         # A standstill may lie between deciding and now.
         self.feed(await self.serve(command._replace(within=command.within - (self.runtime.now() - decided))))
 
     async def _follow(self, command: Follow) -> None:
         self.counters.add("sends.followed")
-        match await self.runtime.lines.call(command.address, command.call, within=command.within):
-            case Success(DealAnswer() as answer):
+        match await self.runtime.rpc_client.call(command.address, command.call, within=command.within):
+            case Success(ForwardAnswer() as answer):
                 self.counters.add(f"sends.followed.{answer.outcome}")
                 self.feed(Followed(command.number, answer))
             case result:
-                refused = not isinstance(result, Success) and result.failure().kind == MishapKind.UNREACHABLE
+                refused = not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
                 self.feed(Followed(command.number, None, refused))
 
     async def _abandon(self, command: Abandon) -> None:
         self.counters.add("sends.abandoned")
-        await self.runtime.lines.call(command.address, command.call, within=ABANDON_SPAN)
+        await self.runtime.rpc_client.call(command.address, command.call, within=ABANDON_SPAN)
 
-    async def _recall(self, command: Recall) -> None:
-        match await self.runtime.lines.call(command.address, command.call, within=RECALL_SPAN):
-            case Success(RecallAnswer() as answer):
-                self.feed(RecallAnswered(command.number, answer))
+    async def _recall(self, command: QueryClaim) -> None:
+        match await self.runtime.rpc_client.call(command.address, command.call, within=RECALL_SPAN):
+            case Success(ClaimQueryAnswer() as answer):
+                self.feed(ClaimQueryAnswered(command.number, answer))
             case _:
-                self.feed(RecallAnswered(command.number, None))
+                self.feed(ClaimQueryAnswered(command.number, None))
 
     def _parents(self) -> list[str]:
         """The own zone's part of the tree first: news then crosses between zones once for each zone's root."""
@@ -217,51 +224,53 @@
             return self.parents
         nodes = [node for node in view.nodes.values() if node.state != GONE]
         roots = [(node.node, node.address) for node in nodes if node.kind == "bourse"]
-        near = [(node.node, node.address) for node in nodes if node.kind == "bourse" and node.zone == self.params.zone]
-        stalls = [
+        near = [
+            (node.node, node.address) for node in nodes if node.kind == "bourse" and node.zone == self.settings.zone
+        ]
+        proxies = [
             (node.node, node.address)
             for node in nodes
-            if node.kind == "stall" and (not near or node.zone == self.params.zone)
+            if node.kind == "stall" and (not near or node.zone == self.settings.zone)
         ]
         parents = select_parents(
-            node=self.params.name, stalls=stalls, roots=near or roots, fan_out=FAN_OUT, root_fan_out=ROOT_FAN_OUT
+            node=self.settings.name, proxies=proxies, roots=near or roots, fan_out=FAN_OUT, root_fan_out=ROOT_FAN_OUT
         )
         parents += [address for _, address in roots if address not in parents]
         self.parents_of = view
-        self.parents = parents + [seed for seed in self.params.seeds if seed not in parents]
+        self.parents = parents + [seed for seed in self.settings.seeds if seed not in parents]
         return self.parents
 
-    def revise(self, params: SidecarParams) -> None:
+    def apply_settings(self, settings: SidecarSettings) -> None:
         """Takes up what may change under a running stall: whom to turn to, and the figures it keeps."""
-        self.counters.happen("params revised", seeds=params.seeds)
+        self.counters.record_event("params revised", seeds=settings.seeds)
         # Its own addresses are where its doors stand open: those stay until the next start.
-        self.params = self.broker_params = msgspec.structs.replace(
-            self.broker_params,
-            seeds=params.seeds,
-            further_percent=params.further_percent,
-            further_margin=params.further_margin,
-            key_seconds=params.key_seconds,
-            grace_seconds=params.grace_seconds,
-            drain_seconds=params.drain_seconds,
+        self.settings = self.sidecar_settings = msgspec.structs.replace(
+            self.sidecar_settings,
+            seeds=settings.seeds,
+            further_percent=settings.further_percent,
+            further_margin=settings.further_margin,
+            key_seconds=settings.key_seconds,
+            grace_seconds=settings.grace_seconds,
+            drain_seconds=settings.drain_seconds,
         )
-        self.member.seeds = params.seeds
+        self.member.seeds = settings.seeds
         core = self.core
-        core.set_further(percent=params.further_percent, margin=params.further_margin)
-        core.key_span = timedelta(seconds=params.key_seconds)
-        core.drain_span = timedelta(seconds=params.drain_seconds)
+        core.set_further(percent=settings.further_percent, margin=settings.further_margin)
+        core.key_span = timedelta(seconds=settings.key_seconds)
+        core.drain_span = timedelta(seconds=settings.drain_seconds)
 
     async def wind_down(self, *, quiet: timedelta, most: timedelta) -> None:
         """Planned stop: says so at once, goes on with all that comes, and ends once nothing has come for a while."""
         began = self.asked_at = self.runtime.now()
-        self.feed(StopAsked())
+        self.feed(StopRequested())
         # The server beside goes on being reached from everywhere; only the door must fall quiet.
         while self.runtime.now() - began < most * OPEN_SHARE and not (
-            self.runtime.now() - self.asked_at >= quiet and not self.core.deals
+            self.runtime.now() - self.asked_at >= quiet and not self.core.pending_requests
         ):
             await asyncio.sleep(self.tick.total_seconds())
-        self.feed(CloseAsked())
+        self.feed(CloseRequested())
         while self.runtime.now() - began < most and not self.core.idle():
             await asyncio.sleep(self.tick.total_seconds())
-        if self.core.deals:
-            self.counters.happen("requests ended with the grace", count=len(self.core.deals))
-            self.feed(GraceSpent())
+        if self.core.pending_requests:
+            self.counters.record_event("requests ended with the grace", count=len(self.core.pending_requests))
+            self.feed(GraceExpired())
--- a/packages/sidecar/src/hoistsaddle/sidecar/taken.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/received_attempts.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 from datetime import timedelta
 
-from hoistsaddle.rpc.messages import DealAnswer
+from hoistsaddle.rpc.messages import ForwardAnswer
 
 # Answers are kept this long for an entry that didn't hear them: a new connection and a way there and back.
 ANSWER_SPAN = timedelta(seconds=2)
@@ -21,12 +21,12 @@
 MOST_TAKEN = 20000
 
 
-class TakenAttempts:
+class ReceivedAttempts:
     def __init__(self) -> None:
         # Attempts that came here, and those that were shut out before they did, to when they may be forgotten.
         self.attempts: OrderedDict[str, timedelta] = OrderedDict()
         self.shut: OrderedDict[str, timedelta] = OrderedDict()
-        self.answers: OrderedDict[str, tuple[timedelta, DealAnswer]] = OrderedDict()
+        self.answers: OrderedDict[str, tuple[timedelta, ForwardAnswer]] = OrderedDict()
         self.octets = 0
         # Until then not all that came is known.
         self.gaps_until = timedelta()
@@ -53,7 +53,7 @@
         self.shut[send] = now + SHUT_SPAN
         return True
 
-    def answered(self, answer: DealAnswer, *, now: timedelta) -> None:
+    def answered(self, answer: ForwardAnswer, *, now: timedelta) -> None:
         self.octets += len(answer.body)
         self.answers[answer.send] = (now + ANSWER_SPAN, answer)
         while self.answers:
@@ -63,7 +63,7 @@
             self.answers.popitem(last=False)
             self.octets -= len(oldest.body)
 
-    def answer_of(self, send: str) -> DealAnswer | None:
+    def answer_of(self, send: str) -> ForwardAnswer | None:
         kept = self.answers.get(send)
         return None if kept is None else kept[1]
 
--- a/packages/sidecar/src/hoistsaddle/sidecar/requests.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
@@ -2,37 +2,37 @@
 
 from datetime import timedelta
 
-from hoistsaddle.common.errors import Mishap
-from hoistsaddle.config.items import EntryItem
-from hoistsaddle.proxy.standing import Standing
-from hoistsaddle.rpc.messages import DealAnswer
-from hoistsaddle.sidecar.messages import Asked
-from hoistsaddle.statemachine.state import ServerEntry
+from hoistsaddle.common.errors import MeshError
+from hoistsaddle.config.items import RouteItem
+from hoistsaddle.proxy.core_state import CoreState
+from hoistsaddle.rpc.messages import ForwardAnswer
+from hoistsaddle.sidecar.messages import RequestArrived
+from hoistsaddle.statemachine.state import ServerRecord
 
 # What a request gets whose client names no time.
 DEFAULT_BUDGET = timedelta(seconds=30)
 
 
-class Deal:
+class PendingRequest:
     """One request of a client, from its arrival to its final answer."""
 
-    def __init__(self, *, event: Asked, now: timedelta) -> None:
+    def __init__(self, *, event: RequestArrived, now: timedelta) -> None:
         self.event = event
         self.arrived = now
         # What lay unread while this process stood still has less left than it says.
         self.deadline = now + (DEFAULT_BUDGET if event.budget is None else event.budget) - event.unread
         self.aim_at = self.deadline
-        self.entry: EntryItem | None = None
+        self.entry: RouteItem | None = None
         self.service = ""
         self.asked = 0
         self.avoid: set[str] = set()
         # Attempts that may have reached a server.
         self.sends = 0
         self.uncertain = False
-        self.why: Mishap | None = None
-        self.best: DealAnswer | None = None
+        self.why: MeshError | None = None
+        self.best: ForwardAnswer | None = None
         self.number: int | None = None
-        self.target: ServerEntry | None = None
+        self.target: ServerRecord | None = None
         self.way = ""
         # The newest attempt: its id, the sidecar's life and address that it went to, and how often it was asked for.
         self.send = ""
@@ -47,13 +47,13 @@
         self.recalled = ""
 
 
-class RequestSide(Standing):
+class RequestTable(CoreState):
     """What the keys, the selection and the entry work on together."""
 
     def __init__(self, **needs) -> None:
         super().__init__(**needs)
         # By ticket of the handler.
-        self.deals: dict[int, Deal] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         # Claims and attempts under way, by their number, to their request's ticket.
         self.by_number: dict[int, int] = {}
 
@@ -61,11 +61,11 @@
         """Sends the request to the best server's sidecar, or gives its final answer."""
         raise NotImplementedError
 
-    def _turned_back(self, ticket: int, mishap: Mishap) -> None:
+    def _turned_back(self, ticket: int, error: MeshError) -> None:
         """Nothing ran and nothing will: said at once, with when to come back."""
         raise NotImplementedError
 
-    def _soon(self, deal: Deal) -> timedelta:
+    def _soon(self, request: PendingRequest) -> timedelta:
         """When a client that is sent away shall come back."""
         raise NotImplementedError
 
@@ -76,7 +76,7 @@
         *,
         headers: bytes = b"",
         body: bytes = b"",
-        mishap: Mishap | None = None,
+        error: MeshError | None = None,
         retry_after: timedelta | None = None,
     ) -> None:
         """The final answer: the request is forgotten."""
--- a/packages/sidecar/src/hoistsaddle/sidecar/serverconnection.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
@@ -15,12 +15,12 @@
 from aiohttp.http import HttpResponseParser
 
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import split_address
-from hoistsaddle.sidecar.messages import Serve, Served, ServeMissed
-from hoistsaddle.sidecar.wording import Wording
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
 
-CONNECT_SPAN = 0.4
+CONNECT_TIMEOUT = 0.4
 # Used again only within this share of the time the server says it keeps a connection, so that the two never meet.
 KEPT_SHARE = 0.6
 # Where it says nothing.
@@ -121,7 +121,7 @@
         self.heard = True
         # A parser that meets garbage forgets the answers before it in the same bytes: heads are fed on their own.
         for part in _heads_apart(data):
-            whole = bool(self.payloads) and self.payloads[-1].is_eof()
+            complete = bool(self.payloads) and self.payloads[-1].is_eof()
             try:
                 messages, upgraded, tail = self.parser.feed_data(part)
             except Exception:
@@ -134,7 +134,7 @@
             self.messages.extend(messages)
             self.payloads += [payload for _, payload in messages]
             # Until a head completes it: an interim answer is followed by the real one.
-            self.surplus = whole and not messages
+            self.surplus = complete and not messages
             if messages:
                 self.beyond = 0 if part.endswith(HEAD_END) else None
             elif self.beyond is not None:
@@ -191,16 +191,22 @@
         return self.messages.popleft()
 
 
-class ServerLine:
-    def __init__(self, *, wording: Wording, counters: Counters) -> None:
-        self.wording = wording
+class ServerConnectionPool:
+    def __init__(self, *, header_names: HeaderNames, counters: Counters) -> None:
+        self.header_names = header_names
         self.counters = counters
         self.kept: deque[_Connection] = deque()
         self.address = ""
-        self.send_id = wording.send_id.lower().encode()
-        self.not_run = wording.not_run.lower().encode()
+        self.client_attempt_id = header_names.client_attempt_id.lower().encode()
+        self.not_run = header_names.not_run.lower().encode()
         self.rewritten = {
-            name.lower().encode() for name in (wording.budget, wording.caller, wording.instance, wording.send_id)
+            name.lower().encode()
+            for name in (
+                header_names.budget,
+                header_names.caller,
+                header_names.instance,
+                header_names.client_attempt_id,
+            )
         }
 
     def close(self) -> None:
@@ -228,13 +234,13 @@
     async def _open(self, address: str) -> _Connection:
         host, port = split_address(address)
         loop, place = asyncio.get_running_loop(), self.address
-        async with asyncio.timeout(CONNECT_SPAN):
+        async with asyncio.timeout(CONNECT_TIMEOUT):
             _, connection = await loop.create_connection(lambda: _Connection(loop), host, port)
         self.counters.add("server.connections")
         connection.place = place
         return connection
 
-    def _request(self, serve: Serve, left: timedelta) -> bytes:
+    def _request(self, serve: RunOnServer, left: timedelta) -> bytes:
         call = serve.call
         parts = [call.method.encode(), b" ", call.path, b" HTTP/1.1\r\n"]
         for name, value in unpack_pairs(call.headers):
@@ -242,10 +248,10 @@
                 parts += (name, b": ", value, b"\r\n")
         budget = max(1, int(left.total_seconds() * 1000))
         added = [
-            (self.wording.send_id, call.send_id),
-            (self.wording.budget, str(budget)),
-            (self.wording.caller, call.caller),
-            (self.wording.instance, call.instance),
+            (self.header_names.client_attempt_id, call.client_attempt_id),
+            (self.header_names.budget, str(budget)),
+            (self.header_names.caller, call.caller),
+            (self.header_names.instance, call.instance),
         ]
         parts += [f"{name}: {value}\r\n".encode() for name, value in added if value]
         if call.body or call.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
@@ -253,25 +259,25 @@
         parts += (b"\r\n", call.body)
         return b"".join(parts)
 
-    async def _obtain(self, serve: Serve, deadline: float) -> _Connection | MishapKind:
+    async def _obtain(self, serve: RunOnServer, deadline: float) -> _Connection | ErrorKind:
         """A connection that may be written to now, or why there is none: then nothing was written."""
         loop = asyncio.get_running_loop()
         if loop.time() >= deadline:
             # This process stood still before it came to it.
-            return MishapKind.BUDGET_SPENT
+            return ErrorKind.BUDGET_SPENT
         if (connection := self._kept_one()) is not None:
             return connection
         try:
             connection = await self._open(serve.address)
         except (OSError, TimeoutError):
-            return MishapKind.UNREACHABLE
+            return ErrorKind.UNREACHABLE
         if loop.time() >= deadline:
             connection.abort()
-            return MishapKind.BUDGET_SPENT
+            return ErrorKind.BUDGET_SPENT
         # Ended before a byte was written: the server takes no more connections just now.
-        return MishapKind.BACKLOG_FULL if connection.lost else connection
+        return ErrorKind.QUEUE_FULL if connection.lost else connection
 
-    async def serve(self, serve: Serve) -> tuple:
+    async def serve(self, serve: RunOnServer) -> tuple:
         """Runs the request on the server: Served, or ServeMissed with whether anything was written."""
         call = serve.call
         loop = asyncio.get_running_loop()
@@ -279,7 +285,7 @@
         self._turn_to(serve.address, call.instance)
         while True:
             connection = await self._obtain(serve, deadline)
-            if isinstance(connection, MishapKind):
+            if isinstance(connection, ErrorKind):
                 return self._unsent(serve, connection)
             connection.begin(with_body=call.method != "HEAD")
             fresh, written = connection.uses == 1, loop.time()
@@ -287,11 +293,11 @@
             try:
                 async with asyncio.timeout_at(deadline):
                     connection.transport.write(self._request(serve, left))
-                    message, body = await self._answer(connection, call.send_id)
+                    message, body = await self._answer(connection, call.client_attempt_id)
             except TimeoutError:
                 # Before the next clause: it is an OSError too.
                 connection.abort()
-                return self._missed(serve, MishapKind.BUDGET_SPENT)
+                return self._missed(serve, ErrorKind.BUDGET_SPENT)
             except (_Broken, aiohttp.ClientError, OSError, ValueError):
                 connection.abort()
                 stale = not fresh and not connection.heard and loop.time() - written <= STALE_SPAN
@@ -301,15 +307,15 @@
                     self.counters.add("server.stale_connections")
                     self.close()
                     continue
-                return self._missed(serve, MishapKind.ANSWER_BROKEN)
+                return self._missed(serve, ErrorKind.ANSWER_BROKEN)
             except asyncio.CancelledError:
                 connection.abort()
                 raise
             self._keep(connection, message)
             if any(name.lower() == b"content-encoding" for name, _ in message.raw_headers):
-                return self._missed(serve, MishapKind.ANSWER_BROKEN)
+                return self._missed(serve, ErrorKind.ANSWER_BROKEN)
             said = any(name.lower() == self.not_run for name, _ in message.raw_headers)
-            return Served(
+            return ServerAnswered(
                 serve.number,
                 message.code,
                 pack_pairs(message.raw_headers),
@@ -317,27 +323,27 @@
                 said or message.code in _not_run_statuses,
             )
 
-    def _unsent(self, serve: Serve, kind: MishapKind) -> ServeMissed:
+    def _unsent(self, serve: RunOnServer, kind: ErrorKind) -> ServerFailed:
         """Not one byte of it was written."""
         self.counters.add(f"server.unsent.{kind}")
-        mishap = Mishap(kind, "The server was not reached in time.", "Send it elsewhere.")
-        return ServeMissed(serve.number, True, mishap)
+        error = MeshError(kind, "The server was not reached in time.", "Send it elsewhere.")
+        return ServerFailed(serve.number, True, error)
 
-    def _missed(self, serve: Serve, kind: MishapKind) -> ServeMissed:
+    def _missed(self, serve: RunOnServer, kind: ErrorKind) -> ServerFailed:
         self.counters.add(f"server.{kind}")
-        return ServeMissed(
-            serve.number, False, Mishap(kind, "The server gave no whole answer in time.", "Ask what became of it.")
+        return ServerFailed(
+            serve.number, False, MeshError(kind, "The server gave no whole answer in time.", "Ask what became of it.")
         )
 
-    async def _answer(self, connection: _Connection, send_id: str):
+    async def _answer(self, connection: _Connection, client_attempt_id: str):
         """The answer under this id. One under another's stands in its place and belongs to nobody."""
         while True:
             message, payload = await connection.next_message()
             body = await payload.read()
             if 100 <= message.code < 200:
                 continue
-            carried = [value for name, value in message.raw_headers if name.lower() == self.send_id]
-            if carried == [send_id.encode()]:
+            carried = [value for name, value in message.raw_headers if name.lower() == self.client_attempt_id]
+            if carried == [client_attempt_id.encode()]:
                 length = [value for name, value in message.raw_headers if name.lower() == b"content-length"]
                 unmarked = bool(body) and not length and not message.chunked
                 if unmarked:
--- a/packages/sidecar/src/hoistsaddle/sidecar/selection.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_selection.py
@@ -3,9 +3,9 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import ZERO, milliseconds
-from hoistsaddle.proxy.further import FurtherSends, part_of
-from hoistsaddle.sidecar.requests import Deal, RequestSide
-from hoistsaddle.statemachine.state import GONE, ServerEntry
+from hoistsaddle.proxy.retry_budget import RetryBudget, retry_quota_of
+from hoistsaddle.sidecar.request_table import PendingRequest, RequestTable
+from hoistsaddle.statemachine.state import GONE, ServerRecord
 from hoistsaddle.statemachine.view import View
 
 # How fast what others have sent to a sidecar is taken to be worked off, once it said how much that was.
@@ -36,17 +36,17 @@
         return self.mine + self.others * max(0.0, 1.0 - age / 2)
 
 
-class SelectionSide(RequestSide):
+class ServerSelection(RequestTable):
     def __init__(self, *, further_percent: int, further_margin: int, **needs) -> None:
         super().__init__(**needs)
         self.set_further(percent=further_percent, margin=further_margin)
-        self.further = FurtherSends(wait=self.params.lease_span * 1.05)
+        self.further = RetryBudget(wait=self.settings.lease_span * 1.05)
         self.seen: dict[str, Seen] = {}
         # Entry to the usual size of its answers.
         self.answer_bytes: dict[str, float] = {}
         # The view that was read in: service to its open servers, and to this sidecar's part of the further attempts.
         self.read_in: View | None = None
-        self.servers: dict[str, list[ServerEntry]] = {}
+        self.servers: dict[str, list[ServerRecord]] = {}
         self.parts: dict[str, int] = {}
 
     def set_further(self, *, percent: int, margin: int) -> None:
@@ -55,58 +55,59 @@
         self.further_percent = percent * 3 // 4
         self.further_margin = margin
 
-    def seen_of(self, stall: str) -> Seen:
-        known = self.seen.get(stall)
+    def seen_of(self, proxy: str) -> Seen:
+        known = self.seen.get(proxy)
         if known is None:
-            known = self.seen[stall] = Seen()
+            known = self.seen[proxy] = Seen()
         return known
 
-    def _score(self, server: ServerEntry, deal: Deal) -> float:
+    def _score(self, server: ServerRecord, request: PendingRequest) -> float:
         """Seconds until an answer is expected from there, and what the way to another zone must save."""
-        seen = self.seen_of(server.stall)
-        span = seen.spans.get(deal.entry.name)
+        seen = self.seen_of(server.proxy)
+        span = seen.spans.get(request.entry.name)
         if span is None:
             # Never met: as quick as the quickest, so that it is met soon.
-            met = [each.spans[deal.entry.name] for each in self.seen.values() if deal.entry.name in each.spans]
+            met = [each.spans[request.entry.name] for each in self.seen.values() if request.entry.name in each.spans]
             span = min(met, default=SOON)
         load = seen.load(self.now)
         wait = max(0.0, load + 1 - seen.room) / seen.room
         busy = min(1.0, load / seen.room)
         score = span.total_seconds() * (1 + wait + busy * 0.25)
-        if server.zone != self.params.zone:
-            crossing = len(deal.event.body) + self.answer_bytes.get(deal.entry.name, 0.0)
+        if server.zone != self.settings.zone:
+            crossing = len(request.event.body) + self.answer_bytes.get(request.entry.name, 0.0)
             share = min(MOST_ZONE_SHARE, ZONE_SHARE + crossing / ZONE_BYTES)
-            score += (deal.aim_at - deal.arrived).total_seconds() * share
+            score += (request.aim_at - request.arrived).total_seconds() * share
         return score
 
-    def _select(self, deal: Deal) -> ServerEntry | None:
-        open_servers = [
+    def _select(self, request: PendingRequest) -> ServerRecord | None:
+        available_servers = [
             server
-            for server in self._servers_of(deal.service)
-            if server.stall not in deal.avoid and (server.stall != self.params.name or self.server_state() == "ready")
+            for server in self._servers_of(request.service)
+            if server.proxy not in request.avoid
+            and (server.proxy != self.settings.name or self.server_state() == "ready")
         ]
-        rested = [server for server in open_servers if self.seen_of(server.stall).alone_until <= self.now]
-        candidates = rested or open_servers
+        rested = [server for server in available_servers if self.seen_of(server.proxy).alone_until <= self.now]
+        candidates = rested or available_servers
         if not candidates:
             return None
-        scored = [(self._score(server, deal), server) for server in candidates]
+        scored = [(self._score(server, request), server) for server in candidates]
         least = min(score for score, _ in scored)
         # Among those as good as equal chance decides: all doors preferring one server would flood it.
         near = [server for score, server in scored if score <= least * 1.05]
         return near[0] if len(near) == 1 else self.random.choice(near)
 
     def _read_in(self) -> None:
-        """What each request asks of the setup, worked out once a view: setups change seldom, requests don't stop."""
+        """What each request needs of the configuration, worked out once a view, which changes seldom."""
         if self.read_in is self.view:
             return
         self.read_in = self.view
         self.parts = {}
         self.servers = {}
-        for server in self.view.open_servers():
-            if self.view.nodes[server.stall].state != GONE:
+        for server in self.view.available_servers():
+            if self.view.nodes[server.proxy].state != GONE:
                 self.servers.setdefault(server.service, []).append(server)
 
-    def _servers_of(self, service: str) -> list[ServerEntry]:
+    def _servers_of(self, service: str) -> list[ServerRecord]:
         self._read_in()
         return self.servers.get(service, [])
 
@@ -114,7 +115,9 @@
         self._read_in()
         part = self.parts.get(service)
         if part is None:
-            stalls = [stall.node for stall in self.view.live_stalls()]
-            part = part_of(service=service, stall=self.params.name, stalls=stalls, margin=self.further_margin)
+            proxies = [proxy.node for proxy in self.view.live_proxies()]
+            part = retry_quota_of(
+                service=service, proxy=self.settings.name, proxies=proxies, margin=self.further_margin
+            )
             self.parts[service] = part
         self.further.allot(service, part=part, percent=self.further_percent, now=self.now)
--- a/packages/sidecar/src/hoistsaddle/sidecar/service.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/service.py
@@ -1,4 +1,4 @@
-"""A stall that serves items as a service of the house: node, server line and door, opened and closed in order."""
+"""A proxy that serves items as a service of the house: node, server line and door, opened and closed in order."""
 
 import asyncio
 from datetime import timedelta
@@ -9,18 +9,18 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.settings import SidecarParams
-from hoistsaddle.rpc.connection import Pulse
+from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.rpc.connection import KeepAlive
 from hoistsaddle.rpc.runtime import RealRuntime
-from hoistsaddle.sidecar.door import Door, close_door, open_door
+from hoistsaddle.sidecar.admin_api import AdminApi
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.listener import IngressHandler, close_listener, open_listener
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.serverconnection import ServerLine
-from hoistsaddle.sidecar.sidedoors import SideDoors
-from hoistsaddle.sidecar.wording import Wording
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 
-PULSE = Pulse(every=milliseconds(250), span=milliseconds(900))
-CONNECT_SPAN = milliseconds(350)
-# A stopping stall ends once nobody has called its door for so long: the platform then sends its visitors elsewhere.
+KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
+CONNECT_TIMEOUT = milliseconds(350)
+# A stopping proxy ends once nobody has called its door for so long: the platform then sends its clients elsewhere.
 QUIET = milliseconds(500)
 # What closing the handlers may take of the grace.
 CLOSING_SHARE = 0.15
@@ -31,27 +31,31 @@
 
 
 class SidecarService(Service):
-    def __init__(self, *, params: SidecarParams, wording: Wording | None = None) -> None:
+    def __init__(self, *, settings: SidecarSettings, header_names: HeaderNames | None = None) -> None:
         super().__init__()
-        self.broker_params = params
-        self.wording = wording or Wording()
+        self.sidecar_settings = settings
+        self.header_names = header_names or HeaderNames()
 
     async def start(self) -> None:
-        params = self.broker_params
-        runtime = RealRuntime(pulse=PULSE, connect_span=CONNECT_SPAN, home=True)
-        self.server_line = ServerLine(wording=self.wording, counters=Counters(owner=params.name))
-        self.node = SidecarNode(params=params, runtime=runtime, serve=self.server_line.serve)
-        self.server_line.counters = self.node.counters
+        settings = self.sidecar_settings
+        runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
+        self.server_connections = ServerConnectionPool(
+            header_names=self.header_names, counters=Counters(owner=settings.name)
+        )
+        self.node = SidecarNode(settings=settings, runtime=runtime, serve=self.server_connections.serve)
+        self.server_connections.counters = self.node.counters
         await self.node.start()
-        self.door = await open_door(
-            address=params.door, handler=Door(node=self.node, wording=self.wording).handle, idle=timedelta(seconds=60)
+        self.door = await open_listener(
+            address=settings.door,
+            handler=IngressHandler(node=self.node, header_names=self.header_names).handle,
+            idle=timedelta(seconds=60),
         )
-        self.side_doors = await self.open_side_doors()
+        self.admin_listeners = await self.open_admin_listeners()
         self.start_event.set()
 
-    async def open_side_doors(self) -> list[web.BaseRunner]:
-        """Where readiness is asked and vitals are told: in the product's words, unless a platform has its own."""
-        return [*await SideDoors(node=self.node, params=self.broker_params).open()]
+    async def open_admin_listeners(self) -> list[web.BaseRunner]:
+        """Where readiness is asked and health is reported, in the product's words unless a platform has its own."""
+        return [*await AdminApi(node=self.node, settings=self.sidecar_settings).open()]
 
     async def stop(self, exception: Exception | None = None) -> None:
         grace = self.grace()
@@ -61,13 +65,15 @@
             async with asyncio.timeout(closing.total_seconds() * CLOSING_BOUND):
                 await self._close(wait=min(UNREAD_WAIT, closing / 4))
         except TimeoutError:
-            logger.warning("{}: a handler did not close in its time", self.broker_params.name)
+            logger.warning("{}: a handler did not close in its time", self.sidecar_settings.name)
 
     def grace(self) -> timedelta:
         """How long a stop may take, as the settings have it now."""
-        return timedelta(seconds=self.node.broker_params.grace_seconds)
+        return timedelta(seconds=self.node.sidecar_settings.grace_seconds)
 
     async def _close(self, *, wait: timedelta) -> None:
-        await asyncio.gather(close_door(self.door, wait=wait), *(runner.cleanup() for runner in self.side_doors))
+        await asyncio.gather(
+            close_listener(self.door, wait=wait), *(runner.cleanup() for runner in self.admin_listeners)
+        )
         await self.node.stop()
-        self.server_line.close()
+        self.server_connections.close()
--- a/packages/sidecar/src/hoistsaddle/sidecar/serverside.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -1,4 +1,4 @@
-"""The target's side: what runs on the server beside this stall, what waits for it, and what is turned away at once.
+"""The target's side: what runs on the server beside this proxy, what waits for it, and what is turned away at once.
 
 Nobody else reaches this server, so this side alone decides how much it works on at a time. Waiting work is ordered by
 rank and then by when it is due. Work that can't be done in its time is refused the moment that is known.
@@ -10,23 +10,23 @@
 from typing import NamedTuple
 
 from hoistsaddle.common.clock import ZERO, milliseconds
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.proxy.core_state import CoreState, LocalServer
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, UNKNOWN
-from hoistsaddle.proxy.standing import OwnServer, Standing
-from hoistsaddle.rpc.messages import AbandonAnswer, DealAnswer, DealCall, FollowCall
+from hoistsaddle.rpc.messages import AbandonAnswer, FollowCall, ForwardAnswer, ForwardCall
 from hoistsaddle.sidecar.messages import (
     AbandonArrived,
-    AbortServe,
     AnswerAbandon,
-    AnswerDeal,
-    DealArrived,
+    AnswerForward,
+    CancelRun,
     FollowArrived,
-    Serve,
-    Served,
-    ServeMissed,
-    Vitals,
+    ForwardArrived,
+    HealthReported,
+    RunOnServer,
+    ServerAnswered,
+    ServerFailed,
 )
-from hoistsaddle.sidecar.taken import TakenAttempts
+from hoistsaddle.sidecar.received_attempts import ReceivedAttempts
 from hoistsaddle.statemachine.state import GONE, READY
 
 # What a server of unknown pace is taken to need for one request, as a share of the request's aim.
@@ -52,7 +52,7 @@
 
 
 class _Run:
-    def __init__(self, *, ticket: int, call: DealCall, now: timedelta) -> None:
+    def __init__(self, *, ticket: int, call: ForwardCall, now: timedelta) -> None:
         # Who is to be answered: the call, and entries that asked what became of it.
         self.tickets = [ticket]
         self.call = call
@@ -61,7 +61,7 @@
         self.started: timedelta | None = None
 
 
-class Pace:
+class LatencyEstimate:
     """How long runs of one entry take here: their mean, and how far they lie from it."""
 
     def __init__(self) -> None:
@@ -87,7 +87,7 @@
     number: int
 
 
-class CounterSide(Standing):
+class UpstreamSide(CoreState):
     def __init__(self, **needs) -> None:
         super().__init__(**needs)
         self.room = 1
@@ -95,21 +95,21 @@
         self.running: set[int] = set()
         self.line: list[Waiting] = []
         # Entry to the time its runs take here.
-        self.paces: dict[str, Pace] = {}
+        self.latencies: dict[str, LatencyEstimate] = {}
         # The same over all entries.
-        self.usual = Pace()
+        self.usual = LatencyEstimate()
         self.drain_span = timedelta(seconds=2)
         self.closed_at: timedelta | None = None
         # Of the attempts that may not be repeated, and which run or waiting call is which.
-        self.taken = TakenAttempts()
+        self.taken = ReceivedAttempts()
         self.by_send: dict[str, _Run] = {}
 
     # -- the own server ----------------------------------------------------------------------------------------------
 
-    def _vitals_told(self, event: Vitals) -> None:
+    def _health_reported(self, event: HealthReported) -> None:
         before = self.server
         was = self.server_state()
-        self.server = OwnServer(event.service, event.instance, event.address, event.state, self.now)
+        self.server = LocalServer(event.service, event.instance, event.address, event.state, self.now)
         self.room = max(1, event.room)
         if event.state == READY:
             self.closed_at = None
@@ -122,12 +122,12 @@
         self._sift()
 
     def server_state(self) -> str:
-        """Its own word while that is young. A stall that stops says nothing of its server: it is back in a moment."""
-        if self.server is None or self.now - self.server.heard > self.params.vitals_span:
+        """Its own word while that is young. A proxy that stops says nothing of its server: it is back in a moment."""
+        if self.server is None or self.now - self.server.heard > self.settings.health_span:
             return GONE
         return self.server.state
 
-    def assume_server(self, server: OwnServer) -> None:
+    def assume_server(self, server: LocalServer) -> None:
         """After a restart: the one the log names here, until its own next word. A wrong guess runs nothing."""
         if self.server is None:
             self.server = server
@@ -135,13 +135,13 @@
 
     # -- what is expected --------------------------------------------------------------------------------------------
 
-    def _span_of(self, call: DealCall) -> timedelta:
-        pace = self.paces.get(call.entry)
+    def _span_of(self, call: ForwardCall) -> timedelta:
+        pace = self.latencies.get(call.entry)
         return call.aim * FIRST_GUESS if pace is None else pace.mean
 
-    def _safe_span_of(self, call: DealCall) -> timedelta:
+    def _safe_span_of(self, call: ForwardCall) -> timedelta:
         """A time that most of its runs keep within: admitted by the mean alone, half of a full line would be late."""
-        pace = self.paces.get(call.entry)
+        pace = self.latencies.get(call.entry)
         return call.aim * FIRST_GUESS * 1.5 if pace is None else pace.mean + pace.deviation * MARGIN
 
     def wait_for(self, *, rank: int, due: timedelta) -> timedelta:
@@ -163,26 +163,26 @@
     def load(self) -> int:
         return len(self.running) + len(self.line)
 
-    def _limit_of(self, call: DealCall) -> timedelta:
+    def _limit_of(self, call: ForwardCall) -> timedelta:
         """Within which time it must be likely to be done to be taken."""
-        pace = self.paces.get(call.entry)
+        pace = self.latencies.get(call.entry)
         short = pace is not None and pace.mean <= self.usual.mean * SHORT_RUN
         return max(call.aim, call.budget * BUDGET_SHARE) if short else call.aim
 
     def _learn(self, run: _Run, took: timedelta) -> None:
         self.usual.learn(took)
-        self.paces.setdefault(run.call.entry, Pace()).learn(took)
+        self.latencies.setdefault(run.call.entry, LatencyEstimate()).learn(took)
 
     # -- deals -------------------------------------------------------------------------------------------------------
 
-    def _deal(self, event: DealArrived) -> None:
+    def _forward_arrived(self, event: ForwardArrived) -> None:
         call = self._aged(event)
         # Its entry may ask for it as long as its own words say, however old they are taken to be here.
         ends = self.now + event.call.budget
         if not call.repeatable and not self.taken.take(call.send, ends=ends, now=self.now):
             # It came before, or its entry was told that it never did: it doesn't run again, and is only asked for.
             return self._follow_arrived(
-                FollowArrived(event.ticket, FollowCall(call.send, self.params.incarnation, call.budget))
+                FollowArrived(event.ticket, FollowCall(call.send, self.settings.incarnation, call.budget))
             )
         if (kind := self._refusal(call)) is not None:
             return self._turn_away((event.ticket,), call, kind)
@@ -190,16 +190,16 @@
         wait = self.wait_for(rank=call.rank, due=due)
         # Whoever comes back later finds it emptier; whoever waits here past the aim keeps others from theirs.
         if wait > self._span_of(call) * SHORT_WAIT and wait + self._safe_span_of(call) > self._limit_of(call):
-            return self._turn_away((event.ticket,), call, MishapKind.BACKLOG_FULL)
-        if len(self.line) >= self.params.backlog:
-            return self._turn_away((event.ticket,), call, MishapKind.BACKLOG_FULL)
+            return self._turn_away((event.ticket,), call, ErrorKind.QUEUE_FULL)
+        if len(self.line) >= self.settings.backlog:
+            return self._turn_away((event.ticket,), call, ErrorKind.QUEUE_FULL)
         number = self._number()
         run = self.runs[number] = self.by_send[call.send] = _Run(ticket=event.ticket, call=call, now=self.now)
         if len(self.running) < self.room:
             return self._start(number, run)
         heapq.heappush(self.line, Waiting(call.rank, due, run.deadline, number))
 
-    def _aged(self, event: DealArrived) -> DealCall:
+    def _aged(self, event: ForwardArrived) -> ForwardCall:
         """The call with what is really left of its time: its words may have waited in a socket."""
         call, age = event.call, event.age
         if not age:
@@ -209,30 +209,30 @@
         aim = call.aim if age < LAIN else max(ZERO, call.aim - age)
         return call._replace(budget=call.budget - age, aim=aim)
 
-    def _refusal(self, call: DealCall) -> MishapKind | None:
+    def _refusal(self, call: ForwardCall) -> ErrorKind | None:
         if call.budget <= ZERO:
-            return MishapKind.BUDGET_SPENT
+            return ErrorKind.BUDGET_SPENT
         server = self.server
         if server is None or self.server_state() == GONE:
-            return MishapKind.NO_SERVER
+            return ErrorKind.NO_SERVER
         if server.state != READY or self.closing:
-            return MishapKind.WINDING_DOWN
-        if (call.target, call.service_name) != (self.params.name, server.service):
-            return MishapKind.WRONG_INSTANCE
+            return ErrorKind.WINDING_DOWN
+        if (call.target, call.service_name) != (self.settings.name, server.service):
+            return ErrorKind.WRONG_INSTANCE
         if call.instance != server.instance:
-            return MishapKind.WRONG_INSTANCE
+            return ErrorKind.WRONG_INSTANCE
         return None
 
-    def _turn_away(self, tickets: Sequence[int], call: DealCall, kind: MishapKind) -> None:
-        answer = DealAnswer(call.send, NOT_RUN, str(kind), load=self.load(), room=self.room)
+    def _turn_away(self, tickets: Sequence[int], call: ForwardCall, kind: ErrorKind) -> None:
+        answer = ForwardAnswer(call.send, NOT_RUN, str(kind), load=self.load(), room=self.room)
         self._tell(tickets, call, answer)
 
-    def _tell(self, tickets: Sequence[int], call: DealCall, answer: DealAnswer) -> None:
+    def _tell(self, tickets: Sequence[int], call: ForwardCall, answer: ForwardAnswer) -> None:
         """The attempt's end, to all who wait for it, and kept for an entry whose connection breaks just now."""
         self.by_send.pop(call.send, None)
         if not call.repeatable:
             self.taken.answered(answer, now=self.now)
-        self._out += [AnswerDeal(ticket, answer) for ticket in tickets]
+        self._out += [AnswerForward(ticket, answer) for ticket in tickets]
 
     def _follow_arrived(self, event: FollowArrived) -> None:
         call = event.call
@@ -242,10 +242,10 @@
         answer = self.taken.answer_of(call.send)
         if answer is None:
             # Another life of this sidecar can't know what the one it went to did.
-            never = call.life == self.params.incarnation and self.taken.shut_out(call.send, now=self.now)
-            outcome, kind = (NOT_RUN, MishapKind.UNREACHABLE) if never else (UNKNOWN, MishapKind.SILENT)
-            answer = DealAnswer(call.send, outcome, str(kind), load=self.load(), room=self.room)
-        self._out.append(AnswerDeal(event.ticket, answer))
+            never = call.life == self.settings.incarnation and self.taken.shut_out(call.send, now=self.now)
+            outcome, kind = (NOT_RUN, ErrorKind.UNREACHABLE) if never else (UNKNOWN, ErrorKind.SILENT)
+            answer = ForwardAnswer(call.send, outcome, str(kind), load=self.load(), room=self.room)
+        self._out.append(AnswerForward(event.ticket, answer))
 
     def _abandoned(self, event: AbandonArrived) -> None:
         """Its client has left: what waits is dropped, what runs is broken off, and the next one takes its place."""
@@ -259,10 +259,10 @@
         if run.started is None:
             self.line = [each for each in self.line if each.number != number]
             heapq.heapify(self.line)
-            return self._turn_away(run.tickets, run.call, MishapKind.SILENT)
+            return self._turn_away(run.tickets, run.call, ErrorKind.SILENT)
         self.running.discard(number)
-        self._out.append(AbortServe(number))
-        answer = DealAnswer(run.call.send, UNKNOWN, str(MishapKind.SILENT), load=self.load(), room=self.room)
+        self._out.append(CancelRun(number))
+        answer = ForwardAnswer(run.call.send, UNKNOWN, str(ErrorKind.SILENT), load=self.load(), room=self.room)
         self._tell(run.tickets, run.call, answer)
         self._next()
 
@@ -270,16 +270,16 @@
         run.started = self.now
         self.running.add(number)
         within = run.deadline - self.now
-        self._out.append(Serve(number, self.server.address, run.call, within))
+        self._out.append(RunOnServer(number, self.server.address, run.call, within))
 
-    def _in_vain(self, run: _Run) -> MishapKind | None:
+    def _in_vain(self, run: _Run) -> ErrorKind | None:
         """Why a waiting run won't start any more."""
         # What was promised to a server that leaves ends before its last moment; what can't be in time, now.
         leaving = self.closed_at is not None and self.now - self.closed_at > self.drain_span * 0.7
         if leaving or self.server is None or self.server.instance != run.call.instance or self.server_state() == GONE:
-            return MishapKind.WINDING_DOWN
+            return ErrorKind.WINDING_DOWN
         needs = max(self._span_of(run.call) / 2, NOTICE)
-        return MishapKind.BUDGET_SPENT if self.now + needs > run.deadline else None
+        return ErrorKind.BUDGET_SPENT if self.now + needs > run.deadline else None
 
     def _next(self) -> None:
         while self.line and len(self.running) < self.room:
@@ -301,7 +301,7 @@
         heapq.heapify(self.line)
         self._next()
 
-    def _served(self, event: Served) -> None:
+    def _served(self, event: ServerAnswered) -> None:
         run = self.runs.pop(event.number, None)
         if run is None:
             return
@@ -309,37 +309,37 @@
         took = self.now - run.started
         if event.not_run:
             # A full server's word for "not run" says nothing of its pace.
-            answer = DealAnswer(run.call.send, NOT_RUN, str(MishapKind.SERVER_FULL), load=self.load(), room=self.room)
+            answer = ForwardAnswer(run.call.send, NOT_RUN, str(ErrorKind.SERVER_FULL), load=self.load(), room=self.room)
         else:
             if event.status < 500:
                 self._learn(run, took)
-            answer = DealAnswer(
+            answer = ForwardAnswer(
                 run.call.send, ANSWERED, "", event.status, event.headers, event.body, self.load(), self.room, took
             )
         self._tell(run.tickets, run.call, answer)
         self._next()
 
-    def _serve_missed(self, event: ServeMissed) -> None:
+    def _serve_missed(self, event: ServerFailed) -> None:
         run = self.runs.pop(event.number, None)
         if run is None:
             return
         self.running.discard(event.number)
         if (
             event.unsent
-            and event.mishap.kind == MishapKind.UNREACHABLE
+            and event.error.kind == ErrorKind.UNREACHABLE
             and self.server is not None
             and self.server.instance == run.call.instance
             and self.server_state() != GONE
         ):
-            # Nobody listens there any more: no need to wait until its vitals run out.
+            # Nobody listens there any more: no need to wait until its health reports run out.
             self._silence()
         outcome = NOT_RUN if event.unsent else UNKNOWN
-        kind = MishapKind.NO_SERVER if event.mishap.kind == MishapKind.UNREACHABLE else event.mishap.kind
-        answer = DealAnswer(run.call.send, outcome, str(kind), load=self.load(), room=self.room)
+        kind = ErrorKind.NO_SERVER if event.error.kind == ErrorKind.UNREACHABLE else event.error.kind
+        answer = ForwardAnswer(run.call.send, outcome, str(kind), load=self.load(), room=self.room)
         self._tell(run.tickets, run.call, answer)
         self._next()
 
-    def _counter_tick(self) -> None:
+    def _upstream_tick(self) -> None:
         if self.server is not None and self.server.state != GONE and self.server_state() == GONE:
             self._silence()
         if self.line:
--- a/packages/statemachine/src/hoistsaddle/statemachine/apply.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/apply.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import to_microseconds
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.statemachine import bundles, fleet, items, keys, orders, people
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.statemachine import bundles, deduplication, fleet, idempotency, items, operators
 from hoistsaddle.statemachine.commands import (
     LEVEL,
     LEVEL_OF,
@@ -50,13 +50,13 @@
         if digest and len(known) > 2 and known[2] != digest:
             # Two calls that share an id by accident: neither may pass for the other.
             return state, refuse(
-                MishapKind.REQUEST_REUSED,
+                ErrorKind.REQUEST_REUSED,
                 "Another call had this request id.",
                 "Send the call with an id of its own; repeat one only with the call it was made for.",
                 "X-Request-Id",
             )
         return state, Outcome(*known[1])
-    if unknown := people.stranger(state, operator):
+    if unknown := operators.reject_unknown_operator(state, operator):
         return state, unknown
     state, outcome = applied(state)
     kept = [to_microseconds(state.stamp), list(outcome), *([digest] if digest else [])]
@@ -71,7 +71,7 @@
     if command is None or (isinstance(command, RaiseLevel) and command.level > supported):
         level = f" level {command.level}" if isinstance(command, RaiseLevel) else ""
         return state, refuse(
-            MishapKind.OTHER_RELEASE,
+            ErrorKind.OTHER_RELEASE,
             f"The record at offset {offset} is of another release{level}.",
             "Install a release that knows it on this machine; the others go on.",
         )
@@ -80,7 +80,7 @@
     needed = LEVEL_OF.get(type(command), 1)
     if state.level < needed:
         return state, refuse(
-            MishapKind.RELEASE_LEVEL,
+            ErrorKind.RELEASE_LEVEL,
             f"{type(command).__name__} needs release level {needed}, the mesh is at {state.level}.",
             "Install the newer release on every machine; the level then rises by itself.",
         )
@@ -88,8 +88,12 @@
 
 
 def _sweep(state: State) -> State:
-    swept = keys.sweep(state)
-    return orders.sweep_orders(swept) if swept.swept != state.swept and swept.level >= orders.ORDERS_LEVEL else swept
+    swept = idempotency.sweep(state)
+    return (
+        deduplication.expire_patches(swept)
+        if swept.swept != state.swept and swept.level >= deduplication.DEDUPLICATION_LEVEL
+        else swept
+    )
 
 
 def _apply(state: State, command: Command, offset: int, payload: bytes) -> Applied:
@@ -101,19 +105,19 @@
             return state, Outcome()
         case SwapVoter(replica=replica, old=old, new=new):
             if state.voters.get(replica) != old:
-                return state, refuse(MishapKind.UNSURE, "The voter was swapped already.", "Read the voters.", "replica")
+                return state, refuse(ErrorKind.UNSURE, "The voter was swapped already.", "Read the voters.", "replica")
             return state._replace(voters=state.voters.set(replica, new), news=offset), Outcome()
         case AddVoter(replica=replica, incarnation=incarnation):
             if replica in state.voters:
-                return state, refuse(MishapKind.UNSURE, "It is a voter already.", "Read the voters.", "replica")
+                return state, refuse(ErrorKind.UNSURE, "It is a voter already.", "Read the voters.", "replica")
             return state._replace(voters=state.voters.set(replica, incarnation), news=offset), Outcome()
         case DropVoter(replica=replica, incarnation=incarnation):
             if state.voters.get(replica) != incarnation or len(state.voters) < 2:
-                return state, refuse(MishapKind.UNSURE, "It is no voter.", "Read the voters.", "replica")
+                return state, refuse(ErrorKind.UNSURE, "It is no voter.", "Read the voters.", "replica")
             return state._replace(voters=state.voters.delete(replica), news=offset), Outcome()
         case ReplaceVoter(replica=replica, incarnation=incarnation, successor=successor):
             if state.voters.get(replica) != incarnation or successor in state.voters:
-                return state, refuse(MishapKind.UNSURE, "The voters have changed.", "Read the voters.", "replica")
+                return state, refuse(ErrorKind.UNSURE, "The voters have changed.", "Read the voters.", "replica")
             voters = state.voters.delete(replica).set(successor, command.successor_incarnation)
             return state._replace(voters=voters, news=offset), Outcome()
         case PatchItems():
@@ -129,25 +133,25 @@
         case DrainServer(request=request, operator=operator):
             return once(request, operator, fleet.drain)
         case ChangeOperator(request=request, operator=operator):
-            return once(request, operator, people.change)
+            return once(request, operator, operators.change)
         case SignOperator(request=request, signer=signer):
-            return once(request, signer, people.sign)
+            return once(request, signer, operators.sign)
         case DropOperator(request=request, operator=operator):
-            return once(request, operator, people.drop)
+            return once(request, operator, operators.drop)
         case NoteServer():
-            return fleet.note_server(state, command, offset)
+            return fleet.register_server(state, command, offset)
         case NoteNode():
-            return fleet.note_node(state, command, offset)
+            return fleet.register_node(state, command, offset)
         case TakeDuty():
-            return fleet.take_duty(state, command, offset)
+            return fleet.acquire_singleton_role(state, command, offset)
         case Purge():
             return fleet.purge(state, command, offset)
         case RaiseLevel():
             return fleet.raise_level(state, command, offset)
         case ClaimHold():
-            return keys.claim(state, command)
+            return idempotency.claim(state, command)
         case SettleHold():
-            return keys.settle(state, command)
+            return idempotency.settle(state, command)
         case ReleaseHold():
-            return keys.release(state, command)
+            return idempotency.release(state, command)
     raise AssertionError(f"no rule for {type(command).__name__}")
--- a/packages/statemachine/src/hoistsaddle/statemachine/commands.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/commands.py
@@ -46,7 +46,7 @@
 
 
 class PatchItems(NamedTuple):
-    """Part of a setup: items with revisions of their own, one numbered bundle under a standing sign-off."""
+    """Part of a configuration: items with revisions of their own, one numbered bundle under a standing sign-off."""
 
     request: str
     author: str
@@ -86,7 +86,7 @@
 
 
 class NoteServer(NamedTuple):
-    stall: str
+    proxy: str
     service: str
     instance: str
     address: str
@@ -104,7 +104,7 @@
 class DrainServer(NamedTuple):
     request: str
     operator: str
-    stall: str
+    proxy: str
     drain: bool
 
 
@@ -130,9 +130,9 @@
 class ClaimHold(NamedTuple):
     scope: str
     claim: str
-    stall: str
+    proxy: str
     body_digest: str
-    # Who calls, method, path and key; by what the visitor is known, and a digest of that; for the display, the entry.
+    # Who calls, method, path and key; by what the client is known, and a digest of that; for the display, the entry.
     bucket: str = ""
     by: str = ""
     who: str = ""
@@ -235,12 +235,15 @@
 }
 COMMANDS: dict[str, Any] = {kind.__name__: kind for kind in Command.__args__}
 _encoder = msgspec.msgpack.Encoder()
+# Fields whose encoded name differs from their name here. The encoded names are on disk and stay.
+ENCODED_FIELDS = {"proxy": "stall"}
+DECODED_FIELDS = {encoded: field for field, encoded in ENCODED_FIELDS.items()}
 
 
 class Outcome(NamedTuple):
-    """What applying one record came to; mishap is empty when it was taken."""
+    """What applying one record came to; error is empty when it was taken."""
 
-    mishap: str = ""
+    error: str = ""
     message: str = ""
     remedy: str = ""
     field: str = ""
@@ -248,7 +251,8 @@
 
 
 def pack_command(command: Command) -> bytes:
-    return _encoder.encode([type(command).__name__, command._asdict()])
+    fields = {ENCODED_FIELDS.get(field, field): value for field, value in command._asdict().items()}
+    return _encoder.encode([type(command).__name__, fields])
 
 
 def unpack_command(payload: bytes) -> Command | None:
@@ -257,7 +261,8 @@
     # None is a newer release's command. Passing over it would let replicas differ: whoever meets one must stop.
     if kind is None:
         return None
-    return kind(**{field: value for field, value in fields.items() if field in kind._fields})
+    known = {DECODED_FIELDS.get(encoded, encoded): value for encoded, value in fields.items()}
+    return kind(**{field: value for field, value in known.items() if field in kind._fields})
 
 
 def pack_outcome(outcome: Outcome) -> bytes:
@@ -268,11 +273,11 @@
     return Outcome(*msgspec.msgpack.decode(data))
 
 
-HOLD_SETTLED = timedelta(seconds=75)
-HOLD_UNSETTLED = timedelta(minutes=10)
-OUTCOME_KEPT = timedelta(minutes=10)
+SETTLED_HOLD_TIMEOUT = timedelta(seconds=75)
+UNSETTLED_HOLD_TIMEOUT = timedelta(minutes=10)
+OUTCOME_RETENTION = timedelta(minutes=10)
 # Seconds an order may still be sent again where its taker names no span.
-RESEND_KEPT = timedelta(minutes=10)
-SWEEP_EVERY = timedelta(seconds=5)
+RESEND_WINDOW = timedelta(minutes=10)
+EXPIRY_INTERVAL = timedelta(seconds=5)
 # Longer than any lease, any hold and any memory of a send that could still refer to a server or node.
-GONE_KEPT = timedelta(minutes=10)
+GONE_RETENTION = timedelta(minutes=10)
--- a/packages/statemachine/src/hoistsaddle/statemachine/digests.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/digests.py
@@ -7,10 +7,10 @@
 
 RANGES = 16
 # Keys whose range is remembered: those of a large mesh, with room for what comes and goes.
-KEYS_REMEMBERED = 16384
+RANGE_CACHE_SIZE = 16384
 
 
-@lru_cache(maxsize=KEYS_REMEMBERED)
+@lru_cache(maxsize=RANGE_CACHE_SIZE)
 def range_of(key: str) -> int:
     return zlib.crc32(key.encode()) % RANGES
 
--- a/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
@@ -3,9 +3,9 @@
 from immutables import Map
 
 from hoistsaddle.common.clock import to_microseconds
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.statemachine.commands import (
-    GONE_KEPT,
+    GONE_RETENTION,
     DrainServer,
     NoteNode,
     NoteServer,
@@ -14,14 +14,14 @@
     RaiseLevel,
     TakeDuty,
 )
-from hoistsaddle.statemachine.state import GONE, WARDEN, DutyEntry, NodeEntry, ServerEntry, State, refuse
+from hoistsaddle.statemachine.state import GONE, WARDEN, NodeRecord, ServerRecord, SingletonRoleRecord, State, refuse
 
 
-def _fenced(state: State, duty: str, epoch: int) -> Outcome | None:
+def _reject_stale_epoch(state: State, duty: str, epoch: int) -> Outcome | None:
     entry = state.duties.get(duty)
     if epoch and (entry is None or epoch < entry.epoch):
         return refuse(
-            MishapKind.DUTY_EPOCH_OLD,
+            ErrorKind.DUTY_EPOCH_OLD,
             f"Duty {duty} is held under epoch {entry.epoch if entry else 0}, not {epoch}.",
             "Another node has taken over: stop.",
             "duty_epoch",
@@ -29,12 +29,12 @@
     return None
 
 
-def note_server(state: State, command: NoteServer, offset: int) -> tuple[State, Outcome]:
-    if refused := _fenced(state, WARDEN, command.duty_epoch):
+def register_server(state: State, command: NoteServer, offset: int) -> tuple[State, Outcome]:
+    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
         return state, refused
-    known = state.servers.get(command.stall)
-    node = state.nodes.get(command.stall)
-    # A report from an earlier life of the stall, or an earlier report of this life, must not undo a later one.
+    known = state.servers.get(command.proxy)
+    node = state.nodes.get(command.proxy)
+    # A report from an earlier life of the proxy, or an earlier report of this life, must not undo a later one.
     former = node is not None and node.incarnation != command.incarnation
     earlier = known is not None and known.incarnation == command.incarnation and command.serial < known.serial
     # The warden's "gone" is about the very report it saw last; whatever came since is news to it.
@@ -44,14 +44,14 @@
         and (known.incarnation, known.serial) != (command.incarnation, command.serial)
     )
     # What was forgotten can't be brought back by a report from before: its reporter hadn't seen the forgetting.
-    forgotten = state.level > 1 and (node is None or (known is None and _too_late(state, command)))
+    forgotten = state.level > 1 and (node is None or (known is None and _predates_purge(state, command)))
     if former or earlier or outdated or forgotten:
         return state, Outcome(
             detail={"old": True, "state": known.state if known else "", "serial": known.serial if known else 0}
         )
     drained_by = known.drained_by if known is not None and known.instance == command.instance else ""
-    entry = ServerEntry(
-        command.stall,
+    entry = ServerRecord(
+        command.proxy,
         command.service,
         command.instance,
         command.address,
@@ -61,33 +61,33 @@
         command.incarnation,
         drained_by,
         offset,
-        _moment(state),
+        _timestamp(state),
     )
     if known is not None and known._replace(offset=offset, serial=command.serial, changed=entry.changed) == entry:
         return state, Outcome(detail={"state": known.state, "serial": known.serial})
-    return state._replace(servers=state.servers.set(command.stall, entry), news=offset), Outcome(
+    return state._replace(servers=state.servers.set(command.proxy, entry), news=offset), Outcome(
         detail={"state": command.state, "serial": command.serial}
     )
 
 
 def drain(state: State, command: DrainServer, offset: int) -> tuple[State, Outcome]:
-    known = state.servers.get(command.stall)
+    known = state.servers.get(command.proxy)
     if known is None or known.state == GONE:
         return state, refuse(
-            MishapKind.NO_SERVER,
-            f"No server is known beside {command.stall}.",
+            ErrorKind.NO_SERVER,
+            f"No server is known beside {command.proxy}.",
             "Read the servers back and name one of them.",
             "stall",
         )
     drained_by = command.operator if command.drain else ""
-    entry = known._replace(drained_by=drained_by, offset=offset, changed=_moment(state))
-    return state._replace(servers=state.servers.set(command.stall, entry), news=offset), Outcome(
-        detail={"stall": command.stall, "instance": known.instance, "offset": offset}
+    entry = known._replace(drained_by=drained_by, offset=offset, changed=_timestamp(state))
+    return state._replace(servers=state.servers.set(command.proxy, entry), news=offset), Outcome(
+        detail={"stall": command.proxy, "instance": known.instance, "offset": offset}
     )
 
 
-def note_node(state: State, command: NoteNode, offset: int) -> tuple[State, Outcome]:
-    if refused := _fenced(state, WARDEN, command.duty_epoch):
+def register_node(state: State, command: NoteNode, offset: int) -> tuple[State, Outcome]:
+    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
         return state, refused
     known = state.nodes.get(command.node)
     # "Gone" said of an earlier life says nothing of the present one.
@@ -95,14 +95,14 @@
         return state, Outcome(detail={"old": True})
     if state.level > 1 and command.state != GONE and command.level < state.level:
         return state, refuse(
-            MishapKind.RELEASE_OLD,
+            ErrorKind.RELEASE_OLD,
             f"{command.node} supports release level {command.level}, the mesh is at {state.level}.",
             "Install a release that supports the mesh's level.",
             "level",
         )
-    if state.level > 1 and _unheard(state, command, known):
+    if state.level > 1 and _is_stale_report(state, command, known):
         return state, Outcome(detail={"old": True})
-    entry = NodeEntry(
+    entry = NodeRecord(
         command.node,
         command.kind,
         command.address,
@@ -110,34 +110,34 @@
         command.incarnation,
         command.state,
         offset,
-        _moment(state),
+        _timestamp(state),
     )
     if known is not None and known._replace(offset=offset, changed=entry.changed) == entry:
         return state, Outcome()
     return state._replace(nodes=state.nodes.set(command.node, entry), news=offset), Outcome()
 
 
-def _moment(state: State) -> int:
+def _timestamp(state: State) -> int:
     # Below level 2 nobody keeps it, so that former releases build the same state.
     return to_microseconds(state.stamp) if state.level > 1 else 0
 
 
-def _too_late(state: State, command: NoteServer | NoteNode) -> bool:
+def _predates_purge(state: State, command: NoteServer | NoteNode) -> bool:
     return command.seen < state.purged
 
 
-def _unheard(state: State, command: NoteNode, known: NodeEntry | None) -> bool:
+def _is_stale_report(state: State, command: NoteNode, known: NodeRecord | None) -> bool:
     """A late report: of what was forgotten since, or of a life that another one has followed since."""
     if known is None:
-        return command.state == GONE or _too_late(state, command)
+        return command.state == GONE or _predates_purge(state, command)
     return known.incarnation != command.incarnation and command.seen < known.offset
 
 
 def purge(state: State, command: Purge, offset: int) -> tuple[State, Outcome]:
     """Forgets what has been gone for so long that no lease, hold or memory of a send refers to it any more."""
-    if refused := _fenced(state, WARDEN, command.duty_epoch):
+    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
         return state, refused
-    least = to_microseconds(state.stamp - GONE_KEPT)
+    least = to_microseconds(state.stamp - GONE_RETENTION)
     servers = [key for key, entry in state.servers.items() if entry.state == GONE and entry.changed <= least]
     nodes = [key for key, entry in state.nodes.items() if entry.state == GONE and entry.changed <= least]
     if not servers and not nodes:
@@ -162,17 +162,17 @@
     return state, Outcome(detail={"level": command.level})
 
 
-def take_duty(state: State, command: TakeDuty, offset: int) -> tuple[State, Outcome]:
+def acquire_singleton_role(state: State, command: TakeDuty, offset: int) -> tuple[State, Outcome]:
     known = state.duties.get(command.duty)
     epoch = known.epoch if known else 0
     if command.epoch != epoch + 1:
         return state, refuse(
-            MishapKind.DUTY_EPOCH_OLD,
+            ErrorKind.DUTY_EPOCH_OLD,
             f"Duty {command.duty} is at epoch {epoch}.",
             "Read the duty and ask again if it is still free.",
             "epoch",
         )
-    entry = DutyEntry(command.duty, command.node, command.epoch, offset)
+    entry = SingletonRoleRecord(command.duty, command.node, command.epoch, offset)
     return state._replace(duties=state.duties.set(command.duty, entry), news=offset), Outcome(
         detail={"epoch": command.epoch}
     )
--- a/packages/statemachine/src/hoistsaddle/statemachine/keys.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -3,13 +3,13 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import from_microseconds, to_microseconds
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.statemachine.commands import (
-    HOLD_SETTLED,
-    HOLD_UNSETTLED,
-    OUTCOME_KEPT,
-    SWEEP_EVERY,
+    EXPIRY_INTERVAL,
+    OUTCOME_RETENTION,
+    SETTLED_HOLD_TIMEOUT,
+    UNSETTLED_HOLD_TIMEOUT,
     ClaimHold,
     Outcome,
     ReleaseHold,
@@ -20,8 +20,8 @@
 BY_CREDENTIALS = "credentials"
 
 
-def _span_of(command: ClaimHold) -> timedelta:
-    return timedelta(seconds=command.span) if command.span else HOLD_UNSETTLED
+def _hold_timeout(command: ClaimHold) -> timedelta:
+    return timedelta(seconds=command.span) if command.span else UNSETTLED_HOLD_TIMEOUT
 
 
 def _live(state: State, scope: str) -> Hold | None:
@@ -31,10 +31,10 @@
 
 
 def _meet(hold: Hold, scope: str, command: ClaimHold) -> Outcome:
-    """What the same visitor's next claim of a held key gets."""
+    """What the same client's next claim of a held key gets."""
     if hold.body_digest != command.body_digest:
         return refuse(
-            MishapKind.KEY_OTHER_BODY,
+            ErrorKind.KEY_OTHER_BODY,
             "The key was used with another body.",
             "Use a new Idempotency-Key for a new request.",
             "Idempotency-Key",
@@ -51,18 +51,18 @@
         )
     # The same claim forwarded twice is one claim. Who holds it is told, as its answer may be kept there.
     phase = "granted" if hold.claim == command.claim else CLAIMED
-    return Outcome(detail={"phase": phase, "scope": scope, "claim": hold.claim, "stall": hold.stall})
+    return Outcome(detail={"phase": phase, "scope": scope, "claim": hold.claim, "stall": hold.proxy})
 
 
 def _told_apart(hold: Hold, command: ClaimHold) -> bool:
-    """Surely two visitors: both are known by the same declared mark, and the marks differ.
+    """Surely two clients: both are known by the same declared mark, and the marks differ.
 
-    Credentials are no such mark: another token may be the same visitor's renewed one.
+    Credentials are no such mark: another token may be the same client's renewed one.
     """
     return hold.by == command.by != BY_CREDENTIALS and hold.who != command.who
 
 
-def handle_of(command: ClaimHold) -> str:
+def hold_handle(command: ClaimHold) -> str:
     """Under what the log holds it: it hangs on nothing that a bundle, a renewed credential or a new address changes."""
     # An operation known by its key alone has nobody to be told apart, and its bucket for a handle.
     return digest_of("\0".join((command.bucket, command.by, command.who))) if command.who else command.bucket
@@ -73,14 +73,14 @@
         return _claim_by_scope(state, command)
     if not command.bucket:
         return state, refuse(
-            MishapKind.RELEASE_OLD,
+            ErrorKind.RELEASE_OLD,
             "The claim doesn't say by what its visitor is known.",
             "Install a release that supports the mesh's level.",
             "level",
         )
     before = _live(state, command.scope)
     if before is not None and not before.bucket:
-        # Held under level 1 by this very visitor and entry: its effect goes on.
+        # Held under level 1 by this very client and entry: its effect goes on.
         return state, _meet(before, command.scope, command)
     others = []
     for scope in state.buckets.get(command.bucket, ()):
@@ -91,8 +91,8 @@
                 # Its holder has told that nothing ran under it and nothing will.
                 moved = hold._replace(
                     claim=command.claim,
-                    stall=command.stall,
-                    expires=to_microseconds(state.stamp + _span_of(command)),
+                    proxy=command.proxy,
+                    expires=to_microseconds(state.stamp + _hold_timeout(command)),
                 )
                 state = state._replace(holds=state.holds.set(scope, moved))
                 return state, Outcome(detail={"phase": "granted", "scope": scope})
@@ -100,17 +100,17 @@
         others.append((scope, hold))
     if not all(_told_apart(hold, command) for _, hold in others):
         return state, refuse(
-            MishapKind.KEY_VISITOR_UNSURE,
+            ErrorKind.KEY_CLIENT_UNSURE,
             "The key is held for this request, and nothing shows whether the same visitor sent it; nothing ran now.",
             "Repeat it with the credentials it was first sent with, or use a new key if it is another request;"
             " a bundle may declare by what visitors are known.",
             "Idempotency-Key",
         )
-    handle = handle_of(command)
-    expires = to_microseconds(state.stamp + _span_of(command))
+    handle = hold_handle(command)
+    expires = to_microseconds(state.stamp + _hold_timeout(command))
     hold = Hold(
         command.claim,
-        command.stall,
+        command.proxy,
         command.body_digest,
         CLAIMED,
         expires,
@@ -133,8 +133,8 @@
     known = _live(state, command.scope)
     if known is not None:
         return state, _meet(known, command.scope, command)
-    expires = to_microseconds(state.stamp + HOLD_UNSETTLED)
-    hold = Hold(command.claim, command.stall, command.body_digest, CLAIMED, expires, 0, {}, b"", False)
+    expires = to_microseconds(state.stamp + UNSETTLED_HOLD_TIMEOUT)
+    hold = Hold(command.claim, command.proxy, command.body_digest, CLAIMED, expires, 0, {}, b"", False)
     return state._replace(holds=state.holds.set(command.scope, hold)), Outcome(
         detail={"phase": "granted", "scope": command.scope}
     )
@@ -144,11 +144,11 @@
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim:
         return state, refuse(
-            MishapKind.KEY_HELD, "The hold is not this claim's any more.", "Report the answer as unknown.", "claim"
+            ErrorKind.KEY_HELD, "The hold is not this claim's any more.", "Report the answer as unknown.", "claim"
         )
     if known.phase == SETTLED:
         return state, Outcome(detail={"phase": SETTLED})
-    expires = to_microseconds(state.stamp + HOLD_SETTLED)
+    expires = to_microseconds(state.stamp + SETTLED_HOLD_TIMEOUT)
     hold = known._replace(
         phase=SETTLED,
         expires=expires,
@@ -182,12 +182,12 @@
 
 
 def sweep(state: State) -> State:
-    if state.stamp - state.swept < SWEEP_EVERY:
+    if state.stamp - state.swept < EXPIRY_INTERVAL:
         return state
     stamp = to_microseconds(state.stamp)
     state = _forget(state, tuple(scope for scope, hold in state.holds.items() if hold.expires <= stamp))
     outcomes = state.outcomes.mutate()
     for request, kept in state.outcomes.items():
-        if kept[0] + to_microseconds(OUTCOME_KEPT) <= stamp:
+        if kept[0] + to_microseconds(OUTCOME_RETENTION) <= stamp:
             del outcomes[request]
     return state._replace(outcomes=outcomes.finish(), swept=state.stamp)
--- a/packages/statemachine/src/hoistsaddle/statemachine/people.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/operators.py
@@ -2,30 +2,30 @@
 
 import re
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.statemachine.commands import ChangeOperator, DropOperator, Outcome, SignOperator
 from hoistsaddle.statemachine.state import State, refuse
 
-LEAST_OPERATORS = 2
+MIN_OPERATORS = 2
 _name = re.compile(r"^[a-z][a-z0-9.-]{0,62}$")
 _digest = re.compile(r"^[0-9a-f]{64}$")
 
 
-def operator_name(name: str) -> bool:
+def is_operator_name(name: str) -> bool:
     return _name.match(name) is not None
 
 
-def digest_like(digest: str) -> bool:
+def is_digest(digest: str) -> bool:
     return _digest.match(digest) is not None
 
 
-def stranger(state: State, name: str) -> Outcome | None:
+def reject_unknown_operator(state: State, name: str) -> Outcome | None:
     """Whoever was removed after the call was taken has no say any more when it is applied."""
     if state.level < 2 or name in state.operators:
         return None
     return refuse(
-        MishapKind.OPERATOR_UNKNOWN, f"{name} is no operator.", "Have two operators add the name.", "Authorization"
+        ErrorKind.OPERATOR_UNKNOWN, f"{name} is no operator.", "Have two operators add the name.", "Authorization"
     )
 
 
@@ -33,12 +33,12 @@
     others = {known for other, known in state.operators.items() if other != name}
     if digest and digest in others:
         # One token for two names would let one person be both author and signer.
-        return refuse(MishapKind.OPERATOR_CONFLICT, "Another operator has this token.", "Give a new token.", "digest")
+        return refuse(ErrorKind.OPERATOR_CONFLICT, "Another operator has this token.", "Give a new token.", "digest")
     if not digest and name not in state.operators:
-        return refuse(MishapKind.OPERATOR_CONFLICT, f"{name} is no operator.", "Read the operators.", "name")
-    if not digest and len(state.operators) <= LEAST_OPERATORS:
+        return refuse(ErrorKind.OPERATOR_CONFLICT, f"{name} is no operator.", "Read the operators.", "name")
+    if not digest and len(state.operators) <= MIN_OPERATORS:
         return refuse(
-            MishapKind.OPERATOR_LAST,
+            ErrorKind.OPERATOR_LAST,
             f"Only {len(state.operators)} operators are left.",
             "Add another first: an author and a signer must differ.",
             "name",
@@ -47,14 +47,12 @@
 
 
 def change(state: State, command: ChangeOperator, offset: int) -> tuple[State, Outcome]:
-    if not operator_name(command.name):
+    if not is_operator_name(command.name):
         return state, refuse(
-            MishapKind.REQUEST_BROKEN, "That is no operator's name.", "Use lower-case letters, digits, . and -.", "name"
-        )
-    if command.digest and not digest_like(command.digest):
-        return state, refuse(
-            MishapKind.REQUEST_BROKEN, "That is no digest.", "Give sha256 of the token, hex.", "digest"
+            ErrorKind.REQUEST_BROKEN, "That is no operator's name.", "Use lower-case letters, digits, . and -.", "name"
         )
+    if command.digest and not is_digest(command.digest):
+        return state, refuse(ErrorKind.REQUEST_BROKEN, "That is no digest.", "Give sha256 of the token, hex.", "digest")
     if wrong := _wrong(state, command.name, command.digest):
         return state, wrong
     named = digest_of(f"{offset} {command.name} {command.digest}")[:16]
@@ -67,7 +65,7 @@
     known = state.changes.get(command.name)
     if known is None or known[2] != command.change:
         return state, refuse(
-            MishapKind.OPERATOR_CONFLICT,
+            ErrorKind.OPERATOR_CONFLICT,
             f"No such change of {command.name} is proposed.",
             "Read the proposed changes and sign what you read.",
             "change",
@@ -75,10 +73,10 @@
     digest, proposer, _ = known
     if proposer == command.signer:
         return state, refuse(
-            MishapKind.OPERATOR_SELF_SIGNED, f"{proposer} proposed it.", "A second person must sign it.", "signer"
+            ErrorKind.OPERATOR_SELF_SIGNED, f"{proposer} proposed it.", "A second person must sign it.", "signer"
         )
     # Looked at again: what was right when proposed may be wrong by now.
-    if wrong := stranger(state, proposer) or _wrong(state, command.name, digest):
+    if wrong := reject_unknown_operator(state, proposer) or _wrong(state, command.name, digest):
         return state, wrong
     operators = state.operators.set(command.name, digest) if digest else state.operators.delete(command.name)
     state = state._replace(operators=operators, changes=state.changes.delete(command.name))
@@ -88,7 +86,7 @@
 def drop(state: State, command: DropOperator, offset: int) -> tuple[State, Outcome]:
     if command.name not in state.changes:
         return state, refuse(
-            MishapKind.OPERATOR_CONFLICT, f"No change of {command.name} is proposed.", "Nothing to do.", "name"
+            ErrorKind.OPERATOR_CONFLICT, f"No change of {command.name} is proposed.", "Nothing to do.", "name"
         )
     state = state._replace(changes=state.changes.delete(command.name))
     return state, Outcome(detail={"name": command.name, "offset": offset})
--- a/packages/statemachine/src/hoistsaddle/statemachine/readback.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/reports.py
@@ -1,4 +1,4 @@
-"""The whole setup read back, as operators see it. Made from one state, so every part is of one moment."""
+"""The whole configuration read back, as operators see it. Made from one state, so every part is of one moment."""
 
 from datetime import timedelta
 
@@ -6,10 +6,10 @@
 
 from hoistsaddle.common.clock import to_microseconds
 from hoistsaddle.config.items import unpack_item
-from hoistsaddle.statemachine.commands import GONE_KEPT
+from hoistsaddle.statemachine.commands import GONE_RETENTION
 from hoistsaddle.statemachine.state import GONE, IN_FORCE, READY, ROLLING, State, bundle_of
 
-# A stall that hasn't heard of a mark holds a lease no longer than this; the daemons' params may set another span.
+# A proxy that hasn't heard of a mark holds a lease no longer than this; the daemons' params may set another span.
 LEASE = timedelta(seconds=1.5)
 
 
@@ -30,8 +30,13 @@
     }
 
 
-def read_back(state: State) -> dict:
-    in_play = [number for number, entry in state.bundles.items() if entry.phase in (IN_FORCE, ROLLING)]
+def _server(state: State, proxy: str) -> dict:
+    """A server under the field names that operators' programs read."""
+    return {"stall" if field == "proxy" else field: value for field, value in state.servers[proxy]._asdict().items()}
+
+
+def state_report(state: State) -> dict:
+    active_bundles = [number for number, entry in state.bundles.items() if entry.phase in (IN_FORCE, ROLLING)]
     return {
         "mesh": state.mesh,
         "release_level": state.level,
@@ -41,8 +46,8 @@
         "in_force": state.in_force,
         "rolling": state.rolling,
         "bundles": [_bundle(state, number) for number in sorted(state.bundles)],
-        "texts": {str(number): state.bundles[number].text for number in sorted(in_play)},
-        "servers": [state.servers[stall]._asdict() for stall in sorted(state.servers)],
+        "texts": {str(number): state.bundles[number].text for number in sorted(active_bundles)},
+        "servers": [_server(state, proxy) for proxy in sorted(state.servers)],
         "nodes": [state.nodes[node]._asdict() for node in sorted(state.nodes)],
         "duties": [state.duties[duty]._asdict() for duty in sorted(state.duties)],
         "voters": [{"replica": replica, "incarnation": state.voters[replica]} for replica in sorted(state.voters)],
@@ -56,7 +61,7 @@
 PATCHES_SHOWN = 10
 
 
-def items_of(state: State) -> dict:
+def items_report(state: State) -> dict:
     """The items that stand, in the product's own words, and the newest patches with who answers for them."""
     patches = [state.patches[number] for number in sorted(state.patches, reverse=True)[:PATCHES_SHOWN]]
     return {
@@ -79,7 +84,7 @@
     return max(0.0, round((since + to_microseconds(span) - now) / 1e6, 1)) if since else None
 
 
-def holds_of(state: State) -> dict:
+def holds_report(state: State) -> dict:
     """The keys held at this moment of mesh time, with the time each has left. Scopes are digests; no answers go out."""
     now = to_microseconds(state.stamp)
     holds = [
@@ -87,7 +92,7 @@
             "key": scope[:12],
             "entry": hold.entry,
             "phase": hold.phase,
-            "stall": hold.stall,
+            "stall": hold.proxy,
             "seconds_left": round((hold.expires - now) / 1e6, 1),
         }
         for scope, hold in state.holds.items()
@@ -95,13 +100,13 @@
     ]
     leaving = [
         {
-            "stall": server.stall,
+            "stall": server.proxy,
             "service": server.service,
             "instance": server.instance,
             "why": f"drained by {server.drained_by}" if server.drained_by else server.state,
             # Below release level 2 the log doesn't keep when.
             "no_new_work_in_seconds": _left(server.changed, LEASE, now),
-            "forgotten_in_seconds": _left(server.changed, GONE_KEPT, now) if server.state == GONE else None,
+            "forgotten_in_seconds": _left(server.changed, GONE_RETENTION, now) if server.state == GONE else None,
         }
         for server in state.servers.values()
         if server.drained_by or server.state != READY
@@ -114,7 +119,7 @@
     }
 
 
-def people_of(state: State) -> dict:
+def operators_report(state: State) -> dict:
     """The operators, and the changes among them that wait for a second person. No digest of a token goes out."""
     changes = [
         {
--- a/packages/statemachine/src/hoistsaddle/statemachine/itemmemory.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/revision_history.py
@@ -10,10 +10,10 @@
 
 # Revisions of one name whose contents are kept; of those beyond, nothing certain can be said any more. At 30 bytes
 # each, a name that changes without end takes 4 KB of every snapshot.
-MOST_REVISIONS = 128
+MAX_REVISIONS = 128
 
 
-class TakenRevision(NamedTuple):
+class AcceptedRevision(NamedTuple):
     """One revision as it was taken."""
 
     revision: int
@@ -22,15 +22,15 @@
     kept_until: int
 
 
-class ItemMemory(NamedTuple):
+class RevisionHistory(NamedTuple):
     """What is known of one name's revisions. The last of them is the one that prevails."""
 
-    taken: tuple[TakenRevision, ...]
+    taken: tuple[AcceptedRevision, ...]
     # The highest revision of those taken and forgotten since; -1 while all are known.
     forgotten: int = -1
 
 
-class Meeting(Enum):
+class RevisionStatus(Enum):
     """What an item's revision and content meet."""
 
     # Above all that was taken: it prevails.
@@ -45,19 +45,19 @@
     FORGOTTEN = "forgotten"
 
 
-def meet(memory: ItemMemory | None, *, revision: int, digest: bytes) -> Meeting:
+def meet(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
     if memory is None or revision > memory.taken[-1].revision:
-        return Meeting.NEWEST
+        return RevisionStatus.NEWEST
     known = next((each for each in memory.taken if each.revision == revision), None)
     if known is not None:
-        return Meeting.TAKEN if known.digest == digest else Meeting.OTHER
-    return Meeting.FORGOTTEN if revision <= memory.forgotten else Meeting.OVERTAKEN
+        return RevisionStatus.TAKEN if known.digest == digest else RevisionStatus.OTHER
+    return RevisionStatus.FORGOTTEN if revision <= memory.forgotten else RevisionStatus.OVERTAKEN
 
 
-def remember(memory: ItemMemory | None, *, revision: int, digest: bytes, now: int, until: int) -> ItemMemory:
+def remember(memory: RevisionHistory | None, *, revision: int, digest: bytes, now: int, until: int) -> RevisionHistory:
     """The memory with this revision in it: its span begins with each copy that comes, and when it is overtaken."""
     if memory is None:
-        return ItemMemory((TakenRevision(revision, digest, until),))
+        return RevisionHistory((AcceptedRevision(revision, digest, until),))
     newest = memory.taken[-1].revision
     if revision > newest:
         # What prevailed until now may have been acknowledged a moment ago.
@@ -65,20 +65,20 @@
             each._replace(kept_until=max(each.kept_until, until)) if each.revision == newest else each
             for each in memory.taken
         )
-        taken = (*before, TakenRevision(revision, digest, until))
+        taken = (*before, AcceptedRevision(revision, digest, until))
     else:
         kept = max((each.kept_until for each in memory.taken if each.revision == revision), default=0)
         others = (each for each in memory.taken if each.revision != revision)
-        taken = tuple(sorted((*others, TakenRevision(revision, digest, max(kept, until)))))
+        taken = tuple(sorted((*others, AcceptedRevision(revision, digest, max(kept, until)))))
     return forget(memory._replace(taken=taken), now=now)
 
 
-def forget(memory: ItemMemory, *, now: int) -> ItemMemory:
+def forget(memory: RevisionHistory, *, now: int) -> RevisionHistory:
     """The memory without what is past its span or beyond the bound. What prevails is always kept."""
     past, newest = memory.taken[:-1], memory.taken[-1]
-    kept = tuple(each for each in past if each.kept_until > now)[-(MOST_REVISIONS - 1) :]
+    kept = tuple(each for each in past if each.kept_until > now)[-(MAX_REVISIONS - 1) :]
     if len(kept) == len(past):
         return memory
     known = {each.revision for each in kept}
     lost = max(each.revision for each in past if each.revision not in known)
-    return ItemMemory((*kept, newest), max(memory.forgotten, lost))
+    return RevisionHistory((*kept, newest), max(memory.forgotten, lost))
