--- a/packages/statemachine/src/hoistsaddle/statemachine/state.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/state.py
@@ -8,10 +8,10 @@
 from immutables import Map
 
 from hoistsaddle.common.clock import ZERO, from_microseconds, to_microseconds
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import Bundle, read_bundle
 from hoistsaddle.statemachine.commands import Outcome
-from hoistsaddle.statemachine.itemmemory import ItemMemory, TakenRevision
+from hoistsaddle.statemachine.revision_history import AcceptedRevision, RevisionHistory
 
 DRAFT = "draft"
 ROLLING = "rolling"
@@ -21,13 +21,13 @@
 READY = "ready"
 WINDING_DOWN = "winding down"
 GONE = "gone"
-BUNDLES_KEPT = 64
+MAX_BUNDLES = 64
 WARDEN = "warden"
 CLAIMED = "claimed"
 SETTLED = "settled"
 
 
-class BundleEntry(NamedTuple):
+class BundleRecord(NamedTuple):
     number: int
     based_on: int
     author: str
@@ -42,8 +42,8 @@
     aborted_by: str = ""
 
 
-class ServerEntry(NamedTuple):
-    stall: str
+class ServerRecord(NamedTuple):
+    proxy: str
     service: str
     instance: str
     address: str
@@ -57,7 +57,7 @@
     changed: int = 0
 
 
-class NodeEntry(NamedTuple):
+class NodeRecord(NamedTuple):
     node: str
     kind: str
     address: str
@@ -68,7 +68,7 @@
     changed: int = 0
 
 
-class DutyEntry(NamedTuple):
+class SingletonRoleRecord(NamedTuple):
     duty: str
     node: str
     epoch: int
@@ -77,7 +77,7 @@
 
 class Hold(NamedTuple):
     claim: str
-    stall: str
+    proxy: str
     body_digest: str
     phase: str
     expires: int
@@ -91,7 +91,7 @@
     entry: str = ""
 
 
-class ItemEntry(NamedTuple):
+class ItemRecord(NamedTuple):
     """One item with its own revision. A dropped one keeps it, so that an older setting can't bring it back."""
 
     revision: int
@@ -101,7 +101,7 @@
     said: bytes
 
 
-class PatchEntry(NamedTuple):
+class PatchRecord(NamedTuple):
     """A bundle in parts on the time line: taken at once, under a standing sign-off."""
 
     number: int
@@ -112,7 +112,7 @@
     changed: tuple[str, ...]
 
 
-class Refusal(NamedTuple):
+class RejectedPatch(NamedTuple):
     """A patch that was refused for what stood then: an older copy of it must not count later."""
 
     offset: int
@@ -143,7 +143,7 @@
     raised: int = 0
     # The offset of the last record that forgot a server or node.
     purged: int = 0
-    # Who calls, method, path and key to the holds under them: one for each visitor told apart.
+    # Who calls, method, path and key to the holds under them: one for each client told apart.
     buckets: Map = Map()
     # Operator's name to a change proposed and not signed: token digest, proposer, digest of the change.
     changes: Map = Map()
@@ -166,18 +166,18 @@
     4: {"memories", "refusals"},
 }
 _entries: dict[str, Any] = {
-    "bundles": BundleEntry,
-    "servers": ServerEntry,
-    "nodes": NodeEntry,
-    "duties": DutyEntry,
+    "bundles": BundleRecord,
+    "servers": ServerRecord,
+    "nodes": NodeRecord,
+    "duties": SingletonRoleRecord,
     "holds": Hold,
     "outcomes": None,
     "buckets": None,
     "changes": None,
-    "items": ItemEntry,
-    "patches": PatchEntry,
-    "memories": ItemMemory,
-    "refusals": Refusal,
+    "items": ItemRecord,
+    "patches": PatchRecord,
+    "memories": RevisionHistory,
+    "refusals": RejectedPatch,
 }
 
 
@@ -219,20 +219,20 @@
 _nested: dict[str, Callable[[Any], Any]] = {
     "patches": lambda entry: entry._replace(changed=tuple(entry.changed)),
     "bundles": lambda entry: entry._replace(advanced_by=tuple(entry.advanced_by)),
-    "memories": lambda entry: entry._replace(taken=tuple(TakenRevision(*each) for each in entry.taken)),
+    "memories": lambda entry: entry._replace(taken=tuple(AcceptedRevision(*each) for each in entry.taken)),
 }
 
 
-def found_state(*, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> State:
+def initial_state(*, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> State:
     return State(mesh=mesh, voters=Map(voters), operators=Map(operators), level=level)
 
 
-def refuse(kind: MishapKind, message: str, remedy: str, field: str = "", **detail) -> Outcome:
+def refuse(kind: ErrorKind, message: str, remedy: str, field: str = "", **detail) -> Outcome:
     return Outcome(str(kind), message, remedy, field, detail)
 
 
-def refusal_of(mishap: Mishap) -> Outcome:
-    return Outcome(str(mishap.kind), mishap.message, mishap.remedy, mishap.field)
+def refusal_of(error: MeshError) -> Outcome:
+    return Outcome(str(error.kind), error.message, error.remedy, error.field)
 
 
 def bundle_of(state: State, number: int) -> Bundle | None:
@@ -240,7 +240,7 @@
     return read_bundle(entry.text).value_or(None) if entry else None
 
 
-def news_of(state: State) -> dict[str, tuple[int, bytes]]:
+def data_plane_items(state: State) -> dict[str, tuple[int, bytes]]:
     """What the data plane must know: key to (offset of its last change, value)."""
     items: dict[str, tuple[int, bytes]] = {}
     encode = msgspec.msgpack.encode
@@ -250,7 +250,7 @@
             items[f"bundle:{number}"] = (entry.offset, encode([entry.phase, entry.stage, entry.text]))
     # In the order of names: a map's own order hangs on the process, and copies pick servers in the order of the news.
     for _, entry in sorted(state.servers.items()):
-        items[f"server:{entry.stall}"] = (entry.offset, encode(list(entry)))
+        items[f"server:{entry.proxy}"] = (entry.offset, encode(list(entry)))
     for _, entry in sorted(state.nodes.items()):
         items[f"node:{entry.node}"] = (entry.offset, encode(list(entry)))
     for _, entry in sorted(state.duties.items()):
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -9,38 +9,38 @@
 import msgspec
 from aiomisc import Service
 
+from hoistsaddle.common.backoff import ExponentialBackoff
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.common.pause import GrowingPause
-from hoistsaddle.common.settings import StoreParams
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.common.settings import StoreSettings
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.raft.events import Pace
-from hoistsaddle.raft.jobs import DiskThread, DiskWorker
-from hoistsaddle.raft.shell import RaftShell
+from hoistsaddle.raft.disk_jobs import DiskThread, DiskWorker
+from hoistsaddle.raft.events import RaftTimings
+from hoistsaddle.raft.runner import RaftRunner
 from hoistsaddle.rpc.messages import (
     UNSET,
-    BallotCall,
+    BeginEpochCall,
+    BootstrapAnswer,
+    BootstrapCall,
+    EndEpochCall,
     FetchCall,
-    FoundAnswer,
-    FoundCall,
-    LeadCall,
-    LookAnswer,
-    LookCall,
-    PullCall,
-    RaiseAnswer,
-    RaiseCall,
+    FetchSnapshotCall,
+    RaiseLevelAnswer,
+    RaiseLevelCall,
     ReadAnswer,
     ReadCall,
-    ResignCall,
+    StatusAnswer,
+    StatusCall,
+    VoteCall,
     WriteAnswer,
     WriteCall,
 )
 from hoistsaddle.rpc.runtime import RealRuntime, Runtime
 from hoistsaddle.statemachine.commands import LEVEL, pack_outcome
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.readback import holds_of, items_of, people_of, read_back
-from hoistsaddle.statemachine.state import State, news_of
+from hoistsaddle.statemachine.reports import holds_report, items_report, operators_report, state_report
+from hoistsaddle.statemachine.state import State, data_plane_items
 
 # Of the grace: closing the files and the doors needs the rest, on a slow processor too.
 HAND_OVER_SHARE = 0.5
@@ -50,12 +50,12 @@
 START_PAUSE_MOST = timedelta(seconds=1)
 
 
-def pace_of(params: StoreParams) -> Pace:
-    return Pace(
-        checkpoint_records=params.checkpoint_records,
-        chunk_bytes=params.chunk_bytes,
-        lag_wait=timedelta(seconds=params.lag_wait_seconds),
-        disk_stall=timedelta(seconds=params.disk_stall_seconds),
+def timings_of(settings: StoreSettings) -> RaftTimings:
+    return RaftTimings(
+        checkpoint_records=settings.checkpoint_records,
+        chunk_bytes=settings.chunk_bytes,
+        lag_wait=timedelta(seconds=settings.lag_wait_seconds),
+        disk_stall_timeout=timedelta(seconds=settings.disk_stall_seconds),
     )
 
 
@@ -65,86 +65,88 @@
     def __init__(
         self,
         *,
-        params: StoreParams,
+        settings: StoreSettings,
         runtime: Runtime,
         disk: Disk,
         make_worker: Callable[..., DiskWorker] = DiskThread,
         addresses: dict[int, str] | None = None,
-        pace: Pace | None = None,
+        timings: RaftTimings | None = None,
         wanted_voters: int = 0,
     ) -> None:
-        self.params = params
+        self.settings = settings
         self.runtime = runtime
-        self.counters = Counters(owner=f"warehouse-{params.replica}")
+        self.counters = Counters(owner=f"warehouse-{settings.replica}")
         if addresses is None:
-            addresses = {machine.replica: machine.warehouse for machine in params.core}
-        self.shell = RaftShell(
+            addresses = {machine.replica: machine.store for machine in settings.core}
+        self.runner = RaftRunner(
             disk=disk,
             addresses=addresses,
-            pace=pace or pace_of(params),
+            timings=timings or timings_of(settings),
             counters=self.counters,
             runtime=runtime,
             make_worker=make_worker,
-            level=params.release_level or LEVEL,
+            level=settings.release_level or LEVEL,
             wanted_voters=wanted_voters,
         )
         # Of the newest news, so that a read costs no digests while nothing changes.
-        self.vouched: tuple[int, tuple[int, ...]] = (UNSET, ())
+        self.expected_digests: tuple[int, tuple[int, ...]] = (UNSET, ())
 
-    async def _start_shell(self) -> None:
+    async def _start_runner(self) -> None:
         """Starts the replica once its disk can be read: one that is full lets go again, and the votes on it remain."""
-        pause = GrowingPause(least=START_PAUSE_LEAST, most=START_PAUSE_MOST)
+        pause = ExponentialBackoff(least=START_PAUSE_LEAST, most=START_PAUSE_MOST)
         while True:
             try:
-                return self.shell.start()
+                return self.runner.start()
             except OSError as problem:
                 if problem.errno not in PASSING_ERRORS:
                     raise
                 if not pause.failing:
-                    self.counters.happen("disk refuses the start", why=str(problem), remedy="Make room, or mend it.")
+                    self.counters.record_event(
+                        "disk refuses the start", why=str(problem), remedy="Make room, or mend it."
+                    )
                 self.counters.add("disk.starts_refused")
                 pause.failed(now=self.runtime.now())
                 await asyncio.sleep(pause.span.total_seconds())
 
     async def start(self) -> None:
-        await self._start_shell()
-        self.server = await self.runtime.serve(self.params.listen, self.answer)
-        self.counters.happen(
-            "warehouse up",
-            replica=self.params.replica,
-            incarnation=self.shell.core.incarnation,
-            mesh=self.shell.core.mesh,
+        await self._start_runner()
+        self.server = await self.runtime.serve(self.settings.listen, self.answer)
+        self.counters.record_event(
+            "store up",
+            replica=self.settings.replica,
+            incarnation=self.runner.core.incarnation,
+            mesh=self.runner.core.mesh,
         )
 
     async def stop(self) -> None:
-        await self.shell.stop(within=timedelta(seconds=self.params.grace_seconds * HAND_OVER_SHARE))
+        await self.runner.stop(within=timedelta(seconds=self.settings.grace_seconds * HAND_OVER_SHARE))
         await self.server.stop()
-        self.runtime.lines.close()
+        self.runtime.rpc_client.close()
 
     async def answer(self, message: tuple) -> tuple | None:
         self.counters.add(f"calls.{type(message).__name__}")
         match message:
-            case FetchCall() | PullCall() | BallotCall() | LeadCall() | ResignCall():
-                return await self.shell.call(message)
+            case FetchCall() | FetchSnapshotCall() | VoteCall() | BeginEpochCall() | EndEpochCall():
+                return await self.runner.call(message)
             case WriteCall(payloads=payloads):
-                concluded = await self.shell.propose(payloads)
+                concluded = await self.runner.propose(payloads)
                 return WriteAnswer(
-                    concluded.mishap,
+                    concluded.error,
                     concluded.leader,
                     tuple(pack_outcome(outcome) for outcome in concluded.outcomes),
                     concluded.offset,
                 )
             case ReadCall(part=part, known_revision=known):
-                ready = await self.shell.read()
-                if ready.mishap:
-                    return ReadAnswer(ready.mishap, ready.leader)
+                ready = await self.runner.read()
+                if ready.error:
+                    return ReadAnswer(ready.error, ready.leader)
                 return self._read(part, known, ready.leader, ready.state)
-            case RaiseCall(level=level):
-                concluded = await self.shell.raise_level(level)
-                return RaiseAnswer(concluded.mishap, "")
-            case LookCall(after=after):
-                return self._look(after)
-            case FoundCall():
+            case RaiseLevelCall(level=level):
+                concluded = await self.runner.raise_level(level)
+                return RaiseLevelAnswer(concluded.error, "")
+            case StatusCall(after=after):
+                return self._status(after)
+            case BootstrapCall():
                 return await self._found(message)
         return None
 
@@ -152,19 +154,19 @@
         content = b""
         digests: tuple[int, ...] = ()
         if part == "news":
-            if self.vouched[0] != state.news:
-                self.vouched = (state.news, digests_of(news_of(state)))
-            digests = self.vouched[1]
+            if self.expected_digests[0] != state.news:
+                self.expected_digests = (state.news, digests_of(data_plane_items(state)))
+            digests = self.expected_digests[1]
         if part == "news" and state.news > known:
-            content = msgspec.msgpack.encode([state.mesh, news_of(state)])
+            content = msgspec.msgpack.encode([state.mesh, data_plane_items(state)])
         elif part == "setup":
-            content = msgspec.json.encode(read_back(state))
+            content = msgspec.json.encode(state_report(state))
         elif part == "operators":
             content = msgspec.json.encode(dict(state.operators))
         elif part == "changes":
-            content = msgspec.json.encode(people_of(state))
+            content = msgspec.json.encode(operators_report(state))
         elif part == "standing":
-            content = msgspec.json.encode(items_of(state))
+            content = msgspec.json.encode(items_report(state))
         elif part == "items":
             content = msgspec.msgpack.encode(
                 [
@@ -174,11 +176,11 @@
                 ]
             )
         elif part == "holds":
-            content = msgspec.json.encode(holds_of(state))
+            content = msgspec.json.encode(holds_report(state))
         return ReadAnswer("", leader, state.news, state.offset, content, digests, state.epoch)
 
-    def _look(self, after: int) -> LookAnswer:
-        core = self.shell.core
+    def _status(self, after: int) -> StatusAnswer:
+        core = self.runner.core
         self.counters.gauge("ledger.epoch", core.epoch)
         self.counters.gauge("ledger.last_offset", core.last.offset)
         self.counters.gauge("ledger.high_watermark", core.high_watermark)
@@ -186,55 +188,55 @@
         self.counters.gauge("ledger.holds", len(core.state.holds))
         # A vote that only an open change gives counts for nothing yet: with a majority gone it never may.
         votes = core.is_voter() and core.state.voters.get(core.replica) == core.incarnation
-        standing = core.standing if votes else "observer"
-        if not core.whole:
-            standing = "catching up" if core.mesh or core.pulling else "blank"
+        role = core.role if votes else "observer"
+        if not core.complete:
+            role = "catching up" if core.mesh or core.fetching_snapshot else "blank"
         if core.halted:
-            standing = "halted"
-        return LookAnswer(
+            role = "halted"
+        return StatusAnswer(
             core.mesh,
             core.replica,
             core.incarnation,
             core.epoch,
             core.leader if core.leader is not None else UNSET,
-            standing,
+            role,
             core.last.offset,
             core.high_watermark,
             core.begin_offset,
             msgspec.json.encode(self.counters.read()),
-            msgspec.json.encode(self.counters.happenings(after=after)),
+            msgspec.json.encode(self.counters.events(after=after)),
             core.level,
             core.halted,
             core.now - core.unsynced[0][2] if core.unsynced else timedelta(),
         )
 
-    async def _found(self, call: FoundCall) -> FoundAnswer:
-        core = self.shell.core
+    async def _found(self, call: BootstrapCall) -> BootstrapAnswer:
+        core = self.runner.core
         if core.mesh:
-            # The same founding repeated is no mishap; another one is.
-            mishap = "" if core.mesh == call.mesh else str(MishapKind.ALREADY_FOUNDED)
-            return FoundAnswer(mishap, core.mesh, core.incarnation)
+            # The same founding repeated is no error; another one is.
+            error = "" if core.mesh == call.mesh else str(ErrorKind.ALREADY_FOUNDED)
+            return BootstrapAnswer(error, core.mesh, core.incarnation)
         if call.voters.get(core.replica) != core.incarnation:
-            return FoundAnswer(str(MishapKind.WRONG_MESH), core.mesh, core.incarnation)
-        if not await self.shell.found(
+            return BootstrapAnswer(str(ErrorKind.WRONG_MESH), core.mesh, core.incarnation)
+        if not await self.runner.found(
             mesh=call.mesh, voters=call.voters, operators=call.operators, level=min(call.level, core.level)
         ):
-            return FoundAnswer(str(MishapKind.DISK), "", core.incarnation)
-        self.counters.happen("founded", mesh=call.mesh)
-        return FoundAnswer("", call.mesh, core.incarnation)
+            return BootstrapAnswer(str(ErrorKind.DISK), "", core.incarnation)
+        self.counters.record_event("founded", mesh=call.mesh)
+        return BootstrapAnswer("", call.mesh, core.incarnation)
 
 
 class StoreService(Service):
-    def __init__(self, *, params: StoreParams) -> None:
+    def __init__(self, *, settings: StoreSettings) -> None:
         super().__init__()
-        self.warehouse_params = params
+        self.store_settings = settings
 
     async def start(self) -> None:
-        params = self.warehouse_params
+        settings = self.store_settings
         self.node = Store(
-            params=params,
-            runtime=RealRuntime(line_faults=params.line_faults),
-            disk=Disk(folder=Path(params.data_folder), replica=params.replica),
+            settings=settings,
+            runtime=RealRuntime(line_faults=settings.line_faults),
+            disk=Disk(folder=Path(settings.data_folder), replica=settings.replica),
         )
         await self.node.start()
         self.start_event.set()
--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/draft.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/draft.py
@@ -10,7 +10,7 @@
 CALM_END = 2.5
 
 
-class Trouble(NamedTuple):
+class DayEntry(NamedTuple):
     """One entry of a day: its moment, its kind, and the fields that fit the kind."""
 
     at: float
@@ -27,8 +27,8 @@
         self.number = number
         self.random = random.Random(f"bench day {point} {seed} {number}")
         self.seed = self.random.randrange(1, 2**28)
-        self.plan: list[Trouble] = []
-        self.faults: list[Trouble] = []
+        self.plan: list[DayEntry] = []
+        self.faults: list[DayEntry] = []
         self.closing: dict[str, Any] | None = None
         self.spares_left = site.spares
 
@@ -36,24 +36,24 @@
     def last(self) -> float:
         return self.site.length - CALM_END
 
-    def moment(self, first: float = CALM_START, last: float | None = None) -> float:
+    def time_between(self, first: float = CALM_START, last: float | None = None) -> float:
         return self.random.uniform(first, max(first, min(last or self.last, self.last)))
 
-    def span(self, least: float, most: float, *, at: float) -> float:
+    def duration(self, least: float, most: float, *, at: float) -> float:
         """A length that ends before the day does."""
         return max(0.2, min(self.random.uniform(least, most), self.site.length - at - 0.5))
 
-    def any_of(self, *choices: Any) -> Any:
+    def pick(self, *choices: Any) -> Any:
         return self.random.choice(choices)
 
     def chance(self, share: float) -> bool:
         return self.random.random() < share
 
     def fault(self, at: float, kind: str, **fields: Any) -> None:
-        self.faults.append(Trouble(at, kind, fields))
+        self.faults.append(DayEntry(at, kind, fields))
 
     def planned(self, at: float, kind: str, **fields: Any) -> None:
-        self.plan.append(Trouble(at, kind, fields))
+        self.plan.append(DayEntry(at, kind, fields))
 
     def service(self) -> dict[str, str]:
         """One service by name, or nothing: then the day's own seed picks."""
--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/losses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/losses.py
@@ -5,11 +5,11 @@
 from hoistsaddle.testbed.benchdays.draft import Draft
 
 # Which counted machine a trouble takes: the leader twice as often as any other.
-WHO = ("leader", "leader", "", "seed", "reader")
+MACHINE_CHOICES = ("leader", "leader", "", "seed", "reader")
 
 
-def who(draft: Draft) -> str:
-    return draft.random.choice(WHO)
+def select_machine(draft: Draft) -> str:
+    return draft.random.choice(MACHINE_CHOICES)
 
 
 def _how(draft: Draft, *words: str) -> str:
@@ -17,41 +17,49 @@
 
 
 def power(draft: Draft, at: float) -> float:
-    span = draft.span(0.6, 3.5, at=at)
-    how = _how(draft, draft.any_of("power", ""), who(draft), draft.any_of("", "", "race", "meet", "drain"))
-    draft.fault(at, "node_kill", on="core", count=1, for_s=span, how=how)
-    return span
+    duration = draft.duration(0.6, 3.5, at=at)
+    how = _how(draft, draft.pick("power", ""), select_machine(draft), draft.pick("", "", "race", "meet", "drain"))
+    draft.fault(at, "node_kill", on="core", count=1, for_s=duration, how=how)
+    return duration
 
 
 def wiped(draft: Draft, at: float) -> float:
-    span = draft.span(0.8, 3.0, at=at)
-    draft.fault(at, "after_ack_wipe", for_s=span, how=draft.any_of("", "", "timed", "taken"))
-    draft.planned(at + 0.15, "config_change", how=draft.any_of("idle", "timeout"))
-    return span
+    duration = draft.duration(0.8, 3.0, at=at)
+    draft.fault(at, "after_ack_wipe", for_s=duration, how=draft.pick("", "", "timed", "taken"))
+    draft.planned(at + 0.15, "config_change", how=draft.pick("idle", "timeout"))
+    return duration
 
 
 def killed_after_word(draft: Draft, at: float) -> float:
-    span = draft.span(0.8, 3.0, at=at)
-    draft.fault(at, "after_ack_kill", for_s=span, how=draft.any_of("", "kill", "timed", "taken"))
-    draft.planned(at + 0.15, "config_change", how=draft.any_of("idle", "timeout"))
-    return span
+    duration = draft.duration(0.8, 3.0, at=at)
+    draft.fault(at, "after_ack_kill", for_s=duration, how=draft.pick("", "kill", "timed", "taken"))
+    draft.planned(at + 0.15, "config_change", how=draft.pick("idle", "timeout"))
+    return duration
 
 
 def stopped(draft: Draft, at: float) -> float:
-    draft.planned(at, "roll_term", on="core", count=1, x=1.0, gap_s=1.0, how=draft.any_of("", "busy", who(draft)))
+    draft.planned(
+        at, "roll_term", on="core", count=1, x=1.0, gap_s=1.0, how=draft.pick("", "busy", select_machine(draft))
+    )
     return 1.0
 
 
 def cut(draft: Draft, at: float) -> float:
-    span = draft.span(2.0, 6.0, at=at)
-    draft.fault(at, "core_cut", count=1, for_s=span, how=_how(draft, who(draft), draft.any_of("", "one_way", "race")))
-    return span
+    duration = draft.duration(2.0, 6.0, at=at)
+    draft.fault(
+        at,
+        "core_cut",
+        count=1,
+        for_s=duration,
+        how=_how(draft, select_machine(draft), draft.pick("", "one_way", "race")),
+    )
+    return duration
 
 
 def frozen(draft: Draft, at: float) -> float:
-    span = draft.span(2.0, 6.0, at=at)
-    draft.fault(at, "node_freeze", on="core", count=1, for_s=span, how=_how(draft, who(draft)))
-    return span
+    duration = draft.duration(2.0, 6.0, at=at)
+    draft.fault(at, "node_freeze", on="core", count=1, for_s=duration, how=_how(draft, select_machine(draft)))
+    return duration
 
 
 def replaced(draft: Draft, at: float) -> float:
@@ -60,7 +68,7 @@
     draft.spares_left -= 1
     planned = draft.chance(0.5)
     wait = round(draft.random.uniform(0.5, 2.0), 2)
-    draft.fault(at, "replace_core", x=wait, how=_how(draft, "planned" if planned else "", who(draft)))
+    draft.fault(at, "replace_core", x=wait, how=_how(draft, "planned" if planned else "", select_machine(draft)))
     return wait
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/writer.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/writer.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 from typing import Any
 
-from hoistsaddle.testbed.benchdays.draft import Draft, Trouble
-from hoistsaddle.testbed.benchdays.points import BESIDE, POINTS, closing
+from hoistsaddle.testbed.benchdays.draft import DayEntry, Draft
+from hoistsaddle.testbed.benchdays.scenarios import BESIDE, POINTS, closing
 from hoistsaddle.testbed.benchdays.site import BenchSite
 
 ALL = "all"
@@ -35,8 +35,8 @@
     return "{ " + ", ".join(f"{name} = {_value(told)}" for name, told in fields.items()) + " }"
 
 
-def _entries(name: str, troubles: list[Trouble]) -> list[str]:
-    ordered = sorted(troubles, key=lambda each: each.at)
+def _entries(name: str, day_entries: list[DayEntry]) -> list[str]:
+    ordered = sorted(day_entries, key=lambda each: each.at)
     return [
         f"{name} = [",
         *(f"  {_table({'at': round(each.at, 2), 'kind': each.kind, **each.fields})}," for each in ordered),
--- a/packages/testbed/src/hoistsaddle/testbed/deployments.py
+++ b/packages/testbed/src/hoistsaddle/testbed/deployments.py
@@ -6,14 +6,14 @@
 from typing import NamedTuple
 
 
-class Inner(NamedTuple):
+class NestedCall(NamedTuple):
     """A call a server makes of another service while it answers."""
 
     method: str
     path: str
 
 
-class Ask(NamedTuple):
+class RequestKind(NamedTuple):
     method: str
     path: str
     once: bool
@@ -24,11 +24,11 @@
     name: str
     core: int
     zones: tuple[str, ...]
-    # One server beside each stall, in this order.
+    # One server beside each proxy, in this order.
     services: tuple[str, ...]
-    asks: tuple[Ask, ...]
+    request_kinds: tuple[RequestKind, ...]
     # Service and path to the inner calls it makes.
-    inner: dict[tuple[str, str], tuple[Inner, ...]]
+    inner: dict[tuple[str, str], tuple[NestedCall, ...]]
     requests_per_second: int
 
     def zone_of(self, place: int) -> str:
@@ -89,14 +89,14 @@
             "portal",
             "ledger",
         ),
-        asks=(
-            Ask("GET", "/statements", False, 5),
-            Ask("POST", "/payments", True, 2),
-            Ask("POST", "/credits", True, 1),
-            Ask("GET", "/readings", False, 1),
-            Ask("POST", "/uploads", True, 1),
+        request_kinds=(
+            RequestKind("GET", "/statements", False, 5),
+            RequestKind("POST", "/payments", True, 2),
+            RequestKind("POST", "/credits", True, 1),
+            RequestKind("GET", "/readings", False, 1),
+            RequestKind("POST", "/uploads", True, 1),
         ),
-        inner={("portal", "/statements"): (Inner("GET", "/balance"), Inner("GET", "/readings"))},
+        inner={("portal", "/statements"): (NestedCall("GET", "/balance"), NestedCall("GET", "/readings"))},
         requests_per_second=200,
     ),
     "kadiri": Deployment(
@@ -118,30 +118,34 @@
             "progress",
             "cards",
         ),
-        asks=(
-            Ask("GET", "/drills", False, 5),
-            Ask("POST", "/saves", True, 3),
-            Ask("POST", "/charges", True, 1),
-            Ask("POST", "/uploads", True, 1),
-            Ask("GET", "/progress", False, 1),
+        request_kinds=(
+            RequestKind("GET", "/drills", False, 5),
+            RequestKind("POST", "/saves", True, 3),
+            RequestKind("POST", "/charges", True, 1),
+            RequestKind("POST", "/uploads", True, 1),
+            RequestKind("GET", "/progress", False, 1),
         ),
-        inner={("cards", "/drills"): (Inner("GET", "/decks"), Inner("GET", "/progress"))},
+        inner={("cards", "/drills"): (NestedCall("GET", "/decks"), NestedCall("GET", "/progress"))},
         requests_per_second=220,
     ),
     # Core machines alone, for what concerns nothing but the log.
     "three": Deployment(
-        name="three", core=3, zones=("a", "b", "c"), services=(), asks=(), inner={}, requests_per_second=0
+        name="three", core=3, zones=("a", "b", "c"), services=(), request_kinds=(), inner={}, requests_per_second=0
     ),
     "five": Deployment(
-        name="five", core=5, zones=("a", "b", "c"), services=(), asks=(), inner={}, requests_per_second=0
+        name="five", core=5, zones=("a", "b", "c"), services=(), request_kinds=(), inner={}, requests_per_second=0
     ),
     "thimble": Deployment(
         name="thimble",
         core=3,
         zones=("a", "b", "c"),
         services=("portal", "ledger", "meter", "portal", "ledger", "meter"),
-        asks=(Ask("GET", "/statements", False, 3), Ask("POST", "/payments", True, 2), Ask("POST", "/uploads", True, 1)),
-        inner={("portal", "/statements"): (Inner("GET", "/balance"), Inner("GET", "/readings"))},
+        request_kinds=(
+            RequestKind("GET", "/statements", False, 3),
+            RequestKind("POST", "/payments", True, 2),
+            RequestKind("POST", "/uploads", True, 1),
+        ),
+        inner={("portal", "/statements"): (NestedCall("GET", "/balance"), NestedCall("GET", "/readings"))},
         requests_per_second=30,
     ),
 }
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/check.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/check.py
@@ -15,7 +15,7 @@
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import Boot
 from hoistsaddle.raft.files import Files
-from hoistsaddle.testbed.diskmodel.model import MOST_MIXES, FolderModel, Mix, lay_out
+from hoistsaddle.testbed.diskmodel.model import MAX_FOLDER_STATES, FolderModel, FolderState, lay_out
 from hoistsaddle.testbed.diskmodel.operations import FileSynced, FolderSynced, Operation, Returned
 from hoistsaddle.testbed.diskmodel.recorder import Recorder
 
@@ -27,19 +27,19 @@
 class Broken(NamedTuple):
     """A mix that booted into what never was."""
 
-    moment: int
+    crash_point: int
     after: str
     files: tuple[tuple[str, int], ...]
     problem: str
 
 
 class Findings(NamedTuple):
-    moments: int
-    mixes: int
+    crash_points: int
+    folder_states: int
     broken: tuple[Broken, ...]
 
 
-class Player:
+class RecordedDisk:
     """Lives the life that is recorded: a disk and the moments at which its calls returned."""
 
     def __init__(
@@ -79,13 +79,13 @@
 
 
 def record(
-    life: Callable[[Player], None], *, folder: Path, seed: int, start: Mix | None = None, **how
+    scenario: Callable[[RecordedDisk], None], *, folder: Path, seed: int, start: FolderState | None = None, **how
 ) -> list[Operation]:
     """What a life did to its folder; how: a recorder or a synchronisation with a fault in it."""
     lay_out(start or {}, folder)
-    player = Player(folder=folder, seed=seed, **how)
+    player = RecordedDisk(folder=folder, seed=seed, **how)
     with player.recorder.recording():
-        life(player)
+        scenario(player)
         operations = list(player.recorder.operations)
         player.disk.close()
     return operations
@@ -101,8 +101,8 @@
         pass
 
 
-def _boot(mix: Mix, folder: Path) -> Boot:
-    lay_out(mix, folder)
+def _boot(folder_state: FolderState, folder: Path) -> Boot:
+    lay_out(folder_state, folder)
     disk = Disk(folder=folder, replica=REPLICA, token=lambda size: "blank", synchronous="OFF", files=_NoSync())
     try:
         return disk.boot()
@@ -111,7 +111,7 @@
         shutil.rmtree(folder)
 
 
-def _moments(operations: list[Operation]) -> Iterator[int]:
+def _crash_points(operations: list[Operation]) -> Iterator[int]:
     # What is pending only grows between two syncs, and any part of it may be missing: the moments before a sync, and
     # those at which a call returned, hold all others.
     for place, operation in enumerate(operations):
@@ -120,9 +120,9 @@
     yield len(operations)
 
 
-def _digest(mix: Mix) -> str:
+def _digest(folder_state: FolderState) -> str:
     digest = hashlib.sha256()
-    for name, content in mix.items():
+    for name, content in folder_state.items():
         digest.update(f"{name}:{-1 if content is None else len(content)}:".encode())
         digest.update(content or b"")
     return digest.hexdigest()
@@ -131,7 +131,7 @@
 class _Milestones:
     """The states that a start has to find: one for each call that returned."""
 
-    def __init__(self, *, operations: list[Operation], start: Mix, folder: Path) -> None:
+    def __init__(self, *, operations: list[Operation], start: FolderState, folder: Path) -> None:
         model = FolderModel(files={name: content for name, content in start.items() if content is not None})
         self.places = [0]
         self.calls = ["nothing"]
@@ -141,16 +141,16 @@
             if isinstance(operation, Returned):
                 self.places.append(place + 1)
                 self.calls.append(operation.call)
-                self.boots.append(_boot(model.whole(), folder / "milestone"))
+                self.boots.append(_boot(model.fully_written(), folder / "milestone"))
 
-    def at(self, moment: int) -> tuple[str, list[Boot]]:
+    def at(self, crash_point: int) -> tuple[str, list[Boot]]:
         """The last call that had returned, and what may be booted: what it left, or what the next one would."""
-        last = max(place for place, each in enumerate(self.places) if each <= moment)
+        last = max(place for place, each in enumerate(self.places) if each <= crash_point)
         return self.calls[last], self.boots[last : last + 2]
 
-    def founded(self, moment: int) -> bool:
+    def founded(self, crash_point: int) -> bool:
         """Whether a blank folder would be a loss by now."""
-        return any(boot.mesh for place, boot in zip(self.places, self.boots, strict=True) if place <= moment)
+        return any(boot.mesh for place, boot in zip(self.places, self.boots, strict=True) if place <= crash_point)
 
 
 def check(
@@ -158,9 +158,9 @@
     *,
     folder: Path,
     seed: int,
-    start: Mix | None = None,
-    most: int = MOST_MIXES,
-    enough: int = 0,
+    start: FolderState | None = None,
+    most: int = MAX_FOLDER_STATES,
+    max_broken: int = 0,
 ) -> Findings:
     """Boots every mix of every moment, or where there are more than the most of one moment, a part of them.
 
@@ -171,38 +171,38 @@
     model = FolderModel(files={name: content for name, content in (start or {}).items() if content is not None})
     seen: set[tuple[int, str]] = set()
     broken: list[Broken] = []
-    done = moments = 0
-    for moment in _moments(operations):
-        for operation in operations[done:moment]:
+    done = crash_points = 0
+    for crash_point in _crash_points(operations):
+        for operation in operations[done:crash_point]:
             model.do(operation)
-        done = moment
-        moments += 1
-        if enough and len(broken) >= enough:
+        done = crash_point
+        crash_points += 1
+        if max_broken and len(broken) >= max_broken:
             break
-        after, allowed = milestones.at(moment)
-        told = after != "nothing"
-        founded = milestones.founded(moment)
-        for mix in model.mixes(seed=chance, most=most):
-            key = (id(allowed[0]), _digest(mix))
+        after, allowed = milestones.at(crash_point)
+        acknowledged = after != "nothing"
+        founded = milestones.founded(crash_point)
+        for folder_state in model.folder_states(seed=chance, most=most):
+            key = (id(allowed[0]), _digest(folder_state))
             if key in seen:
                 continue
             seen.add(key)
-            problem = _problem(mix, folder / "mix", allowed, told, founded)
+            problem = _problem(folder_state, folder / "mix", allowed, acknowledged, founded)
             if problem:
-                sizes = tuple((name, -1 if content is None else len(content)) for name, content in mix.items())
-                broken.append(Broken(moment, after, sizes, problem))
-    return Findings(moments, len(seen), tuple(broken))
+                sizes = tuple((name, -1 if content is None else len(content)) for name, content in folder_state.items())
+                broken.append(Broken(crash_point, after, sizes, problem))
+    return Findings(crash_points, len(seen), tuple(broken))
 
 
-def _problem(mix: Mix, folder: Path, allowed: list[Boot], told: bool, founded: bool) -> str:
+def _problem(folder_state: FolderState, folder: Path, allowed: list[Boot], acknowledged: bool, founded: bool) -> str:
     try:
-        found = _boot(mix, folder)
+        found = _boot(folder_state, folder)
     except Exception as error:  # noqa: BLE001
         shutil.rmtree(folder, ignore_errors=True)
         return f"it does not start: {error!r}"
     if unsound := _unsound(found):
         return f"{unsound}: {summary(found)}"
-    if not found.mesh and (founded or (told and found not in allowed)):
+    if not found.mesh and (founded or (acknowledged and found not in allowed)):
         return "a blank folder, though its incarnation was told"
     if found in allowed or not found.mesh:
         return ""
@@ -226,16 +226,16 @@
     return ""
 
 
-def mixes_of(operations: list[Operation], *, seed: int) -> Iterator[Mix]:
+def folder_states_of(operations: list[Operation], *, seed: int) -> Iterator[FolderState]:
     """One drawn mix for each moment, to go on from."""
     chance = random.Random(seed)
     model = FolderModel()
     done = 0
-    for moment in _moments(operations):
-        for operation in operations[done:moment]:
+    for crash_point in _crash_points(operations):
+        for operation in operations[done:crash_point]:
             model.do(operation)
-        done = moment
-        yield chance.choice(list(model.mixes(seed=chance, most=1)))
+        done = crash_point
+        yield chance.choice(list(model.folder_states(seed=chance, most=1)))
 
 
 def summary(boot: Boot) -> tuple:
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/model.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/model.py
@@ -25,16 +25,16 @@
 # Up to so many writes after a file's last sync every subset of them is taken; above, each alone and every beginning.
 ALL_SUBSETS = 5
 # So many mixes of one moment at the most; above, a drawn part of them beside the ones that are named.
-MOST_MIXES = 220
+MAX_FOLDER_STATES = 220
 # What stands for a folder among the names.
 FOLDER = -1
 
-Mix = dict[str, bytes | None]
+FolderState = dict[str, bytes | None]
 
 
 class _File:
     def __init__(self) -> None:
-        self.lasting = b""
+        self.durable = b""
         self.pending: list[Written | Shortened] = []
 
 
@@ -58,12 +58,12 @@
     found: dict[bytes, None] = {}
     for subset in [everything, frozenset(), *chosen]:
         for torn in [None, *(sorted(subset)[-2:] if count > ALL_SUBSETS else sorted(subset))]:
-            content = file.lasting
+            content = file.durable
             for place in sorted(subset):
                 content = _done(content, file.pending[place], torn=place == torn)
             found[content] = None
             if torn is None and subset == everything:
-                found.setdefault(file.lasting)
+                found.setdefault(file.durable)
     return list(found)
 
 
@@ -73,15 +73,15 @@
         self.numbers = itertools.count()
         self.names: dict[str, int | None] = {}
         # Each name with what it lastingly stands for, and what it stood for since.
-        self.lasting: dict[str, int | None] = {}
+        self.durable: dict[str, int | None] = {}
         self.since: dict[str, list[int | None]] = {}
         for name, content in (files or {}).items():
             number = self._new_file()
-            self.files[number].lasting = content
-            self.names[name] = self.lasting[name] = number
+            self.files[number].durable = content
+            self.names[name] = self.durable[name] = number
             for folder in Path(name).parents:
                 if folder.as_posix() != ".":
-                    self.names[folder.as_posix()] = self.lasting[folder.as_posix()] = FOLDER
+                    self.names[folder.as_posix()] = self.durable[folder.as_posix()] = FOLDER
 
     def _new_file(self) -> int:
         number = next(self.numbers)
@@ -106,11 +106,11 @@
             case FileSynced(name=name):
                 file = self.files[self.names[name]]
                 for change in file.pending:
-                    file.lasting = _done(file.lasting, change)
+                    file.durable = _done(file.durable, change)
                 file.pending = []
             case FolderSynced(name=folder):
                 for name in [each for each in self.since if _folder_of(each) == folder]:
-                    self.lasting[name] = self.names[name]
+                    self.durable[name] = self.names[name]
                     del self.since[name]
             case Renamed(name=name, new=new):
                 number = self.names[name]
@@ -121,24 +121,24 @@
             case Returned():
                 pass
 
-    def whole(self) -> Mix:
+    def fully_written(self) -> FolderState:
         """Everything kept, as when only the process died."""
-        return self._mix(self.names, {number: _contents(file)[0] for number, file in self.files.items()})
+        return self._folder_state(self.names, {number: _contents(file)[0] for number, file in self.files.items()})
 
-    def _mix(self, names: dict[str, int | None], contents: dict[int, bytes]) -> Mix:
-        mix: Mix = {}
+    def _folder_state(self, names: dict[str, int | None], contents: dict[int, bytes]) -> FolderState:
+        folder_state: FolderState = {}
         for name, number in sorted(names.items()):
             folder = _folder_of(name)
             if number is None or (folder and names.get(folder) != FOLDER):
                 continue
-            mix[name] = None if number == FOLDER else contents[number]
-        return mix
+            folder_state[name] = None if number == FOLDER else contents[number]
+        return folder_state
 
-    def mixes(self, *, seed: random.Random, most: int = MOST_MIXES) -> Iterator[Mix]:
+    def folder_states(self, *, seed: random.Random, most: int = MAX_FOLDER_STATES) -> Iterator[FolderState]:
         """What a loss of power at this moment may leave: all of it where that is few, else all alone and a part."""
-        names = sorted(set(self.names) | set(self.lasting))
+        names = sorted(set(self.names) | set(self.durable))
         name_choices = [
-            list(dict.fromkeys((self.names.get(name), self.lasting.get(name), *self.since.get(name, ()))))
+            list(dict.fromkeys((self.names.get(name), self.durable.get(name), *self.since.get(name, ()))))
             for name in names
         ]
         numbers = sorted(self.files)
@@ -152,7 +152,7 @@
         else:
             picks = iter(self._some(choices, seed, most))
         for pick in picks:
-            yield self._mix(
+            yield self._folder_state(
                 dict(zip(names, pick[: len(names)], strict=True)),
                 dict(zip(numbers, pick[len(names) :], strict=True)),
             )
@@ -161,11 +161,11 @@
     def _some(choices: list[list], seed: random.Random, most: int) -> list[tuple]:
         """Each single choice beside all that is newest and beside all that lasts, and drawn ones up to the most."""
         newest = tuple(each[0] for each in choices)
-        lasting = tuple(each[min(1, len(each) - 1)] for each in choices)
-        found: dict[tuple, None] = {newest: None, lasting: None}
+        durable = tuple(each[min(1, len(each) - 1)] for each in choices)
+        found: dict[tuple, None] = {newest: None, durable: None}
         for place, options in enumerate(choices):
             for option in options:
-                for base in (newest, lasting):
+                for base in (newest, durable):
                     found[(*base[:place], option, *base[place + 1 :])] = None
         for _ in range(most):
             found[tuple(seed.choice(each) for each in choices)] = None
@@ -177,10 +177,10 @@
     return "" if folder == "." else folder
 
 
-def lay_out(mix: Mix, folder: Path) -> None:
+def lay_out(folder_state: FolderState, folder: Path) -> None:
     """Makes a real folder of it."""
     folder.mkdir(parents=True, exist_ok=True)
-    for name, content in sorted(mix.items()):
+    for name, content in sorted(folder_state.items()):
         if content is None:
             (folder / name).mkdir(exist_ok=True)
         else:
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/checkers.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
-from hoistsaddle.testbed.emulator import order_rules, request_rules
-from hoistsaddle.testbed.emulator.account import Account
+from hoistsaddle.testbed.emulator import configuration_rules, request_rules
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.history import History
+from hoistsaddle.testbed.emulator.history_index import HistoryIndex
 
-RULES: dict[str, Callable[[Account], list[str]]] = {
+RULES: dict[str, Callable[[HistoryIndex], list[str]]] = {
     "MIXED": request_rules.mixed,
     "UNASKED": request_rules.unasked,
     "TWICE": request_rules.twice,
@@ -16,13 +16,13 @@
     "ROUTE": request_rules.routed,
     "DRAIN": request_rules.drained,
     "LOST": request_rules.lost,
-    "CONFIG": order_rules.configured,
-    "CONFIG back": order_rules.gone_back,
-    "CONFIG orders": order_rules.orders,
-    "CONFIG read-back": order_rules.read_back,
-    "CONFIG taken": order_rules.taken,
-    "CONFIG one content": order_rules.one_content,
-    "CONFIG majority": order_rules.majority,
+    "CONFIG": configuration_rules.configured,
+    "CONFIG back": configuration_rules.gone_back,
+    "CONFIG orders": configuration_rules.orders,
+    "CONFIG read-back": configuration_rules.read_back,
+    "CONFIG taken": configuration_rules.taken,
+    "CONFIG one content": configuration_rules.one_content,
+    "CONFIG majority": configuration_rules.majority,
     "BUDGET": request_rules.budget,
     "RECOVER": request_rules.recovered,
     "FAULT": request_rules.stands,
@@ -32,5 +32,5 @@
 
 def check(history: History, day: Day) -> dict[str, list[str]]:
     """Every rule with what broke it."""
-    account = Account(history=history, day=day)
-    return {rule: checker(account) for rule, checker in RULES.items()}
+    index = HistoryIndex(history=history, day=day)
+    return {rule: checker(index) for rule, checker in RULES.items()}
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/disks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/disks.py
@@ -19,12 +19,12 @@
 from hoistsaddle.testbed.simulation.world import SimulatedDiskWorker
 
 # sqlite3 syncs its folder by itself once a new write-ahead file holds something; its index of that file it makes anew.
-LEDGER = "sqlite3"
+DATABASE = "sqlite3"
 INDEX_SUFFIX = "-shm"
 # A job under way when the power goes is begun this often; the other times nothing of it had reached the disk.
-BEGUN = 0.7
+JOB_BEGUN_PROBABILITY = 0.7
 # No job of a disk syncs more often than this.
-MOST_SYNCS = 3
+MAX_SYNCS_PER_JOB = 3
 
 
 class PowerLostError(Exception):
@@ -33,11 +33,11 @@
 
 def _files(folder: Path) -> dict[str, int]:
     """Names and the files they stand for; the database looks after its own."""
-    found = [path for path in sorted(folder.iterdir()) if not path.is_dir() and LEDGER not in path.name]
+    found = [path for path in sorted(folder.iterdir()) if not path.is_dir() and DATABASE not in path.name]
     return {path.name: path.stat().st_ino for path in found}
 
 
-class FolderMemory:
+class SyncedFolder:
     """One machine's folders as they were last synced, held by hard links in a folder beside them."""
 
     def __init__(self, *, folder: Path) -> None:
@@ -60,17 +60,17 @@
             if link.name not in needed:
                 link.unlink()
 
-    def lose_power(self, draw: random.Random) -> None:
+    def lose_power(self, rng: random.Random) -> None:
         """Every name that changed since its folder was synced is as it is now or as it was, each by itself."""
         folders = [self.folder, *(path for path in sorted(self.folder.iterdir()) if path.is_dir())]
         for path in sorted(self.torn):
-            if path.exists() and draw.random() < 0.5:
-                os.truncate(path, draw.randrange(path.stat().st_size + 1))
+            if path.exists() and rng.random() < 0.5:
+                os.truncate(path, rng.randrange(path.stat().st_size + 1))
         for folder in folders:
             before, now = self.synced.get(folder, {}), _files(folder)
             # In the order of their names: the same seed loses the same files.
             for name in sorted(now.keys() | before.keys()):
-                if now.get(name) == before.get(name) or draw.random() < 0.5:
+                if now.get(name) == before.get(name) or rng.random() < 0.5:
                     continue
                 path = folder / name
                 path.unlink(missing_ok=True)
@@ -101,29 +101,32 @@
 class Disks:
     """The folders of all core machines of a day."""
 
-    def __init__(self, *, draw: random.Random) -> None:
-        self.draw = draw
-        self.memories: dict[Path, FolderMemory] = {}
+    def __init__(self, *, rng: random.Random) -> None:
+        self.rng = rng
+        self.synced_folders: dict[Path, SyncedFolder] = {}
         # Syncs that are left until the power goes; None is no loss of power.
-        self.fuse: int | None = None
+        self.syncs_until_power_loss: int | None = None
 
     def add(self, folder: Path) -> None:
         folder = folder.resolve()
-        self.memories.setdefault(folder, FolderMemory(folder=folder))
+        self.synced_folders.setdefault(folder, SyncedFolder(folder=folder))
 
     def _sync(self, descriptor: int) -> None:
         path = Path(os.readlink(f"/proc/self/fd/{descriptor}"))
-        memory = next((memory for folder, memory in self.memories.items() if path.is_relative_to(folder)), None)
-        if memory is None:
+        synced_folder = next(
+            (synced_folder for folder, synced_folder in self.synced_folders.items() if path.is_relative_to(folder)),
+            None,
+        )
+        if synced_folder is None:
             return
-        if self.fuse == 0:
+        if self.syncs_until_power_loss == 0:
             if not path.is_dir():
-                memory.torn.add(path)
+                synced_folder.torn.add(path)
             raise PowerLostError(str(path))
-        if self.fuse is not None:
-            self.fuse -= 1
+        if self.syncs_until_power_loss is not None:
+            self.syncs_until_power_loss -= 1
         if path.is_dir():
-            memory.folder_synced(path)
+            synced_folder.folder_synced(path)
 
     @contextmanager
     def watched(self) -> Iterator[None]:
@@ -133,9 +136,9 @@
 
     def tear(self, worker: SimulatedDiskWorker) -> None:
         """What the worker was at when the power went may be on the disk, whole or up to one of its syncs."""
-        if not worker.busy or self.draw.random() >= BEGUN:
+        if not worker.busy or self.rng.random() >= JOB_BEGUN_PROBABILITY:
             return
-        self.fuse = self.draw.randrange(MOST_SYNCS)
+        self.syncs_until_power_loss = self.rng.randrange(MAX_SYNCS_PER_JOB)
         jobs = deque(worker.waiting)
         try:
             while jobs:
@@ -143,26 +146,26 @@
         except PowerLostError:
             pass
         finally:
-            self.fuse = None
+            self.syncs_until_power_loss = None
 
     def lose_power(self, folder: Path, ledger: dict[Path, bytes]) -> None:
         """`ledger`: the database's files as they were when the power went, before anything was closed."""
         for path, data in ledger.items():
-            if path.name.endswith(INDEX_SUFFIX) and self.draw.random() < 0.5:
+            if path.name.endswith(INDEX_SUFFIX) and self.rng.random() < 0.5:
                 path.unlink(missing_ok=True)
             else:
                 path.write_bytes(data)
-        memory = self.memories.get(folder.resolve())
-        if memory is not None:
-            memory.lose_power(self.draw)
+        synced_folder = self.synced_folders.get(folder.resolve())
+        if synced_folder is not None:
+            synced_folder.lose_power(self.rng)
 
     def forget(self, folder: Path) -> None:
         """The folder was wiped."""
-        memory = self.memories.get(folder.resolve())
-        if memory is not None:
-            memory.forget()
+        synced_folder = self.synced_folders.get(folder.resolve())
+        if synced_folder is not None:
+            synced_folder.forget()
 
 
-def ledger_files(folder: Path) -> dict[Path, bytes]:
+def database_files(folder: Path) -> dict[Path, bytes]:
     """The database's files as they are on the disk now."""
-    return {path: path.read_bytes() for path in sorted(folder.glob(f"*.{LEDGER}*")) if ".aside-" not in path.name}
+    return {path: path.read_bytes() for path in sorted(folder.glob(f"*.{DATABASE}*")) if ".aside-" not in path.name}
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/stage.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
@@ -1,4 +1,4 @@
-"""What machines, servers, visitors and operators see of the day that is played round them."""
+"""What machines, servers, clients and operators see of the day that is played round them."""
 
 import asyncio
 import itertools
@@ -8,15 +8,15 @@
 
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.history import History
-from hoistsaddle.testbed.emulator.site import CoreMachine, Route, SidecarMachine, Visit
-from hoistsaddle.testbed.simulation.clockwork import ClockworkLoop
+from hoistsaddle.testbed.emulator.site import CoreMachine, RequestKind, Route, SidecarMachine
+from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 
-class Stage(Protocol):
+class Environment(Protocol):
     """The day as its parts see it; the arena is the one that there is."""
 
     day: Day
-    loop: ClockworkLoop
+    loop: SimulatedTimeLoop
     random: random.Random
     # The simulated network and disks.
     world: Any
@@ -25,18 +25,18 @@
     # By machine: its process of now, and the server beside it.
     processes: dict[str, Any]
     servers: dict[str, Any]
-    visitors: Any
+    clients: Any
     # Core machines of now by name; replaced ones are gone from it.
     core: dict[str, CoreMachine]
     machines: dict[str, SidecarMachine]
 
-    def moment(self) -> float: ...
+    def now(self) -> float: ...
 
-    def keep(self, work: Coroutine) -> asyncio.Task: ...
+    def create_task(self, work: Coroutine) -> asyncio.Task: ...
 
     def fault(self, what: str) -> None: ...
 
-    def listen(self, counters: Any) -> None: ...
+    def observe_counters(self, counters: Any) -> None: ...
 
     async def within(self, task: asyncio.Task, seconds: float) -> None: ...
 
@@ -44,27 +44,27 @@
 
     def route_of(self, name: str) -> Route: ...
 
-    def visit_of(self, path: str) -> Visit: ...
+    def request_kind_of(self, path: str) -> RequestKind: ...
 
-    def manner_of(self, service: str) -> str: ...
+    def misbehaviour_of(self, service: str) -> str: ...
 
-    def open_machine(self, zone: str) -> str: ...
+    def pick_machine(self, zone: str) -> str: ...
 
     async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any: ...
 
-    def happened(self, when: str, machine: str = "") -> None: ...
+    def on_trigger(self, when: str, machine: str = "") -> None: ...
 
 
-class Machines(Stage, Protocol):
+class Machines(Environment, Protocol):
     """What carries out the troubles may do to the machines."""
 
     ready: dict[str, bool]
     # By service: the share of its answers that go wrong, and how.
-    manners: dict[str, tuple[float, str]]
+    misbehaviours: dict[str, tuple[float, str]]
 
     def leader(self) -> str: ...
 
-    def name_now(self, name: str) -> str: ...
+    def current_name(self, name: str) -> str: ...
 
     def start(self, name: str, *, cold: bool = False) -> None: ...
 
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/history.py
@@ -1,4 +1,4 @@
-"""What visitors, servers and operators of the emulator saw, and the troubles made: all that its checkers read."""
+"""What clients, servers and operators of the emulator saw, and the troubles made: all that its checkers read."""
 
 from collections import defaultdict
 from typing import Any, NamedTuple, TypeVar
@@ -8,8 +8,8 @@
 Event = TypeVar("Event")
 
 
-class Sent(NamedTuple):
-    """One try of a visitor, or of a server's own call, at a machine's door."""
+class RequestSent(NamedTuple):
+    """One try of a client, or of a server's own call, at a machine's door."""
 
     at: float
     attempt: str
@@ -23,11 +23,11 @@
     body: str
     key: str
     deadline: float
-    # The run that made this call; empty for a visitor's.
+    # The run that made this call; empty for a client's.
     parent: str = ""
 
 
-class Arrived(NamedTuple):
+class RequestArrived(NamedTuple):
     """A request reached a server, whether or not it runs there."""
 
     at: float
@@ -36,10 +36,10 @@
     instance: str
     machine: str
     # The server's word that it is another one.
-    astray: bool
+    misdirected: bool
 
 
-class Ran(NamedTuple):
+class RunStarted(NamedTuple):
     at: float
     run: str
     attempt: str
@@ -53,18 +53,18 @@
     key: str
 
 
-class Replied(NamedTuple):
+class RunEnded(NamedTuple):
     """A server ended its work; whole says whether its answer went out whole."""
 
     at: float
     run: str
     status: int
     body: str
-    whole: bool
+    complete: bool
 
 
-class Got(NamedTuple):
-    """How a try ended: answered, broken (closed without an answer), unreached, or given up by its visitor."""
+class RequestResult(NamedTuple):
+    """How a try ended: answered, broken (closed without an answer), unreached, or given up by its client."""
 
     at: float
     attempt: str
@@ -75,11 +75,11 @@
     retry_after: float | None = None
 
 
-class Ordered(NamedTuple):
+class ChangeSubmitted(NamedTuple):
     """An operator's order is sent for the first time. Routes by name with their revision; None drops."""
 
     at: float
-    order: str
+    change_request: str
     routes: tuple[tuple[str, int, Route | None], ...]
     proper: bool
     # Every item with the operator's own words, to compare with what is read back.
@@ -88,32 +88,32 @@
     contested: bool = False
 
 
-class Told(NamedTuple):
+class ChangeAnswered(NamedTuple):
     """The operator got an answer to an order; 0 is silence."""
 
     at: float
-    order: str
+    change_request: str
     status: int
     machine: str
 
 
-class Unheard(NamedTuple):
+class ChangeAnswerLost(NamedTuple):
     """A core machine's answer to an order, lost on its way: the operator knows nothing of it."""
 
     at: float
-    order: str
+    change_request: str
     status: int
     machine: str
 
 
-class LastOrder(NamedTuple):
+class FinalChange(NamedTuple):
     """The order that is sent in calm at the day's end: whoever has a majority can take it."""
 
     at: float
-    order: str
+    change_request: str
 
 
-class Beaten(NamedTuple):
+class HeartbeatAcknowledged(NamedTuple):
     """A sidecar acknowledged what its server said."""
 
     at: float
@@ -122,14 +122,14 @@
     state: str
 
 
-class Started(NamedTuple):
+class ProcessStarted(NamedTuple):
     at: float
     machine: str
     service: str
     life: int
 
 
-class Harm(NamedTuple):
+class FaultStarted(NamedTuple):
     """Trouble begins on a machine. planned: by the operator's own hand."""
 
     at: float
@@ -139,19 +139,19 @@
     planned: bool = False
 
 
-class Healed(NamedTuple):
+class FaultEnded(NamedTuple):
     at: float
     number: int
 
 
-class Closed(NamedTuple):
+class FinalFaultEnded(NamedTuple):
     """The day's last fault struck; back is when the machines returned."""
 
     at: float
     back: float
 
 
-class ReadBack(NamedTuple):
+class ConfigurationRead(NamedTuple):
     """What one core machine said at the end; None is no answer."""
 
     at: float
@@ -159,7 +159,7 @@
     routes: dict[str, dict] | None
 
 
-class Fault(NamedTuple):
+class ProgramFailed(NamedTuple):
     """A program of ours ended or raised by itself."""
 
     at: float
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/account.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/history_index.py
@@ -4,9 +4,18 @@
 from functools import cached_property
 
 from hoistsaddle.testbed.emulator.day import Day
-from hoistsaddle.testbed.emulator.history import Got, History, Ordered, Ran, Replied, Sent, Told, Unheard
+from hoistsaddle.testbed.emulator.fault_timeline import FaultTimeline
+from hoistsaddle.testbed.emulator.history import (
+    ChangeAnswered,
+    ChangeAnswerLost,
+    ChangeSubmitted,
+    History,
+    RequestResult,
+    RequestSent,
+    RunEnded,
+    RunStarted,
+)
 from hoistsaddle.testbed.emulator.site import REPEATABLE, Route
-from hoistsaddle.testbed.emulator.touch import Touch
 
 CONFIRMED = 200
 # Answers after which nothing of an order counts.
@@ -30,48 +39,48 @@
         return self.route is not None and any(name == service and weight > 0 for name, weight in self.route.parts)
 
 
-class Account:
+class HistoryIndex:
     """The history with what several rules ask of it."""
 
     def __init__(self, *, history: History, day: Day) -> None:
         self.history = history
         self.day = day
-        self.touch = Touch(history=history, site=day.site)
-        self.sent = {sent.attempt: sent for sent in history.of(Sent)}
-        self.got = {got.attempt: got for got in history.of(Got)}
-        self.ran: dict[str, list[Ran]] = defaultdict(list)
-        for ran in history.of(Ran):
+        self.timeline = FaultTimeline(history=history, site=day.site)
+        self.sent = {sent.attempt: sent for sent in history.of(RequestSent)}
+        self.result = {result.attempt: result for result in history.of(RequestResult)}
+        self.ran: dict[str, list[RunStarted]] = defaultdict(list)
+        for ran in history.of(RunStarted):
             self.ran[ran.attempt].append(ran)
-        self.replied = {replied.run: replied for replied in history.of(Replied)}
-        self.runs = {ran.run: ran for ran in history.of(Ran)}
+        self.replied = {replied.run: replied for replied in history.of(RunEnded)}
+        self.runs = {ran.run: ran for ran in history.of(RunStarted)}
         self.kinds = {route.name: route.kind for route in day.site.routes}
         # Routes that came during the day, too.
-        for ordered in history.of(Ordered):
-            self.kinds.update((name, route.kind) for name, _, route in ordered.routes if route is not None)
+        for submitted in history.of(ChangeSubmitted):
+            self.kinds.update((name, route.kind) for name, _, route in submitted.routes if route is not None)
 
     @cached_property
     def versions(self) -> dict[str, list[Version]]:
         """Each item's versions in proper orders, in their order. Desks may give one version several contents."""
         found: dict[str, dict[tuple[int, Route | None], Version]] = defaultdict(dict)
         of_order: dict[str, list[Version]] = {}
-        for ordered in self.history.of(Ordered):
-            if not ordered.proper:
+        for submitted in self.history.of(ChangeSubmitted):
+            if not submitted.proper:
                 continue
             these = []
-            for name, revision, route in ordered.routes:
+            for name, revision, route in submitted.routes:
                 version = found[name].get((revision, route))
                 if version is None:
-                    version = found[name][revision, route] = Version(revision=revision, route=route, sent=ordered.at)
+                    version = found[name][revision, route] = Version(revision=revision, route=route, sent=submitted.at)
                 these.append(version)
-            of_order[ordered.order] = these
-        for told in self.history.of(Told):
+            of_order[submitted.change_request] = these
+        for told in self.history.of(ChangeAnswered):
             if told.status == CONFIRMED:
-                for version in of_order.get(told.order, ()):
+                for version in of_order.get(told.change_request, ()):
                     if version.acknowledged is None:
                         version.acknowledged = told.at
-        for unheard in self.history.of(Unheard):
+        for unheard in self.history.of(ChangeAnswerLost):
             if unheard.status == CONFIRMED:
-                for version in of_order.get(unheard.order, ()):
+                for version in of_order.get(unheard.change_request, ()):
                     version.given = min(version.given or unheard.at, unheard.at)
         return {name: self._possible(these) for name, these in found.items()}
 
@@ -84,13 +93,13 @@
         ]
         return sorted(left, key=lambda version: version.revision)
 
-    def floor(self, name: str, moment: float) -> int:
+    def floor(self, name: str, timestamp: float) -> int:
         """The newest revision acknowledged by then; -1 is none."""
         return max(
             (
                 version.revision
                 for version in self.versions.get(name, ())
-                if version.acknowledged is not None and version.acknowledged <= moment
+                if version.acknowledged is not None and version.acknowledged <= timestamp
             ),
             default=-1,
         )
@@ -106,12 +115,12 @@
             default=-1,
         )
 
-    def handled(self, sent: Sent) -> tuple[str, str] | None:
-        """What a request shows of the setup: run by a service, or refused as unknown."""
+    def handled(self, sent: RequestSent) -> tuple[str, str] | None:
+        """What a request shows of the configuration: run by a service, or refused as unknown."""
         if self.ran[sent.attempt]:
             return ("run", self.ran[sent.attempt][0].service)
-        got = self.got.get(sent.attempt)
-        if got is not None and got.status == 404 and not got.seal:
+        result = self.result.get(sent.attempt)
+        if result is not None and result.status == 404 and not result.seal:
             return ("unknown", "")
         return None
 
@@ -119,5 +128,5 @@
         kind, service = shown
         return version.allows(service) if kind == "run" else version.route is None
 
-    def repeatable(self, sent: Sent) -> bool:
+    def repeatable(self, sent: RequestSent) -> bool:
         return self.kinds.get(sent.route) == REPEATABLE
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
@@ -7,22 +7,22 @@
 
 import msgspec
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.common.settings import check_params
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.settings import check_settings
 from hoistsaddle.raft.disk import Disk
+from hoistsaddle.registry.addresses import number_of_host
 from hoistsaddle.registry.controller import Controller
-from hoistsaddle.registry.places import number_of_host
-from hoistsaddle.sidecar.door import Door
-from hoistsaddle.sidecar.messages import Serve, ServeMissed
+from hoistsaddle.sidecar.listener import IngressHandler
+from hoistsaddle.sidecar.messages import RunOnServer, ServerFailed
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.sidecar.service import CLOSING_SHARE, QUIET
-from hoistsaddle.testbed.emulator.customs import adapter
-from hoistsaddle.testbed.emulator.disks import EmulatedDiskWorker, ledger_files
-from hoistsaddle.testbed.emulator.history import Started
+from hoistsaddle.testbed.emulator.disks import EmulatedDiskWorker, database_files
+from hoistsaddle.testbed.emulator.environment import Environment
+from hoistsaddle.testbed.emulator.history import ProcessStarted
+from hoistsaddle.testbed.emulator.platform_adapter import adapter
+from hoistsaddle.testbed.emulator.scheduled_events import SNAPSHOT
 from hoistsaddle.testbed.emulator.site import BOUNDS, CoreMachine, SidecarMachine
-from hoistsaddle.testbed.emulator.stage import Stage
-from hoistsaddle.testbed.emulator.troubles import SNAPSHOT
-from hoistsaddle.testbed.simulation.clockwork import Life
+from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess
 from hoistsaddle.testbed.simulation.world import SimulatedRuntime, wipe
 
 # What a closing door waits before it lets go of its connections, and then for what still runs on them.
@@ -33,50 +33,50 @@
 class Process:
     """One life of a machine's program."""
 
-    def __init__(self, *, arena: Stage, machine: CoreMachine | SidecarMachine, number: int) -> None:
-        self.arena = arena
+    def __init__(self, *, environment: Environment, machine: CoreMachine | SidecarMachine, number: int) -> None:
+        self.environment = environment
         self.machine = machine
         self.number = number
         self.service = machine.service if isinstance(machine, SidecarMachine) else ""
-        self.life = Life(name=machine.name, loop=arena.loop)
-        self.runtime = SimulatedRuntime(world=arena.world, life=self.life)
-        self.ended: asyncio.Future = arena.loop.create_future()
+        self.life = SimulatedProcess(name=machine.name, loop=environment.loop)
+        self.runtime = SimulatedRuntime(world=environment.world, life=self.life)
+        self.ended: asyncio.Future = environment.loop.create_future()
         self.pending: dict[asyncio.Task, None] = {}
-        # Connections that may be reset: of visitors here, and from here to the server beside.
+        # Connections that may be reset: of clients here, and from here to the server beside.
         self.connections: dict[asyncio.Future, None] = {}
         self.open = False
-        self.dark = False
+        self.powered_off = False
         self.stopping_since: float | None = None
         self.node: Any = None
         self.worker: EmulatedDiskWorker | None = None
         self.door: Any = None
         self.control: Any = None
-        arena.history.add(Started(arena.moment(), machine.name, self.service, number))
+        environment.history.add(ProcessStarted(environment.now(), machine.name, self.service, number))
 
     def settings(self, *, cold: bool) -> Any:
-        arena, machine = self.arena, self.machine
+        environment, machine = self.environment, self.machine
         # At the first start all get the same three, later whichever the operator's list begins with.
-        known = arena.seeds()
-        seeds = known[:3] if cold else arena.random.sample(known, min(3, len(known)))
+        known = environment.seeds()
+        seeds = known[:3] if cold else environment.random.sample(known, min(3, len(known)))
         written = adapter("samples").settings(
             node=machine.name,
             host=machine.host,
             zone=machine.zone,
             seeds=[seed.host for seed in seeds],
             cold_start=cold,
-            losses=arena.day.site.losses,
+            losses=environment.day.site.losses,
             bounds=BOUNDS,
             folder=str(self.folder) if isinstance(machine, CoreMachine) else None,
             service=self.service,
             server=f"{machine.host}:8301" if self.service else "",
         )
-        path = arena.world.folder / f"{machine.name}.json"
+        path = environment.world.folder / f"{machine.name}.json"
         path.write_bytes(written)
         return adapter("headers").read_settings(str(path))
 
     @property
     def folder(self) -> Path:
-        return self.arena.world.folder / f"data-{self.machine.name}"
+        return self.environment.world.folder / f"data-{self.machine.name}"
 
     def start(self, *, cold: bool) -> None:
         settings = self.settings(cold=cold)
@@ -86,30 +86,33 @@
     def _make(self, settings: Any) -> None:
         handlers, headers = adapter("handlers"), adapter("headers")
         if isinstance(self.machine, CoreMachine):
-            params: Any = check_params(self._core_params(headers.market_params(settings))).unwrap()
+            daemon_settings: Any = check_settings(self._core_settings(headers.controller_settings(settings))).unwrap()
             self.folder.mkdir(parents=True, exist_ok=True)
-            self.arena.world.disks.add(self.folder)
+            self.environment.world.disks.add(self.folder)
             disk = Disk(
-                folder=self.folder, replica=number_of_host(params.host), token=self.runtime.token, synchronous="OFF"
+                folder=self.folder,
+                replica=number_of_host(daemon_settings.host),
+                token=self.runtime.token,
+                synchronous="OFF",
             )
 
             def make_worker(**needs: Any) -> EmulatedDiskWorker:
                 self.worker = EmulatedDiskWorker(
-                    world=self.arena.world,
+                    world=self.environment.world,
                     life=self.life,
-                    snapshot=lambda: self.arena.happened(SNAPSHOT, self.machine.name),
+                    snapshot=lambda: self.environment.on_trigger(SNAPSHOT, self.machine.name),
                     **needs,
                 )
                 return self.worker
 
-            self.node = Controller(params=params, runtime=self.runtime, disk=disk, make_worker=make_worker)
-            self.control = handlers.OperatorDoor(market=self.node)
+            self.node = Controller(settings=daemon_settings, runtime=self.runtime, disk=disk, make_worker=make_worker)
+            self.control = handlers.ConfigurationHandler(controller=self.node)
         else:
-            params = check_params(headers.broker_params(settings)).unwrap()
-            self.node = SidecarNode(params=params, runtime=self.runtime, serve=self._serve)
-            self.door = Door(node=self.node, wording=headers.WORDING)
-            self.control = handlers.BeatDoor(node=self.node)
-        self.arena.listen(self.node.counters)
+            daemon_settings = check_settings(headers.sidecar_settings(settings)).unwrap()
+            self.node = SidecarNode(settings=daemon_settings, runtime=self.runtime, serve=self._serve)
+            self.door = IngressHandler(node=self.node, header_names=headers.HEADER_NAMES)
+            self.control = handlers.HeartbeatHandler(node=self.node)
+        self.environment.observe_counters(self.node.counters)
 
     def rewrite(self) -> None:
         """The settings file is another one, and the program takes it up as it runs."""
@@ -117,21 +120,21 @@
             return
         settings, headers = self.settings(cold=False), adapter("headers")
         if isinstance(self.machine, CoreMachine):
-            params = self._core_params(headers.market_params(settings))
+            daemon_settings = self._core_settings(headers.controller_settings(settings))
         else:
-            params = headers.broker_params(settings)
-        self.life.context.run(self.node.revise, check_params(params).unwrap())
+            daemon_settings = headers.sidecar_settings(settings)
+        self.life.context.run(self.node.apply_settings, check_settings(daemon_settings).unwrap())
 
-    def _core_params(self, params: Any) -> Any:
+    def _core_settings(self, daemon_settings: Any) -> Any:
         """On some days snapshots come often, so that machines are lost, and catch up, in their midst."""
-        return msgspec.structs.replace(params, checkpoint_records=self.arena.day.site.snapshot_records)
+        return msgspec.structs.replace(daemon_settings, checkpoint_records=self.environment.day.site.snapshot_records)
 
     async def _boot(self) -> None:
         await self.node.start()
         self.open = True
 
-    async def _serve(self, serve: Serve) -> tuple:
-        work = self.arena.keep(self.arena.servers[self.machine.name].serve(serve))
+    async def _serve(self, serve: RunOnServer) -> tuple:
+        work = self.environment.create_task(self.environment.servers[self.machine.name].serve(serve))
         connection = self.connection()
         try:
             await asyncio.wait({work, connection}, return_when=asyncio.FIRST_COMPLETED)
@@ -140,11 +143,13 @@
         if work.done():
             return work.result()
         # The server works on, and nobody hears what comes of it.
-        return ServeMissed(serve.number, False, Mishap(MishapKind.ANSWER_BROKEN, "The connection broke.", "simulated"))
+        return ServerFailed(
+            serve.number, False, MeshError(ErrorKind.ANSWER_BROKEN, "The connection broke.", "simulated")
+        )
 
     def connection(self) -> asyncio.Future:
         """Done once this connection is reset."""
-        connection = self.arena.loop.create_future()
+        connection = self.environment.loop.create_future()
         self.connections[connection] = None
         return connection
 
@@ -153,7 +158,7 @@
 
     def reset(self, share: float) -> None:
         for connection in list(self.connections):
-            if not connection.done() and self.arena.random.random() < share:
+            if not connection.done() and self.environment.random.random() < share:
                 connection.set_result(None)
 
     async def ready(self) -> bool:
@@ -162,45 +167,45 @@
 
     async def wind_down(self) -> None:
         """What SIGTERM does, step by step as the services of the house do it."""
-        arena = self.arena
-        self.stopping_since = arena.moment()
+        environment = self.environment
+        self.stopping_since = environment.now()
         if isinstance(self.machine, CoreMachine):
-            await arena.within(self.life.spawn(self.node.stop()), BOUNDS["grace_s"])
+            await environment.within(self.life.spawn(self.node.stop()), BOUNDS["grace_s"])
             return
-        end = arena.moment() + BOUNDS["grace_s"]
+        end = environment.now() + BOUNDS["grace_s"]
         most = timedelta(seconds=BOUNDS["grace_s"]) * (1 - CLOSING_SHARE)
-        await arena.within(self.life.spawn(self.node.wind_down(quiet=QUIET, most=most)), BOUNDS["grace_s"])
+        await environment.within(self.life.spawn(self.node.wind_down(quiet=QUIET, most=most)), BOUNDS["grace_s"])
         self.open = False
         await asyncio.sleep(GRACE_LEFT)
-        end = min(end, arena.moment() + DOOR_SPAN)
-        while self.pending and arena.moment() < end and not self.life.dead:
+        end = min(end, environment.now() + DOOR_SPAN)
+        while self.pending and environment.now() < end and not self.life.dead:
             await asyncio.sleep(0.02)
 
     def kill(self, *, power: bool = False) -> None:
         if self.life.dead:
             return
-        self.arena.world.kill(self.life, power=power)
-        self.dark = power
+        self.environment.world.kill(self.life, power=power)
+        self.powered_off = power
         if power:
-            self.arena.world.dark.add(self.machine.host)
+            self.environment.world.powered_off.add(self.machine.host)
         if isinstance(self.machine, CoreMachine):
             if power and self.worker is not None:
-                self.arena.world.disks.tear(self.worker)
-            ledger = ledger_files(self.folder) if power else {}
-            self.node.warehouse.shell.disk.close()
+                self.environment.world.disks.tear(self.worker)
+            ledger = database_files(self.folder) if power else {}
+            self.node.store.runner.disk.close()
             if power:
-                self.arena.world.disks.lose_power(self.folder, ledger)
+                self.environment.world.disks.lose_power(self.folder, ledger)
         self.open = False
         if not self.ended.done():
             self.ended.set_result(None)
 
     def wipe(self) -> None:
-        self.arena.world.disks.forget(self.folder)
+        self.environment.world.disks.forget(self.folder)
         wipe(self.folder)
 
     def leads(self) -> int:
         """The epoch this machine leads, or 0."""
         if not isinstance(self.machine, CoreMachine) or self.life.dead or self.life.frozen:
             return 0
-        core = self.node.warehouse.shell.core
-        return core.epoch if core is not None and core.standing == "leader" else 0
+        core = self.node.store.runner.core
+        return core.epoch if core is not None and core.role == "leader" else 0
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
@@ -6,14 +6,14 @@
 
 from returns.result import Failure
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.rpc.connection import CONNECT_SPAN
-from hoistsaddle.testbed.simulation.clockwork import Life
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.rpc.connection import CONNECT_TIMEOUT
+from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess
 from hoistsaddle.testbed.simulation.world import World
 
 # How long a line with a pulse takes to miss a machine that says nothing.
 PULSE_SECONDS = 0.9
-_silent = Failure(Mishap(MishapKind.SILENT, "no answer", "simulated"))
+_silent = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
 
 
 class EmulatedWorld(World):
@@ -22,18 +22,20 @@
     def __init__(self, **needs: Any) -> None:
         super().__init__(**needs)
         self.disks: Any = None
-        self.dark: set[str] = set()
+        self.powered_off: set[str] = set()
         self.slow = 0.002
         self.repeated = 0.002
         # Calls under way: who calls, and the host that is called.
         self.under_way: dict[asyncio.Future, tuple[str, str]] = {}
 
-    def start_call(self, life: Life, address: str, message: tuple, future: asyncio.Future, within: float) -> None:
+    def start_call(
+        self, life: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
+    ) -> None:
         host = address.partition(":")[0]
         self.under_way[future] = (life.name, host)
         future.add_done_callback(lambda done: self.under_way.pop(done, None))
-        if host in self.dark:
-            span = min(within, CONNECT_SPAN.total_seconds())
+        if host in self.powered_off:
+            span = min(within, CONNECT_TIMEOUT.total_seconds())
             # No listener stands there: the plain world's answer, only later.
             self.loop.call_later(
                 span, lambda: World.start_call(self, life, address, message, future, within), context=life.context
@@ -41,7 +43,7 @@
             return
         super().start_call(life, address, message, future, within)
 
-    def kill(self, life: Life, *, power: bool = False) -> None:
+    def kill(self, life: SimulatedProcess, *, power: bool = False) -> None:
         waiting = self.pending.pop(life, {}) if power else {}
         super().kill(life)
         for future in waiting:
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/troubles.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/scheduled_events.py
@@ -21,7 +21,7 @@
     seconds: float
 
 
-class Cut(NamedTuple):
+class Partition(NamedTuple):
     """Nothing passes from these machines to the others, nor back unless it is one way; among themselves it does."""
 
     at: float
@@ -31,7 +31,7 @@
     one_way: bool = False
 
 
-class DiskTrouble(NamedTuple):
+class DiskFault(NamedTuple):
     at: float
     machine: str
     seconds: float
@@ -56,14 +56,14 @@
     how: str
 
 
-class Release(NamedTuple):
+class RestartServer(NamedTuple):
     """A server leaves in order and a new life of it comes, on the same machine."""
 
     at: float
     machine: str
 
 
-class Replace(NamedTuple):
+class ReassignAddress(NamedTuple):
     """A server leaves in order or crashes, its machine is stopped, and its address goes to another service's server."""
 
     at: float
@@ -72,7 +72,7 @@
     crash: bool = False
 
 
-class Crash(NamedTuple):
+class CrashServer(NamedTuple):
     """A server ends without a word."""
 
     at: float
@@ -89,11 +89,11 @@
     at: float
     how: str
     pick: int
-    desks: int = 1
+    operators: int = 1
     contested: bool = False
 
 
-class Storm(NamedTuple):
+class ChangeStorm(NamedTuple):
     """Many proper orders one after the other, as many under way at once as the platform allows."""
 
     at: float
@@ -102,21 +102,21 @@
     pick: int
 
 
-class Large(NamedTuple):
+class LargeChange(NamedTuple):
     """One order with many new routes."""
 
     at: float
     routes: int
 
 
-class Again(NamedTuple):
+class RepeatChange(NamedTuple):
     """An order that was confirmed before is sent once more, to any machine."""
 
     at: float
     pick: int
 
 
-class LostWords(NamedTuple):
+class LostAnswers(NamedTuple):
     """A share of the answers to the operators is lost on its way: they send the same again, elsewhere first."""
 
     at: float
@@ -124,13 +124,13 @@
     seconds: float
 
 
-class BadOrder(NamedTuple):
+class InvalidChange(NamedTuple):
     at: float
     how: str
     pick: int
 
 
-class Rewrite(NamedTuple):
+class RewriteSettings(NamedTuple):
     """The settings files change under the running programs."""
 
     at: float
@@ -148,8 +148,8 @@
     planned: bool = False
 
 
-class Reset(NamedTuple):
-    """A share of the connections of these machines is reset: to other machines, to servers, to visitors."""
+class ResetConnections(NamedTuple):
+    """A share of the connections of these machines is reset: to other machines, to servers, to clients."""
 
     at: float
     machines: tuple[str, ...]
@@ -161,7 +161,7 @@
 ACKNOWLEDGED, SENT, TAKEN, SNAPSHOT = "acknowledged", "sent", "taken", "snapshot"
 
 
-class AfterWord(NamedTuple):
+class TriggeredFault(NamedTuple):
     """The core machine that acknowledges the next order, or writes a snapshot, is harmed; otherwise the leader."""
 
     at: float
@@ -170,7 +170,7 @@
     when: str = ACKNOWLEDGED
 
 
-class Closing(NamedTuple):
+class FinalFault(NamedTuple):
     """The day's last fault: kill, power, or wipe: as many disks as may be lost, the other machines' power now and then.
 
     "wipe and power" takes their power always.
@@ -182,23 +182,23 @@
     when: str = ACKNOWLEDGED
 
 
-Trouble = (
+ScheduledFault = (
     Kill
     | Freeze
-    | Cut
-    | DiskTrouble
+    | Partition
+    | DiskFault
     | Stop
     | Misbehave
-    | Release
-    | Replace
-    | Crash
+    | RestartServer
+    | ReassignAddress
+    | CrashServer
     | ReplaceCore
-    | Reset
-    | Rewrite
-    | AfterWord
+    | ResetConnections
+    | RewriteSettings
+    | TriggeredFault
 )
 # The operators' own doings.
-Doing = Change | Storm | Large | Again | LostWords | BadOrder
-Happening = Trouble | Doing | Closing
+OperatorAction = Change | ChangeStorm | LargeChange | RepeatChange | LostAnswers | InvalidChange
+ScheduledEvent = ScheduledFault | OperatorAction | FinalFault
 # A core machine that is named when its time comes.
 LEADER = "leader"
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/site.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/site.py
@@ -1,4 +1,4 @@
-"""A site of the emulated platform: bounds, machines, services, routes and what visitors ask for, drawn by a seed."""
+"""A site of the emulated platform: bounds, machines, services, routes and what clients ask for, drawn by a seed."""
 
 import random
 from typing import NamedTuple
@@ -45,7 +45,7 @@
     speed: float
 
 
-class Shape(NamedTuple):
+class ServiceSpec(NamedTuple):
     """A service's servers."""
 
     name: str
@@ -65,20 +65,20 @@
     sends: int
 
 
-class Inner(NamedTuple):
+class NestedCall(NamedTuple):
     route: str
     share: float
 
 
-class Visit(NamedTuple):
-    """One kind of request: its route, its work at a server, what its visitors do."""
+class RequestKind(NamedTuple):
+    """One kind of request: its route, its work at a server, what its clients do."""
 
     route: str
     weight: float
     work: float
     deadline: float
-    further: int
-    inner: tuple[Inner, ...] = ()
+    retries: int
+    inner: tuple[NestedCall, ...] = ()
     # So many of its good answers are asked for again.
     again: float = 0.0
 
@@ -87,10 +87,10 @@
     zones: tuple[str, ...]
     core: tuple[CoreMachine, ...]
     sidecars: tuple[SidecarMachine, ...]
-    services: tuple[Shape, ...]
+    services: tuple[ServiceSpec, ...]
     routes: tuple[Route, ...]
-    visits: tuple[Visit, ...]
-    inner: tuple[Visit, ...]
+    request_kinds: tuple[RequestKind, ...]
+    inner: tuple[RequestKind, ...]
     losses: int
     rate: float
     sync_seconds: tuple[float, float]
@@ -106,27 +106,27 @@
 
 
 def draw_site(seed: int, *, small: bool = False) -> Site:
-    draw = random.Random(f"site {seed}")
-    zones = tuple(_names(draw, 2 if small else 3, "z-"))
-    losses = 1 if small else draw.choice((1, 1, 1, 2))
+    rng = random.Random(f"site {seed}")
+    zones = tuple(_names(rng, 2 if small else 3, "z-"))
+    losses = 1 if small else rng.choice((1, 1, 1, 2))
     core = tuple(
         CoreMachine(f"{CORE}{place}", f"10.{place % len(zones) + 1}.0.{10 + place}", zones[place % len(zones)])
-        for place in range(2 * losses + 1 if small else draw.choice((2 * losses + 1, 2 * losses + 1, 5)))
+        for place in range(2 * losses + 1 if small else rng.choice((2 * losses + 1, 2 * losses + 1, 5)))
     )
-    names = _names(draw, 3, "s")
-    services = tuple(Shape(name, draw.choice((4, 6, 9)), 24) for name in names)
+    names = _names(rng, 3, "s")
+    services = tuple(ServiceSpec(name, rng.choice((4, 6, 9)), 24) for name in names)
     if random.Random(f"pressed {seed}").random() < 0.25 and not small:
         # A day on which more is asked than the servers can do.
-        services = tuple(shape._replace(slots=2, queue=6) for shape in services)
+        services = tuple(service_spec._replace(slots=2, queue=6) for service_spec in services)
     sidecars: list[SidecarMachine] = []
     for service in services:
-        for _ in range(2 if small else draw.choice((2, 3, 3, 4))):
+        for _ in range(2 if small else rng.choice((2, 3, 3, 4))):
             place = len(sidecars)
             zone = zones[place % len(zones)]
             host = f"10.{place % len(zones) + 1}.1.{10 + place}"
-            sidecars.append(SidecarMachine(f"side-{place:02d}", host, zone, service.name, draw.choice((0.7, 1.0, 1.4))))
+            sidecars.append(SidecarMachine(f"side-{place:02d}", host, zone, service.name, rng.choice((0.7, 1.0, 1.4))))
     first, second, third = names
-    hosts = _names(draw, 3, "h-")
+    hosts = _names(rng, 3, "h-")
     # Inner routes lead to services that call nobody, so that calls end.
     routes = (
         Route("r-view", hosts[0], "/view/", REPEATABLE, ((first, 1.0),), 3.0, 0.5, 2, 2),
@@ -135,25 +135,27 @@
         Route("r-load", hosts[0], "/load/", UPLOAD, ((third, 1.0),), 4.0, 0.6, 2, 2),
         Route("r-peek", hosts[2], "/peek/", REPEATABLE, ((third, 1.0),), 0.5, 0.15, 0, 2),
     )
-    visits = (
-        Visit("r-view", 5.0, 0.1, draw.choice((0.8, 3.0)), 2, (Inner("r-peek", 0.6),)),
-        Visit("r-post", 3.0, 0.12, draw.choice((1.0, 4.0)), 2, (Inner("r-peek", 0.3),), 0.1),
-        Visit("r-send", 1.0, 0.1, 2.0, 2),
-        Visit("r-load", 1.0, 0.15, 4.0, 2),
+    request_kinds = (
+        RequestKind("r-view", 5.0, 0.1, rng.choice((0.8, 3.0)), 2, (NestedCall("r-peek", 0.6),)),
+        RequestKind("r-post", 3.0, 0.12, rng.choice((1.0, 4.0)), 2, (NestedCall("r-peek", 0.3),), 0.1),
+        RequestKind("r-send", 1.0, 0.1, 2.0, 2),
+        RequestKind("r-load", 1.0, 0.15, 4.0, 2),
+    )
+    inner = (RequestKind("r-peek", 0.0, 0.03, 0.5, 0),)
+    room = sum(
+        service_spec.slots * len([s for s in sidecars if s.service == service_spec.name]) for service_spec in services
     )
-    inner = (Visit("r-peek", 0.0, 0.03, 0.5, 0),)
-    room = sum(shape.slots * len([s for s in sidecars if s.service == shape.name]) for shape in services)
     room = max(room, 2 * 8 * len(services))
-    rate = min(draw.uniform(0.25, 0.6) * room / 0.2, 18.0 if small else 45.0)
+    rate = min(rng.uniform(0.25, 0.6) * room / 0.2, 18.0 if small else 45.0)
     return Site(
         zones,
         core,
         tuple(sidecars),
         services,
         routes,
-        visits,
+        request_kinds,
         inner,
         losses,
         rate,
-        draw.choice(((0.0003, 0.001), (0.0015, 0.004))),
+        rng.choice(((0.0003, 0.001), (0.0015, 0.004))),
     )
--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -16,10 +16,10 @@
 import aiohttp
 import msgspec
 
-from hoistsaddle.cli.caller import call_doors
+from hoistsaddle.cli.caller import call_first_available
 from hoistsaddle.testbed.deployments import Deployment, to_toml
 from hoistsaddle.testbed.history import History
-from hoistsaddle.testbed.standins import StandIn
+from hoistsaddle.testbed.stub_servers import StubServer
 
 HOST = "127.0.0.1"
 AUTHOR = ("ada", "token-of-ada")
@@ -67,7 +67,7 @@
         deployment: Deployment,
         folder: Path,
         seed: int = 1,
-        warehouse_params: dict | None = None,
+        store_settings: dict | None = None,
         faults: bool = False,
         former: bool = False,
         older: Path | None = None,
@@ -78,8 +78,8 @@
         self.random = random.Random(seed)
         self.history = History()
         self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.standins: dict[str, StandIn] = {}
-        self.warehouse_params = warehouse_params or {}
+        self.stub_servers: dict[str, StubServer] = {}
+        self.store_settings = store_settings or {}
         self.faults = faults
         self.older = older
         self.settings: dict[str, dict] = {}
@@ -113,7 +113,7 @@
                     "zone": zone,
                     "listen": machine["warehouse"],
                     "data_folder": str(self.folder / f"data-{replica}"),
-                    **self.warehouse_params,
+                    **self.store_settings,
                     "core": core,
                 },
             )
@@ -129,10 +129,10 @@
                 },
             )
         seeds = [machine["bourse"] for machine in core[:3]]
-        self.stalls: dict[str, dict] = {}
+        self.proxies: dict[str, dict] = {}
         for place, service in enumerate(deployment.services):
             name = f"stall-{place + 1:02d}"
-            stall = {
+            proxy = {
                 "name": name,
                 "zone": deployment.zone_of(place),
                 "listen": next(ports),
@@ -140,8 +140,8 @@
                 "inner": next(ports),
                 "seeds": seeds,
             }
-            self.stalls[name] = {**stall, "service": service, "server": next(ports)}
-            self._settings("proxy", name, stall)
+            self.proxies[name] = {**proxy, "service": service, "server": next(ports)}
+            self._settings("proxy", name, proxy)
 
     def _settings(self, kind: str, name: str, values: dict) -> None:
         self.kinds[name] = kind
@@ -158,8 +158,8 @@
         capped = {"release_level": 1} if former and self.older is None else {}
         (self.folder / f"{name}.toml").write_text(to_toml({**capped, **self.settings[name]}))
 
-    def visitor_doors(self) -> list[str]:
-        return [stall["visitors"] for stall in self.stalls.values()]
+    def client_addresses(self) -> list[str]:
+        return [proxy["visitors"] for proxy in self.proxies.values()]
 
     # -- processes ---------------------------------------------------------------------------------------------------
 
@@ -227,7 +227,7 @@
             path.unlink()
 
     def stall_disk(self, replica: int) -> sqlite3.Connection:
-        """Another writer sits on the ledger's file: the warehouse's syncs wait until this connection is closed."""
+        """Another writer sits on the ledger's file: the store's syncs wait until this connection is closed."""
         held = sqlite3.connect(self.folder / f"data-{replica}" / "ledger.sqlite3", isolation_level=None)
         held.execute("BEGIN IMMEDIATE")
         return held
@@ -261,27 +261,27 @@
     async def start(self, *, bundle: bool = True) -> None:
         await asyncio.gather(*(self.launch(name) for name in self.kinds))
         await self.found()
-        for name, stall in self.stalls.items():
-            await self.start_server(name, stall["service"])
+        for name, proxy in self.proxies.items():
+            await self.start_server(name, proxy["service"])
         if bundle:
             _, setup = await self.operate("GET", "/setup")
             # A folder of an earlier run goes on with what it agreed.
             if not setup["in_force"]:
                 await self.roll_out(self.deployment.first_bundle())
-            await self.until(self.all_ready, seconds=20, what="every stall is ready")
+            await self.until(self.all_ready, seconds=20, what="every proxy is ready")
 
-    async def start_server(self, name: str, service: str) -> StandIn:
-        stall = self.stalls[name]
-        server = StandIn(
+    async def start_server(self, name: str, service: str) -> StubServer:
+        proxy = self.proxies[name]
+        server = StubServer(
             service=service,
-            address=stall["server"],
-            inner_door=stall["inner"],
+            address=proxy["server"],
+            inner_door=proxy["inner"],
             deployment=self.deployment,
             history=self.history,
-            stall=name,
+            proxy=name,
         )
         await server.start()
-        self.standins[name] = server
+        self.stub_servers[name] = server
         return server
 
     async def found(self) -> None:
@@ -311,7 +311,7 @@
         doors: tuple[str, ...] | None = None,
     ) -> tuple[int, dict]:
         data = body.encode() if isinstance(body, str) else msgspec.json.encode(body) if body is not None else b""
-        return await call_doors(
+        return await call_first_available(
             doors=doors or self.doors, method=method, path=path, token=token, body=data, seconds=seconds
         )
 
@@ -342,8 +342,8 @@
                 except (aiohttp.ClientError, TimeoutError, OSError):
                     return None
 
-            found = await asyncio.gather(*(one(stall["visitors"]) for stall in self.stalls.values()))
-        return dict(zip(self.stalls, found, strict=True))
+            found = await asyncio.gather(*(one(proxy["visitors"]) for proxy in self.proxies.values()))
+        return dict(zip(self.proxies, found, strict=True))
 
     async def all_ready(self) -> bool:
         states = await self.ready_states()
@@ -359,7 +359,7 @@
         noted = {server["stall"]: server for server in setup["servers"]}
         return all(
             name in noted and noted[name]["instance"] == server.instance and noted[name]["state"] == server.state
-            for name, server in self.standins.items()
+            for name, server in self.stub_servers.items()
         )
 
     async def until(self, ready, *, seconds: float, what: str) -> float:
@@ -373,13 +373,13 @@
         return loop.time() - began
 
     async def stop(self) -> None:
-        for server in self.standins.values():
+        for server in self.stub_servers.values():
             await server.stop()
         for name, process in self.processes.items():
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
                 process.send_signal(signal.SIGTERM)
-        # Stalls first finish what is mid-answer; whoever hangs is killed, so that nothing is left behind.
+        # Proxies first finish what is mid-answer; whoever hangs is killed, so that nothing is left behind.
         waits = [asyncio.wait_for(process.wait(), 8) for process in self.processes.values()]
         await asyncio.gather(*waits, return_exceptions=True)
         for process in self.processes.values():
--- a/packages/testbed/src/hoistsaddle/testbed/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/history.py
@@ -6,143 +6,143 @@
 from hoistsaddle.statemachine.state import GONE
 
 
-def mark_of(body: bytes) -> str:
+def body_digest_of(body: bytes) -> str:
     """A body as a history keeps it."""
     return hashlib.sha256(body).hexdigest()[:16] if body else ""
 
 
-class Asked(NamedTuple):
-    moment: float
+class RequestSent(NamedTuple):
+    timestamp: float
     request: str
     method: str
     path: str
     key: str
-    visitor: str
-    door: str = ""
+    client: str
+    listener: str = ""
     size: int = 0
 
 
-class Got(NamedTuple):
+class RequestResult(NamedTuple):
     """What the caller got; outcome is the mesh's word, "broken" when the connection was cut mid-answer."""
 
-    moment: float
+    timestamp: float
     request: str
     outcome: str
     status: int
     nonce: str
     run: str
     repeat: bool
-    door: str = ""
+    listener: str = ""
     kind: str = ""
     # Of the whole body.
-    mark: str = ""
+    body_digest: str = ""
     # When it was asked.
     asked: float = 0.0
-    # The service whose server asked; empty for a visitor.
+    # The service whose server asked; empty for a client.
     caller: str = ""
     retry_after: bool = False
 
 
-class Ran(NamedTuple):
+class RunStarted(NamedTuple):
     """A server ran a request."""
 
-    moment: float
+    timestamp: float
     request: str
     service: str
     instance: str
     method: str
     path: str
     key: str
-    visitor: str
+    client: str
     caller: str
     send: str
     run: str
-    stall: str = ""
+    proxy: str = ""
     size: int = 0
 
 
-class Wanted(NamedTuple):
+class AnswerRequired(NamedTuple):
     """This request must be answered: a bundle that allows it is in force, and nothing else is in its way."""
 
     request: str
 
 
-class Stood(NamedTuple):
+class ProcessPaused(NamedTuple):
     """This process stood still from moment to until; nobody can be told anything by it meanwhile."""
 
-    moment: float
+    timestamp: float
     until: float
     node: str
 
 
-class Promised(NamedTuple):
+class ExpectationChecked(NamedTuple):
     """Something the mesh promises was tried; kept says whether it came true."""
 
-    moment: float
+    timestamp: float
     what: str
     kept: bool
 
 
-class Replied(NamedTuple):
+class RunEnded(NamedTuple):
     """What a server answered to one run, as it left the server."""
 
     run: str
     status: int
-    mark: str
+    body_digest: str
 
 
-class ServerChanged(NamedTuple):
+class ServerStateChanged(NamedTuple):
     """What the mesh was told of a server: ready, winding down, gone."""
 
-    moment: float
+    timestamp: float
     service: str
     instance: str
     state: str
 
 
-class Accepted(NamedTuple):
-    """An operator was told that this is in force on these stalls."""
+class BundleAccepted(NamedTuple):
+    """An operator was told that this is in force on these proxies."""
 
-    moment: float
+    timestamp: float
     revision: int
     bundle: int
-    stalls: tuple[str, ...]
+    proxies: tuple[str, ...]
     # Whether its last stage was reached.
     everywhere: bool = False
 
 
-class Written(NamedTuple):
+class BundleWritten(NamedTuple):
     """A bundle's text, and from when on it may be in play: its signing was asked for then."""
 
-    moment: float
+    timestamp: float
     number: int
     text: str
 
 
-class TookUp(NamedTuple):
-    """A stall was seen acting under this bundle."""
+class BundleApplied(NamedTuple):
+    """A proxy was seen acting under this bundle."""
 
-    moment: float
-    stall: str
+    timestamp: float
+    proxy: str
     bundle: int
-    life: str
+    incarnation: str
 
 
-class Submitted(NamedTuple):
-    """A bundle was sent and this came of it; mishap is empty when it was taken."""
+class BundleSubmitted(NamedTuple):
+    """A bundle was sent and this came of it; error is empty when it was taken."""
 
-    moment: float
+    timestamp: float
     number: int
     broken: bool
-    mishap: str
+    error: str
 
 
-class ReadBack(NamedTuple):
-    moment: float
+class ConfigurationRead(NamedTuple):
+    timestamp: float
     in_force: int
     texts: tuple[tuple[int, str], ...]
     drained: tuple[str, ...]
-    # Stall, service, instance and state of every server that isn't gone; name and life of every node that isn't.
+    # Proxy, service, instance and state of every server that isn't gone; name and life of every node that isn't.
     servers: tuple[tuple[str, str, str, str], ...] = ()
     nodes: tuple[tuple[str, str], ...] = ()
     # All names that show at all.
@@ -150,10 +150,10 @@
     reader: str = ""
 
 
-class Expected(NamedTuple):
+class ConfigurationExpected(NamedTuple):
     """What a read-back begun now must show, from what operators and servers did; None where it may be in flux."""
 
-    moment: float
+    timestamp: float
     in_force: int
     drained: tuple[str, ...]
     text: str | None = None
@@ -162,58 +162,58 @@
     removed: tuple[str, ...] = ()
 
 
-class Damaged(NamedTuple):
-    """One node's copy of the setup was spoilt in place."""
+class CopyCorrupted(NamedTuple):
+    """One node's copy of the configuration was spoilt in place."""
 
-    moment: float
+    timestamp: float
     node: str
 
 
-class Differs(NamedTuple):
+class CopyDiverged(NamedTuple):
     """At this moment the node's copy was not what the log says at that revision."""
 
-    moment: float
+    timestamp: float
     node: str
 
 
-class Back(NamedTuple):
+class ServiceRecovered(NamedTuple):
     """Machines came back at one moment and service was seen again at another."""
 
-    moment: float
+    timestamp: float
     service_at: float
     what: str
 
 
-class Further(NamedTuple):
-    """One send seen at a stall's door: a first or a further one."""
+class AttemptSeen(NamedTuple):
+    """One send seen at a proxy's door: a first or a further one."""
 
-    moment: float
+    timestamp: float
     service: str
-    further: bool
+    is_retry: bool
 
 
-class Concluded(NamedTuple):
+class ClaimWritten(NamedTuple):
     """A writer was told that its claim is in the log."""
 
-    moment: float
+    timestamp: float
     claim: str
     phase: str
 
 
-class Replica(NamedTuple):
+class ReplicaState(NamedTuple):
     """What one replica held at the end."""
 
-    moment: float
+    timestamp: float
     name: str
     digest: str
     # Sorted, so that a history reads alike in every process.
     claims: tuple[str, ...]
 
 
-class Interrupted(NamedTuple):
+class PlannedInterruption(NamedTuple):
     """A planned stop or roll-out went on from moment to until; cut answers in it count against the mesh."""
 
-    moment: float
+    timestamp: float
     until: float
     what: str
 
@@ -229,7 +229,7 @@
         return [event for event in self.events if isinstance(event, kind)]
 
 
-def read_back_of(moment: float, setup: dict, *, reader: str) -> ReadBack:
+def configuration_read_of(timestamp: float, setup: dict, *, reader: str) -> ConfigurationRead:
     """What a read-back shows, in the shape its checker compares."""
     servers = [
         (each["stall"], each["service"], each["instance"], each["state"])
@@ -237,8 +237,8 @@
         if each["state"] != GONE
     ]
     nodes = [(each["node"], each["incarnation"]) for each in setup["nodes"] if each["state"] != GONE]
-    return ReadBack(
-        moment,
+    return ConfigurationRead(
+        timestamp,
         setup["in_force"],
         tuple((int(number), text) for number, text in setup["texts"].items()),
         tuple(sorted(server["stall"] for server in setup["servers"] if server["drained_by"])),
--- a/packages/testbed/src/hoistsaddle/testbed/load.py
+++ b/packages/testbed/src/hoistsaddle/testbed/load.py
@@ -8,8 +8,8 @@
 import aiohttp
 import msgspec
 
-from hoistsaddle.testbed.deployments import Ask, Deployment
-from hoistsaddle.testbed.history import Asked, Got, History, mark_of
+from hoistsaddle.testbed.deployments import Deployment, RequestKind
+from hoistsaddle.testbed.history import History, RequestResult, RequestSent, body_digest_of
 
 
 class Load:
@@ -57,16 +57,18 @@
             await asyncio.gather(*list(self.tasks))
 
     async def _visit(self) -> None:
-        ask = self.random.choices(self.deployment.asks, weights=[each.weight for each in self.deployment.asks])[0]
-        visitor = f"visitor-{self.random.randrange(500)}"
+        ask = self.random.choices(
+            self.deployment.request_kinds, weights=[each.weight for each in self.deployment.request_kinds]
+        )[0]
+        client = f"visitor-{self.random.randrange(500)}"
         key = secrets.token_hex(8) if ask.once else ""
-        got = await self.ask(ask=ask, visitor=visitor, key=key)
-        # People press the button again: at once at another door, or after a mishap.
+        got = await self.ask(ask=ask, client=client, key=key)
+        # People press the button again: at once at another door, or after an error.
         if ask.once and (got.outcome != "answered" or self.random.random() < 0.1):
             await asyncio.sleep(self.random.random() * 0.5)
-            await self.ask(ask=ask, visitor=visitor, key=key)
+            await self.ask(ask=ask, client=client, key=key)
 
-    async def insist(self, **needs) -> Got:
+    async def ask_until_run(self, **needs) -> RequestResult:
         """Asks again, as it is told to, for as long as nothing ran: a busy machine's lease may lapse for a moment."""
         while (got := await self.ask(**needs)).outcome == "not-run":
             await asyncio.sleep(0.2)
@@ -75,13 +77,13 @@
     async def ask(
         self,
         *,
-        ask: Ask,
-        visitor: str,
+        ask: RequestKind,
+        client: str,
         key: str = "",
-        door: str | None = None,
+        listener: str | None = None,
         nonce: str | None = None,
         body: bytes | None = None,
-    ) -> Got:
+    ) -> RequestResult:
         loop = asyncio.get_running_loop()
         request = secrets.token_hex(6)
         # A repeat with the same key carries the same body, so its nonce comes from the key.
@@ -89,30 +91,38 @@
         path = f"{ask.path}?{urlencode({'nonce': nonce})}"
         if ask.once and body is None:
             body = msgspec.json.encode({"nonce": nonce})
-        headers = {"Authorization": f"Bearer {visitor}", "X-Hoistsaddle-Caller": "ledger"}
+        headers = {"Authorization": f"Bearer {client}", "X-Hoistsaddle-Caller": "ledger"}
         if key:
             headers["Idempotency-Key"] = key
         began = loop.time()
-        door = door or self.random.choice(self.doors)
-        self.history.add(Asked(began, nonce, ask.method, ask.path, key, visitor, door, len(body or b"")))
-        outcome, status, seen, run, repeat, kind, mark, again = "broken", 0, "", "", False, "", "", False
+        listener = listener or self.random.choice(self.doors)
+        self.history.add(RequestSent(began, nonce, ask.method, ask.path, key, client, listener, len(body or b"")))
+        outcome, status, seen, run, repeat, kind, body_digest, again = "broken", 0, "", "", False, "", "", False
         try:
-            async with self.session.request(ask.method, f"http://{door}{path}", headers=headers, data=body) as response:
+            async with self.session.request(
+                ask.method, f"http://{listener}{path}", headers=headers, data=body
+            ) as response:
                 data = await response.read()
                 outcome, status = response.headers.get("X-Hoistsaddle-Outcome", "none"), response.status
                 repeat = "X-Hoistsaddle-Repeat" in response.headers
                 again = "Retry-After" in response.headers
-                told = msgspec.json.decode(data) if data else {}
+                answer_body = msgspec.json.decode(data) if data else {}
                 if outcome == "answered":
-                    seen, run, mark = told.get("nonce", ""), told.get("run", ""), mark_of(data)
+                    seen, run, body_digest = (
+                        answer_body.get("nonce", ""),
+                        answer_body.get("run", ""),
+                        body_digest_of(data),
+                    )
                 else:
-                    kind = told.get("mishap", {}).get("kind", "")
+                    kind = answer_body.get("mishap", {}).get("kind", "")
         except aiohttp.ClientConnectorError:
             outcome = "unreachable"
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
             pass
         self.latencies.append(loop.time() - began)
         # The nonce is the request's name at the servers; what came back must be the same one.
-        got = Got(loop.time(), nonce, outcome, status, seen, run, repeat, door, kind, mark, began, "", again)
+        got = RequestResult(
+            loop.time(), nonce, outcome, status, seen, run, repeat, listener, kind, body_digest, began, "", again
+        )
         self.history.add(got)
         return got
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/cluster.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/cluster.py
@@ -14,36 +14,36 @@
     CallArrived,
     CallRefused,
     Capture,
-    Concluded,
     DropCheckpoints,
     Ended,
-    Pace,
     ProposalArrived,
+    ProposalResult,
+    RaftTimings,
     ReadArrived,
     ReadChunk,
-    ReadReady,
+    ReadResult,
     Send,
-    StopAsked,
+    StopRequested,
     StoreChunk,
     Synced,
     Ticked,
     Write,
 )
 from hoistsaddle.statemachine.commands import LEVEL
-from hoistsaddle.statemachine.state import found_state
+from hoistsaddle.statemachine.state import initial_state
 from hoistsaddle.testbed.modelcheck.clones import clone
 from hoistsaddle.testbed.modelcheck.invariants import Invariants
 from hoistsaddle.testbed.modelcheck.modeldisk import ChunkRead, ModelDisk
 
 MESH = "modelled"
 # Checkpoints and pieces small enough that a walk of some dozen steps sees them taken, pulled and overtaken.
-SMALL_PACE = Pace(checkpoint_records=4, chunk_bytes=160, fetch_records=3)
+SMALL_TIMINGS = RaftTimings(checkpoint_records=4, chunk_bytes=160, fetch_records=3)
 # One slice of a run: within it whatever can be delivered is, then every clock ticks once.
-SLICE = milliseconds(50)
+TIME_STEP = milliseconds(50)
 # So many rounds of messages and disk jobs fit into one slice at most.
-ROUNDS_IN_A_SLICE = 6
+MAX_ROUNDS_PER_STEP = 6
 # Messages waiting between two replicas; the oldest is lost beyond it, as a closed connection loses it.
-LINK_ROOM = 12
+LINK_CAPACITY = 12
 
 
 class Packet(NamedTuple):
@@ -52,7 +52,7 @@
     sender: int
     receiver: int
     # The life that made the call, or the one that an answer is for.
-    life: int
+    generation: int
     number: int
     message: tuple
     is_call: bool
@@ -63,7 +63,7 @@
 
     Its last two digits number copies of one call; clients' tickets are below all of these.
     """
-    return ((packet.sender * 1000 + packet.life) * 10**6 + packet.number) * 100
+    return ((packet.sender * 1000 + packet.generation) * 10**6 + packet.number) * 100
 
 
 class Machine:
@@ -72,7 +72,7 @@
     def __init__(self, *, disk: ModelDisk) -> None:
         self.disk = disk
         self.core: RaftCore | None = None
-        self.life = 0
+        self.generation = 0
         self.frozen = False
         # Its disk does nothing until it goes on; what was done before stays.
         self.stalled = False
@@ -80,23 +80,28 @@
         # Gone for good; nothing of it is ever started again.
         self.removed = False
         # How far its clock is before the cluster's: clocks run on by themselves, and nothing may rest on them.
-        self.ahead = ZERO
+        self.clock_offset = ZERO
         # The epoch and life it was last seen to lead in.
-        self.led = (0, 0)
+        self.last_led = (0, 0)
         self.synced = 0
         # Of a copy that stays as it is: what its content comes to, once that was asked for.
         self.key = 0
         self.waiting: list[tuple[int, tuple]] = []
-        self.asked: dict[int, tuple[int, int, int]] = {}
+        self.pending_calls: dict[int, tuple[int, int, int]] = {}
 
     def copy(self) -> "Machine":
         """The same machine, to go on with apart from this one."""
         twin = Machine(disk=self.disk.copy())
         twin.core = clone(self.core)
-        twin.life, twin.frozen, twin.leaving, twin.removed = self.life, self.frozen, self.leaving, self.removed
+        twin.generation, twin.frozen, twin.leaving, twin.removed = (
+            self.generation,
+            self.frozen,
+            self.leaving,
+            self.removed,
+        )
         twin.stalled, twin.ended = self.stalled, self.ended
-        twin.ahead, twin.led, twin.synced = self.ahead, self.led, self.synced
-        twin.waiting, twin.asked = list(self.waiting), dict(self.asked)
+        twin.clock_offset, twin.last_led, twin.synced = self.clock_offset, self.last_led, self.synced
+        twin.waiting, twin.pending_calls = list(self.waiting), dict(self.pending_calls)
         return twin
 
     @property
@@ -109,16 +114,16 @@
         return self.core is not None and not self.frozen
 
 
-class Twist:
+class InjectedFault:
     """Where an injected fault may change what a core hears or says; this one changes nothing."""
 
     core_class: type[RaftCore] = RaftCore
     keeps_incarnation = False
 
-    def heard(self, machine: Machine, event: tuple) -> tuple:
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
         return event
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return commands
 
 
@@ -130,31 +135,31 @@
         *,
         size: int,
         seed: int,
-        pace: Pace = SMALL_PACE,
-        twist: Twist | None = None,
+        timings: RaftTimings = SMALL_TIMINGS,
+        fault: InjectedFault | None = None,
         make_random: Callable[[int], random.Random] = random.Random,
-        slice_span: timedelta = SLICE,
+        time_step: timedelta = TIME_STEP,
     ) -> None:
         self.size = size
         self.seed = seed
-        self.pace = pace
-        self.twist = twist or Twist()
+        self.timings = timings
+        self.fault = fault or InjectedFault()
         self.make_random = make_random
-        self.slice_span = slice_span
+        self.time_step = time_step
         self.now = timedelta(seconds=100)
-        self.flight: list[Packet] = []
+        self.in_flight: list[Packet] = []
         self.cuts: set[tuple[int, int]] = set()
         self.tickets = 0
         self.incarnations = 0
         self.events = 0
         disks = [self._blank(replica) for replica in range(1, size + 1)]
         voters = tuple((disk.replica, disk.incarnation) for disk in disks)
-        state = found_state(mesh=MESH, voters=dict(voters), operators={}, level=LEVEL)
-        self.checks = Invariants(founded=state, wanted=size)
+        state = initial_state(mesh=MESH, voters=dict(voters), operators={}, level=LEVEL)
+        self.invariants = Invariants(founded=state, wanted=size)
         self.machines: dict[int, Machine] = {disk.replica: Machine(disk=disk) for disk in disks}
         for disk in disks:
             disk.found(mesh=MESH, voters=voters, state=state)
-            self.checks.lay(disk)
+            self.invariants.register_disk(disk)
             self.start(disk.replica)
 
     def copy(self, *, touching: tuple[int, ...]) -> "Cluster":
@@ -162,12 +167,12 @@
         twin = object.__new__(Cluster)
         twin.__dict__.update(self.__dict__)
         twin.machines = dict(self.machines)
-        twin.flight = list(self.flight)
+        twin.in_flight = list(self.in_flight)
         twin.cuts = set(self.cuts)
-        twin.checks = self.checks.copy()
+        twin.invariants = self.invariants.copy()
         for replica in touching:
             machine = twin.machines[replica] = self.machines[replica].copy()
-            twin.checks.lay(machine.disk)
+            twin.invariants.register_disk(machine.disk)
         return twin
 
     # -- machines ----------------------------------------------------------------------------------------------------
@@ -182,23 +187,23 @@
         boot = machine.disk.boot()
         if boot is None:
             machine.disk = self._blank(replica)
-            self.checks.lay(machine.disk)
+            self.invariants.register_disk(machine.disk)
             boot = machine.disk.boot()
-        machine.life += 1
+        machine.generation += 1
         machine.synced = 0
         machine.waiting = []
-        machine.asked = {}
+        machine.pending_calls = {}
         machine.frozen = machine.stalled = machine.leaving = False
         machine.core = self._core(boot, machine)
-        self.checks.started(machine)
+        self.invariants.started(machine)
 
     def _core(self, boot: Boot, machine: Machine) -> RaftCore:
-        return self.twist.core_class(
+        return self.fault.core_class(
             boot=boot,
             replicas=self.seeds(),
-            pace=self.pace,
-            seed=self.make_random(self.seed * 1000 + machine.replica * 100 + machine.life),
-            now=self.now + machine.ahead,
+            timings=self.timings,
+            seed=self.make_random(self.seed * 1000 + machine.replica * 100 + machine.generation),
+            now=self.now + machine.clock_offset,
             wanted_voters=self.size,
         )
 
@@ -207,7 +212,7 @@
         machine = self.machines[replica]
         machine.core = None
         machine.disk.lose_power(kept=kept)
-        self.checks.disk_changed(machine)
+        self.invariants.disk_changed(machine)
 
     def wipe(self, replica: int) -> None:
         """The machine comes back with a blank disk."""
@@ -215,14 +220,14 @@
         machine.core = None
         former = machine.disk.incarnation
         machine.disk = self._blank(replica)
-        if self.twist.keeps_incarnation:
+        if self.fault.keeps_incarnation:
             machine.disk.incarnation = former
-        self.checks.lay(machine.disk)
+        self.invariants.register_disk(machine.disk)
 
     def add_spare(self) -> int:
         replica = max(self.machines) + 1
         machine = self.machines[replica] = Machine(disk=self._blank(replica))
-        self.checks.lay(machine.disk)
+        self.invariants.register_disk(machine.disk)
         self.start(replica)
         self._tell_seeds()
         return replica
@@ -245,7 +250,7 @@
     def ask_to_leave(self, replica: int, *, span: timedelta) -> None:
         """Its process is told to end and has this span to hand over; the machine is gone for good after it."""
         self.machines[replica].leaving = True
-        self.feed(self.machines[replica], StopAsked(span))
+        self.feed(self.machines[replica], StopRequested(span))
 
     # -- the network -------------------------------------------------------------------------------------------------
 
@@ -254,10 +259,10 @@
         return (packet.sender, packet.receiver) not in self.cuts and not receiver.frozen
 
     def post(self, packet: Packet) -> None:
-        self.flight.append(packet)
-        between = [each for each in self.flight if (each.sender, each.receiver) == (packet.sender, packet.receiver)]
-        if len(between) > LINK_ROOM:
-            self.flight.remove(between[0])
+        self.in_flight.append(packet)
+        between = [each for each in self.in_flight if (each.sender, each.receiver) == (packet.sender, packet.receiver)]
+        if len(between) > LINK_CAPACITY:
+            self.in_flight.remove(between[0])
 
     def deliver(self, packet: Packet) -> None:
         """Hands over one message, which the caller has taken from what is under way or kept there to come again."""
@@ -266,20 +271,24 @@
             sender = self.machines[packet.sender]
             if receiver.core is not None:
                 ticket = ticket_of(packet)
-                while ticket in receiver.asked:
+                while ticket in receiver.pending_calls:
                     ticket += 1
-                receiver.asked[ticket] = (packet.sender, packet.life, packet.number)
+                receiver.pending_calls[ticket] = (packet.sender, packet.generation, packet.number)
                 self.feed(receiver, CallArrived(ticket, packet.message))
-            elif sender.answers and sender.life == packet.life and (packet.receiver, packet.sender) not in self.cuts:
+            elif (
+                sender.answers
+                and sender.generation == packet.generation
+                and (packet.receiver, packet.sender) not in self.cuts
+            ):
                 self.feed(sender, CallRefused(packet.receiver))
-        elif receiver.core is not None and receiver.life == packet.life:
+        elif receiver.core is not None and receiver.generation == packet.generation:
             self.feed(receiver, AnswerArrived(packet.number, packet.sender, packet.message))
 
     def deliver_next(self) -> bool:
         """Delivers the oldest message that can pass."""
-        for place, packet in enumerate(self.flight):
+        for place, packet in enumerate(self.in_flight):
             if self.can_pass(packet):
-                del self.flight[place]
+                del self.in_flight[place]
                 self.deliver(packet)
                 return True
         return False
@@ -288,13 +297,13 @@
 
     def feed(self, machine: Machine, event: tuple) -> None:
         self.events += 1
-        event = self.twist.heard(machine, event)
-        before = self.checks.before(machine)
-        commands = machine.core.handle(event, now=self.now + machine.ahead)
+        event = self.fault.filter_event(machine, event)
+        before = self.invariants.before(machine)
+        commands = machine.core.handle(event, now=self.now + machine.clock_offset)
         if isinstance(event, Synced):
             machine.synced = max(machine.synced, event.sequence)
-        commands = self.twist.said(machine, event, commands)
-        self.checks.after(machine, before, commands, self.machines)
+        commands = self.fault.filter_commands(machine, event, commands)
+        self.invariants.after(machine, before, commands, self.machines)
         for command in commands:
             self._carry_out(machine, command)
         if isinstance(event, Synced):
@@ -311,27 +320,27 @@
             case Send(after=after) | Answer(after=after) if after > machine.synced:
                 machine.waiting.append((after, command))
             case Send(number=number, replica=replica, message=message):
-                self.checks.sent(machine, message)
+                self.invariants.sent(machine, message)
                 if replica in self.machines:
-                    self.post(Packet(machine.replica, replica, machine.life, number, message, True))
+                    self.post(Packet(machine.replica, replica, machine.generation, number, message, True))
             case Answer(ticket=ticket, message=message):
                 self._answer(machine, ticket, message)
             case Write() | Capture() | StoreChunk() | DropCheckpoints() | ReadChunk():
                 machine.disk.jobs.append(command)
             case Ended(why=why):
                 machine.ended = True
-                self.checks.left(machine, why)
-            case Concluded():
-                self.checks.concluded(command)
-            case ReadReady():
-                self.checks.read_ready(command)
+                self.invariants.left(machine, why)
+            case ProposalResult():
+                self.invariants.concluded(command)
+            case ReadResult():
+                self.invariants.read_ready(command)
 
     def _answer(self, machine: Machine, ticket: int, message: tuple) -> None:
-        asked = machine.asked.pop(ticket, None)
-        if asked is not None:
-            self.checks.answered(machine, message)
-            replica, life, number = asked
-            self.post(Packet(machine.replica, replica, life, number, message, False))
+        pending_calls = machine.pending_calls.pop(ticket, None)
+        if pending_calls is not None:
+            self.invariants.answered(machine, message)
+            replica, generation, number = pending_calls
+            self.post(Packet(machine.replica, replica, generation, number, message, False))
 
     def do_disk_job(self, replica: int) -> bool:
         """The disk does its next job and reports it."""
@@ -339,7 +348,7 @@
         if not machine.disk.jobs or not machine.answers:
             return False
         report = machine.disk.do_next()
-        self.checks.disk_changed(machine)
+        self.invariants.disk_changed(machine)
         if isinstance(report, ChunkRead):
             self._answer(machine, report.ticket, report.answer)
         elif report is not None:
@@ -354,19 +363,19 @@
 
     def propose(self, replica: int, payload: bytes) -> int:
         self.tickets += 1
-        self.checks.proposed(self.tickets, payload)
+        self.invariants.proposed(self.tickets, payload)
         self.feed(self.machines[replica], ProposalArrived(self.tickets, (payload,)))
         return self.tickets
 
     def read(self, replica: int) -> int:
         self.tickets += 1
-        self.checks.read_asked(self.tickets)
+        self.invariants.read_asked(self.tickets)
         self.feed(self.machines[replica], ReadArrived(self.tickets))
         return self.tickets
 
     def leader(self) -> int | None:
         """The one of the newest epoch among those that lead and answer."""
-        leading = [each for each in self.machines.values() if each.answers and each.core.standing == LEADER]
+        leading = [each for each in self.machines.values() if each.answers and each.core.role == LEADER]
         return max(leading, key=lambda each: each.core.epoch).replica if leading else None
 
     # -- time --------------------------------------------------------------------------------------------------------
@@ -375,12 +384,12 @@
         """Lets everything that can go on go on for this span; true as soon as the wanted moment is there."""
         end = self.now + span
         while self.now < end:
-            self.now += self.slice_span
-            for _ in range(ROUNDS_IN_A_SLICE):
+            self.now += self.time_step
+            for _ in range(MAX_ROUNDS_PER_STEP):
                 moved = False
-                for packet in [each for each in self.flight if self.can_pass(each)]:
-                    if packet in self.flight:
-                        self.flight.remove(packet)
+                for packet in [each for each in self.in_flight if self.can_pass(each)]:
+                    if packet in self.in_flight:
+                        self.in_flight.remove(packet)
                         self.deliver(packet)
                         moved = True
                 for replica in list(self.machines):
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
@@ -7,15 +7,15 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.raft.core import LEADER
-from hoistsaddle.rpc.messages import LeadCall
+from hoistsaddle.rpc.messages import BeginEpochCall
 from hoistsaddle.testbed.modelcheck.clones import key_of
-from hoistsaddle.testbed.modelcheck.cluster import SLICE, Cluster, Machine, Packet, Twist
-from hoistsaddle.testbed.modelcheck.invariants import Broken, order
+from hoistsaddle.testbed.modelcheck.cluster import TIME_STEP, Cluster, InjectedFault, Machine, Packet
+from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, order
 
 # Longer than any span after which a core acts by itself, so that one timeout makes it act.
 TIMEOUT = timedelta(seconds=4)
 # Twenty seconds, and the moves in one slice of it: more than a blank disk needs to come back.
-MOST_SLICES, MOST_MOVES = 400, 50
+MAX_TIME_STEPS, MAX_MOVES_PER_STEP = 400, 50
 # How a step may be done in part: its answer stays under way, or its writes stay unsynced.
 LATE, LAZY = "late", "lazy"
 
@@ -48,12 +48,12 @@
     """Where it begins, how deep it goes, and what may happen in it."""
 
     name: str
-    begin: Callable[[Twist], Cluster]
+    begin: Callable[[InjectedFault], Cluster]
     depth: int
     budget: Budget
 
 
-class Explored(NamedTuple):
+class ExplorationResult(NamedTuple):
     """What was seen of a space; the break, if any, with the way to it."""
 
     name: str
@@ -63,29 +63,29 @@
     elections: int
     commits: int
     broken: str = ""
-    way: tuple[Action, ...] = ()
+    path: tuple[Action, ...] = ()
 
     def __str__(self) -> str:
-        told = f"BROKEN {self.broken} by {[tuple(action) for action in self.way]}" if self.broken else "held"
+        verdict = f"BROKEN {self.broken} by {[tuple(action) for action in self.path]}" if self.broken else "held"
         return (
             f"{self.name}: depth {self.depth}, {self.states} states, {self.transitions} transitions, "
-            f"{self.elections} leaders, up to {self.commits} records committed, {told}"
+            f"{self.elections} leaders, up to {self.commits} records committed, {verdict}"
         )
 
 
-class _Even(random.Random):
+class _MidpointRandom(random.Random):
     """Spans of elections are alike everywhere: which timer runs out first is up to the exploration."""
 
     def random(self) -> float:
         return 0.5
 
 
-class Place(NamedTuple):
+class SearchNode(NamedTuple):
     """One state on the way, with what may still happen."""
 
     cluster: Cluster
     left: Budget
-    way: tuple[Action, ...]
+    path: tuple[Action, ...]
 
 
 def _key_of_machine(machine: Machine) -> int:
@@ -101,24 +101,24 @@
                 disk.incarnation,
                 machine.synced,
                 key_of(machine.waiting),
-                tuple(sorted(machine.asked.items())),
-                machine.life,
-                machine.ahead,
+                tuple(sorted(machine.pending_calls.items())),
+                machine.generation,
+                machine.clock_offset,
             )
         )
     return machine.key
 
 
-def _key(place: Place) -> int:
+def _key(place: SearchNode) -> int:
     cluster = place.cluster
     machines = tuple([(replica, _key_of_machine(machine)) for replica, machine in cluster.machines.items()])
-    checks = (tuple(cluster.checks.committed), tuple(sorted(cluster.checks.reads.items())))
-    return hash((machines, frozenset(cluster.flight), checks, place.left))
+    invariants = (tuple(cluster.invariants.committed), tuple(sorted(cluster.invariants.reads.items())))
+    return hash((machines, frozenset(cluster.in_flight), invariants, place.left))
 
 
-def _actions(place: Place) -> Iterator[Action]:
+def _actions(place: SearchNode) -> Iterator[Action]:
     cluster, left = place.cluster, place.left
-    for number, packet in enumerate(cluster.flight):
+    for number, packet in enumerate(cluster.in_flight):
         if not cluster.can_pass(packet):
             continue
         yield Action("deliver", packet.receiver, number)
@@ -140,7 +140,7 @@
                 yield Action("crash", replica, kept)
         if left.wipes:
             yield Action("wipe", replica)
-        if machine.core.standing == LEADER:
+        if machine.core.role == LEADER:
             if left.orders:
                 yield Action("order", replica)
                 if left.lazies:
@@ -161,18 +161,18 @@
 }
 
 
-def _go(place: Place, action: Action) -> Place:
-    packet = place.cluster.flight[action.place] if action.kind in ("deliver", "double") else None
+def _go(place: SearchNode, action: Action) -> SearchNode:
+    packet = place.cluster.in_flight[action.place] if action.kind in ("deliver", "double") else None
     touching = {action.replica} | ({packet.sender} if packet is not None else set())
     cluster = place.cluster.copy(touching=tuple(touching))
     machine = cluster.machines[action.replica]
     match action.kind:
         case "deliver" | "double":
             if action.kind == "deliver":
-                del cluster.flight[action.place]
+                del cluster.in_flight[action.place]
             _deliver(cluster, packet, action)
         case "timeout":
-            machine.ahead += TIMEOUT
+            machine.clock_offset += TIMEOUT
             cluster.tick(action.replica)
         case "crash" | "wipe":
             cluster.crash(action.replica, kept=action.place)
@@ -192,7 +192,7 @@
     for name in (action.kind, action.how):
         if (cost := _COSTS.get(name)) is not None:
             left = left._replace(**{cost: getattr(left, cost) - 1})
-    return Place(cluster, left, (*place.way, action))
+    return SearchNode(cluster, left, (*place.path, action))
 
 
 def _sync(cluster: Cluster, *replicas: int) -> bool:
@@ -205,24 +205,24 @@
 
 def _deliver(cluster: Cluster, packet: Packet, action: Action) -> None:
     """A call and its answer are one step, unless the answer comes late or rests on a sync that does."""
-    before = set(cluster.flight)
+    before = set(cluster.in_flight)
     cluster.deliver(packet)
     if action.how == LAZY:
         return
     _sync(cluster, packet.receiver)
     if not packet.is_call or action.how == LATE:
         return
-    for answer in [each for each in cluster.flight if each not in before and not each.is_call]:
-        if (answer.receiver, answer.life, answer.number) == (packet.sender, packet.life, packet.number):
-            cluster.flight.remove(answer)
+    for answer in [each for each in cluster.in_flight if each not in before and not each.is_call]:
+        if (answer.receiver, answer.generation, answer.number) == (packet.sender, packet.generation, packet.number):
+            cluster.in_flight.remove(answer)
             cluster.deliver(answer)
             _sync(cluster, packet.sender)
 
 
-def explore(space: Space, *, twist: Callable[[], Twist] = Twist, depth: int = 0) -> Explored:
+def explore(space: Space, *, fault: Callable[[], InjectedFault] = InjectedFault, depth: int = 0) -> ExplorationResult:
     """Every state of the space down to its depth, breadth first; ends at the first break, which is a shortest one."""
     depth = depth or space.depth
-    begin = Place(space.begin(twist()), space.budget, ())
+    begin = SearchNode(space.begin(fault()), space.budget, ())
     known = {_key(begin)}
     frontier = [begin]
     transitions = commits = 0
@@ -234,88 +234,90 @@
                 transitions += 1
                 try:
                     after = _go(place, action)
-                except Broken as broken:
-                    way = (*place.way, action)
-                    return Explored(
-                        space.name, level + 1, len(known), transitions, len(leaders), commits, str(broken), way
+                except InvariantViolated as broken:
+                    path = (*place.path, action)
+                    return ExplorationResult(
+                        space.name, level + 1, len(known), transitions, len(leaders), commits, str(broken), path
                     )
                 key = _key(after)
                 if key in known:
                     continue
                 known.add(key)
                 following.append(after)
-                checks = after.cluster.checks
-                commits = max(commits, checks.top)
-                leaders.update(checks.leaders.items())
+                invariants = after.cluster.invariants
+                commits = max(commits, invariants.last_committed)
+                leaders.update(invariants.leaders.items())
         frontier = following
-    return Explored(space.name, depth, len(known), transitions, len(leaders), commits)
+    return ExplorationResult(space.name, depth, len(known), transitions, len(leaders), commits)
 
 
 # -- where the spaces begin ------------------------------------------------------------------------------------------
 
 
-def _fresh(twist: Twist) -> Cluster:
-    return Cluster(size=3, seed=1, twist=twist, make_random=_Even)
+def _fresh(fault: InjectedFault) -> Cluster:
+    return Cluster(size=3, seed=1, fault=fault, make_random=_MidpointRandom)
 
 
-def _two_candidates(twist: Twist) -> Cluster:
+def _two_candidates(fault: InjectedFault) -> Cluster:
     """Two replicas have stood at the same time, and nobody has heard of it yet."""
-    cluster = _fresh(twist)
+    cluster = _fresh(fault)
     for replica in (1, 3):
-        cluster.machines[replica].ahead += TIMEOUT
+        cluster.machines[replica].clock_offset += TIMEOUT
         cluster.tick(replica)
     return cluster
 
 
-def _uneven(twist: Twist) -> Cluster:
+def _uneven(fault: InjectedFault) -> Cluster:
     """Three replicas of whom the first leads: the others' timers are held back."""
-    cluster = _fresh(twist)
-    cluster.machines[1].ahead += TIMEOUT
+    cluster = _fresh(fault)
+    cluster.machines[1].clock_offset += TIMEOUT
     cluster.run(milliseconds(300))
     assert cluster.leader() == 1, cluster.leader()
     return cluster
 
 
-def _led(twist: Twist) -> Cluster:
-    cluster = _uneven(twist)
-    cluster.flight.clear()
+def _led(fault: InjectedFault) -> Cluster:
+    cluster = _uneven(fault)
+    cluster.in_flight.clear()
     return cluster
 
 
-def _parted(twist: Twist) -> Cluster:
+def _parted(fault: InjectedFault) -> Cluster:
     """The leader holds a record that nobody else has, and hasn't synced it itself."""
-    cluster = _led(twist)
+    cluster = _led(fault)
     cluster.propose(1, order(request=1, name="one", revision=1, content="first"))
-    cluster.flight.clear()
+    cluster.in_flight.clear()
     return cluster
 
 
-def _two_leaders(twist: Twist) -> Cluster:
+def _two_leaders(fault: InjectedFault) -> Cluster:
     """The second was elected by the third, and the first hasn't heard of it."""
-    cluster = _led(twist)
+    cluster = _led(fault)
     cluster.cuts = {(1, 2), (2, 1), (1, 3), (3, 1)}
-    cluster.machines[2].ahead += TIMEOUT
-    cluster.machines[3].ahead += TIMEOUT
+    cluster.machines[2].clock_offset += TIMEOUT
+    cluster.machines[3].clock_offset += TIMEOUT
     cluster.tick(2)
-    while cluster.machines[2].core.standing != LEADER and (cluster.deliver_next() or _sync(cluster, 2, 3)):
+    while cluster.machines[2].core.role != LEADER and (cluster.deliver_next() or _sync(cluster, 2, 3)):
         pass
     _sync(cluster, 2, 3)
-    assert cluster.machines[2].core.standing == cluster.machines[1].core.standing == LEADER
+    assert cluster.machines[2].core.role == cluster.machines[1].core.role == LEADER
     cluster.cuts.clear()
     # Only the new leader's calls to follow are still under way.
-    cluster.flight = [packet for packet in cluster.flight if isinstance(packet.message, LeadCall)]
+    cluster.in_flight = [packet for packet in cluster.in_flight if isinstance(packet.message, BeginEpochCall)]
     return cluster
 
 
-def _changing(twist: Twist) -> Cluster:
+def _changing(fault: InjectedFault) -> Cluster:
     """A blank disk has come back and caught up, and the record that swaps it in is logged at the leader alone."""
-    cluster = _uneven(twist)
+    cluster = _uneven(fault)
     cluster.crash(3, kept=0)
     cluster.wipe(3)
     cluster.start(3)
     if not _step_until(cluster, lambda: _has_open_change(cluster.machines[1])):
-        raise Broken("a change of voters is logged", "the leader logged none for a blank disk that came back")
-    cluster.flight.clear()
+        raise InvariantViolated(
+            "a change of voters is logged", "the leader logged none for a blank disk that came back"
+        )
+    cluster.in_flight.clear()
     return cluster
 
 
@@ -326,9 +328,9 @@
 
 def _step_until(cluster: Cluster, wanted: Callable[[], bool]) -> bool:
     """Goes on event by event up to the very one that brings the wanted state about."""
-    for _ in range(MOST_SLICES):
-        cluster.now += SLICE
-        for _ in range(MOST_MOVES):
+    for _ in range(MAX_TIME_STEPS):
+        cluster.now += TIME_STEP
+        for _ in range(MAX_MOVES_PER_STEP):
             moved = cluster.deliver_next()
             if wanted():
                 return True
@@ -345,9 +347,9 @@
     return False
 
 
-def _behind(twist: Twist) -> Cluster:
+def _behind(fault: InjectedFault) -> Cluster:
     """A follower is behind the leader's begin, and its fetch is about to be sent to the checkpoint."""
-    cluster = _uneven(twist)
+    cluster = _uneven(fault)
     cluster.crash(3, kept=0)
     for number in range(1, 8):
         cluster.propose(1, order(request=number, name="one", revision=number, content=f"content-{number}"))
@@ -355,7 +357,7 @@
     cluster.run(timedelta(seconds=4), until=lambda: cluster.machines[1].core.begin.offset > 1)
     assert cluster.machines[1].core.begin.offset > 1
     cluster.start(3)
-    cluster.flight.clear()
+    cluster.in_flight.clear()
     return cluster
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
@@ -9,17 +9,17 @@
     AnswerArrived,
     CallArrived,
     Capture,
-    Concluded,
     DropCheckpoints,
     ProposalArrived,
+    ProposalResult,
     ReadArrived,
-    ReadReady,
+    ReadResult,
     Send,
     Synced,
     Write,
 )
-from hoistsaddle.rpc.messages import BallotAnswer, BallotCall, FetchAnswer, FetchCall, LeadCall
-from hoistsaddle.testbed.modelcheck.cluster import Machine, Twist
+from hoistsaddle.rpc.messages import BeginEpochCall, FetchAnswer, FetchCall, VoteAnswer, VoteCall
+from hoistsaddle.testbed.modelcheck.cluster import InjectedFault, Machine
 
 
 class _OneSetOnly(RaftCore):
@@ -27,28 +27,28 @@
         return super().voter_sets()[-1:]
 
 
-class CountsOneSetOnly(Twist):
+class CountsOneSetOnly(InjectedFault):
     """While a change of voters is open, only the set after it is asked."""
 
     core_class = _OneSetOnly
 
 
-class VoteUnsynced(Twist):
+class VoteUnsynced(InjectedFault):
     """A vote is told before it is synced."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
             command._replace(after=0)
-            if isinstance(command, Answer) and isinstance(command.message, BallotAnswer)
+            if isinstance(command, Answer) and isinstance(command.message, VoteAnswer)
             else command
             for command in commands
         ]
 
 
-class FetchUnsynced(Twist):
+class FetchUnsynced(InjectedFault):
     """A follower claims records that it hasn't synced."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
             command._replace(after=0)
             if isinstance(command, Send) and isinstance(command.message, FetchCall)
@@ -57,113 +57,113 @@
         ]
 
 
-class AppendUnsynced(Twist):
+class AppendUnsynced(InjectedFault):
     """A leader counts its own records before they are synced."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         core = machine.core
-        if core.standing == LEADER and any(isinstance(command, Write) for command in commands):
+        if core.role == LEADER and any(isinstance(command, Write) for command in commands):
             core.durable = core.last.offset
         return commands
 
 
-class ReadWithoutRound(Twist):
+class ReadWithoutRound(InjectedFault):
     """A leader answers a read from its own state, without asking whether it still leads."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         core = machine.core
-        if isinstance(event, ReadArrived) and core.standing == LEADER:
-            return [*commands, ReadReady(event.ticket, "", core.replica, core.state)]
+        if isinstance(event, ReadArrived) and core.role == LEADER:
+            return [*commands, ReadResult(event.ticket, "", core.replica, core.state)]
         return commands
 
 
-class CommitsOldEpoch(Twist):
+class CommitsOldEpoch(InjectedFault):
     """A leader commits the records of former epochs by counting."""
 
-    def heard(self, machine: Machine, event: tuple) -> tuple:
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
         machine.core.epoch_began = 0
         return event
 
 
-class VotesForAnybody(Twist):
+class VotesForAnybody(InjectedFault):
     """A vote is given without a look at how far the candidate's log goes."""
 
-    def heard(self, machine: Machine, event: tuple) -> tuple:
-        if isinstance(event, CallArrived) and isinstance(event.message, BallotCall):
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        if isinstance(event, CallArrived) and isinstance(event.message, VoteCall):
             return event._replace(message=event.message._replace(last_offset=2**40, last_epoch=2**40))
         return event
 
 
-class VotesTwice(Twist):
+class VotesTwice(InjectedFault):
     """A vote already given in the epoch doesn't bind."""
 
-    def heard(self, machine: Machine, event: tuple) -> tuple:
-        if isinstance(event, CallArrived) and isinstance(event.message, BallotCall) and not event.message.trial:
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        if isinstance(event, CallArrived) and isinstance(event.message, VoteCall) and not event.message.pre_vote:
             machine.core.vote = None
         return event
 
 
-class TruncatesCommitted(Twist):
+class TruncatesCommitted(InjectedFault):
     """A follower that hears of a new leader drops its log above the checkpoint, committed or not."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        if isinstance(event, CallArrived) and isinstance(event.message, LeadCall) and commands:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        if isinstance(event, CallArrived) and isinstance(event.message, BeginEpochCall) and commands:
             machine.core.log = []
         return commands
 
 
-class BlankDiskVotes(Twist):
+class BlankDiskVotes(InjectedFault):
     """A machine that comes back with a blank disk goes by its former incarnation."""
 
     keeps_incarnation = True
 
 
-class CountsWhatItPulls(Twist):
+class CountsWhatItPulls(InjectedFault):
     """A replica that still pulls its checkpoint claims to be whole."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
-            command._replace(message=command.message._replace(whole=True))
+            command._replace(message=command.message._replace(complete=True))
             if isinstance(command, Send) and isinstance(command.message, FetchCall) and command.message.fetch_offset > 0
             else command
             for command in commands
         ]
 
 
-class AcknowledgesAtOnce(Twist):
+class AcknowledgesAtOnce(InjectedFault):
     """An order is acknowledged when it is logged, not when it commits."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         core = machine.core
-        if isinstance(event, ProposalArrived) and core.standing == LEADER:
-            return [*commands, Concluded(event.ticket, "", core.replica, core.last.offset, ())]
+        if isinstance(event, ProposalArrived) and core.role == LEADER:
+            return [*commands, ProposalResult(event.ticket, "", core.replica, core.last.offset, ())]
         return commands
 
 
-class CapturesTooMuch(Twist):
+class CapturesTooMuch(InjectedFault):
     """A checkpoint is named by the log's end, not by what its state holds."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
-            command._replace(mark=machine.core.last) if isinstance(command, Capture) else command
+            command._replace(checkpoint_id=machine.core.last) if isinstance(command, Capture) else command
             for command in commands
         ]
 
 
-class BelievesTheAnswer(Twist):
+class BelievesTheAnswer(InjectedFault):
     """A follower takes the leader's log end for the high-watermark."""
 
-    def heard(self, machine: Machine, event: tuple) -> tuple:
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
         if isinstance(event, AnswerArrived) and isinstance(event.message, FetchAnswer) and event.message.records:
             last = event.message.records[-1].offset
             return event._replace(message=event.message._replace(high_watermark=last))
         return event
 
 
-class LosesRecords(Twist):
+class LosesRecords(InjectedFault):
     """A follower skips the first record that it is sent and numbers the rest on."""
 
-    def heard(self, machine: Machine, event: tuple) -> tuple:
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
         if isinstance(event, AnswerArrived) and isinstance(event.message, FetchAnswer):
             records = event.message.records
             if len(records) > 1:
@@ -174,27 +174,27 @@
         return event
 
 
-class ForgetsItsVoteOnSync(Twist):
+class ForgetsItsVoteOnSync(InjectedFault):
     """Every write leaves the vote out."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [command._replace(vote=None) if isinstance(command, Write) else command for command in commands]
 
 
-class DropsNewestCheckpoint(Twist):
+class DropsNewestCheckpoint(InjectedFault):
     """Log cleaning also removes the checkpoint that the log begins with, and the leader's log with it."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
             command._replace(below=command.below + 1) if isinstance(command, DropCheckpoints) else command
             for command in commands
         ]
 
 
-class SyncsAreLies(Twist):
+class SyncsAreLies(InjectedFault):
     """A sync is reported before the disk has done it."""
 
-    def said(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         writes = [command for command in commands if isinstance(command, Write)]
         if not writes or isinstance(event, Synced):
             return commands
@@ -202,7 +202,7 @@
         return [*commands, *machine.core.handle(Synced(writes[-1].sequence), now=machine.core.now)]
 
 
-FAULTS: tuple[type[Twist], ...] = (
+FAULTS: tuple[type[InjectedFault], ...] = (
     CountsOneSetOnly,
     VoteUnsynced,
     FetchUnsynced,
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
@@ -3,13 +3,13 @@
 from functools import cache
 from typing import TYPE_CHECKING, NamedTuple
 
-from hoistsaddle.config.items import SERVICE, Patch, Setting, pack_patch, read_patch
+from hoistsaddle.config.items import SERVICE, ItemUpsert, Patch, pack_patch, read_patch
 from hoistsaddle.raft.core import LEADER, RaftCore
-from hoistsaddle.raft.events import Capture, Concluded, ReadReady
-from hoistsaddle.rpc.messages import BallotAnswer, BallotCall, FetchCall, Record
+from hoistsaddle.raft.events import Capture, ProposalResult, ReadResult
+from hoistsaddle.rpc.messages import FetchCall, Record, VoteAnswer, VoteCall
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import PatchItems, pack_command, unpack_command
-from hoistsaddle.statemachine.state import State, found_state
+from hoistsaddle.statemachine.state import State, initial_state
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
 
 if TYPE_CHECKING:
@@ -20,33 +20,33 @@
 HANDED_OVER = "handed over"
 
 
-class Broken(AssertionError):
+class InvariantViolated(AssertionError):
     """A rule that the step just done broke."""
 
-    def __init__(self, rule: str, told: str) -> None:
-        super().__init__(f"{rule}: {told}")
+    def __init__(self, rule: str, description: str) -> None:
+        super().__init__(f"{rule}: {description}")
         self.rule = rule
 
 
-class Before(NamedTuple):
+class CoreSnapshot(NamedTuple):
     """What a core held before an event."""
 
     log: list[Record]
     begin: int
-    whole: bool
+    complete: bool
     high_watermark: int
 
 
 def order(*, request: int, name: str, revision: int, content: str) -> bytes:
     """One item with its version and content, as an operator's desk proposes it."""
-    setting = Setting(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
+    setting = ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
     return pack_command(PatchItems(f"request-{request}", "desk", "standing", pack_patch(Patch([setting], []))))
 
 
 @cache
 def refuses_other_content() -> bool:
     """Whether the state machine promises one content for each version: it is asked with a sample."""
-    state = found_state(mesh="m", voters={1: "one"}, operators={}, level=3)
+    state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
     for place, content in enumerate(("this", "that"), start=1):
         state, outcome = apply(
             state,
@@ -55,14 +55,14 @@
             stamp=state.stamp,
             payload=order(request=place, name="sample", revision=1, content=content),
         )
-    return bool(outcome.mishap)
+    return bool(outcome.error)
 
 
 def _voters_after(voters: Voters, record: Record) -> Voters | None:
     """The voters once this record applies, if it is about them; the state machine says what it does."""
     if b"Voter" not in record.payload[:24]:
         return None
-    state = found_state(mesh="m", voters=voters, operators={}, level=2**30)
+    state = initial_state(mesh="m", voters=voters, operators={}, level=2**30)
     state, _ = apply(state, offset=1, epoch=1, stamp=state.stamp, payload=record.payload, supported=2**30)
     return dict(state.voters)
 
@@ -97,7 +97,7 @@
     # -- what is known ---------------------------------------------------------------------------------------------
 
     @property
-    def top(self) -> int:
+    def last_committed(self) -> int:
         """The newest committed offset."""
         return len(self.committed)
 
@@ -111,29 +111,29 @@
     def _epoch(self, offset: int) -> int:
         return self.committed[offset - 1].epoch if offset > 0 else 0
 
-    def lay(self, disk: ModelDisk) -> None:
+    def register_disk(self, disk: ModelDisk) -> None:
         """A disk under its incarnation; the former one stays known for what it once held and promised."""
         self.disks[(disk.replica, disk.incarnation)] = disk
 
     def started(self, machine: "Machine") -> None:
-        self.checked[(machine.replica, machine.life)] = 0
+        self.checked[(machine.replica, machine.generation)] = 0
         self._check_core(machine)
 
     # -- one step ----------------------------------------------------------------------------------------------------
 
-    def before(self, machine: "Machine") -> Before:
+    def before(self, machine: "Machine") -> CoreSnapshot:
         core = machine.core
-        return Before(list(core.log), core.begin.offset, core.whole, core.high_watermark)
+        return CoreSnapshot(list(core.log), core.begin.offset, core.complete, core.high_watermark)
 
     def after(
         self,
         machine: "Machine",
-        before: Before,
+        before: CoreSnapshot,
         commands: list[tuple],
         machines: "dict[int, Machine]",
     ) -> None:
         core = machine.core
-        if core.standing == LEADER:
+        if core.role == LEADER:
             self._check_leading(machine)
             self._check_commit(core, machines)
         self._check_kept(machine, before)
@@ -152,46 +152,47 @@
 
     def _check_leading(self, machine: "Machine") -> None:
         core = machine.core
-        me = (machine.replica, machine.life)
+        me = (machine.replica, machine.generation)
         known = self.leaders.setdefault(core.epoch, me)
         if known != me:
-            raise Broken("one leader an epoch", f"{me} leads epoch {core.epoch}, and so did {known}")
-        if machine.led == (core.epoch, machine.life):
+            raise InvariantViolated("one leader an epoch", f"{me} leads epoch {core.epoch}, and so did {known}")
+        if machine.last_led == (core.epoch, machine.generation):
             return
-        machine.led = (core.epoch, machine.life)
+        machine.last_led = (core.epoch, machine.generation)
         self._count("elections")
         self._check_holds_committed(machine)
         voter = (machine.replica, machine.disk.incarnation)
         for voters in self._sets_of(core):
             votes = self._number_of(voters, lambda disk: (core.epoch, voter) in disk.ever_voted)
             if votes * 2 <= len(voters):
-                raise Broken(
+                raise InvariantViolated(
                     "leaders by majorities that meet",
                     f"{machine.replica} leads epoch {core.epoch} with {votes} synced votes of {sorted(voters)}",
                 )
 
     def _check_holds_committed(self, machine: "Machine") -> None:
         core = machine.core
-        if not core.whole or core.last.offset < self.top:
-            raise Broken(
+        if not core.complete or core.last.offset < self.last_committed:
+            raise InvariantViolated(
                 "a leader holds all that is committed",
-                f"{machine.replica} leads epoch {core.epoch} up to {core.last.offset}, committed is {self.top}",
+                f"{machine.replica} leads epoch {core.epoch} up to {core.last.offset}, "
+                f"committed is {self.last_committed}",
             )
-        for offset in range(core.begin.offset, self.top + 1):
+        for offset in range(core.begin.offset, self.last_committed + 1):
             if core.epoch_at(offset) != self._epoch(offset):
-                raise Broken(
+                raise InvariantViolated(
                     "a leader holds all that is committed",
                     f"{machine.replica} leads epoch {core.epoch} with another record at {offset}",
                 )
 
     def _sets_of(self, core: RaftCore) -> list[Voters]:
         """The sets whose majorities must agree by this log: the newest, and beside an open change the one before."""
-        voters = dict(self.states[min(core.state.offset, self.top)].voters)
+        voters = dict(self.states[min(core.state.offset, self.last_committed)].voters)
         sets = [voters]
         for record in core.log:
             if record.offset <= core.state.offset or (after := _voters_after(voters, record)) is None:
                 continue
-            sets = [after] if record.offset <= self.top else [*sets, after]
+            sets = [after] if record.offset <= self.last_committed else [*sets, after]
             voters = after
         return sets
 
@@ -210,49 +211,51 @@
             last = max(disk.log, default=newest.begin.offset)
             epoch = disk.log[last].epoch if last in disk.log else newest.begin.epoch
             marks[replica] = (-1, -1) if newest.catching else (epoch, last)
-        for replica, mark in marks.items():
+        for replica, checkpoint_id in marks.items():
             disk = self.disks[(replica, voters[replica])]
-            behind = sum(other <= mark for other in marks.values())
-            if mark[1] >= 0 and behind * 2 > len(voters) and not disk.holds_now(self.top):
-                raise Broken(
+            behind = sum(other <= checkpoint_id for other in marks.values())
+            if checkpoint_id[1] >= 0 and behind * 2 > len(voters) and not disk.holds_now(self.last_committed):
+                raise InvariantViolated(
                     "committed records outlive what may be lost",
-                    f"the disks would elect {replica} at {mark}, committed is {self.top}",
+                    f"the disks would elect {replica} at {checkpoint_id}, committed is {self.last_committed}",
                 )
 
     # -- committing --------------------------------------------------------------------------------------------------
 
     def _check_commit(self, core: RaftCore, machines: "dict[int, Machine]") -> None:
         open_changes = [
-            record.offset for record in core.log if record.offset > self.top and b"Voter" in record.payload[:24]
+            record.offset
+            for record in core.log
+            if record.offset > self.last_committed and b"Voter" in record.payload[:24]
         ]
         if len(open_changes) > 1:
-            raise Broken("one change of voters at a time", f"{core.replica} logged those at {open_changes}")
-        mark = core.high_watermark
-        if mark <= self.top:
+            raise InvariantViolated("one change of voters at a time", f"{core.replica} logged those at {open_changes}")
+        checkpoint_id = core.high_watermark
+        if checkpoint_id <= self.last_committed:
             return
-        epoch = core.epoch_at(mark)
+        epoch = core.epoch_at(checkpoint_id)
         if epoch != core.epoch:
-            raise Broken(
+            raise InvariantViolated(
                 "only a record of the leader's epoch commits by counting",
-                f"{core.replica} in epoch {core.epoch} committed up to {mark} of epoch {epoch}",
+                f"{core.replica} in epoch {core.epoch} committed up to {checkpoint_id} of epoch {epoch}",
             )
         for voters in self._sets_of(core):
-            holders = self._number_of(voters, lambda disk: disk.holds(mark, epoch))
+            holders = self._number_of(voters, lambda disk: disk.holds(checkpoint_id, epoch))
             if holders * 2 <= len(voters):
-                raise Broken(
+                raise InvariantViolated(
                     "commits by majorities that meet",
-                    f"{core.replica} committed {mark}, synced on {holders} of {sorted(voters.items())}",
+                    f"{core.replica} committed {checkpoint_id}, synced on {holders} of {sorted(voters.items())}",
                 )
         for record in core.log:
-            if self.top < record.offset <= mark:
+            if self.last_committed < record.offset <= checkpoint_id:
                 self._commit(record)
         for machine in machines.values():
-            if machine.core is not None and machine.core.standing == LEADER and machine.core.epoch > core.epoch:
+            if machine.core is not None and machine.core.role == LEADER and machine.core.epoch > core.epoch:
                 self._check_holds_committed(machine)
 
     def _commit(self, record: Record) -> None:
-        if record.offset != self.top + 1:
-            raise Broken("no gap in what is committed", f"{record.offset} follows {self.top}")
+        if record.offset != self.last_committed + 1:
+            raise InvariantViolated("no gap in what is committed", f"{record.offset} follows {self.last_committed}")
         self._count("records committed")
         state, _ = apply(
             self.states[-1], offset=record.offset, epoch=record.epoch, stamp=record.stamp, payload=record.payload
@@ -269,16 +272,18 @@
         for key, item in state.items.items():
             content = (item.dropped, item.body)
             if self.applied.setdefault((key, item.revision), content) != content:
-                raise Broken("one content for each version", f"{key} at version {item.revision} stands in two forms")
+                raise InvariantViolated(
+                    "one content for each version", f"{key} at version {item.revision} stands in two forms"
+                )
 
     # -- what each core holds ----------------------------------------------------------------------------------------
 
-    def _check_kept(self, machine: "Machine", before: Before) -> None:
+    def _check_kept(self, machine: "Machine", before: CoreSnapshot) -> None:
         core = machine.core
-        if not before.whole or not core.whole:
+        if not before.complete or not core.complete:
             return
         if core.high_watermark < before.high_watermark:
-            raise Broken(
+            raise InvariantViolated(
                 "a high-watermark never goes back",
                 f"{machine.replica} went from {before.high_watermark} to {core.high_watermark}",
             )
@@ -287,66 +292,67 @@
         for record in before.log:
             if record.offset <= core.begin.offset or core.epoch_at(record.offset) == record.epoch:
                 continue
-            if record.offset <= self.top and self._epoch(record.offset) == record.epoch:
-                raise Broken(
+            if record.offset <= self.last_committed and self._epoch(record.offset) == record.epoch:
+                raise InvariantViolated(
                     "committed records are never truncated",
                     f"{machine.replica} dropped {record.offset} of epoch {record.epoch}",
                 )
 
     def _check_core(self, machine: "Machine") -> None:
         core = machine.core
-        if not core.whole:
-            self.checked[(machine.replica, machine.life)] = 0
+        if not core.complete:
+            self.checked[(machine.replica, machine.generation)] = 0
             return
-        if core.high_watermark > self.top:
-            raise Broken(
+        if core.high_watermark > self.last_committed:
+            raise InvariantViolated(
                 "logs are equal up to the high-watermark",
-                f"{machine.replica} takes {core.high_watermark} for committed, {self.top} is",
+                f"{machine.replica} takes {core.high_watermark} for committed, {self.last_committed} is",
             )
-        known = self.checked[(machine.replica, machine.life)]
+        known = self.checked[(machine.replica, machine.generation)]
         if core.high_watermark > known:
-            self.checked[(machine.replica, machine.life)] = core.high_watermark
+            self.checked[(machine.replica, machine.generation)] = core.high_watermark
             self._check_records(machine, after=known)
-            if core.state.offset <= self.top and core.state != self.states[core.state.offset]:
-                raise Broken(
+            if core.state.offset <= self.last_committed and core.state != self.states[core.state.offset]:
+                raise InvariantViolated(
                     "states are equal at equal offsets", f"{machine.replica} has another one at {core.state.offset}"
                 )
 
     def _check_records(self, machine: "Machine", *, after: int) -> None:
         for record in machine.core.log:
             if after < record.offset <= machine.core.high_watermark and record != self.committed[record.offset - 1]:
-                raise Broken(
+                raise InvariantViolated(
                     "logs are equal up to the high-watermark", f"{machine.replica} holds another at {record.offset}"
                 )
 
     def _check_capture(self, machine: "Machine", capture: Capture) -> None:
         self._count("checkpoints")
-        mark = capture.mark
-        if mark.offset > self.top or capture.state != self.states[mark.offset]:
-            raise Broken(
-                "checkpoints hold committed state", f"{machine.replica} takes one at {mark}, committed is {self.top}"
+        checkpoint_id = capture.checkpoint_id
+        if checkpoint_id.offset > self.last_committed or capture.state != self.states[checkpoint_id.offset]:
+            raise InvariantViolated(
+                "checkpoints hold committed state",
+                f"{machine.replica} takes one at {checkpoint_id}, committed is {self.last_committed}",
             )
 
     # -- what is said ------------------------------------------------------------------------------------------------
 
     def sent(self, machine: "Machine", message: tuple) -> None:
-        """A fetch that leaves says what its sender holds, a ballot that it votes for itself: both must be synced."""
-        if isinstance(message, BallotCall) and not message.trial:
+        """A fetch says what its sender holds, a vote request that it votes for itself: both must be synced."""
+        if isinstance(message, VoteCall) and not message.pre_vote:
             self._check_vote(machine, (message.epoch, (machine.replica, machine.disk.incarnation)))
-        if not isinstance(message, FetchCall) or not message.whole or message.fetch_offset < 1:
+        if not isinstance(message, FetchCall) or not message.complete or message.fetch_offset < 1:
             return
         if not machine.disk.holds(message.fetch_offset - 1, message.fetch_epoch):
-            raise Broken(
+            raise InvariantViolated(
                 "a fetch claims only what is synced",
                 f"{machine.replica} claims {message.fetch_offset - 1} of epoch {message.fetch_epoch}",
             )
 
     def answered(self, machine: "Machine", message: tuple) -> None:
         """A vote that leaves must be synced."""
-        if not isinstance(message, BallotAnswer) or message.trial or not message.granted:
+        if not isinstance(message, VoteAnswer) or message.pre_vote or not message.granted:
             return
-        if not any(epoch == message.ballot_epoch and vote for epoch, vote in machine.disk.ever_voted):
-            self._refuse_vote(machine, message.ballot_epoch)
+        if not any(epoch == message.vote_epoch and vote for epoch, vote in machine.disk.ever_voted):
+            self._refuse_vote(machine, message.vote_epoch)
 
     def _check_vote(self, machine: "Machine", vote: tuple[int, tuple[int, str]]) -> None:
         if vote not in machine.disk.ever_voted:
@@ -354,7 +360,7 @@
 
     @staticmethod
     def _refuse_vote(machine: "Machine", epoch: int) -> None:
-        raise Broken("a vote leaves only once it is synced", f"{machine.replica} tells one of epoch {epoch}")
+        raise InvariantViolated("a vote leaves only once it is synced", f"{machine.replica} tells one of epoch {epoch}")
 
     def left(self, machine: "Machine", why: str) -> None:
         """Who ends with everything handed over leaves all that is committed on a majority without it."""
@@ -365,25 +371,27 @@
         holders = [
             voter
             for voter in self.voters.items()
-            if voter != me and voter in self.disks and self.disks[voter].holds(self.top, self._epoch(self.top))
+            if voter != me
+            and voter in self.disks
+            and self.disks[voter].holds(self.last_committed, self._epoch(self.last_committed))
         ]
         if len(holders) * 2 <= len(self.voters):
-            raise Broken(
+            raise InvariantViolated(
                 "who leaves hands over first",
-                f"{me} left, {self.top} is committed and on {holders} of {sorted(self.voters.items())}",
+                f"{me} left, {self.last_committed} is committed and on {holders} of {sorted(self.voters.items())}",
             )
 
     def proposed(self, ticket: int, payload: bytes) -> None:
         self.orders[ticket] = payload
 
-    def concluded(self, command: Concluded) -> None:
+    def concluded(self, command: ProposalResult) -> None:
         payload = self.orders.get(command.ticket)
-        if command.mishap or payload is None:
+        if command.error or payload is None:
             return
         self._count("orders acknowledged")
-        if command.offset > self.top or self.committed[command.offset - 1].payload != payload:
-            raise Broken("acknowledged records are committed", f"the order of offset {command.offset} isn't")
-        if self.judges_versions and all(not outcome.mishap for outcome in command.outcomes):
+        if command.offset > self.last_committed or self.committed[command.offset - 1].payload != payload:
+            raise InvariantViolated("acknowledged records are committed", f"the order of offset {command.offset} isn't")
+        if self.judges_versions and all(not outcome.error for outcome in command.outcomes):
             self._check_acknowledged(payload)
 
     def _check_acknowledged(self, payload: bytes) -> None:
@@ -393,20 +401,20 @@
         for setting, item in read_patch(proposal.patch).unwrap().sets:
             version = (item.name, setting.revision)
             if self.acknowledged.setdefault(version, setting.said) != setting.said:
-                raise Broken("one content for each version", f"two contents of {version} were acknowledged")
+                raise InvariantViolated("one content for each version", f"two contents of {version} were acknowledged")
 
     def read_asked(self, ticket: int) -> None:
-        self.reads[ticket] = self.top
+        self.reads[ticket] = self.last_committed
 
-    def read_ready(self, command: ReadReady) -> None:
-        if command.mishap:
+    def read_ready(self, command: ReadResult) -> None:
+        if command.error:
             return
         self._count("reads confirmed")
         offset = command.state.offset
         if offset < self.reads[command.ticket]:
-            raise Broken(
+            raise InvariantViolated(
                 "confirmed reads are linear",
                 f"one that began at {self.reads[command.ticket]} was given the state at {offset}",
             )
         if command.state != self.states[offset]:
-            raise Broken("confirmed reads are linear", f"one was given a state that never was at {offset}")
+            raise InvariantViolated("confirmed reads are linear", f"one was given a state that never was at {offset}")
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/turns.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
@@ -13,20 +13,20 @@
 from hypothesis import seed as seeded
 
 from hoistsaddle.common.clock import ZERO, milliseconds
-from hoistsaddle.raft.shell import TICK
+from hoistsaddle.raft.runner import TICK
 from hoistsaddle.testbed.modelcheck.cluster import Cluster, Machine
-from hoistsaddle.testbed.modelcheck.invariants import Broken
+from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated
 from hoistsaddle.testbed.modelcheck.steps import UNIT, Walk
-from hoistsaddle.testbed.modelcheck.walks import Enough
+from hoistsaddle.testbed.modelcheck.walks import StopDrawing
 
 # How often an operator sends an order meanwhile.
 ORDER_EVERY = milliseconds(250)
 # A machine away comes back, or its successor comes up, after at most so many units.
-MOST_AWAY = 40
-MOST_LOSSES = 6
+MAX_UNITS_AWAY = 40
+MAX_LOSSES = 6
 
 
-class Way(StrEnum):
+class LossKind(StrEnum):
     """How a machine is lost."""
 
     WIPED = "wiped"
@@ -40,13 +40,13 @@
 class Loss(NamedTuple):
     """One loss: how, who (0 is the leader), how long nobody is in its place, how long after its span the next comes."""
 
-    way: Way
+    kind: LossKind
     who: int
     away: int
     later: int
 
 
-class Turns(NamedTuple):
+class LossSequence(NamedTuple):
     """A whole run of losses."""
 
     size: int
@@ -55,30 +55,30 @@
     losses: tuple[Loss, ...]
 
 
-class Settled(NamedTuple):
+class SequenceResult(NamedTuple):
     """What a run came to: how long each loss took to settle, from the moment its return or successor was up."""
 
     spans: tuple[timedelta, ...]
 
 
-class TurnsFound(NamedTuple):
+class SequenceCounterexample(NamedTuple):
     """A run that broke, and how."""
 
-    told: str
-    turns: Turns
+    description: str
+    turns: LossSequence
 
 
 class _Run:
-    def __init__(self, turns: Turns) -> None:
+    def __init__(self, turns: LossSequence) -> None:
         self.turns = turns
-        self.cluster = Cluster(size=turns.size, seed=turns.seed, slice_span=TICK)
+        self.cluster = Cluster(size=turns.size, seed=turns.seed, time_step=TICK)
         self.walk = Walk(self.cluster)
         self.ordered_at = ZERO
         self.orders = 0
 
-    def go(self) -> Settled:
+    def go(self) -> SequenceResult:
         self._pass(timedelta(seconds=2))
-        return Settled(tuple(self._lose(loss) for loss in self.turns.losses))
+        return SequenceResult(tuple(self._lose(loss) for loss in self.turns.losses))
 
     def _pass(self, span: timedelta, *, until=lambda: False) -> bool:
         """Time goes by, with an order now and then."""
@@ -96,15 +96,15 @@
     def _lose(self, loss: Loss) -> timedelta:
         victim = self._victim(loss.who)
         self.walk.lost.add(victim.replica)
-        self._begin(loss.way, victim, loss.away)
+        self._begin(loss.kind, victim, loss.away)
         self._pass(UNIT * loss.away)
-        self._end(loss.way, victim)
+        self._end(loss.kind, victim)
         began = self.cluster.now
         if not self._pass(self.turns.settle, until=self.walk.is_settled):
-            voters = sorted(self.cluster.checks.voters.items())
-            raise Broken(
+            voters = sorted(self.cluster.invariants.voters.items())
+            raise InvariantViolated(
                 "a loss settles within its span",
-                f"{loss.way} of {victim.replica} has not after {self.turns.settle}: leader {self.cluster.leader()}, "
+                f"{loss.kind} of {victim.replica} has not after {self.turns.settle}: leader {self.cluster.leader()}, "
                 f"voters {voters}",
             )
         span = self.cluster.now - began
@@ -112,58 +112,58 @@
         return span
 
     def _victim(self, who: int) -> Machine:
-        voters = sorted(self.cluster.checks.voters)
+        voters = sorted(self.cluster.invariants.voters)
         leader = self.cluster.leader()
         return self.cluster.machines[leader if who == 0 and leader is not None else voters[who % len(voters)]]
 
-    def _begin(self, way: Way, victim: Machine, away: int) -> None:
+    def _begin(self, kind: LossKind, victim: Machine, away: int) -> None:
         cluster, replica = self.cluster, victim.replica
-        match way:
-            case Way.WIPED | Way.POWER:
+        match kind:
+            case LossKind.WIPED | LossKind.POWER:
                 cluster.crash(replica, kept=0)
-            case Way.REPLACED:
+            case LossKind.REPLACED:
                 cluster.remove(replica)
-            case Way.LEAVES:
+            case LossKind.LEAVES:
                 cluster.ask_to_leave(replica, span=UNIT * away)
-            case Way.FROZEN:
+            case LossKind.FROZEN:
                 victim.frozen = True
-            case Way.CUT_OFF:
+            case LossKind.CUT_OFF:
                 cluster.cuts |= {pair for each in cluster.machines for pair in ((each, replica), (replica, each))}
 
-    def _end(self, way: Way, victim: Machine) -> None:
+    def _end(self, kind: LossKind, victim: Machine) -> None:
         cluster, replica = self.cluster, victim.replica
-        match way:
-            case Way.WIPED:
+        match kind:
+            case LossKind.WIPED:
                 cluster.wipe(replica)
                 cluster.start(replica)
-            case Way.POWER:
+            case LossKind.POWER:
                 cluster.start(replica)
-            case Way.REPLACED | Way.LEAVES:
+            case LossKind.REPLACED | LossKind.LEAVES:
                 cluster.remove(replica)
                 cluster.add_spare()
-            case Way.FROZEN:
+            case LossKind.FROZEN:
                 victim.frozen = False
-            case Way.CUT_OFF:
+            case LossKind.CUT_OFF:
                 cluster.cuts.clear()
 
 
-def lose_in_turn(turns: Turns) -> Settled:
+def run_loss_sequence(turns: LossSequence) -> SequenceResult:
     """Does the run; raises Broken."""
     return _Run(turns).go()
 
 
-def losses_in_turn(
+def draw_loss_sequences(
     *, seed: int, runs: int, settle: timedelta, sizes: tuple[int, ...] = (3, 5)
-) -> tuple[list[timedelta], TurnsFound | None]:
+) -> tuple[list[timedelta], SequenceCounterexample | None]:
     """So many runs drawn from this seed: the spans in which losses settled, and the first break."""
     spans: list[timedelta] = []
-    found: TurnsFound | None = None
+    found: SequenceCounterexample | None = None
     loss = strategies.builds(
         Loss,
-        strategies.sampled_from(list(Way)),
+        strategies.sampled_from(list(LossKind)),
         strategies.integers(0, 4),
-        strategies.integers(0, MOST_AWAY),
-        strategies.integers(0, MOST_AWAY),
+        strategies.integers(0, MAX_UNITS_AWAY),
+        strategies.integers(0, MAX_UNITS_AWAY),
     )
 
     @seeded(seed)
@@ -176,21 +176,21 @@
     )
     @given(
         strategies.builds(
-            Turns,
+            LossSequence,
             strategies.sampled_from(sizes),
             strategies.integers(0, 9999),
             strategies.just(settle),
-            strategies.lists(loss, min_size=2, max_size=MOST_LOSSES).map(tuple),
+            strategies.lists(loss, min_size=2, max_size=MAX_LOSSES).map(tuple),
         )
     )
-    def check(turns: Turns) -> None:
+    def check(turns: LossSequence) -> None:
         nonlocal found
         try:
-            spans.extend(lose_in_turn(turns).spans)
-        except Broken as broken:
-            found = TurnsFound(str(broken), turns)
-            raise Enough("the first break is enough") from broken
+            spans.extend(run_loss_sequence(turns).spans)
+        except InvariantViolated as broken:
+            found = SequenceCounterexample(str(broken), turns)
+            raise StopDrawing("the first break is enough") from broken
 
-    with contextlib.suppress(Enough):
+    with contextlib.suppress(StopDrawing):
         check()
     return spans, found
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
@@ -16,24 +16,24 @@
     CheckpointLoaded,
     CheckpointStored,
     DropCheckpoints,
-    Mark,
+    OffsetAndEpoch,
     ReadChunk,
     StoreChunk,
     Synced,
     Write,
 )
-from hoistsaddle.rpc.messages import PullAnswer, Record
+from hoistsaddle.rpc.messages import FetchSnapshotAnswer, Record
 from hoistsaddle.statemachine.state import State
 
 # What a boot takes from the newest write under the same name; records are kept apart.
-_KEPT = tuple(name for name in Write._fields if name in Boot._fields and name != "records")
+_BOOT_FIELDS = tuple(name for name in Write._fields if name in Boot._fields and name != "records")
 
 
 class ChunkRead(NamedTuple):
     """A piece of a checkpoint for the replica that asked with this ticket."""
 
     ticket: int
-    answer: PullAnswer
+    answer: FetchSnapshotAnswer
 
 
 class ModelDisk:
@@ -45,8 +45,8 @@
         self.newest: Write | None = None
         self.founded: dict | None = None
         self.log: dict[int, Record] = {}
-        self.checkpoints: dict[Mark, bytes] = {}
-        self.pulled: dict[Mark, bytes] = {}
+        self.checkpoints: dict[OffsetAndEpoch, bytes] = {}
+        self.pulled: dict[OffsetAndEpoch, bytes] = {}
         self.jobs: deque = deque()
         # What this incarnation held or promised at any moment; a truncation takes nothing away here.
         self.ever_held: set[tuple[int, int]] = set()
@@ -64,14 +64,14 @@
 
     def found(self, *, mesh: str, voters: tuple[tuple[int, str], ...], state: State) -> None:
         """What founding leaves: the first checkpoint, the mesh and its voters."""
-        self.checkpoints[Mark(0, 0)] = pack_checkpoint(mark=Mark(0, 0), state=state)
+        self.checkpoints[OffsetAndEpoch(0, 0)] = pack_checkpoint(checkpoint_id=OffsetAndEpoch(0, 0), state=state)
         self.founded = {"mesh": mesh, "voters": voters}
 
     # -- reading -----------------------------------------------------------------------------------------------------
 
     def boot(self) -> Boot | None:
         """What a start reads; nothing where the folder has to be laid anew, under another incarnation."""
-        facts = {name: getattr(self.newest, name) for name in _KEPT} if self.newest else self.founded or {}
+        facts = {name: getattr(self.newest, name) for name in _BOOT_FIELDS} if self.newest else self.founded or {}
         known = Boot(replica=self.replica, incarnation=self.incarnation, **facts)
         if not known.mesh or known.catching:
             return known
@@ -79,19 +79,19 @@
         found = self._newest_checkpoint(least=known.begin.offset)
         if found is None:
             return None
-        mark, state = found
+        checkpoint_id, state = found
         begin = known.begin
-        if mark.offset > (records[-1].offset if records else begin.offset):
-            records, begin = (), mark
-        return known._replace(begin=begin, records=records, checkpoint=mark, state=state)
+        if checkpoint_id.offset > (records[-1].offset if records else begin.offset):
+            records, begin = (), checkpoint_id
+        return known._replace(begin=begin, records=records, checkpoint=checkpoint_id, state=state)
 
-    def _newest_checkpoint(self, *, least: int) -> tuple[Mark, State] | None:
-        for mark in sorted(self.checkpoints, reverse=True):
-            if mark.offset < least:
+    def _newest_checkpoint(self, *, least: int) -> tuple[OffsetAndEpoch, State] | None:
+        for checkpoint_id in sorted(self.checkpoints, reverse=True):
+            if checkpoint_id.offset < least:
                 break
-            match unpack_checkpoint(mark=mark, data=self.checkpoints[mark]):
+            match unpack_checkpoint(checkpoint_id=checkpoint_id, data=self.checkpoints[checkpoint_id]):
                 case Success(state):
-                    return mark, state
+                    return checkpoint_id, state
         return None
 
     def holds(self, offset: int, epoch: int) -> bool:
@@ -103,7 +103,9 @@
         if self.newest is None or self.newest.catching:
             return offset <= 0
         last = max(self.log, default=self.newest.begin.offset)
-        return offset <= max(last, self.newest.begin.offset, *(mark.offset for mark in self.checkpoints), 0)
+        return offset <= max(
+            last, self.newest.begin.offset, *(checkpoint_id.offset for checkpoint_id in self.checkpoints), 0
+        )
 
     # -- jobs --------------------------------------------------------------------------------------------------------
 
@@ -126,8 +128,8 @@
     def tear(self) -> None:
         """The newest checkpoint is found torn at the next start."""
         if self.checkpoints:
-            mark = max(self.checkpoints)
-            self.checkpoints[mark] = self.checkpoints[mark][:-1]
+            checkpoint_id = max(self.checkpoints)
+            self.checkpoints[checkpoint_id] = self.checkpoints[checkpoint_id][:-1]
 
     def _write(self, write: Write) -> None:
         if write.clear:
@@ -149,34 +151,36 @@
 
     def _do(self, job: tuple) -> tuple | None:
         match job:
-            case Capture(mark=mark, state=state):
-                self.checkpoints[mark] = pack_checkpoint(mark=mark, state=state)
-                return CheckpointStored(mark, len(self.checkpoints[mark]))
-            case StoreChunk(mark=mark, position=position, data=data, last=last):
-                self.pulled[mark] = self.pulled.get(mark, b"")[:position] + data
+            case Capture(checkpoint_id=checkpoint_id, state=state):
+                self.checkpoints[checkpoint_id] = pack_checkpoint(checkpoint_id=checkpoint_id, state=state)
+                return CheckpointStored(checkpoint_id, len(self.checkpoints[checkpoint_id]))
+            case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
+                self.pulled[checkpoint_id] = self.pulled.get(checkpoint_id, b"")[:position] + data
                 if not last:
                     return None
-                whole = self.pulled.pop(mark)
-                match unpack_checkpoint(mark=mark, data=whole):
+                complete = self.pulled.pop(checkpoint_id)
+                match unpack_checkpoint(checkpoint_id=checkpoint_id, data=complete):
                     case Success(state):
-                        self.checkpoints[mark] = whole
-                        return CheckpointLoaded(mark, state)
-                return CheckpointLoaded(mark, None)
+                        self.checkpoints[checkpoint_id] = complete
+                        return CheckpointLoaded(checkpoint_id, state)
+                return CheckpointLoaded(checkpoint_id, None)
             case ReadChunk(ticket=ticket, epoch=epoch, call=call, max_bytes=most):
-                mark = Mark(call.checkpoint_offset, call.checkpoint_epoch)
-                mishap, data, continues = self._read_chunk(mark, call.position, most)
-                return ChunkRead(ticket, PullAnswer(mishap, epoch, *mark, call.position, data, continues))
+                checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
+                error, data, continues = self._read_chunk(checkpoint_id, call.position, most)
+                return ChunkRead(
+                    ticket, FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
+                )
             case DropCheckpoints(below=below):
                 kept = getattr(job, "keep", ())
                 for files in (self.checkpoints, self.pulled):
-                    for mark in [each for each in files if each.offset < below and each not in kept]:
-                        del files[mark]
+                    for checkpoint_id in [each for each in files if each.offset < below and each not in kept]:
+                        del files[checkpoint_id]
         return None
 
-    def _read_chunk(self, mark: Mark, position: int, most: int) -> tuple[str, bytes, bool]:
-        if mark not in self.checkpoints:
+    def _read_chunk(self, checkpoint_id: OffsetAndEpoch, position: int, most: int) -> tuple[str, bytes, bool]:
+        if checkpoint_id not in self.checkpoints:
             return SNAPSHOT_NOT_FOUND, b"", False
-        data = self.checkpoints[mark]
+        data = self.checkpoints[checkpoint_id]
         if not 0 <= position <= len(data):
             return OFFSET_OUT_OF_RANGE, b"", False
         piece = data[position : position + most]
