--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
@@ -7,28 +7,28 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.raft.core import LEADER
 from hoistsaddle.testbed.modelcheck.cluster import Cluster, Machine, Packet
-from hoistsaddle.testbed.modelcheck.invariants import Broken, order
+from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, order
 
 # One unit of a run, and of a clock that moves on by itself.
 UNIT = milliseconds(50)
 # Machines at once, those that came and went included.
-MOST_MACHINES = 9
+MAX_MACHINES = 9
 # Names and versions are few, so that orders meet.
 NAMES, VERSIONS, CONTENTS = 2, 6, 2
 # What a healed cluster may take to elect a leader and to commit a new record: some rounds of elections, and the
 # silence after which a blank disk or an old leader is given up.
-SERVED_SPAN = timedelta(seconds=15)
+SERVE_TIMEOUT = timedelta(seconds=15)
 # What it may take until every loss has settled: a voter's long silence, an election, a catch-up.
-SETTLED_SPAN = timedelta(seconds=60)
+SETTLE_ALL_TIMEOUT = timedelta(seconds=60)
 # What a replica that was away may take until it holds all that is committed, with nothing in its way any more.
-CAUGHT_UP_SPAN = timedelta(seconds=15)
+CATCH_UP_TIMEOUT = timedelta(seconds=15)
 
 
-class Kind(StrEnum):
+class StepKind(StrEnum):
     RUN = "run"
     DELIVER = "deliver"
     DROP = "drop"
-    DOUBLE = "double"
+    DUPLICATE = "double"
     DISK = "disk"
     TICK = "tick"
     ADVANCE = "advance"
@@ -42,9 +42,9 @@
     HEAL = "heal"
     FREEZE = "freeze"
     THAW = "thaw"
-    STALL = "stall"
-    GO_ON = "go on"
-    SPARE = "spare"
+    STALL_DISK = "stall"
+    RESUME_DISK = "go on"
+    ADD_SPARE = "spare"
     REPLACE = "replace"
     LEAVE = "leave"
     PROPOSE = "propose"
@@ -56,7 +56,7 @@
 class Step(NamedTuple):
     """One step. The numbers choose among what there is at that moment, so that any part of a walk is a walk."""
 
-    kind: Kind
+    kind: StepKind
     first: int = 0
     second: int = 0
 
@@ -73,7 +73,7 @@
         # Replicas whose disk is lost or going, not settled yet.
         self.lost: set[int] = set()
         self.done: list[Step] = []
-        self.passed_over = 0
+        self.skipped = 0
         self.orders = 0
         self.settled = 0
 
@@ -103,12 +103,12 @@
         return self.cluster.machines[leader] if leader is not None else None
 
     def _packet(self, number: int) -> Packet | None:
-        passing = [packet for packet in self.cluster.flight if self.cluster.can_pass(packet)]
+        passing = [packet for packet in self.cluster.in_flight if self.cluster.can_pass(packet)]
         return passing[number % len(passing)] if passing else None
 
     def _counts(self, machine: Machine) -> bool:
         """Whether losing this disk is a loss: it votes, or somebody counts on it to."""
-        sets = [self.cluster.checks.voters]
+        sets = [self.cluster.invariants.voters]
         for each in self.cluster.machines.values():
             if each.core is not None:
                 sets += each.core.voter_sets()
@@ -129,8 +129,8 @@
         """
         if not self.lost or not self._majority_knows_the_voters():
             return
-        checks = self.cluster.checks
-        voters, top = checks.voters, checks.top
+        invariants = self.cluster.invariants
+        voters, last_committed = invariants.voters, invariants.last_committed
         machines = self.cluster.machines
         holding = {
             replica
@@ -138,7 +138,7 @@
             if machines[replica].disk.incarnation == incarnation
             and not machines[replica].removed
             and not machines[replica].leaving
-            and machines[replica].disk.holds_now(top)
+            and machines[replica].disk.holds_now(last_committed)
         }
         for replica in sorted(self.lost):
             if replica in voters:
@@ -150,17 +150,17 @@
                 self.settled += 1
 
     def _majority_knows_the_voters(self) -> bool:
-        checks, machines = self.cluster.checks, self.cluster.machines
+        invariants, machines = self.cluster.invariants, self.cluster.machines
         knowing = 0
-        for replica, incarnation in checks.voters.items():
+        for replica, incarnation in invariants.voters.items():
             machine = machines[replica]
             if machine.removed or machine.disk.incarnation != incarnation:
                 continue
             newest, core = machine.disk.newest, machine.core
-            kept = newest is not None and not newest.catching and newest.committed >= checks.changed_at
-            told = core is not None and core.whole and core.high_watermark >= checks.changed_at
-            knowing += kept or told
-        return knowing * 2 > len(checks.voters)
+            kept = newest is not None and not newest.catching and newest.committed >= invariants.changed_at
+            known_in_memory = core is not None and core.complete and core.high_watermark >= invariants.changed_at
+            knowing += kept or known_in_memory
+        return knowing * 2 > len(invariants.voters)
 
     # -- steps -------------------------------------------------------------------------------------------------------
 
@@ -168,30 +168,30 @@
         """Does the step if it can be done now; the checks raise Broken."""
         self.done.append(step)
         done = self._take(step)
-        self.passed_over += not done
+        self.skipped += not done
         self.settle()
         return done
 
     def _take(self, step: Step) -> bool:
         cluster, first, second = self.cluster, step.first, step.second
         match step.kind:
-            case Kind.RUN:
+            case StepKind.RUN:
                 cluster.run(UNIT * (1 + first), until=self._settle_on)
-            case Kind.ADVANCE:
+            case StepKind.ADVANCE:
                 cluster.now += UNIT * (1 + first)
-            case Kind.DELIVER | Kind.DROP | Kind.DOUBLE:
+            case StepKind.DELIVER | StepKind.DROP | StepKind.DUPLICATE:
                 return self._message(step.kind, first)
-            case Kind.DISK | Kind.TICK | Kind.PROPOSE | Kind.BATCH | Kind.READ:
+            case StepKind.DISK | StepKind.TICK | StepKind.PROPOSE | StepKind.BATCH | StepKind.READ:
                 return self._work(step.kind, first, second)
-            case Kind.CUT | Kind.CUT_ONE_WAY | Kind.CUT_OFF | Kind.HEAL:
+            case StepKind.CUT | StepKind.CUT_ONE_WAY | StepKind.CUT_OFF | StepKind.HEAL:
                 return self._link(step.kind, first, second)
-            case Kind.FREEZE | Kind.THAW | Kind.STALL | Kind.GO_ON:
+            case StepKind.FREEZE | StepKind.THAW | StepKind.STALL_DISK | StepKind.RESUME_DISK:
                 return self._pause(step.kind, first, second)
-            case Kind.SPARE:
-                if len(cluster.machines) >= MOST_MACHINES:
+            case StepKind.ADD_SPARE:
+                if len(cluster.machines) >= MAX_MACHINES:
                     return False
                 cluster.add_spare()
-            case Kind.ALL_LOSE_POWER:
+            case StepKind.ALL_LOSE_POWER:
                 for replica, machine in cluster.machines.items():
                     if machine.core is not None:
                         cluster.crash(replica, kept=second if replica % 2 else first)
@@ -206,32 +206,32 @@
         self.settle()
         return False
 
-    def _message(self, kind: Kind, number: int) -> bool:
+    def _message(self, kind: StepKind, number: int) -> bool:
         packet = self._packet(number)
         if packet is None:
             return False
-        if kind != Kind.DOUBLE:
-            self.cluster.flight.remove(packet)
-        if kind != Kind.DROP:
+        if kind != StepKind.DUPLICATE:
+            self.cluster.in_flight.remove(packet)
+        if kind != StepKind.DROP:
             self.cluster.deliver(packet)
         return True
 
-    def _work(self, kind: Kind, first: int, second: int) -> bool:
+    def _work(self, kind: StepKind, first: int, second: int) -> bool:
         cluster = self.cluster
-        machine = self._answering(first) if kind in (Kind.DISK, Kind.TICK) else self._asked(first, second)
+        machine = self._answering(first) if kind in (StepKind.DISK, StepKind.TICK) else self._asked(first, second)
         if machine is None:
             return False
         match kind:
-            case Kind.DISK:
+            case StepKind.DISK:
                 return cluster.do_disk_job(machine.replica)
-            case Kind.TICK:
+            case StepKind.TICK:
                 cluster.tick(machine.replica)
-            case Kind.READ:
+            case StepKind.READ:
                 cluster.read(machine.replica)
-            case Kind.PROPOSE:
+            case StepKind.PROPOSE:
                 self.order(machine.replica, second)
-            case Kind.BATCH:
-                for number in range(cluster.pace.checkpoint_records + 2):
+            case StepKind.BATCH:
+                for number in range(cluster.timings.checkpoint_records + 2):
                     if machine.answers:
                         self.order(machine.replica, second + number)
                         cluster.run(UNIT * 2, until=self._settle_on)
@@ -249,40 +249,40 @@
             ),
         )
 
-    def _link(self, kind: Kind, first: int, second: int) -> bool:
+    def _link(self, kind: StepKind, first: int, second: int) -> bool:
         cluster = self.cluster
-        if kind == Kind.HEAL:
+        if kind == StepKind.HEAL:
             cluster.cuts.clear()
             return True
         one = self._harmed(first, second)
         other = self._pick(second, wanted=lambda each: each is not one)
         if one is None or other is None:
             return False
-        if kind == Kind.CUT_OFF:
+        if kind == StepKind.CUT_OFF:
             for replica in cluster.machines:
                 cluster.cuts |= {(one.replica, replica), (replica, one.replica)}
             return True
         cluster.cuts.add((one.replica, other.replica))
-        if kind == Kind.CUT:
+        if kind == StepKind.CUT:
             cluster.cuts.add((other.replica, one.replica))
         return True
 
-    def _pause(self, kind: Kind, first: int, second: int) -> bool:
-        if kind in (Kind.FREEZE, Kind.STALL):
+    def _pause(self, kind: StepKind, first: int, second: int) -> bool:
+        if kind in (StepKind.FREEZE, StepKind.STALL_DISK):
             machine = self._harmed(first, second)
         else:
-            machine = self._pick(first, wanted=lambda each: each.frozen if kind == Kind.THAW else each.stalled)
+            machine = self._pick(first, wanted=lambda each: each.frozen if kind == StepKind.THAW else each.stalled)
         if machine is None:
             return False
-        if kind in (Kind.FREEZE, Kind.THAW):
-            machine.frozen = kind == Kind.FREEZE
+        if kind in (StepKind.FREEZE, StepKind.THAW):
+            machine.frozen = kind == StepKind.FREEZE
         else:
-            machine.stalled = kind == Kind.STALL
+            machine.stalled = kind == StepKind.STALL_DISK
         return True
 
-    def _lifecycle(self, kind: Kind, first: int, second: int) -> bool:
+    def _lifecycle(self, kind: StepKind, first: int, second: int) -> bool:
         cluster = self.cluster
-        if kind == Kind.START:
+        if kind == StepKind.START:
             machine = self._pick(first, wanted=lambda each: each.core is None)
             if machine is not None:
                 cluster.start(machine.replica)
@@ -290,26 +290,26 @@
         machine = self._harmed(first, second) or self._pick(first, wanted=lambda each: each.core is not None)
         if machine is None:
             return False
-        if kind == Kind.CRASH:
+        if kind == StepKind.CRASH:
             cluster.crash(machine.replica, kept=second)
             return True
         if not self._may_lose(machine) or (
-            kind in (Kind.LEAVE, Kind.REPLACE) and len(cluster.machines) >= MOST_MACHINES
+            kind in (StepKind.LEAVE, StepKind.REPLACE) and len(cluster.machines) >= MAX_MACHINES
         ):
             return False
         match kind:
-            case Kind.WIPE:
+            case StepKind.WIPE:
                 self._lose(machine)
                 cluster.crash(machine.replica, kept=second)
                 cluster.wipe(machine.replica)
                 cluster.start(machine.replica)
-            case Kind.TEAR:
+            case StepKind.TEAR:
                 self._tear(machine, second)
-            case Kind.REPLACE:
+            case StepKind.REPLACE:
                 self._lose(machine)
                 cluster.remove(machine.replica)
                 cluster.add_spare()
-            case Kind.LEAVE:
+            case StepKind.LEAVE:
                 if not machine.answers or machine.leaving:
                     return False
                 self._lose(machine)
@@ -342,27 +342,29 @@
             if machine.core is None and not machine.removed:
                 cluster.start(replica)
         began = cluster.now
-        if not cluster.run(SERVED_SPAN, until=self._commits_new()):
-            raise Broken("a healed cluster serves", f"{self._told()} within {SERVED_SPAN}")
-        if self.lost and not cluster.run(SETTLED_SPAN - (cluster.now - began), until=self.is_settled):
-            raise Broken("losses settle", f"{sorted(self.lost)} did not within {SETTLED_SPAN}: {self._told()}")
-        if not cluster.run(CAUGHT_UP_SPAN, until=self._all_hold_all):
-            raise Broken("everybody catches up", f"not within {CAUGHT_UP_SPAN}: {self._told()}")
+        if not cluster.run(SERVE_TIMEOUT, until=self._commits_new()):
+            raise InvariantViolated("a healed cluster serves", f"{self._describe()} within {SERVE_TIMEOUT}")
+        if self.lost and not cluster.run(SETTLE_ALL_TIMEOUT - (cluster.now - began), until=self.is_settled):
+            raise InvariantViolated(
+                "losses settle", f"{sorted(self.lost)} did not within {SETTLE_ALL_TIMEOUT}: {self._describe()}"
+            )
+        if not cluster.run(CATCH_UP_TIMEOUT, until=self._all_hold_all):
+            raise InvariantViolated("everybody catches up", f"not within {CATCH_UP_TIMEOUT}: {self._describe()}")
 
     def _commits_new(self):
         asked: list[int] = []
-        target = self.cluster.checks.top
+        target = self.cluster.invariants.last_committed
 
         def committed() -> bool:
             leader = self.cluster.leader()
-            figures = self.cluster.checks.figures
+            figures = self.cluster.invariants.figures
             if leader is not None and (not asked or asked[-1] != leader):
                 asked.append(leader)
                 self.order(leader, 0)
                 asked_at.append(figures.get("orders acknowledged", 0))
             return (
                 bool(asked)
-                and self.cluster.checks.top > target
+                and self.cluster.invariants.last_committed > target
                 and (figures.get("orders acknowledged", 0) > asked_at[0])
             )
 
@@ -370,23 +372,24 @@
         return committed
 
     def _all_hold_all(self) -> bool:
-        top = self.cluster.checks.top
+        last_committed = self.cluster.invariants.last_committed
         running = [machine for machine in self.cluster.machines.values() if machine.core is not None]
-        return all(machine.core.whole and machine.core.state.offset >= top for machine in running)
+        return all(machine.core.complete and machine.core.state.offset >= last_committed for machine in running)
 
     def is_settled(self) -> bool:
         self.settle()
         return not self.lost
 
-    def _told(self) -> str:
+    def _describe(self) -> str:
         cluster = self.cluster
         cores = [
-            f"{each.replica}: {each.core.standing} epoch {each.core.epoch} last {each.core.last.offset}"
+            f"{each.replica}: {each.core.role} epoch {each.core.epoch} last {each.core.last.offset}"
             for each in cluster.machines.values()
             if each.core is not None
         ]
-        return f"leader {cluster.leader()}, voters {cluster.checks.voters}, committed {cluster.checks.top}, {cores}"
+        known = cluster.invariants
+        return f"leader {cluster.leader()}, voters {known.voters}, committed {known.last_committed}, {cores}"
 
 
 def _takes_itself_for_leader(machine: Machine) -> bool:
-    return machine.answers and machine.core.standing == LEADER
+    return machine.answers and machine.core.role == LEADER
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
@@ -9,46 +9,46 @@
 from hypothesis import HealthCheck, Phase, given, settings, strategies
 from hypothesis import seed as seeded
 
-from hoistsaddle.testbed.modelcheck.cluster import Cluster, Twist
-from hoistsaddle.testbed.modelcheck.invariants import Broken
-from hoistsaddle.testbed.modelcheck.steps import Kind, Step, Walk
+from hoistsaddle.testbed.modelcheck.cluster import Cluster, InjectedFault
+from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated
+from hoistsaddle.testbed.modelcheck.steps import Step, StepKind, Walk
 
 # How often each kind is drawn: losses are rare, so that between them something happens that they can spoil.
 WEIGHTS = {
-    Kind.RUN: 14,
-    Kind.DELIVER: 14,
-    Kind.DROP: 3,
-    Kind.DOUBLE: 3,
-    Kind.DISK: 8,
-    Kind.TICK: 4,
-    Kind.ADVANCE: 4,
-    Kind.CRASH: 3,
-    Kind.START: 5,
-    Kind.TEAR: 1,
-    Kind.WIPE: 2,
-    Kind.CUT: 2,
-    Kind.CUT_ONE_WAY: 2,
-    Kind.CUT_OFF: 2,
-    Kind.HEAL: 3,
-    Kind.FREEZE: 2,
-    Kind.THAW: 3,
-    Kind.SPARE: 1,
-    Kind.REPLACE: 2,
-    Kind.LEAVE: 3,
-    Kind.PROPOSE: 10,
-    Kind.BATCH: 3,
-    Kind.STALL: 3,
-    Kind.GO_ON: 3,
-    Kind.READ: 6,
-    Kind.ALL_LOSE_POWER: 1,
+    StepKind.RUN: 14,
+    StepKind.DELIVER: 14,
+    StepKind.DROP: 3,
+    StepKind.DUPLICATE: 3,
+    StepKind.DISK: 8,
+    StepKind.TICK: 4,
+    StepKind.ADVANCE: 4,
+    StepKind.CRASH: 3,
+    StepKind.START: 5,
+    StepKind.TEAR: 1,
+    StepKind.WIPE: 2,
+    StepKind.CUT: 2,
+    StepKind.CUT_ONE_WAY: 2,
+    StepKind.CUT_OFF: 2,
+    StepKind.HEAL: 3,
+    StepKind.FREEZE: 2,
+    StepKind.THAW: 3,
+    StepKind.ADD_SPARE: 1,
+    StepKind.REPLACE: 2,
+    StepKind.LEAVE: 3,
+    StepKind.PROPOSE: 10,
+    StepKind.BATCH: 3,
+    StepKind.STALL_DISK: 3,
+    StepKind.RESUME_DISK: 3,
+    StepKind.READ: 6,
+    StepKind.ALL_LOSE_POWER: 1,
 }
 # A run's first number counts units of 50 ms: up to two seconds.
-MOST_UNITS = 39
-MOST_STEPS = 60
-RAISES = "no core raises"
+MAX_UNITS = 39
+MAX_STEPS = 60
+NO_EXCEPTION_RULE = "no core raises"
 
 
-class Enough(unittest.SkipTest):
+class StopDrawing(unittest.SkipTest):
     """Ends a run of the library early; it draws no further example after this."""
 
 
@@ -63,40 +63,40 @@
         return f"size {self.size}, seed {self.seed}: " + ", ".join(map(str, self.steps))
 
 
-class Found(NamedTuple):
+class Counterexample(NamedTuple):
     """A rule that was broken, and a walk that does it."""
 
     rule: str
-    told: str
+    description: str
     script: Script
 
 
-class Sum(NamedTuple):
+class WalkTotals(NamedTuple):
     """What a number of walks came to."""
 
     walks: int = 0
     steps: int = 0
-    passed_over: int = 0
+    skipped: int = 0
     events: int = 0
     longest: int = 0
     losses_settled: int = 0
     figures: tuple[tuple[str, int], ...] = ()
 
-    def plus(self, walk: Walk) -> "Sum":
+    def with_walk(self, walk: Walk) -> "WalkTotals":
         """With one more walk."""
         steps = len(walk.done)
-        figures = tuple(sorted(walk.cluster.checks.figures.items()))
-        return self.with_sum(Sum(1, steps, walk.passed_over, walk.cluster.events, steps, walk.settled, figures))
+        figures = tuple(sorted(walk.cluster.invariants.figures.items()))
+        return self.merged_with(WalkTotals(1, steps, walk.skipped, walk.cluster.events, steps, walk.settled, figures))
 
-    def with_sum(self, other: "Sum") -> "Sum":
+    def merged_with(self, other: "WalkTotals") -> "WalkTotals":
         """Both together."""
         figures = dict(self.figures)
         for name, number in other.figures:
             figures[name] = figures.get(name, 0) + number
-        return Sum(
+        return WalkTotals(
             self.walks + other.walks,
             self.steps + other.steps,
-            self.passed_over + other.passed_over,
+            self.skipped + other.skipped,
             self.events + other.events,
             max(self.longest, other.longest),
             self.losses_settled + other.losses_settled,
@@ -106,14 +106,14 @@
     def __str__(self) -> str:
         figures = ", ".join(f"{number} {name}" for name, number in self.figures)
         return (
-            f"{self.walks} walks, {self.steps} steps ({self.passed_over} could not be done), longest {self.longest}, "
+            f"{self.walks} walks, {self.steps} steps ({self.skipped} could not be done), longest {self.longest}, "
             f"{self.events} events, {self.losses_settled} losses settled, {figures}"
         )
 
 
-def play(script: Script, *, twist: Twist | None = None) -> Walk:
+def play(script: Script, *, fault: InjectedFault | None = None) -> Walk:
     """Does a walk and its ending; raises Broken, also for whatever a core raises."""
-    walk = Walk(Cluster(size=script.size, seed=script.seed, twist=twist))
+    walk = Walk(Cluster(size=script.size, seed=script.seed, fault=fault))
     _go(walk, script)
     return walk
 
@@ -121,30 +121,30 @@
 def _go(walk: Walk, script: Script) -> None:
     try:
         # Most walks begin with a leader: what a first election alone can break, the exhaustive part looks at.
-        walk.take(Step(Kind.RUN, MOST_UNITS))
+        walk.take(Step(StepKind.RUN, MAX_UNITS))
         for step in script.steps:
             walk.take(step)
         walk.finish()
-    except Broken:
+    except InvariantViolated:
         raise
     except Exception as problem:
-        raise Broken(RAISES, f"{type(problem).__name__}: {problem}") from problem
+        raise InvariantViolated(NO_EXCEPTION_RULE, f"{type(problem).__name__}: {problem}") from problem
 
 
-def broken_by(script: Script, *, twist: Twist | None = None) -> Broken | None:
+def broken_by(script: Script, *, fault: InjectedFault | None = None) -> InvariantViolated | None:
     """The rule a walk breaks, if any."""
     try:
-        play(script, twist=twist)
-    except Broken as broken:
+        play(script, fault=fault)
+    except InvariantViolated as broken:
         return broken
     return None
 
 
-def steps_of(kinds: Iterable[Kind]) -> strategies.SearchStrategy[Step]:
+def steps_of(kinds: Iterable[StepKind]) -> strategies.SearchStrategy[Step]:
     """Draws one step, the kinds by their weights."""
     weighted = [kind for kind in kinds for _ in range(WEIGHTS[kind])]
     return strategies.builds(
-        Step, strategies.sampled_from(weighted), strategies.integers(0, MOST_UNITS), strategies.integers(0, 23)
+        Step, strategies.sampled_from(weighted), strategies.integers(0, MAX_UNITS), strategies.integers(0, 23)
     )
 
 
@@ -153,14 +153,14 @@
     seed: int,
     walks: int,
     sizes: tuple[int, ...] = (3, 5),
-    kinds: Iterable[Kind] = tuple(Kind),
-    twist: Callable[[], Twist] = Twist,
-    most_steps: int = MOST_STEPS,
+    kinds: Iterable[StepKind] = tuple(StepKind),
+    fault: Callable[[], InjectedFault] = InjectedFault,
+    max_steps: int = MAX_STEPS,
     until: float = float("inf"),
-) -> tuple[Sum, Found | None]:
+) -> tuple[WalkTotals, Counterexample | None]:
     """So many walks drawn from this seed, fewer once the monotonic moment is over; ends at the first break."""
-    total = Sum()
-    found: Found | None = None
+    total = WalkTotals()
+    found: Counterexample | None = None
 
     @seeded(seed)
     @settings(
@@ -177,42 +177,44 @@
             Script,
             strategies.sampled_from(sizes),
             strategies.integers(0, 9999),
-            strategies.lists(steps_of(kinds), min_size=most_steps // 3, max_size=most_steps).map(tuple),
+            strategies.lists(steps_of(kinds), min_size=max_steps // 3, max_size=max_steps).map(tuple),
         )
     )
     def check(script: Script) -> None:
         nonlocal total, found
         if time.monotonic() > until:
-            raise Enough("no further example is wanted")
-        walk = Walk(Cluster(size=script.size, seed=script.seed, twist=twist()))
+            raise StopDrawing("no further example is wanted")
+        walk = Walk(Cluster(size=script.size, seed=script.seed, fault=fault()))
         try:
             _go(walk, script)
-        except Broken as broken:
-            found = Found(broken.rule, str(broken), script)
-        total = total.plus(walk)
+        except InvariantViolated as broken:
+            found = Counterexample(broken.rule, str(broken), script)
+        total = total.with_walk(walk)
         if found is not None:
-            raise Enough("no further example is wanted")
+            raise StopDrawing("no further example is wanted")
 
-    with contextlib.suppress(Enough):
+    with contextlib.suppress(StopDrawing):
         check()
     return total, found
 
 
-def make_smaller(found: Found, *, twist: Callable[[], Twist] = Twist, most_tries: int = 600) -> Found:
+def make_smaller(
+    found: Counterexample, *, fault: Callable[[], InjectedFault] = InjectedFault, max_attempts: int = 600
+) -> Counterexample:
     """Leaves out steps, many at a time and then single ones, and lessens numbers, while the same rule breaks."""
     tries = 0
 
     def still(script: Script) -> bool:
         nonlocal found, tries
         tries += 1
-        broken = broken_by(script, twist=twist()) if tries <= most_tries else None
+        broken = broken_by(script, fault=fault()) if tries <= max_attempts else None
         if broken is None or broken.rule != found.rule:
             return False
-        found = Found(broken.rule, str(broken), script)
+        found = Counterexample(broken.rule, str(broken), script)
         return True
 
     span = max(1, len(found.script.steps) // 2)
-    while tries <= most_tries:
+    while tries <= max_attempts:
         before = found.script
         place = len(before.steps)
         while place > 0:
--- a/packages/testbed/src/hoistsaddle/testbed/scale/path.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/call_path.py
@@ -1,6 +1,6 @@
 """Processor time on the path of one call, so many deep: door, two cores, line, server line, and back.
 
-Two whole stalls and their servers share this process; each server calls the next one through the mesh until the call
+Two whole proxies and their servers share this process; each server calls the next one through the mesh until the call
 is as deep as asked. The same chain with servers calling each other directly costs what is not the mesh's. Both are
 counted by this process's processor time, so whatever else runs on the machine waits outside the figures.
 """
@@ -15,20 +15,20 @@
 from loguru import logger
 
 from hoistsaddle.common.clock import ZERO
-from hoistsaddle.common.settings import SidecarParams
-from hoistsaddle.proxy.messages import SetupChanged
-from hoistsaddle.sidecar.door import Door, open_door
-from hoistsaddle.sidecar.messages import Vitals
+from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.proxy.messages import ConfigurationChanged
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.listener import IngressHandler, open_listener
+from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.serverconnection import ServerLine
-from hoistsaddle.sidecar.wording import Wording
-from hoistsaddle.statemachine.state import READY, news_of
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool
+from hoistsaddle.statemachine.state import READY, data_plane_items
 from hoistsaddle.statemachine.view import View, read_view
 from hoistsaddle.testbed.scale.clock import ScaleRuntime
-from hoistsaddle.testbed.scale.sizes import HOST, Size, make_state, prefix_of, service_name, stall_name
+from hoistsaddle.testbed.scale.sizes import HOST, Size, make_state, prefix_of, proxy_name, service_name
 
 BODY = b"x" * 200
-WORDING = Wording()
+HEADER_NAMES = HeaderNames()
 # The second number of the chain's addresses; a fleet of a scale run begins at 20.
 BLOCK = 18
 
@@ -38,7 +38,7 @@
 
 
 class _Chain:
-    """Stalls 0 and 1, whose servers call each other's service until nothing is left to go down."""
+    """Proxies 0 and 1, whose servers call each other's service until nothing is left to go down."""
 
     def __init__(self, size: Size) -> None:
         # A route of each of the two services that may be repeated.
@@ -46,44 +46,48 @@
         state = make_state(size)
         nodes, servers = state.nodes, state.servers
         for number in range(2):
-            name = stall_name(number)
+            name = proxy_name(number)
             nodes = nodes.set(name, nodes[name]._replace(address=_place(number, 7100), zone="zone-1"))
             entry = servers[name]._replace(address=_place(number, 9000), zone="zone-1")
             servers = servers.set(name, entry)
         # Only these two serve the first two services: every call stays in this process.
         others = {key: entry for key, entry in servers.items() if entry.service not in _own() or key in _two()}
-        self.items = news_of(state._replace(nodes=nodes, servers=type(servers)(others)))
+        self.items = data_plane_items(state._replace(nodes=nodes, servers=type(servers)(others)))
         self.nodes: list[SidecarNode] = []
-        self.lines: list[ServerLine] = []
+        self.lines: list[ServerConnectionPool] = []
         self.open: list[Any] = []
         self.asked = 0
 
     async def start(self) -> None:
         self.session = aiohttp.ClientSession()
         for number in range(2):
-            name = stall_name(number)
-            params = SidecarParams(
+            name = proxy_name(number)
+            settings = SidecarSettings(
                 name=name,
                 zone="zone-1",
                 listen=_place(number, 7100),
                 door=_place(number, 7110),
-                vitals_door=_place(number, 7111),
+                health_door=_place(number, 7111),
                 ready_door=_place(number, 7112),
                 seeds=[_place(9, 7100)],
                 service=service_name(number),
                 server=_place(number, 9000),
-                vitals_seconds=3600.0,
+                health_seconds=3600.0,
             )
-            line = ServerLine(wording=WORDING, counters=None)
-            node = SidecarNode(params=params, runtime=ScaleRuntime(stretch=1.0, seed=name), serve=line.serve)
+            line = ServerConnectionPool(header_names=HEADER_NAMES, counters=None)
+            node = SidecarNode(settings=settings, runtime=ScaleRuntime(stretch=1.0, seed=name), serve=line.serve)
             line.counters = node.counters
             view = read_view(revision=1, items=self.items, node=name, zone="zone-1", before=View())
-            node.feed(SetupChanged(view))
+            node.feed(ConfigurationChanged(view))
             server = view.servers[name]
-            node.feed(Vitals(server.service, server.instance, server.address, READY, 64, ZERO))
-            self.open.append(await node.runtime.serve(params.listen, node.answer))
-            self.open.append(await open_door(address=params.door, handler=Door(node=node, wording=WORDING).handle))
-            self.open.append(await open_door(address=params.server, handler=self._serve(number)))
+            node.feed(HealthReported(server.service, server.instance, server.address, READY, 64, ZERO))
+            self.open.append(await node.runtime.serve(settings.listen, node.answer))
+            self.open.append(
+                await open_listener(
+                    address=settings.door, handler=IngressHandler(node=node, header_names=HEADER_NAMES).handle
+                )
+            )
+            self.open.append(await open_listener(address=settings.server, handler=self._serve(number)))
             self.nodes.append(node)
             self.lines.append(line)
 
@@ -93,16 +97,21 @@
             left = int(request.headers["X-Left"])
             if left > 1:
                 await self.ask(number, 1 - number, left - 1, meshed=request.headers["X-Meshed"] == "1")
-            carried = request.headers.get(WORDING.send_id, "")
-            return web.Response(body=BODY, headers={WORDING.send_id: carried})
+            carried = request.headers.get(HEADER_NAMES.client_attempt_id, "")
+            return web.Response(body=BODY, headers={HEADER_NAMES.client_attempt_id: carried})
 
         return serve
 
     async def ask(self, here: int, service: int, left: int, *, meshed: bool) -> None:
-        """Through the door of the stall beside the caller, or straight to the server."""
+        """Through the door of the proxy beside the caller, or straight to the server."""
         self.asked += 1
         place = _place(here, 7110) if meshed else _place(service, 9000)
-        headers = {"Host": HOST, "X-Left": str(left), "X-Meshed": str(int(meshed)), WORDING.send_id: str(self.asked)}
+        headers = {
+            "Host": HOST,
+            "X-Left": str(left),
+            "X-Meshed": str(int(meshed)),
+            HEADER_NAMES.client_attempt_id: str(self.asked),
+        }
         async with self.session.get(f"http://{place}{prefix_of(self.routes[service])}x", headers=headers) as answer:
             await answer.read()
             if answer.status != 200:
@@ -116,7 +125,7 @@
         for each in self.open:
             await (each.cleanup() if isinstance(each, web.ServerRunner) else each.stop())
         for node, line in zip(self.nodes, self.lines, strict=True):
-            node.runtime.lines.close()
+            node.runtime.rpc_client.close()
             line.close()
 
 
@@ -125,7 +134,7 @@
 
 
 def _two() -> set[str]:
-    return {stall_name(0), stall_name(1)}
+    return {proxy_name(0), proxy_name(1)}
 
 
 async def _spend(size: Size, *, depth: int, times: int, rounds: int) -> dict[str, list[float]]:
@@ -149,7 +158,7 @@
 
 def spend(size: Size, *, depth: int, times: int, rounds: int) -> dict[str, list[float]]:
     """Milliseconds of processor for one call, a figure for each round, by way."""
-    # What two stalls say at their start has no place in a table of figures.
+    # What two proxies say at their start has no place in a table of figures.
     logger.disable("hoistsaddle.common.counters")
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/packages/testbed/src/hoistsaddle/testbed/scale/clock.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/clock.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from hoistsaddle.rpc.runtime import RealRuntime
-from hoistsaddle.sidecar.service import CONNECT_SPAN, PULSE
+from hoistsaddle.sidecar.service import CONNECT_TIMEOUT, KEEP_ALIVE
 
 
 class _StretchedSelector(selectors.DefaultSelector):
@@ -43,7 +43,7 @@
     """The daemons' runtime on the stretched clock, with chance and names that a seed settles."""
 
     def __init__(self, *, stretch: float, seed: str) -> None:
-        super().__init__(pulse=PULSE, connect_span=CONNECT_SPAN, home=True)
+        super().__init__(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
         self.stretch = stretch
         self.random = random.Random(seed)
         self._names = random.Random(f"names {seed}")
--- a/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
@@ -1,23 +1,23 @@
-"""Sizes to measure at, and a setup of each size: names, addresses and items as long as real ones."""
+"""Sizes to measure at, and a configuration of each size: names, addresses and items as long as real ones."""
 
 from typing import NamedTuple
 
 from immutables import Map
 
-from hoistsaddle.config.items import ENTRY, SERVICE, Checked, Patch, Setting, check_patch, key_of, pack_item
-from hoistsaddle.proxy.visitors import digest_of_parts
+from hoistsaddle.config.items import ENTRY, SERVICE, ItemUpsert, Patch, ValidatedPatch, check_patch, key_of, pack_item
+from hoistsaddle.proxy.client_identity import digest_of_parts
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.statemachine.state import (
     CLAIMED,
     READY,
     WARDEN,
-    DutyEntry,
     Hold,
-    ItemEntry,
-    NodeEntry,
-    ServerEntry,
+    ItemRecord,
+    NodeRecord,
+    ServerRecord,
+    SingletonRoleRecord,
     State,
-    found_state,
+    initial_state,
 )
 
 HOST = "scale.internal"
@@ -45,7 +45,7 @@
     return f"service-{number:03d}"
 
 
-def stall_name(number: int) -> str:
+def proxy_name(number: int) -> str:
     return f"stall-{number:04d}"
 
 
@@ -57,7 +57,7 @@
     return f"/route-{route:04d}/"
 
 
-def route_setting(route: int, size: Size, *, revision: int) -> Setting:
+def route_setting(route: int, size: Size, *, revision: int) -> ItemUpsert:
     item = {
         "name": f"route-{route:04d}",
         "host": HOST,
@@ -71,25 +71,25 @@
         "most_sends": 3,
     }
     # An operator's own text of an item is about as long again.
-    return Setting(ENTRY, revision, item, str(item).encode())
+    return ItemUpsert(ENTRY, revision, item, str(item).encode())
 
 
-def settings_of(size: Size) -> list[Setting]:
+def settings_of(size: Size) -> list[ItemUpsert]:
     services = [
-        Setting(SERVICE, 1, {"name": service_name(number)}, b'{"name": "%s"}' % service_name(number).encode())
+        ItemUpsert(SERVICE, 1, {"name": service_name(number)}, b'{"name": "%s"}' % service_name(number).encode())
         for number in range(size.services)
     ]
     return services + [route_setting(number, size, revision=1) for number in range(size.routes)]
 
 
-def checked_settings(size: Size) -> Checked:
+def checked_settings(size: Size) -> ValidatedPatch:
     return check_patch(Patch(settings_of(size))).unwrap()
 
 
-def node_entry(number: int, size: Size, *, address: str = "", incarnation: str = "", offset: int = 1) -> NodeEntry:
+def node_entry(number: int, size: Size, *, address: str = "", incarnation: str = "", offset: int = 1) -> NodeRecord:
     address = address or f"127.10.{number // 200}.{number % 200 + 1}:7100"
-    return NodeEntry(
-        stall_name(number),
+    return NodeRecord(
+        proxy_name(number),
         "stall",
         address,
         zone_name(number, size),
@@ -100,10 +100,10 @@
     )
 
 
-def server_entry(number: int, size: Size, *, offset: int = 1) -> ServerEntry:
+def server_entry(number: int, size: Size, *, offset: int = 1) -> ServerRecord:
     node = node_entry(number, size)
     service = service_name(number % size.services)
-    return ServerEntry(
+    return ServerRecord(
         node.node,
         service,
         f"{service}-{number}-1",
@@ -120,15 +120,17 @@
 
 def hold_of_number(number: int, *, expires: int = 10**15) -> tuple[str, Hold]:
     scope = digest_of_parts("operation", f"key-{number}")
-    stall = stall_name(number % 760)
-    claim = f"{stall}.{number % 760:012x}.{number}"
-    return scope, Hold(claim, stall, "", CLAIMED, expires, 0, {}, b"", False, scope, "operation", scope, "route-0003")
+    proxy = proxy_name(number % 760)
+    claim = f"{proxy}.{number % 760:012x}.{number}"
+    return scope, Hold(claim, proxy, "", CLAIMED, expires, 0, {}, b"", False, scope, "operation", scope, "route-0003")
 
 
 def make_state(size: Size) -> State:
-    state = found_state(mesh="0123456789abcdef", voters={1: "a" * 12, 2: "b" * 12, 3: "c" * 12}, operators={}, level=3)
+    state = initial_state(
+        mesh="0123456789abcdef", voters={1: "a" * 12, 2: "b" * 12, 3: "c" * 12}, operators={}, level=3
+    )
     items = {
-        key_of(setting.kind, item.name): ItemEntry(1, 1, False, pack_item(item), setting.said)
+        key_of(setting.kind, item.name): ItemRecord(1, 1, False, pack_item(item), setting.said)
         for setting, item in checked_settings(size).sets
     }
     holds = dict(hold_of_number(number) for number in range(size.holds))
@@ -136,9 +138,9 @@
         news=1,
         offset=1,
         level=LEVEL,
-        nodes=Map({stall_name(number): node_entry(number, size) for number in range(size.nodes)}),
-        servers=Map({stall_name(number): server_entry(number, size) for number in range(size.nodes)}),
-        duties=Map({WARDEN: DutyEntry(WARDEN, "bourse-1", 1, 1)}),
+        nodes=Map({proxy_name(number): node_entry(number, size) for number in range(size.nodes)}),
+        servers=Map({proxy_name(number): server_entry(number, size) for number in range(size.nodes)}),
+        duties=Map({WARDEN: SingletonRoleRecord(WARDEN, "bourse-1", 1, 1)}),
         items=Map(items),
         holds=Map(holds),
         buckets=Map({scope: (scope,) for scope in holds}),
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -17,23 +17,32 @@
 
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.config.items import Patch, pack_patch
-from hoistsaddle.membership.member import MemberPace
-from hoistsaddle.membership.membership import ALIVE, Membership, Probe, ProbeAnswered, RumoursArrived
+from hoistsaddle.membership.member import MemberTimings
+from hoistsaddle.membership.membership import ALIVE, GossipReceived, Membership, Probe, ProbeAnswered
 from hoistsaddle.membership.membership import Ticked as MemberTicked
-from hoistsaddle.membership.relay import Relay, SetupCopy, select_parents
-from hoistsaddle.proxy.messages import SetupChanged
-from hoistsaddle.proxy.standing import ProxyParamsView
+from hoistsaddle.membership.relay import ConfigurationCopy, Relay, select_parents
+from hoistsaddle.proxy.core_state import CoreSettings
+from hoistsaddle.proxy.messages import ConfigurationChanged
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.raft.events import Mark, Write
-from hoistsaddle.rpc.messages import ProbeAnswer, ProbeCall, Record, Rumour, Uptake, WriteCall, pack, unpack
+from hoistsaddle.raft.events import OffsetAndEpoch, Write
+from hoistsaddle.rpc.messages import (
+    AppliedVersion,
+    MemberState,
+    ProbeAnswer,
+    ProbeCall,
+    Record,
+    WriteCall,
+    pack,
+    unpack,
+)
 from hoistsaddle.sidecar.core import SidecarCore
-from hoistsaddle.sidecar.messages import Asked, DealAnswered, DealArrived, Served
+from hoistsaddle.sidecar.messages import ForwardAnswered, ForwardArrived, RequestArrived, ServerAnswered
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import ClaimHold, NoteNode, NoteServer, PatchItems, Tick, pack_command
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import GONE, READY, State, news_of, pack_state, unpack_state
+from hoistsaddle.statemachine.state import GONE, READY, State, data_plane_items, pack_state, unpack_state
 from hoistsaddle.statemachine.view import View, read_view
-from hoistsaddle.testbed.scale.path import spend
+from hoistsaddle.testbed.scale.call_path import spend
 from hoistsaddle.testbed.scale.sizes import (
     GOAL,
     HOST,
@@ -42,9 +51,9 @@
     make_state,
     node_entry,
     prefix_of,
+    proxy_name,
     route_setting,
     server_entry,
-    stall_name,
     zone_name,
 )
 
@@ -96,16 +105,16 @@
 
 
 def _view(items: Items, *, before: View = View()) -> View:  # noqa: B008
-    return read_view(revision=2, items=items, node=stall_name(0), zone="zone-1", before=before)
+    return read_view(revision=2, items=items, node=proxy_name(0), zone="zone-1", before=before)
 
 
-def _uptake(number: int) -> Uptake:
-    return Uptake(stall_name(number), 10**6, 0, "", f"{number:012x}", 0)
+def _applied_version(number: int) -> AppliedVersion:
+    return AppliedVersion(proxy_name(number), 10**6, 0, "", f"{number:012x}", 0)
 
 
 def _relay(items: Items, *, node: int = 0, revision: int = 1) -> Relay:
-    relay = Relay(node=stall_name(node), incarnation=f"{node:012x}", lease_span=timedelta(seconds=1.5))
-    relay.confirmed(asked=ZERO, mesh=MESH, revision=revision, items=items, vouched=digests_of(items))
+    relay = Relay(node=proxy_name(node), incarnation=f"{node:012x}", lease_span=timedelta(seconds=1.5))
+    relay.confirmed(asked=ZERO, mesh=MESH, revision=revision, items=items, expected_digests=digests_of(items))
     return relay
 
 
@@ -118,22 +127,24 @@
     return size
 
 
-def _setup_costs(meter: Meter, point: float, size: Size) -> None:
-    """What a copy of the setup of this size costs each stall and bourse that holds it."""
+def _configuration_costs(meter: Meter, point: float, size: Size) -> None:
+    """What a copy of the configuration of this size costs each proxy and registry that holds it."""
     state = make_state(size)
-    items = news_of(state)
-    meter.count(point, "keys of the setup", "", len(items))
-    meter.count(point, "bytes of the setup", "bytes", sum(len(key) + len(value) for key, (_, value) in items.items()))
-    meter.spend(point, "pack the news after a change (each core machine)", lambda: news_of(state))
-    copy = SetupCopy()
+    items = data_plane_items(state)
+    meter.count(point, "keys of the configuration", "", len(items))
+    meter.count(
+        point, "bytes of the configuration", "bytes", sum(len(key) + len(value) for key, (_, value) in items.items())
+    )
+    meter.spend(point, "pack the news after a change (each core machine)", lambda: data_plane_items(state))
+    copy = ConfigurationCopy()
     copy.replace(mesh=MESH, revision=1, items=items)
     meter.spend(point, "take all digests anew", copy.audit)
     view = meter.spend(point, "read the view of a first copy", lambda: _view(items))
     meter.spend(point, "read the view after a change", lambda: _view(items, before=view))
-    meter.count(point, "copy and view in memory", "bytes", _memory_of(lambda: (news_of(state), _view(items))))
+    meter.count(point, "copy and view in memory", "bytes", _memory_of(lambda: (data_plane_items(state), _view(items))))
     parent, child = _relay(items), _relay(items, node=1)
-    call = child.poll(own=_uptake(1), now=ZERO)
-    meter.spend(point, "ask a poll", lambda: child.poll(own=_uptake(1), now=ZERO))
+    call = child.poll(own=_applied_version(1), now=ZERO)
+    meter.spend(point, "ask a poll", lambda: child.poll(own=_applied_version(1), now=ZERO))
     meter.spend(point, "answer a poll", lambda: parent.answer(call, now=ZERO))
     meter.spend(
         point, "take a poll's answer without news", lambda: child.polled(parent.answer(call, now=ZERO), sent=ZERO)
@@ -141,7 +152,7 @@
     meter.count(
         point, "a poll without news, both ways", "bytes", _size_of(call) + _size_of(parent.answer(call, now=ZERO))
     )
-    changed = {**items, f"server:{stall_name(0)}": (2, items[f"server:{stall_name(0)}"][1])}
+    changed = {**items, f"server:{proxy_name(0)}": (2, items[f"server:{proxy_name(0)}"][1])}
     newer = _relay(changed, revision=2)
     answer = newer.answer(call, now=ZERO)
     meter.count(point, "a poll's answer with one change", "bytes", _size_of(answer))
@@ -161,10 +172,10 @@
 
 
 def _core(view: View, *, number: int) -> SidecarCore:
-    node = stall_name(number)
+    node = proxy_name(number)
     server = view.servers[node]
     core = SidecarCore(
-        params=ProxyParamsView(
+        settings=CoreSettings(
             node, server.zone, server.incarnation, timedelta(seconds=1.5), timedelta(seconds=5), 400, 400
         ),
         seed=random.Random(number),
@@ -176,7 +187,7 @@
         key_span=timedelta(seconds=75),
         service=server.service,
     )
-    core.handle(SetupChanged(view), now=ZERO)
+    core.handle(ConfigurationChanged(view), now=ZERO)
     return core
 
 
@@ -184,7 +195,7 @@
     """One request through the cores of an entry and a target, in its pieces."""
 
     def __init__(self, size: Size) -> None:
-        self.view = _view(news_of(make_state(size)))
+        self.view = _view(data_plane_items(make_state(size)))
         self.entry, self.target = _core(self.view, number=0), _core(self.view, number=size.services % size.nodes)
         self.path = f"{prefix_of(0)}thing?number=1"
         self.ticket = 0
@@ -192,26 +203,26 @@
 
     def ask(self) -> Any:
         self.ticket += 1
-        asked = Asked(self.ticket, "GET", HOST, self.path, b"\x90", 120, b"", None, "", f"send-{self.ticket}")
+        asked = RequestArrived(self.ticket, "GET", HOST, self.path, b"\x90", 120, b"", None, "", f"send-{self.ticket}")
         return self.entry.handle(asked, now=ZERO)[-1]
 
     def arrive(self, call) -> Any:
         # Whichever server was selected, this core stands for it.
         server = self.target.server
-        call = call._replace(target=self.target.params.name, instance=server.instance, service_name=server.service)
+        call = call._replace(target=self.target.settings.name, instance=server.instance, service_name=server.service)
         self.ticket += 1
-        return self.target.handle(DealArrived(self.ticket, call), now=ZERO)[-1]
+        return self.target.handle(ForwardArrived(self.ticket, call), now=ZERO)[-1]
 
     def whole(self) -> int:
-        deal: Any = self.ask()
-        frame = pack(number=1, answer=False, message=deal.call)
+        pending: Any = self.ask()
+        frame = pack(number=1, answer=False, message=pending.call)
         call: Any = unpack(frame)[2]
         serve = self.arrive(call)
-        done: Any = self.target.handle(Served(serve.number, 200, b"\x90", self.body, False), now=ZERO)[-1]
+        done: Any = self.target.handle(ServerAnswered(serve.number, 200, b"\x90", self.body, False), now=ZERO)[-1]
         answer = done.answer
-        back = pack(number=1, answer=True, message=answer._replace(send=deal.call.send))
+        back = pack(number=1, answer=True, message=answer._replace(send=pending.call.send))
         told: Any = unpack(back)[2]
-        self.entry.handle(DealAnswered(deal.number, told), now=ZERO)
+        self.entry.handle(ForwardAnswered(pending.number, told), now=ZERO)
         return len(frame) + len(back) + 8
 
 
@@ -221,18 +232,21 @@
     for _ in range(3 * size.nodes // size.services + 3):
         call.whole()
     meter.spend(point, "one call through both cores and the line's packing", call.whole, times=times)
-    deals = []
+    pending_requests = []
     meter.spend(
-        point, "of it: the entry's core until a server is selected", lambda: deals.append(call.ask()), times=times
+        point,
+        "of it: the entry's core until a server is selected",
+        lambda: pending_requests.append(call.ask()),
+        times=times,
     )
-    sent = deals[-1].call
+    sent = pending_requests[-1].call
     meter.spend(
         point,
         "of it: pack and unpack of the call",
         lambda: unpack(pack(number=1, answer=False, message=sent)),
         times=times,
     )
-    call.entry.deals.clear()
+    call.entry.pending_requests.clear()
     call.entry.by_number.clear()
 
 
@@ -240,45 +254,49 @@
 
 
 def _membership_costs(meter: Meter, point: float, size: Size) -> None:
-    pace = MemberPace(period=timedelta(seconds=1), suspicion=timedelta(seconds=2), spread=6)
-    rumours = [
-        Rumour(entry.node, "stall", entry.address, entry.zone, entry.incarnation, 0, ALIVE)
+    pace = MemberTimings(period=timedelta(seconds=1), suspicion=timedelta(seconds=2), retransmit_limit=6)
+    member_states = [
+        MemberState(entry.node, "stall", entry.address, entry.zone, entry.incarnation, 0, ALIVE)
         for entry in (node_entry(number, size) for number in range(size.nodes))
     ]
     member = Membership(
-        me=rumours[0], seed=random.Random(1), period=pace.period, suspicion=pace.suspicion, spread=pace.spread
+        me=member_states[0],
+        seed=random.Random(1),
+        period=pace.period,
+        suspicion=pace.suspicion,
+        retransmit_limit=pace.retransmit_limit,
     )
-    member.handle(RumoursArrived(tuple(rumours)), now=ZERO)
+    member.handle(GossipReceived(tuple(member_states)), now=ZERO)
     for _ in range(size.nodes):
-        member.rumours()
+        member.member_states()
     now = ZERO
 
     def second() -> int:
         nonlocal now
         now += pace.period
         (probe,) = [each for each in member.handle(MemberTicked(), now=now) if isinstance(each, Probe)]
-        member.handle(ProbeAnswered(probe.node, (rumours[1],)), now=now)
-        member.handle(RumoursArrived((rumours[2],)), now=now)
-        answer = ProbeAnswer(rumours[0].node, member.rumours())
-        return 2 * (_size_of(ProbeCall(rumours[0].node, probe.rumours)) + _size_of(answer))
+        member.handle(ProbeAnswered(probe.node, (member_states[1],)), now=now)
+        member.handle(GossipReceived((member_states[2],)), now=now)
+        answer = ProbeAnswer(member_states[0].node, member.member_states())
+        return 2 * (_size_of(ProbeCall(member_states[0].node, probe.member_states)) + _size_of(answer))
 
     sent = meter.spend(point, "a second of membership while nothing changes", second, times=20)
     meter.count(point, "bytes of it, both ways", "bytes", sent)
-    met = member.rumours(whole=True)
-    meter.count(point, "all members told to one just met", "bytes", _size_of(ProbeAnswer(rumours[0].node, met)))
+    met = member.member_states(complete=True)
+    meter.count(point, "all members told to one just met", "bytes", _size_of(ProbeAnswer(member_states[0].node, met)))
 
 
 def tree_of(size: Size, *, roots: int, fan_out: int = FAN_OUT) -> dict[str, int]:
-    """Depth of every stall below its root, by the rule that the stalls themselves use, zone by zone."""
+    """Depth of every proxy below its root, by the rule that the proxies themselves use, zone by zone."""
     addresses: dict[str, str] = {}
     depths: dict[str, int] = {}
     core = [(f"bourse-{number + 1}", f"root-{number}", zone_name(number, size)) for number in range(roots)]
     entries = [node_entry(number, size) for number in range(size.nodes)]
     for entry in entries:
         near = [(name, address) for name, address, zone in core if zone == entry.zone]
-        stalls = [(each.node, each.address) for each in entries if not near or each.zone == entry.zone]
+        proxies = [(each.node, each.address) for each in entries if not near or each.zone == entry.zone]
         tops = near or [(name, address) for name, address, _ in core]
-        addresses[entry.node] = select_parents(node=entry.node, stalls=stalls, roots=tops, fan_out=fan_out)[0]
+        addresses[entry.node] = select_parents(node=entry.node, proxies=proxies, roots=tops, fan_out=fan_out)[0]
     by_address = {entry.address: entry.node for entry in entries}
 
     def depth(node: str) -> int:
@@ -298,7 +316,7 @@
 def nodes(meter: Meter, points: list[int]) -> None:
     for point in points:
         size = GOAL._replace(nodes=point)
-        _setup_costs(meter, point, size)
+        _configuration_costs(meter, point, size)
         _membership_costs(meter, point, size)
         _request_costs(meter, point, size._replace(services=min(GOAL.services, point)), times=50)
         for roots in (3, 7):
@@ -309,22 +327,22 @@
 def services(meter: Meter, points: list[int]) -> None:
     for point in points:
         size = GOAL._replace(services=point)
-        _setup_costs(meter, point, size)
+        _configuration_costs(meter, point, size)
         _request_costs(meter, point, size, times=50)
 
 
 def routes(meter: Meter, points: list[int]) -> None:
     for point in points:
         size = GOAL._replace(routes=point)
-        _setup_costs(meter, point, size)
-        view = _view(news_of(make_state(size)))
+        _configuration_costs(meter, point, size)
+        view = _view(data_plane_items(make_state(size)))
         path = prefix_of(point - 1)
         meter.spend(point, "look up the last route", lambda: view.items.select_entry(host=HOST, path=path), times=200)
 
 
 def _claim(number: int) -> ClaimHold:
     scope, hold = hold_of_number(number)
-    return ClaimHold(scope, hold.claim, hold.stall, "", scope, "operation", scope, hold.entry, 75, "")
+    return ClaimHold(scope, hold.claim, hold.proxy, "", scope, "operation", scope, hold.entry, 75, "")
 
 
 def keyed_claims(meter: Meter, points: list[int]) -> None:
@@ -366,24 +384,24 @@
     size = GOAL
     for rate in points:
         states = _states(make_state(size), [_patch_of(size, place + 2) for place in range(rate)])
-        news = [news_of(state) for state in (make_state(size), *states)]
+        news = [data_plane_items(state) for state in (make_state(size), *states)]
         answers = []
         for place, (before, after) in enumerate(pairwise(news)):
-            call = _relay(before, node=1, revision=place + 1).poll(own=_uptake(1), now=ZERO)
+            call = _relay(before, node=1, revision=place + 1).poll(own=_applied_version(1), now=ZERO)
             answers.append(_relay(after, revision=place + 2).answer(call, now=ZERO))
         meter.spend(
             rate,
             "news packed and vouched for at one core machine",
-            lambda states=states: [digests_of(news_of(state)) for state in states],
+            lambda states=states: [digests_of(data_plane_items(state)) for state in states],
         )
         # A copy that took the changes once can't take them again: each round begins with a new one.
         meter.spend(
             rate,
-            "copies mended and views read at one stall",
+            "copies mended and views read at one proxy",
             lambda child, answers=answers: _take_all(child, answers),
             prepare=lambda first=news[0]: _relay(first, node=1),
         )
-        meter.count(rate, "answers to one stall", "bytes", sum(_size_of(answer) for answer in answers))
+        meter.count(rate, "answers to one proxy", "bytes", sum(_size_of(answer) for answer in answers))
 
 
 def _take_all(child: Relay, answers: list) -> None:
@@ -411,7 +429,7 @@
     """Server and node called gone, then back with a new life: four records."""
     node, server = node_entry(number, size), server_entry(number, size)
     life = f"{number + 4096:012x}"
-    told = (server.stall, server.service, server.instance, server.address, server.zone)
+    told = (server.proxy, server.service, server.instance, server.address, server.zone)
     placed = (node.node, node.kind, node.address, node.zone)
     return [
         pack_command(NoteServer(*told, GONE, server.serial, server.incarnation, 1)),
@@ -431,10 +449,10 @@
         meter.spend(
             rate,
             "news packed and vouched for at one core machine",
-            lambda: [digests_of(news_of(state)) for state in states],
+            lambda: [digests_of(data_plane_items(state)) for state in states],
         )
-        news = [news_of(state) for state in states]
-        meter.spend(rate, "views read at one stall", lambda: [_view(items) for items in news])
+        news = [data_plane_items(state) for state in states]
+        meter.spend(rate, "views read at one proxy", lambda: [_view(items) for items in news])
 
 
 def checkpoint(meter: Meter, points: list[int]) -> None:
@@ -448,13 +466,13 @@
 
 def depth(meter: Meter, points: list[int]) -> None:
     """One change handed down a chain of stalls: what all of them spend until the last has it."""
-    items = news_of(make_state(GOAL))
-    changed = {**items, f"server:{stall_name(0)}": (2, items[f"server:{stall_name(0)}"][1])}
+    items = data_plane_items(make_state(GOAL))
+    changed = {**items, f"server:{proxy_name(0)}": (2, items[f"server:{proxy_name(0)}"][1])}
     view = _view(items)
 
     def hand_down(chain: list[Relay]) -> None:
         for parent, child in pairwise(chain):
-            call = _pass(child.poll(own=_uptake(1), now=ZERO), answer=False)
+            call = _pass(child.poll(own=_applied_version(1), now=ZERO), answer=False)
             answer = _pass(parent.answer(call, now=ZERO), answer=True)
             if not child.polled(answer, sent=ZERO):
                 raise AssertionError("a change was not handed down")
@@ -473,7 +491,7 @@
 
 
 def calls(meter: Meter, points: list[int]) -> None:
-    """So many calls in a second at one stall, as entry and as target: processor time of cores and packing."""
+    """So many calls in a second at one proxy, as entry and as target: processor time of cores and packing."""
     call = _Call(GOAL)
     for _ in range(30):
         call.whole()
@@ -499,7 +517,7 @@
             def write(payloads=payloads, store=store, offsets=offsets) -> None:
                 first = next(offsets) * point
                 told = tuple(Record(first + place, 1, ZERO, payload) for place, payload in enumerate(payloads))
-                store.write([Write(1, 1, None, ((1, "a"),), MESH, Mark(0, 0), False, False, first, told)])
+                store.write([Write(1, 1, None, ((1, "a"),), MESH, OffsetAndEpoch(0, 0), False, False, first, told)])
 
             meter.spend(point, "written with one sync", write)
             after = sum(path.stat().st_size for path in Path(folder).iterdir())
@@ -508,17 +526,17 @@
 
 
 def below(meter: Meter, points: list[int]) -> None:
-    """A poll that carries the uptakes of so many stalls below its sender, as every poll does."""
-    items = news_of(make_state(GOAL))
+    """A poll that carries the applied versions of so many proxies below its sender, as every poll does."""
+    items = data_plane_items(make_state(GOAL))
     for point in points:
         child, parent = _relay(items, node=1), _relay(items)
-        child.heard(tuple(_uptake(number + 2) for number in range(point)), now=ZERO)
-        call = child.poll(own=_uptake(1), now=ZERO)
+        child.heard(tuple(_applied_version(number + 2) for number in range(point)), now=ZERO)
+        call = child.poll(own=_applied_version(1), now=ZERO)
         meter.count(point, "a poll", "bytes", _size_of(call))
 
         def heard(child=child, parent=parent) -> None:
-            told = _pass(child.poll(own=_uptake(1), now=ZERO), answer=False)
-            parent.heard(told.uptakes, now=ZERO)
+            told = _pass(child.poll(own=_applied_version(1), now=ZERO), answer=False)
+            parent.heard(told.applied_versions, now=ZERO)
 
         meter.spend(point, "a poll asked, passed and heard", heard, times=20)
 
@@ -544,18 +562,18 @@
     "holds at a checkpoint": (checkpoint, [1000, 5000, 20000, 75000], [10, 20, 30, 40]),
     "depth of the tree": (depth, [1, 2, 3, 4, 6], [1, 2, 3, 4]),
     "records in a sync": (records, [1, 8, 32, 128], [1, 2, 3, 4]),
-    "stalls below in the tree": (below, [1, 8, 32, 108], [1, 2, 3, 4]),
+    "proxies below in the tree": (below, [1, 8, 32, 108], [1, 2, 3, 4]),
     "depth of a call": (call_depth, [1, 3, 5, 7], [1, 2, 3, 4]),
     "calls a second": (calls, [50, 100, 224, 400], [1, 2, 3, 4]),
 }
 
 
-def take(names: list[str], *, small: bool, rounds: int, say: Callable[[str], Any]) -> list[Measured]:
+def take(names: list[str], *, small: bool, rounds: int, write_line: Callable[[str], Any]) -> list[Measured]:
     found: list[Measured] = []
     for name in names:
         work, points, few = SLOPES[name]
         meter = Meter(slope=name, rounds=rounds)
         work(meter, few if small else points)
-        say(f"{name}: {len(meter.found)} figures")
+        write_line(f"{name}: {len(meter.found)} figures")
         found += meter.found
     return found
--- a/packages/testbed/src/hoistsaddle/testbed/scale/part.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
@@ -1,7 +1,8 @@
-"""One process of a scale run: many hollow stalls, one whole stall, or one core machine. Told what to do line by line.
+"""One process of a scale run: many hollow proxies, one whole proxy, or one core machine. Told what to do line by line.
 
-A hollow stall is a stall's node over real lines at an address of its own, with the core, membership, tree, uptake,
-vitals and claims of any other; only the server beside it is a function that answers at once, and it has no door.
+A hollow proxy is a proxy's node over real connections at its own address, with the core, membership, tree,
+applied versions, health reports and claims of any other; only the server beside it is a function that answers at
+once, and it has no HTTP listener.
 """
 
 import asyncio
@@ -22,16 +23,16 @@
 from returns.result import Success
 
 from hoistsaddle.common.clock import ZERO, milliseconds
-from hoistsaddle.common.settings import ControllerParams, SidecarParams
+from hoistsaddle.common.settings import ControllerSettings, SidecarSettings
 from hoistsaddle.config.items import Patch
 from hoistsaddle.membership.membership import DEAD
 from hoistsaddle.raft.core import LEADER
 from hoistsaddle.registry.controller import Controller
-from hoistsaddle.sidecar.door import Door, close_door, open_door
-from hoistsaddle.sidecar.messages import Asked, Reply, Serve, Served, Vitals
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.listener import IngressHandler, close_listener, open_listener
+from hoistsaddle.sidecar.messages import HealthReported, Reply, RequestArrived, RunOnServer, ServerAnswered
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.serverconnection import ServerLine, pack_pairs
-from hoistsaddle.sidecar.wording import Wording
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool, pack_pairs
 from hoistsaddle.statemachine.commands import LEVEL, NoteNode, NoteServer
 from hoistsaddle.statemachine.state import GONE, READY
 from hoistsaddle.testbed.scale.clock import ScaleRuntime, make_loop, mesh_seconds
@@ -39,16 +40,16 @@
     HOST,
     Size,
     prefix_of,
+    proxy_name,
     route_setting,
     service_name,
     settings_of,
-    stall_name,
     zone_name,
 )
 
-LOOK_EVERY = milliseconds(20)
-BEAT_EVERY = timedelta(seconds=1)
-ROOM = 64
+POLL_INTERVAL = milliseconds(20)
+HEARTBEAT_INTERVAL = timedelta(seconds=1)
+SERVER_CAPACITY = 64
 _headers = pack_pairs([(b"Host", HOST.encode())])
 
 
@@ -73,7 +74,7 @@
 
 
 def incarnation_of(number: int, job: Job) -> str:
-    return _runtime(job, stall_name(number)).token(6)
+    return _runtime(job, proxy_name(number)).token(6)
 
 
 def _runtime(job: Job, name: str) -> ScaleRuntime:
@@ -84,19 +85,19 @@
     return f"{service_name(number % size.services)}-{number}-1"
 
 
-async def _serve_hollow(command: Serve) -> tuple:
-    return Served(command.number, 200, b"", b"served", False)
+async def _serve_hollow(command: RunOnServer) -> tuple:
+    return ServerAnswered(command.number, 200, b"", b"served", False)
 
 
-class Stalls:
-    """The stalls of this process; a whole one differs by its door and the server behind a connection."""
+class ProxyGroup:
+    """The proxies of this process; a whole one differs by its door and the server behind a connection."""
 
     def __init__(self, job: Job) -> None:
         self.job = job
         self.nodes: dict[int, SidecarNode] = {}
         # Also of those lost since: what was counted stays counted.
         self.ever: list[SidecarNode] = []
-        self.beating: asyncio.Task | None = None
+        self.heartbeat_task: asyncio.Task | None = None
         self.asked = 0
         self.closing: list[Callable[[], Awaitable]] = []
 
@@ -106,106 +107,117 @@
             node = self.nodes[number] = await self._make(number)
             self.ever.append(node)
             await node.start()
-            self._beat(number, node)
+            self._send_heartbeat(number, node)
             # Not all in one moment: a fleet that starts together is another measurement.
             await asyncio.sleep(spread_seconds / len(job.numbers))
-        self.beating = asyncio.ensure_future(self._beats())
+        self.heartbeat_task = asyncio.ensure_future(self._send_heartbeats())
         return {"started": len(self.nodes)}
 
     async def _make(self, number: int) -> SidecarNode:
         job = self.job
-        params = SidecarParams(
-            name=stall_name(number),
+        settings = SidecarSettings(
+            name=proxy_name(number),
             zone=zone_name(number, job.size),
             listen=address_of(number, job),
             door=address_of(number, job, port=7110),
-            vitals_door=address_of(number, job, port=7111),
+            health_door=address_of(number, job, port=7111),
             ready_door=address_of(number, job, port=7112),
             seeds=[f"{host}:7100" for host in job.core[:3]],
             service=service_name(number % job.size.services),
             server=address_of(number, job, port=9000),
         )
-        runtime = _runtime(job, params.name)
+        runtime = _runtime(job, settings.name)
         if job.kind == "hollow":
-            return SidecarNode(params=params, runtime=runtime, serve=_serve_hollow)
-        wording = Wording()
-        line = ServerLine(wording=wording, counters=None)
-        node = SidecarNode(params=params, runtime=runtime, serve=line.serve)
+            return SidecarNode(settings=settings, runtime=runtime, serve=_serve_hollow)
+        header_names = HeaderNames()
+        line = ServerConnectionPool(header_names=header_names, counters=None)
+        node = SidecarNode(settings=settings, runtime=runtime, serve=line.serve)
         line.counters = node.counters
-        door = await open_door(address=params.door, handler=Door(node=node, wording=wording).handle)
-        server = await open_door(address=params.server, handler=_answer_whole)
-        self.closing += [lambda: close_door(door, wait=ZERO), server.cleanup]
+        door = await open_listener(
+            address=settings.door, handler=IngressHandler(node=node, header_names=header_names).handle
+        )
+        server = await open_listener(address=settings.server, handler=_answer_complete)
+        self.closing += [lambda: close_listener(door, wait=ZERO), server.cleanup]
         return node
 
-    def _beat(self, number: int, node: SidecarNode) -> None:
-        params = node.broker_params
-        node.feed(Vitals(params.service, _instance(number, self.job.size), params.server, READY, ROOM, ZERO))
+    def _send_heartbeat(self, number: int, node: SidecarNode) -> None:
+        settings = node.sidecar_settings
+        node.feed(
+            HealthReported(
+                settings.service, _instance(number, self.job.size), settings.server, READY, SERVER_CAPACITY, ZERO
+            )
+        )
 
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(BEAT_EVERY.total_seconds())
+            await asyncio.sleep(HEARTBEAT_INTERVAL.total_seconds())
             for number, node in list(self.nodes.items()):
-                self._beat(number, node)
+                self._send_heartbeat(number, node)
 
     # -- what is asked of it -----------------------------------------------------------------------------------------
 
     def settled(self, *, items: int, nodes: int) -> dict:
-        """How many here have the whole setup, a fresh lease and vitals that the warden took."""
+        """How many here have the whole configuration, a fresh lease and health reports that the warden took."""
         well = 0
         for node in self.nodes.values():
             view = node.core.view
             alive = sum(each.state != GONE for each in view.nodes.values() if each.kind == "stall")
-            if len(view.item_marks) >= items and alive >= nodes and node.core.fresh() and node.vitals_told[1] == READY:
+            if (
+                len(view.item_revisions) >= items
+                and alive >= nodes
+                and node.core.fresh()
+                and node.health_acknowledged[1] == READY
+            ):
                 well += 1
         return {"settled": well, "of": len(self.nodes)}
 
     async def watch_item(self, *, key: str, revision: int, within: float) -> dict:
-        """When each stall here had the item in force."""
+        """When each proxy here had the item in force."""
         seen: dict[int, float] = {}
         deadline = mesh_seconds(self.job.stretch) + within
         while len(seen) < len(self.nodes) and mesh_seconds(self.job.stretch) < deadline:
             for number, node in self.nodes.items():
-                if number not in seen and node.core.view.item_marks.get(key, -1) >= revision:
+                if number not in seen and node.core.view.item_revisions.get(key, -1) >= revision:
                     seen[number] = mesh_seconds(self.job.stretch)
-            await asyncio.sleep(LOOK_EVERY.total_seconds())
+            await asyncio.sleep(POLL_INTERVAL.total_seconds())
         return {"seen": sorted(seen.values()), "missing": len(self.nodes) - len(seen)}
 
     async def watch_gone(self, *, numbers: list[int], within: float) -> dict:
-        """When each stall here knew all of them gone: from the log, and from its own membership."""
-        names = [stall_name(number) for number in numbers]
+        """When each proxy here knew all of them gone: from the log, and from its own membership."""
+        names = [proxy_name(number) for number in numbers]
         logged: dict[int, float] = {}
-        rumoured: dict[int, float] = {}
+        gossiped: dict[int, float] = {}
         deadline = mesh_seconds(self.job.stretch) + within
-        while min(len(logged), len(rumoured)) < len(self.nodes) and mesh_seconds(self.job.stretch) < deadline:
+        while min(len(logged), len(gossiped)) < len(self.nodes) and mesh_seconds(self.job.stretch) < deadline:
             now = mesh_seconds(self.job.stretch)
             for number, node in self.nodes.items():
                 known = node.core.view.nodes
                 if number not in logged and all(name not in known or known[name].state == GONE for name in names):
                     logged[number] = now
                 members = node.member.core.members
-                if number not in rumoured and all(name not in members or members[name].state == DEAD for name in names):
-                    rumoured[number] = now
-            await asyncio.sleep(LOOK_EVERY.total_seconds())
+                if number not in gossiped and all(name not in members or members[name].state == DEAD for name in names):
+                    gossiped[number] = now
+            await asyncio.sleep(POLL_INTERVAL.total_seconds())
         return {
             "logged": sorted(logged.values()),
-            "rumoured": sorted(rumoured.values()),
+            "rumoured": sorted(gossiped.values()),
             "missing": len(self.nodes) - len(logged),
-            "unrumoured": len(self.nodes) - len(rumoured),
+            "unrumoured": len(self.nodes) - len(gossiped),
         }
 
     async def lose(self, *, numbers: list[int]) -> dict:
         """As a machine loses power, but for the reset of its connections: nothing is said."""
-        moment = mesh_seconds(self.job.stretch)
+        timestamp = mesh_seconds(self.job.stretch)
         for number in numbers:
             node = self.nodes.pop(number, None)
             if node is not None:
                 for task in [*node.tasks, *node.work]:
                     task.cancel()
                 await node.stop()
-        return {"moment": moment}
+        return {"moment": timestamp}
 
     async def load(self, *, seconds: float, calls: float, keyed: float) -> dict:
-        """So many plain and keyed calls a second, evenly, from the stalls here in turn."""
+        """So many plain and keyed calls a second, evenly, from the proxies here in turn."""
         outcomes: Counter[str] = Counter()
         tasks: set[asyncio.Task] = set()
         numbers = list(self.nodes)
@@ -233,10 +245,12 @@
         number = self.asked
         routes = [route for route in range(self.job.size.routes) if (route % 4 == 1) == with_key] or [0]
         path = f"{prefix_of(routes[number % len(routes)])}thing"
-        key = f"{node.params.name}-{number}" if with_key else ""
+        key = f"{node.settings.name}-{number}" if with_key else ""
         if self.job.kind == "hollow":
-            reply = await node.request_items(
-                lambda ticket: Asked(ticket, "POST", HOST, path, _headers, 80, b"", None, key, f"send-{number}")
+            reply = await node.handle_request(
+                lambda ticket: RequestArrived(
+                    ticket, "POST", HOST, path, _headers, 80, b"", None, key, f"send-{number}"
+                )
             )
             outcomes[_told(reply, keyed=with_key)] += 1
 
@@ -247,30 +261,30 @@
         return dict(counts)
 
     def traffic(self) -> tuple[Counter, Counter]:
-        return _sum_traffic([node.runtime.lines for node in self.ever])
+        return _sum_traffic([node.runtime.rpc_client for node in self.ever])
 
     async def stop(self) -> None:
-        if self.beating is not None:
-            self.beating.cancel()
+        if self.heartbeat_task is not None:
+            self.heartbeat_task.cancel()
         for close in self.closing:
             await close()
         await self.lose(numbers=list(self.nodes))
 
 
 def _told(reply: Reply, *, keyed: bool) -> str:
-    return f"{'keyed' if keyed else 'plain'} {reply.mishap.kind if reply.mishap else reply.status}"
+    return f"{'keyed' if keyed else 'plain'} {reply.error.kind if reply.error else reply.status}"
 
 
-async def _answer_whole(request: web.BaseRequest) -> web.StreamResponse:
+async def _answer_complete(request: web.BaseRequest) -> web.StreamResponse:
     await request.read()
-    carried = request.headers.get(Wording().send_id, "")
-    return web.Response(body=b"served", headers={Wording().send_id: carried, "Keep-Alive": "timeout=60"})
+    carried = request.headers.get(HeaderNames().client_attempt_id, "")
+    return web.Response(body=b"served", headers={HeaderNames().client_attempt_id: carried, "Keep-Alive": "timeout=60"})
 
 
-def _sum_traffic(lines: list[Any]) -> tuple[Counter, Counter]:
+def _sum_traffic(rpc_client: list[Any]) -> tuple[Counter, Counter]:
     frames: Counter[str] = Counter()
     octets: Counter[str] = Counter()
-    for each in lines:
+    for each in rpc_client:
         frames.update({" ".join(passed): count for passed, count in each.traffic.frames.items()})
         octets.update({" ".join(passed): count for passed, count in each.traffic.octets.items()})
     return frames, octets
@@ -280,8 +294,8 @@
     def __init__(self, job: Job) -> None:
         self.job = job
         Path(job.folder).mkdir(parents=True, exist_ok=True)
-        self.market = Controller(
-            params=ControllerParams(
+        self.controller = Controller(
+            settings=ControllerSettings(
                 host=job.host,
                 zone=job.zone,
                 data_folder=job.folder,
@@ -293,13 +307,13 @@
         )
 
     async def start(self) -> dict:
-        await self.market.start()
+        await self.controller.start()
         return {}
 
     def look(self) -> dict:
-        core = self.market.warehouse.shell.core
+        core = self.controller.store.runner.core
         return {
-            "leads": core.standing == LEADER,
+            "leads": core.role == LEADER,
             "mesh": core.mesh,
             "voters": len(core.state.voters),
             "alive": sum(node.state != GONE and node.kind == "stall" for node in core.state.nodes.values()),
@@ -308,19 +322,19 @@
         }
 
     async def preload(self) -> dict:
-        """Every stall and item into the log before any stall starts: joining is another measurement."""
-        job, writer = self.job, self.market.bourse.writer
+        """Every proxy and item into the log before any proxy starts: joining is another measurement."""
+        job, writer = self.job, self.controller.registry.writer
         span = timedelta(seconds=5)
         commands: list[Any] = []
         for number in range(job.size.nodes):
-            name, zone = stall_name(number), zone_name(number, job.size)
+            name, zone = proxy_name(number), zone_name(number, job.size)
             life = incarnation_of(number, job)
             commands.append(NoteNode(name, "stall", address_of(number, job), zone, life, "alive", seen=0, level=LEVEL))
         for place in range(0, len(commands), 64):
             await asyncio.gather(*(writer.write(command, within=span) for command in commands[place : place + 64]))
         servers = [
             NoteServer(
-                stall_name(number),
+                proxy_name(number),
                 service_name(number % job.size.services),
                 _instance(number, job.size),
                 address_of(number, job, port=9000),
@@ -339,7 +353,7 @@
     async def patch(self, *, revision: int, whole: bool = False) -> dict:
         settings = settings_of(self.job.size) if whole else [route_setting(0, self.job.size, revision=revision)]
         began = mesh_seconds(self.job.stretch)
-        result = await self.market.patch(Patch(settings))
+        result = await self.controller.patch(Patch(settings))
         return {
             "taken": isinstance(result, Success),
             "moment": began,
@@ -348,18 +362,18 @@
 
     def happened(self) -> dict:
         counts: Counter[str] = Counter()
-        for counters in (self.market.counters, self.market.warehouse.counters):
+        for counters in (self.controller.counters, self.controller.store.counters):
             counts.update({name: int(value) for name, value in counters.read()["counts"].items()})
         return dict(counts)
 
     def gauges(self) -> dict:
-        return self.market.warehouse.counters.read()["gauges"]
+        return self.controller.store.counters.read()["gauges"]
 
     def traffic(self) -> tuple[Counter, Counter]:
-        return _sum_traffic([self.market.runtime.lines])
+        return _sum_traffic([self.controller.runtime.rpc_client])
 
     async def stop(self) -> None:
-        await self.market.stop()
+        await self.controller.stop()
 
 
 def _resident() -> int:
@@ -369,10 +383,10 @@
     return 0
 
 
-class Part:
+class Worker:
     def __init__(self, job: Job) -> None:
         self.job = job
-        self.body: Any = CoreMachine(job) if job.kind == "core" else Stalls(job)
+        self.body: Any = CoreMachine(job) if job.kind == "core" else ProxyGroup(job)
 
     def snapshot(self) -> dict:
         frames, octets = self.body.traffic()
@@ -403,7 +417,7 @@
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=2**22)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    part = Part(msgspec.json.decode(await reader.readline(), type=Job))
+    part = Worker(msgspec.json.decode(await reader.readline(), type=Job))
     _say({"up": True})
     while line := await reader.readline():
         command = msgspec.json.decode(line)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/catalogue.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/catalogue.py
@@ -1,6 +1,6 @@
 """Every scenario by its name."""
 
-from hoistsaddle.testbed.simulation import hardships
+from hoistsaddle.testbed.simulation import faults
 from hoistsaddle.testbed.simulation import scenarios as plain
 from hoistsaddle.testbed.simulation.manyorders import many_orders
 from hoistsaddle.testbed.simulation.orders import orders_sent_again
@@ -44,13 +44,13 @@
         rules_change_in_trouble,
         keys_travel,
         old_process_lives,
-        hardships.copies_damaged,
-        hardships.gone_forgotten,
-        hardships.wiped_after_word,
-        hardships.releases_side_by_side,
-        hardships.margins_kept,
-        hardships.isolated,
-        hardships.clocks_jump,
-        hardships.operators_at_once,
+        faults.copies_damaged,
+        faults.gone_forgotten,
+        faults.wiped_after_word,
+        faults.releases_side_by_side,
+        faults.margins_kept,
+        faults.isolated,
+        faults.clocks_jump,
+        faults.operators_at_once,
     )
 }
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -15,81 +15,83 @@
 from loguru import logger
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.common.settings import CoreMachine, ProxyParams, RegistryParams, StoreParams
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.settings import CoreMachine, ProxySettings, RegistrySettings, StoreSettings
 from hoistsaddle.config.bundle import read_bundle
 from hoistsaddle.proxy.messages import (
     ANSWERED,
-    AnswerVisitor,
+    AnswerClient,
+    HealthReported,
     RequestArrived,
-    RunServer,
+    RunOnServer,
     ServerAnswered,
-    ServerMissed,
-    VitalsArrived,
+    ServerFailed,
 )
 from hoistsaddle.proxy.node import ProxyNode
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.registry.desk import Desk
+from hoistsaddle.registry.operator_actions import OperatorActions
 from hoistsaddle.registry.service import Registry
-from hoistsaddle.rpc.messages import FoundAnswer, FoundCall, PassCall
+from hoistsaddle.rpc.messages import BootstrapAnswer, BootstrapCall, BundleForwardCall
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.store.service import Store
-from hoistsaddle.testbed.deployments import Ask, Deployment, Inner
+from hoistsaddle.testbed.deployments import Deployment, NestedCall, RequestKind
 from hoistsaddle.testbed.history import (
-    Accepted,
-    Asked,
-    Back,
-    Expected,
-    Further,
-    Got,
+    AttemptSeen,
+    BundleAccepted,
+    BundleApplied,
+    BundleSubmitted,
+    BundleWritten,
+    ConfigurationExpected,
+    ExpectationChecked,
     History,
-    Interrupted,
-    Promised,
-    Ran,
-    Replied,
-    ServerChanged,
-    Stood,
-    Submitted,
-    TookUp,
-    Written,
-    mark_of,
-    read_back_of,
+    PlannedInterruption,
+    ProcessPaused,
+    RequestResult,
+    RequestSent,
+    RunEnded,
+    RunStarted,
+    ServerStateChanged,
+    ServiceRecovered,
+    body_digest_of,
+    configuration_read_of,
 )
-from hoistsaddle.testbed.simulation.clockwork import ClockworkLoop, Life
+from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess, SimulatedTimeLoop
 from hoistsaddle.testbed.simulation.world import SimulatedDiskWorker, SimulatedRuntime, World, wipe
 
 OPERATORS = {"ada": hashlib.sha256(b"token-of-ada").hexdigest(), "ben": hashlib.sha256(b"token-of-ben").hexdigest()}
-VITALS_SECONDS = 0.8
+HEALTH_SECONDS = 0.8
 RETRY_SECONDS = 0.5
 
 
 class SimulatedServer:
-    """A server beside a stall, with the manners a test gives it."""
+    """A server beside a proxy, with the manners a test gives it."""
 
-    def __init__(self, *, whole: "SimulatedDeployment", stall: str, service: str) -> None:
-        self.whole = whole
-        self.stall = stall
+    def __init__(self, *, complete: "SimulatedDeployment", proxy: str, service: str) -> None:
+        self.complete = complete
+        self.proxy = proxy
         self.service = service
-        self.instance = f"{service}-{next(whole.counter)}"
+        self.instance = f"{service}-{next(complete.counter)}"
         self.state = "ready"
         self.present = True
-        self.manner = ""
+        self.misbehaviour = ""
         self.seconds = (0.002, 0.03)
 
     def tell(self, state: str) -> None:
         self.state = state
-        self.whole.history.add(ServerChanged(self.whole.moment(), self.service, self.instance, state))
+        self.complete.history.add(ServerStateChanged(self.complete.timestamp(), self.service, self.instance, state))
         self.report()
 
     def report(self) -> None:
-        life = self.whole.lives.get(self.stall)
-        node = self.whole.nodes.get(self.stall)
+        life = self.complete.processes.get(self.proxy)
+        node = self.complete.nodes.get(self.proxy)
         if self.present and life is not None and not life.dead and not life.frozen:
-            life.context.run(node.feed, VitalsArrived(self.service, self.instance, f"at-{self.stall}", self.state))
+            life.context.run(node.feed, HealthReported(self.service, self.instance, f"at-{self.proxy}", self.state))
 
     def vanish(self) -> None:
         self.present = False
-        self.whole.history.add(ServerChanged(self.whole.moment(), self.service, self.instance, "vanished"))
+        self.complete.history.add(
+            ServerStateChanged(self.complete.timestamp(), self.service, self.instance, "vanished")
+        )
 
 
 class SimulatedDeployment:
@@ -99,40 +101,40 @@
         self.random = world.random
         self.history = History()
         self.counter = itertools.count(1)
-        self.lives: dict[str, Life] = {}
+        self.processes: dict[str, SimulatedProcess] = {}
         self.nodes: dict[str, Any] = {}
         self.visits: set[asyncio.Task] = set()
         self.core = [
-            CoreMachine(replica=place, warehouse=f"warehouse-{place}", bourse=f"bourse-{place}")
+            CoreMachine(replica=place, store=f"warehouse-{place}", registry=f"bourse-{place}")
             for place in range(1, deployment.core + 1)
         ]
-        self.seeds = [machine.bourse for machine in self.core[:3]]
+        self.seeds = [machine.registry for machine in self.core[:3]]
         self.checkpoint_records = checkpoint_records
-        self.stalls: dict[str, tuple[str, str]] = {}
+        self.proxies: dict[str, tuple[str, str]] = {}
         self.servers: dict[str, SimulatedServer] = {}
         for place, service in enumerate(deployment.services):
-            self.stalls[f"stall-{place + 1:02d}"] = (deployment.zone_of(place), service)
-        self.happenings: list[tuple[float, str, str, dict]] = []
+            self.proxies[f"stall-{place + 1:02d}"] = (deployment.zone_of(place), service)
+        self.process_events: list[tuple[float, str, str, dict]] = []
         # The highest release level a process says it supports, where that isn't all it knows.
         self.levels: dict[str, int] = {}
         self.frozen_at: dict[str, float] = {}
-        world.seen_calls = self._see_call
+        world.on_call = self._see_call
 
-    def promise(self, what: str, kept: bool) -> None:
+    def check_expectation(self, what: str, kept: bool) -> None:
         """Writes down whether something promised came true; the checker reads it afterwards."""
-        self.history.add(Promised(self.moment(), what, bool(kept)))
+        self.history.add(ExpectationChecked(self.timestamp(), what, bool(kept)))
 
-    def moment(self) -> float:
+    def timestamp(self) -> float:
         return self.world.loop.time()
 
-    def _see_call(self, life: Life, address: str, message: tuple) -> None:
-        if isinstance(message, PassCall):
-            self.history.add(Further(self.moment(), message.service_name, message.ordinal > 1))
+    def _see_call(self, life: SimulatedProcess, address: str, message: tuple) -> None:
+        if isinstance(message, BundleForwardCall):
+            self.history.add(AttemptSeen(self.timestamp(), message.service_name, message.ordinal > 1))
 
     # -- lives -------------------------------------------------------------------------------------------------------
 
-    def _life(self, name: str) -> Life:
-        life = self.lives[name] = Life(name=name, loop=self.world.loop)
+    def _life(self, name: str) -> SimulatedProcess:
+        life = self.processes[name] = SimulatedProcess(name=name, loop=self.world.loop)
         return life
 
     def start_process(self, name: str) -> None:
@@ -141,12 +143,12 @@
         runtime = SimulatedRuntime(world=self.world, life=life)
         zones = self.deployment.zones
         node: Any
-        params: Any
+        settings: Any
         match kind:
             case "warehouse":
                 replica = int(place)
                 folder = self.world.folder / f"data-{replica}"
-                params = StoreParams(
+                settings = StoreSettings(
                     replica=replica,
                     zone=zones[(replica - 1) % len(zones)],
                     listen=name,
@@ -163,13 +165,13 @@
                     return SimulatedDiskWorker(world=self.world, life=life, **needs)
 
                 node = life.context.run(
-                    lambda: Store(params=params, runtime=runtime, disk=disk, make_worker=make_worker)
+                    lambda: Store(settings=settings, runtime=runtime, disk=disk, make_worker=make_worker)
                 )
             case "bourse":
                 replica = int(place)
                 node = life.context.run(
                     lambda: Registry(
-                        params=RegistryParams(
+                        settings=RegistrySettings(
                             replica=replica,
                             zone=zones[(replica - 1) % len(zones)],
                             listen=name,
@@ -181,58 +183,58 @@
                     )
                 )
             case _:
-                zone, _ = self.stalls[name]
-                params = ProxyParams(
+                zone, _ = self.proxies[name]
+                settings = ProxySettings(
                     name=name,
                     zone=zone,
                     listen=name,
-                    visitors=f"{name}-visitors",
+                    clients=f"{name}-visitors",
                     inner=f"{name}-inner",
                     seeds=self.seeds,
                     release_level=self.levels.get(name, 0),
                 )
 
-                async def run_server(command: RunServer) -> tuple:
+                async def run_server(command: RunOnServer) -> tuple:
                     return await self._run_server(name, command)
 
-                node = life.context.run(lambda: ProxyNode(params=params, runtime=runtime, run_server=run_server))
+                node = life.context.run(lambda: ProxyNode(settings=settings, runtime=runtime, run_server=run_server))
         self.nodes[name] = node
         self._listen(node.counters)
         life.spawn(node.start())
 
     def _listen(self, counters) -> None:
-        plain = counters.happen
+        plain = counters.record_event
 
-        def happen(kind: str, **detail) -> None:
-            self.happenings.append((round(self.moment(), 4), counters.owner, kind, detail))
+        def record_event(kind: str, **detail) -> None:
+            self.process_events.append((round(self.timestamp(), 4), counters.owner, kind, detail))
             plain(kind, **detail)
 
-        counters.happen = happen
+        counters.record_event = record_event
 
-    def add_stall(self, name: str, *, zone: str, service: str) -> None:
+    def add_proxy(self, name: str, *, zone: str, service: str) -> None:
         """A machine that wasn't there before, with a server beside it."""
-        self.stalls[name] = (zone, service)
+        self.proxies[name] = (zone, service)
         self.start_process(name)
-        self.servers[name] = SimulatedServer(whole=self, stall=name, service=service)
+        self.servers[name] = SimulatedServer(complete=self, proxy=name, service=service)
 
-    def remove_stall(self, name: str) -> None:
+    def remove_proxy(self, name: str) -> None:
         """A machine that never comes back."""
         self.servers[name].vanish()
         self.kill(name)
-        del self.servers[name], self.stalls[name], self.lives[name], self.nodes[name]
+        del self.servers[name], self.proxies[name], self.processes[name], self.nodes[name]
 
     def kill(self, *names: str) -> None:
         for name in names:
-            life, node = self.lives[name], self.nodes[name]
+            life, node = self.processes[name], self.nodes[name]
             if life.dead:
                 continue
             self.world.kill(life)
             if isinstance(node, Store):
-                node.shell.disk.close()
+                node.runner.disk.close()
 
     def restart(self, *names: str) -> None:
         for name in names:
-            if not self.lives[name].dead:
+            if not self.processes[name].dead:
                 self.kill(name)
             self.start_process(name)
 
@@ -241,41 +243,41 @@
 
     def freeze(self, *names: str) -> None:
         for name in names:
-            self.lives[name].freeze()
-            self.frozen_at.setdefault(name, self.moment())
+            self.processes[name].freeze()
+            self.frozen_at.setdefault(name, self.timestamp())
 
     def wake(self, *names: str) -> None:
         for name in names:
-            self.lives[name].wake()
+            self.processes[name].wake()
             if name in self.frozen_at:
-                self.history.add(Stood(self.frozen_at.pop(name), self.moment(), name))
+                self.history.add(ProcessPaused(self.frozen_at.pop(name), self.timestamp(), name))
 
-    async def stop_stall(self, name: str) -> None:
+    async def stop_proxy(self, name: str) -> None:
         """A planned stop, as SIGTERM does it."""
-        began = self.moment()
-        await self.lives[name].spawn(self.nodes[name].finish())
+        began = self.timestamp()
+        await self.processes[name].spawn(self.nodes[name].finish())
         self.kill(name)
         # Callers notice a cut a little after it; the span takes that in.
-        self.history.add(Interrupted(began, self.moment() + 0.2, f"planned stop of {name}"))
+        self.history.add(PlannedInterruption(began, self.timestamp() + 0.2, f"planned stop of {name}"))
 
     def names(self, kind: str) -> list[str]:
-        return [name for name in self.lives if name.startswith(kind + "-")]
+        return [name for name in self.processes if name.startswith(kind + "-")]
 
     def live(self, kind: str) -> list[str]:
-        return [name for name in self.names(kind) if not self.lives[name].dead and not self.lives[name].frozen]
+        return [name for name in self.names(kind) if not self.processes[name].dead and not self.processes[name].frozen]
 
     def leader(self) -> str | None:
         leading = [
-            (self.nodes[name].shell.core.epoch, name)
+            (self.nodes[name].runner.core.epoch, name)
             for name in self.live("warehouse")
-            if self.nodes[name].shell.core and self.nodes[name].shell.core.standing == "leader"
+            if self.nodes[name].runner.core and self.nodes[name].runner.core.role == "leader"
         ]
         return max(leading)[1] if leading else None
 
     def rejoined(self, replica: int) -> bool:
         """Whether a replica's present disk votes and holds everything."""
-        core = self.nodes[f"warehouse-{replica}"].shell.core
-        return core is not None and core.whole and core.state.voters.get(replica) == core.incarnation
+        core = self.nodes[f"warehouse-{replica}"].runner.core
+        return core is not None and core.complete and core.state.voters.get(replica) == core.incarnation
 
     # -- the whole ---------------------------------------------------------------------------------------------------
 
@@ -284,120 +286,124 @@
             self.start_process(f"warehouse-{machine.replica}")
             self.start_process(f"bourse-{machine.replica}")
         await asyncio.sleep(0.05)
-        voters = {machine.replica: self.nodes[machine.warehouse].shell.core.incarnation for machine in self.core}
+        voters = {machine.replica: self.nodes[machine.store].runner.core.incarnation for machine in self.core}
         level = min([LEVEL, *self.levels.values()])
         for machine in self.core:
-            bourse = self.lives["bourse-1"]
-            answer = await bourse.spawn(
-                self.nodes["bourse-1"].runtime.lines.call(
-                    machine.warehouse, FoundCall("simulated", voters, OPERATORS, level), within=timedelta(seconds=5)
+            registry = self.processes["bourse-1"]
+            answer = await registry.spawn(
+                self.nodes["bourse-1"].runtime.rpc_client.call(
+                    machine.store, BootstrapCall("simulated", voters, OPERATORS, level), within=timedelta(seconds=5)
                 )
             )
-            assert isinstance(answer.unwrap(), FoundAnswer) and not answer.unwrap().mishap, answer
-        for name, (_, service) in self.stalls.items():
+            assert isinstance(answer.unwrap(), BootstrapAnswer) and not answer.unwrap().error, answer
+        for name, (_, service) in self.proxies.items():
             self.start_process(name)
-            self.servers[name] = SimulatedServer(whole=self, stall=name, service=service)
-        self.keep(self._report_vitals())
-        self.keep(self._observe())
+            self.servers[name] = SimulatedServer(complete=self, proxy=name, service=service)
+        self.create_task(self._report_health())
+        self.create_task(self._observe())
         await self.until(lambda: self.leader() is not None, seconds=10, what="a leader")
         if bundle:
             await self.until(
                 lambda: (
                     self.nodes["bourse-1"].view.revision > 0
-                    and len(self.nodes["bourse-1"].view.nodes) >= len(self.stalls)
+                    and len(self.nodes["bourse-1"].view.nodes) >= len(self.proxies)
                 ),
                 seconds=10,
-                what="stalls noted",
+                what="proxies noted",
             )
             await self.roll_out(self.deployment.first_bundle())
-            await self.until(self.serving, seconds=10, what="every stall serves")
+            await self.until(self.serving, seconds=10, what="every proxy serves")
 
-    def keep(self, work: Coroutine) -> asyncio.Task:
+    def create_task(self, work: Coroutine) -> asyncio.Task:
         task = self.world.loop.create_task(work)
         self.visits.add(task)
         return task
 
-    async def _report_vitals(self) -> None:
+    async def _report_health(self) -> None:
         while True:
             for server in list(self.servers.values()):
                 server.report()
-            await asyncio.sleep(VITALS_SECONDS)
+            await asyncio.sleep(HEALTH_SECONDS)
 
     async def _observe(self) -> None:
-        """Writes down which bundle each stall acts under, whenever it could act."""
+        """Writes down which bundle each proxy acts under, whenever it could act."""
         known: dict[str, tuple[int, str]] = {}
         while True:
             for name in self.live("stall"):
                 core = self.nodes[name].core
                 core.now = max(core.now, self.world.loop.now())
                 if core.ready() is None:
-                    now = (core.view.bundle_number, core.params.incarnation)
-                    self.history.add(TookUp(self.moment(), name, *now)) if known.get(
+                    now = (core.view.bundle_number, core.settings.incarnation)
+                    self.history.add(BundleApplied(self.timestamp(), name, *now)) if known.get(
                         name
                     ) != now or self.random.random() < 0.05 else None
                     known[name] = now
             await asyncio.sleep(0.02)
 
     def serving(self) -> bool:
-        """Every stall ready, and every present server open in the setup each of them holds."""
-        stalls = [self.nodes[name] for name in self.live("stall")]
-        for node in stalls:
+        """Every proxy ready, and every present server open in the configuration each of them holds."""
+        proxies = [self.nodes[name] for name in self.live("stall")]
+        for node in proxies:
             node.core.now = max(node.core.now, self.world.loop.now())
             if node.core.ready() is not None:
                 return False
-        view = stalls[0].core.view
+        view = proxies[0].core.view
         return all(
-            server.instance in {each.instance for each in view.open_servers()}
+            server.instance in {each.instance for each in view.available_servers()}
             for server in self.servers.values()
-            if server.present and server.state == "ready" and server.stall in self.live("stall")
+            if server.present and server.state == "ready" and server.proxy in self.live("stall")
         )
 
     async def until(self, ready: Callable[[], bool], *, seconds: float, what: str) -> float:
-        began = self.moment()
+        began = self.timestamp()
         while not ready():
-            if self.moment() - began > seconds:
-                raise AssertionError(f"{what}: not within {seconds} simulated seconds; lately: {self.happenings[-12:]}")
+            if self.timestamp() - began > seconds:
+                raise AssertionError(
+                    f"{what}: not within {seconds} simulated seconds; lately: {self.process_events[-12:]}"
+                )
             await asyncio.sleep(0.01)
-        return self.moment() - began
+        return self.timestamp() - began
 
     # -- operators ---------------------------------------------------------------------------------------------------
 
-    async def at_desk(
-        self, work: Callable[[Desk, str], Coroutine], *, bourse: str | None = None
-    ) -> Result[dict, Mishap]:
-        """Does an operator's call at one bourse; if that process dies, the operator sees the connection break."""
-        name = bourse or self.random.choice(self.live("bourse"))
+    async def as_operator(
+        self, work: Callable[[OperatorActions, str], Coroutine], *, registry: str | None = None
+    ) -> Result[dict, MeshError]:
+        """Does an operator's call at one registry; if that process dies, the operator sees the connection break."""
+        name = registry or self.random.choice(self.live("bourse"))
         request = f"call-{next(self.counter)}"
-        life, node = self.lives[name], self.nodes[name]
-        task = life.spawn(work(Desk(bourse=node), request))
+        life, node = self.processes[name], self.nodes[name]
+        task = life.spawn(work(OperatorActions(registry=node), request))
         while not task.done():
             if life.dead:
-                return Failure(Mishap(MishapKind.SILENT, "the bourse died", "ask again"))
+                return Failure(MeshError(ErrorKind.SILENT, "the registry died", "ask again"))
             await asyncio.wait([task], timeout=0.02)
         return task.result()
 
     async def submit(
-        self, text: str, *, author: str = "ada", bourse: str | None = None, broken: bool = False
-    ) -> Result[dict, Mishap]:
-        result = await self.at_desk(
-            lambda desk, request: desk.submit(author=author, text=text, request=request), bourse=bourse
+        self, text: str, *, author: str = "ada", registry: str | None = None, broken: bool = False
+    ) -> Result[dict, MeshError]:
+        result = await self.as_operator(
+            lambda actions, request: actions.submit(author=author, text=text, request=request), registry=registry
         )
         checked = read_bundle(text)
         if isinstance(checked, Success):
             # It can't be in play before it is signed, and nobody signs before this.
-            self.history.add(Written(self.moment(), checked.unwrap().number, text))
+            self.history.add(BundleWritten(self.timestamp(), checked.unwrap().number, text))
         number = checked.unwrap().number if isinstance(checked, Success) else -1
-        mishap = "" if isinstance(result, Success) else str(result.failure().kind)
-        self.history.add(Submitted(self.moment(), number, broken, mishap))
+        error = "" if isinstance(result, Success) else str(result.failure().kind)
+        self.history.add(BundleSubmitted(self.timestamp(), number, broken, error))
         return result
 
-    async def stage(self, work: Callable[[Desk, str], Coroutine], *, bourse: str | None = None) -> Result[dict, Mishap]:
-        result = await self.at_desk(work, bourse=bourse)
+    async def stage(
+        self, work: Callable[[OperatorActions, str], Coroutine], *, registry: str | None = None
+    ) -> Result[dict, MeshError]:
+        result = await self.as_operator(work, registry=registry)
         match result:
             case Success(answer) if answer["accepted"] and "stage" in answer:
                 self.history.add(
-                    Accepted(
-                        self.moment(),
+                    BundleAccepted(
+                        self.timestamp(),
                         answer["revision"],
                         answer["number"],
                         tuple(answer["machines"]),
@@ -407,26 +413,26 @@
         return result
 
     async def sign(
-        self, number: int, digest: str, *, signer: str = "ben", bourse: str | None = None
-    ) -> Result[dict, Mishap]:
+        self, number: int, digest: str, *, signer: str = "ben", registry: str | None = None
+    ) -> Result[dict, MeshError]:
         return await self.stage(
-            lambda desk, request: desk.sign(operator=signer, number=number, digest=digest, request=request),
-            bourse=bourse,
+            lambda actions, request: actions.sign(operator=signer, number=number, digest=digest, request=request),
+            registry=registry,
         )
 
     async def advance(
-        self, number: int, from_stage: int, *, operator: str = "ben", bourse: str | None = None
-    ) -> Result[dict, Mishap]:
+        self, number: int, from_stage: int, *, operator: str = "ben", registry: str | None = None
+    ) -> Result[dict, MeshError]:
         return await self.stage(
-            lambda desk, request: desk.advance(
+            lambda actions, request: actions.advance(
                 operator=operator, number=number, from_stage=from_stage, request=request
             ),
-            bourse=bourse,
+            registry=registry,
         )
 
-    async def drain(self, stall: str, *, drain: bool = True) -> Result[dict, Mishap]:
-        return await self.at_desk(
-            lambda desk, request: desk.drain(operator="ada", stall=stall, drain=drain, request=request)
+    async def drain(self, proxy: str, *, drain: bool = True) -> Result[dict, MeshError]:
+        return await self.as_operator(
+            lambda actions, request: actions.drain(operator="ada", proxy=proxy, drain=drain, request=request)
         )
 
     async def roll_out(self, text: str) -> None:
@@ -448,64 +454,66 @@
     async def read_back(
         self, *, in_force: int, drained: tuple[str, ...] = (), settled: bool = False, removed: tuple[str, ...] = ()
     ) -> dict:
-        """Reads the setup back at every bourse; settled means that servers and nodes must show as they are too."""
-        texts = {event.number: event.text for event in self.history.of(Written)}
+        """Reads the configuration back at every registry; settled: servers and nodes must show as they are too."""
+        texts = {event.number: event.text for event in self.history.of(BundleWritten)}
         servers, nodes = self.account() if settled else (None, None)
         text = texts.get(in_force)
-        self.history.add(Expected(self.moment(), in_force, drained, text, servers, nodes, removed))
+        self.history.add(ConfigurationExpected(self.timestamp(), in_force, drained, text, servers, nodes, removed))
         setup: dict = {}
         for name in self.live("bourse"):
-            answer = await self.lives[name].spawn(self.nodes[name].read_setup())
+            answer = await self.processes[name].spawn(self.nodes[name].read_configuration())
             setup = msgspec.json.decode(answer.unwrap().content)
-            self.history.add(read_back_of(self.moment(), setup, reader=name))
+            self.history.add(configuration_read_of(self.timestamp(), setup, reader=name))
         return setup
 
     # -- servers and callers -----------------------------------------------------------------------------------------
 
-    async def _run_server(self, stall: str, command: RunServer) -> tuple:
-        """The way from a stall to its server, and the server itself; both may be gone or misbehave."""
+    async def _run_server(self, proxy: str, command: RunOnServer) -> tuple:
+        """The way from a proxy to its server, and the server itself; both may be gone or misbehave."""
         call = command.call
-        server = self.servers[stall]
+        server = self.servers[proxy]
         if not server.present:
-            return ServerMissed(command.number, True, Mishap(MishapKind.UNREACHABLE, "connection refused", "simulated"))
+            return ServerFailed(
+                command.number, True, MeshError(ErrorKind.UNREACHABLE, "connection refused", "simulated")
+            )
         nonce = msgspec.json.decode(call.body)["nonce"] if call.body else call.path.partition("nonce=")[2]
         path = call.path.partition("?")[0]
         run = f"run-{next(self.counter)}"
         key = call.headers.get("Idempotency-Key", "")
         self.history.add(
-            Ran(
-                self.moment(),
+            RunStarted(
+                self.timestamp(),
                 nonce,
                 server.service,
                 server.instance,
                 call.method,
                 path,
                 key,
-                call.visitor,
+                call.client,
                 call.caller,
                 call.send,
                 run,
-                stall,
+                proxy,
                 len(call.body),
             )
         )
         await asyncio.sleep(self.random.uniform(*server.seconds))
         for inner in self.deployment.inner.get((server.service, path), ()):
-            await self.call_inner(stall, server, inner, nonce)
-        silent = ServerMissed(command.number, False, Mishap(MishapKind.SILENT, "no whole answer", "simulated"))
-        if server.manner in ("lose answer", "garbage", "truncate") or not server.present:
+            await self.call_inner(proxy, server, inner, nonce)
+        silent = ServerFailed(command.number, False, MeshError(ErrorKind.SILENT, "no whole answer", "simulated"))
+        if server.misbehaviour in ("lose answer", "garbage", "truncate") or not server.present:
             return silent
         body = msgspec.json.encode({"nonce": nonce, "run": run, "service": server.service, "instance": server.instance})
-        self.history.add(Replied(run, 200, mark_of(body)))
+        self.history.add(RunEnded(run, 200, body_digest_of(body)))
         return ServerAnswered(command.number, 200, {"Content-Type": "application/json"}, body)
 
-    async def call_inner(self, stall: str, server: SimulatedServer, inner: Inner, nonce: str) -> None:
-        """A server's own call at its stall's door: the door says which service calls, the server which instance."""
-        node = self.nodes[stall]
+    async def call_inner(self, proxy: str, server: SimulatedServer, inner: NestedCall, nonce: str) -> None:
+        """A server's own call at its proxy's door: the door says which service calls, the server which instance."""
+        node = self.nodes[proxy]
         door = node.core.server
         if door is None:
             return
-        asked = self.moment()
+        asked = self.timestamp()
         answer = await node.request(
             lambda ticket: RequestArrived(
                 ticket,
@@ -520,21 +528,23 @@
                 server.instance,
             )
         )
-        self._note_answer(answer, nonce, stall, asked, caller=server.service)
-
-    def _note_answer(self, answer: AnswerVisitor, nonce: str, door: str, asked: float, *, caller: str = "") -> Got:
-        told = msgspec.json.decode(answer.body) if answer.outcome == ANSWERED and answer.body else {}
-        got = Got(
-            self.moment(),
+        self._note_answer(answer, nonce, proxy, asked, caller=server.service)
+
+    def _note_answer(
+        self, answer: AnswerClient, nonce: str, door: str, asked: float, *, caller: str = ""
+    ) -> RequestResult:
+        answer_body = msgspec.json.decode(answer.body) if answer.outcome == ANSWERED and answer.body else {}
+        got = RequestResult(
+            self.timestamp(),
             nonce,
             answer.outcome,
             answer.status,
-            told.get("nonce", ""),
-            told.get("run", ""),
+            answer_body.get("nonce", ""),
+            answer_body.get("run", ""),
             "X-Hoistsaddle-Repeat" in answer.headers,
             door,
-            str(answer.mishap.kind) if answer.mishap else "",
-            mark_of(answer.body) if answer.outcome == ANSWERED else "",
+            str(answer.error.kind) if answer.error else "",
+            body_digest_of(answer.body) if answer.outcome == ANSWERED else "",
             asked,
             caller,
             answer.retry_after is not None,
@@ -544,80 +554,80 @@
 
     async def ask(
         self,
-        ask: Ask,
+        ask: RequestKind,
         *,
-        visitor: str,
+        client: str,
         key: str = "",
-        stall: str | None = None,
+        proxy: str | None = None,
         nonce: str = "",
         extra: str = "",
         headers: dict[str, str] | None = None,
-    ) -> Got:
-        """One visitor's request at one stall's door."""
-        name = stall or self.random.choice(list(self.stalls))
+    ) -> RequestResult:
+        """One client's request at one proxy's door."""
+        name = proxy or self.random.choice(list(self.proxies))
         nonce = nonce or (f"key-{key}" if key else f"ask-{next(self.counter)}")
-        began = self.moment()
+        began = self.timestamp()
         body = msgspec.json.encode({"nonce": nonce, "extra": extra}) if ask.once else b""
-        self.history.add(Asked(began, nonce, ask.method, ask.path, key, visitor, name, len(body)))
-        life, node = self.lives[name], self.nodes[name]
+        self.history.add(RequestSent(began, nonce, ask.method, ask.path, key, client, name, len(body)))
+        life, node = self.processes[name], self.nodes[name]
         if life.dead:
-            got = Got(began, nonce, "unreachable", 0, "", "", False, name, asked=began)
+            got = RequestResult(began, nonce, "unreachable", 0, "", "", False, name, asked=began)
             self.history.add(got)
             return got
-        shown = {"Authorization": f"Bearer {visitor}"} if headers is None else headers
+        shown = {"Authorization": f"Bearer {client}"} if headers is None else headers
         sent = {**shown, **({"Idempotency-Key": key} if key else {})}
         query = "" if ask.once else f"nonce={nonce}"
 
-        async def arrive() -> AnswerVisitor:
+        async def arrive() -> AnswerClient:
             return await node.request(
-                lambda ticket: RequestArrived(ticket, "", visitor, ask.method, ask.path, query, sent, body, key)
+                lambda ticket: RequestArrived(ticket, "", client, ask.method, ask.path, query, sent, body, key)
             )
 
         task = life.spawn(arrive())
         deadline = began + 15
-        while not task.done() and not life.dead and self.moment() < deadline:
+        while not task.done() and not life.dead and self.timestamp() < deadline:
             await asyncio.wait([task], timeout=0.05)
         if task.done():
             return self._note_answer(task.result(), nonce, name, began)
-        got = Got(self.moment(), nonce, "broken", 0, "", "", False, name, asked=began)
+        got = RequestResult(self.timestamp(), nonce, "broken", 0, "", "", False, name, asked=began)
         self.history.add(got)
         return got
 
     async def _visit(self) -> None:
-        asks = self.deployment.asks
-        ask = self.random.choices(asks, weights=[each.weight for each in asks])[0]
-        visitor = f"visitor-{self.random.randrange(50)}"
+        request_kinds = self.deployment.request_kinds
+        ask = self.random.choices(request_kinds, weights=[each.weight for each in request_kinds])[0]
+        client = f"visitor-{self.random.randrange(50)}"
         key = f"{next(self.counter)}" if ask.once else ""
-        got = await self.ask(ask, visitor=visitor, key=key)
-        # People press the button again: at another door, at once or after a mishap.
+        got = await self.ask(ask, client=client, key=key)
+        # People press the button again: at another door, at once or after an error.
         for _ in range(2):
             if not ask.once or (got.outcome == "answered" and self.random.random() > 0.15):
                 return
             await asyncio.sleep(self.random.random() * RETRY_SECONDS)
-            got = await self.ask(ask, visitor=visitor, key=key)
+            got = await self.ask(ask, client=client, key=key)
 
     async def load(self, *, seconds: float, rate: float) -> None:
         """Callers for this long, and then every answer awaited."""
-        end = self.moment() + seconds
+        end = self.timestamp() + seconds
         visits = []
-        while self.moment() < end:
+        while self.timestamp() < end:
             visits.append(self.world.loop.create_task(self._visit()))
             await asyncio.sleep(self.random.expovariate(rate))
         await asyncio.gather(*visits)
 
     async def service_back(self, what: str, *, since: float | None = None) -> float:
         """From the machines' return to the first answered ask of every kind."""
-        began = self.moment() if since is None else since
+        began = self.timestamp() if since is None else since
 
-        async def answered(ask: Ask) -> None:
+        async def answered(ask: RequestKind) -> None:
             while True:
                 live = self.live("stall")
                 got = (
                     await self.ask(
                         ask,
-                        visitor="tester",
+                        client="tester",
                         key=f"back-{next(self.counter)}" if ask.once else "",
-                        stall=self.random.choice(live),
+                        proxy=self.random.choice(live),
                     )
                     if live
                     else None
@@ -626,9 +636,9 @@
                     return
                 await asyncio.sleep(0.1)
 
-        await asyncio.gather(*(answered(ask) for ask in self.deployment.asks))
-        self.history.add(Back(began, self.moment(), what))
-        return self.moment() - began
+        await asyncio.gather(*(answered(ask) for ask in self.deployment.request_kinds))
+        self.history.add(ServiceRecovered(began, self.timestamp(), what))
+        return self.timestamp() - began
 
 
 def simulate(
@@ -640,28 +650,28 @@
 ) -> SimulatedDeployment:
     """Runs one scenario in simulated time and gives the deployment with its history."""
     logger.disable("hoistsaddle")
-    loop = ClockworkLoop()
+    loop = SimulatedTimeLoop()
     asyncio.set_event_loop(loop)
     try:
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-simulated-") as folder:
             world = World(loop=loop, seed=seed, folder=Path(folder))
-            whole = SimulatedDeployment(deployment=deployment, world=world, checkpoint_records=checkpoint_records)
+            complete = SimulatedDeployment(deployment=deployment, world=world, checkpoint_records=checkpoint_records)
             try:
-                loop.run_until_complete(scenario(whole))
-                mishaps = list(loop.mishaps)
+                loop.run_until_complete(scenario(complete))
+                errors = list(loop.errors)
             finally:
-                for name in list(whole.lives):
-                    whole.kill(name)
-                for task in whole.visits:
+                for name in list(complete.processes):
+                    complete.kill(name)
+                for task in complete.visits:
                     task.cancel()
                 # What killed lives left unfinished is collected here, while its complaints mean nothing.
                 with warnings.catch_warnings():
                     warnings.simplefilter("ignore", RuntimeWarning)
-                    whole.lives.clear()
+                    complete.processes.clear()
                     gc.collect()
-        if mishaps:
-            raise AssertionError(f"seed {seed}: {mishaps[0]}")
-        return whole
+        if errors:
+            raise AssertionError(f"seed {seed}: {errors[0]}")
+        return complete
     finally:
         asyncio.set_event_loop(None)
         loop.close()
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/clockwork.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
@@ -5,20 +5,20 @@
 import selectors
 from datetime import timedelta
 
-NODE: contextvars.ContextVar["Life | None"] = contextvars.ContextVar("node", default=None)
+CURRENT_PROCESS: contextvars.ContextVar["SimulatedProcess | None"] = contextvars.ContextVar("node", default=None)
 
 
-class Life:
+class SimulatedProcess:
     """One life of one simulated process. What it scheduled runs only while it lives and isn't frozen."""
 
-    def __init__(self, *, name: str, loop: "ClockworkLoop") -> None:
+    def __init__(self, *, name: str, loop: "SimulatedTimeLoop") -> None:
         self.name = name
         self.loop = loop
         self.dead = False
         self.frozen = False
         self.parked: list[tuple] = []
         self.context = contextvars.copy_context()
-        self.context.run(NODE.set, self)
+        self.context.run(CURRENT_PROCESS.set, self)
         # Kept on purpose: a task collected in the middle of a run would run its last lines at a random moment.
         self.tasks: list[asyncio.Task] = []
 
@@ -51,7 +51,7 @@
     """Never waits: a wait is a step of simulated time."""
 
     def __init__(self) -> None:
-        self.loop: ClockworkLoop | None = None
+        self.loop: SimulatedTimeLoop | None = None
         self.files: dict = {}
 
     def register(self, fileobj, events, data=None):
@@ -68,33 +68,33 @@
     def select(self, timeout=None):
         if timeout is None:
             raise RuntimeError("the simulation stands still: nothing is scheduled and nothing is ready")
-        self.loop.moment += max(0.0, timeout)
+        self.loop.current_seconds += max(0.0, timeout)
         return []
 
 
-class ClockworkLoop(asyncio.SelectorEventLoop):
+class SimulatedTimeLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.moment = 1000.0
+        self.current_seconds = 1000.0
         selector = _StillSelector()
         super().__init__(selector)
         selector.loop = self
         self._clock_resolution = 1e-9
-        self.mishaps: list[dict] = []
-        self.set_exception_handler(self._note_mishap)
+        self.errors: list[dict] = []
+        self.set_exception_handler(self._note_error)
 
-    def _note_mishap(self, loop, context) -> None:
+    def _note_error(self, loop, context) -> None:
         # A life that was killed leaves tasks behind; everything else is a fault of ours and fails the run.
         if "was destroyed but it is pending" not in context.get("message", ""):
-            self.mishaps.append(context)
+            self.errors.append(context)
 
     def time(self) -> float:
-        return self.moment
+        return self.current_seconds
 
     def now(self) -> timedelta:
-        return timedelta(seconds=self.moment)
+        return timedelta(seconds=self.current_seconds)
 
     @staticmethod
-    def _guarded(life: Life, holder: list, callback, arguments: tuple, context) -> None:
+    def _guarded(life: SimulatedProcess, holder: list, callback, arguments: tuple, context) -> None:
         if life.dead:
             return
         if life.frozen:
@@ -103,7 +103,7 @@
         callback(*arguments)
 
     def call_soon(self, callback, *args, context=None):
-        life = NODE.get() if context is None else context.get(NODE)
+        life = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if life is None:
             return super().call_soon(callback, *args, context=context)
         holder: list = [None]
@@ -111,7 +111,7 @@
         return holder[0]
 
     def call_at(self, when, callback, *args, context=None):
-        life = NODE.get() if context is None else context.get(NODE)
+        life = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if life is None:
             return super().call_at(when, callback, *args, context=context)
         holder: list = [None]
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
@@ -10,15 +10,15 @@
 
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.config.items import SERVICE, Dropping, Patch, Setting, key_of, pack_patch
+from hoistsaddle.config.items import SERVICE, ItemDeletion, ItemUpsert, Patch, key_of, pack_patch
 from hoistsaddle.statemachine.commands import Outcome, PatchItems
 from hoistsaddle.statemachine.state import State
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
-from hoistsaddle.testbed.simulation.scenarios import compare_replicas, core_trouble
+from hoistsaddle.testbed.simulation.scenarios import compare_replicas, inject_core_faults
 
 UNDER_WAY = 8
 NAMES = tuple(f"service-{number}" for number in range(5))
-TROUBLE_SECONDS = 20.0
+FAULT_SECONDS = 20.0
 WRITE_SPAN = timedelta(milliseconds=500)
 # Seconds of mesh time, longer than the run: nothing is forgotten in it.
 RESEND_SPAN = 600
@@ -33,32 +33,32 @@
 
     def command(self, *, request: str, seen: int) -> PatchItems:
         sets = [
-            Setting(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
+            ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
             for name, revision, content in self.items
             if content is not None
         ]
-        drops = [Dropping(SERVICE, revision, name) for name, revision, content in self.items if content is None]
+        drops = [ItemDeletion(SERVICE, revision, name) for name, revision, content in self.items if content is None]
         return PatchItems(request, "desk", "standing", pack_patch(Patch(sets, drops)), RESEND_SPAN, seen)
 
 
 class OrderBook:
     """All orders that were sent and every clear answer to them."""
 
-    def __init__(self, *, whole: SimulatedDeployment) -> None:
-        self.whole = whole
+    def __init__(self, *, complete: SimulatedDeployment) -> None:
+        self.complete = complete
         self.revision = 0
         self.orders: list[SentOrder] = []
         self.answers: dict[str, set[str]] = {}
 
     def draw(self) -> list[SentOrder]:
         """One order, or two rivals with the same revision of one item."""
-        random = self.whole.random
+        random = self.complete.random
         self.revision += random.randint(1, 3)
         rivals = 2 if random.random() < 0.5 else 1
         shared = random.choice(NAMES)
         drawn = []
         for _ in range(rivals):
-            name = f"order-{next(self.whole.counter)}"
+            name = f"order-{next(self.complete.counter)}"
             others = random.sample([each for each in NAMES if each != shared], random.randint(0, 2))
             drawn.append(
                 SentOrder(
@@ -71,36 +71,36 @@
 
     async def send(self, order: SentOrder) -> str:
         """One call at one core machine; an answer may be lost on its way back."""
-        whole = self.whole
-        bourses = whole.live("bourse")
-        if not bourses:
+        complete = self.complete
+        registries = complete.live("bourse")
+        if not registries:
             return UNCLEAR
-        name = whole.random.choice(bourses)
-        life, node = whole.lives[name], whole.nodes[name]
-        core = whole.nodes[f"warehouse-{name.rpartition('-')[2]}"].shell.core
+        name = complete.random.choice(registries)
+        life, node = complete.processes[name], complete.nodes[name]
+        core = complete.nodes[f"warehouse-{name.rpartition('-')[2]}"].runner.core
         seen = core.state.offset if core is not None else -1
-        command = order.command(request=f"call-{next(whole.counter)}", seen=seen)
+        command = order.command(request=f"call-{next(complete.counter)}", seen=seen)
         task = life.spawn(node.writer.write(command, within=WRITE_SPAN))
         while not task.done() and not life.dead:
             await asyncio.wait([task], timeout=0.05)
         answer = _answer_of(task.result()) if task.done() else UNCLEAR
         if answer != UNCLEAR:
             self.answers.setdefault(order.name, set()).add(answer)
-        return UNCLEAR if whole.random.random() < 0.5 else answer
+        return UNCLEAR if complete.random.random() < 0.5 else answer
 
     async def until_clear(self, order: SentOrder, *, end: float) -> str:
         answer = UNCLEAR
-        while answer == UNCLEAR and self.whole.moment() < end:
+        while answer == UNCLEAR and self.complete.timestamp() < end:
             answer = await self.send(order)
-            await asyncio.sleep(self.whole.random.uniform(0.0, 0.4))
+            await asyncio.sleep(self.complete.random.uniform(0.0, 0.4))
         return answer
 
 
 def _answer_of(result: Result[Outcome, object]) -> str:
     match result:
-        case Success(Outcome(mishap="")):
+        case Success(Outcome(error="")):
             return CONFIRMED
-        case Success(Outcome(mishap="item-conflict")):
+        case Success(Outcome(error="item-conflict")):
             return REFUSED
         case Success(_) | Failure(_):
             return UNCLEAR
@@ -109,8 +109,8 @@
 
 async def _operate(book: OrderBook, *, end: float) -> None:
     """One pair of operators: new orders, and old ones sent again at any later time."""
-    random = book.whole.random
-    while book.whole.moment() < end:
+    random = book.complete.random
+    while book.complete.timestamp() < end:
         if book.orders and random.random() < 0.4:
             await book.send(random.choice(book.orders))
         else:
@@ -124,13 +124,13 @@
     confirmed: dict[tuple[str, int], set[str | None]] = {}
     refused: set[str] = set()
     for order in book.orders:
-        told = book.answers.get(order.name, set())
-        if len(told) > 1:
+        answers_given = book.answers.get(order.name, set())
+        if len(answers_given) > 1:
             found.append(f"{order.name} was confirmed and refused")
-        if CONFIRMED in told:
+        if CONFIRMED in answers_given:
             for name, revision, content in order.items:
                 confirmed.setdefault((name, revision), set()).add(content)
-        if REFUSED in told:
+        if REFUSED in answers_given:
             refused.add(order.name)
     found += [f"{name} at {revision} has two contents" for (name, revision), each in confirmed.items() if len(each) > 1]
     newest: dict[str, int] = {}
@@ -151,31 +151,31 @@
     return None if entry.dropped else entry.said.decode()
 
 
-async def orders_sent_again(whole: SimulatedDeployment) -> None:
+async def orders_sent_again(complete: SimulatedDeployment) -> None:
     """Orders race, their answers are lost, their copies come at any later time: each clear answer stays true."""
-    await whole.start(bundle=False)
-    book = OrderBook(whole=whole)
-    end = whole.moment() + TROUBLE_SECONDS
+    await complete.start(bundle=False)
+    book = OrderBook(complete=complete)
+    end = complete.timestamp() + FAULT_SECONDS
     # A pair of rivals for each two that may be under way.
-    operators = [whole.keep(_operate(book, end=end)) for _ in range(UNDER_WAY // 2)]
-    await core_trouble(whole, end=end)
+    operators = [complete.create_task(_operate(book, end=end)) for _ in range(UNDER_WAY // 2)]
+    await inject_core_faults(complete, end=end)
     await asyncio.gather(*operators)
-    await compare_replicas(whole)
-    leader = await _led(whole)
-    for found in _contradictions(book, whole.nodes[leader].shell.core.state):
-        whole.promise(f"a clear answer stays true: {found}", False)
+    await compare_replicas(complete)
+    leader = await _led(complete)
+    for found in _contradictions(book, complete.nodes[leader].runner.core.state):
+        complete.check_expectation(f"a clear answer stays true: {found}", False)
     # In calm times every order that was ever sent gets a clear answer, wherever it is sent, and the one it had.
-    end = whole.moment() + 30
+    end = complete.timestamp() + 30
     calm = [book.until_clear(order, end=end) for order in book.orders]
     for place in range(0, len(calm), UNDER_WAY):
         answers = await asyncio.gather(*calm[place : place + UNDER_WAY])
-        whole.promise("in calm times each order gets a clear answer", UNCLEAR not in answers)
-    for found in _contradictions(book, whole.nodes[leader].shell.core.state):
-        whole.promise(f"a clear answer stays true: {found}", False)
-    told = [answer for each in book.answers.values() for answer in each]
-    whole.promise("some orders are confirmed and some refused", {CONFIRMED, REFUSED} == set(told))
+        complete.check_expectation("in calm times each order gets a clear answer", UNCLEAR not in answers)
+    for found in _contradictions(book, complete.nodes[leader].runner.core.state):
+        complete.check_expectation(f"a clear answer stays true: {found}", False)
+    answers_given = [answer for each in book.answers.values() for answer in each]
+    complete.check_expectation("some orders are confirmed and some refused", {CONFIRMED, REFUSED} == set(answers_given))
 
 
-async def _led(whole: SimulatedDeployment) -> str:
-    await whole.until(lambda: whole.leader() is not None, seconds=20, what="a leader")
-    return str(whole.leader())
+async def _led(complete: SimulatedDeployment) -> str:
+    await complete.until(lambda: complete.leader() is not None, seconds=20, what="a leader")
+    return str(complete.leader())
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
@@ -6,9 +6,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from hoistsaddle.testbed.checkers import check, worst_further_window
+from hoistsaddle.testbed.checkers import check, worst_retry_window
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
-from hoistsaddle.testbed.history import Got
+from hoistsaddle.testbed.history import RequestResult
 from hoistsaddle.testbed.simulation.catalogue import CORE_SCENARIOS, SCENARIOS
 from hoistsaddle.testbed.simulation.deployment import simulate
 
@@ -24,7 +24,7 @@
     asked: int
     answered: int
     # The part of the further sends allowed that the fullest ten seconds used.
-    further: float
+    retry_share: float
     # Of the whole history, so that two runs can be told apart in their last detail.
     digest: str
     broken: dict[str, list[str]]
@@ -37,12 +37,14 @@
         # Killed lives leave coroutines behind that nobody will ever await.
         warnings.simplefilter("ignore", RuntimeWarning)
         scenario = {**SCENARIOS, **CORE_SCENARIOS}[run.scenario]
-        whole = simulate(deployment=DEPLOYMENTS[run.deployment], seed=run.seed, scenario=scenario)
-    got = whole.history.of(Got)
-    broken = {line: found for line, found in check(whole.history, whole.deployment).items() if found}
-    further = worst_further_window(whole.history, whole.deployment)[0] if whole.deployment.services else 0.0
-    digest = hashlib.sha256(repr(whole.history.events).encode()).hexdigest()
-    return Outcome(run, len(got), sum(each.outcome == "answered" for each in got), round(further, 3), digest, broken)
+        complete = simulate(deployment=DEPLOYMENTS[run.deployment], seed=run.seed, scenario=scenario)
+    got = complete.history.of(RequestResult)
+    broken = {line: found for line, found in check(complete.history, complete.deployment).items() if found}
+    retry_share = worst_retry_window(complete.history, complete.deployment)[0] if complete.deployment.services else 0.0
+    digest = hashlib.sha256(repr(complete.history.events).encode()).hexdigest()
+    return Outcome(
+        run, len(got), sum(each.outcome == "answered" for each in got), round(retry_share, 3), digest, broken
+    )
 
 
 def carry_out_or_tell(run: Run) -> Outcome:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
@@ -12,33 +12,40 @@
 from returns.result import Failure, Result, Success
 
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.raft.jobs import DISK_RETRY, DiskJobs
-from hoistsaddle.rpc.connection import CONNECT_SPAN, Handler
-from hoistsaddle.rpc.messages import BallotCall, FetchCall, LeadCall, PassCall, PullCall, WriteCall
-from hoistsaddle.testbed.simulation.clockwork import ClockworkLoop, Life
-
-_unreachable = Failure(Mishap(MishapKind.UNREACHABLE, "no connection", "simulated"))
-_silent = Failure(Mishap(MishapKind.SILENT, "no answer", "simulated"))
+from hoistsaddle.raft.disk_jobs import DISK_RETRY, DiskJobs
+from hoistsaddle.rpc.connection import CONNECT_TIMEOUT, Handler
+from hoistsaddle.rpc.messages import (
+    BeginEpochCall,
+    BundleForwardCall,
+    FetchCall,
+    FetchSnapshotCall,
+    VoteCall,
+    WriteCall,
+)
+from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess, SimulatedTimeLoop
+
+_unreachable = Failure(MeshError(ErrorKind.UNREACHABLE, "no connection", "simulated"))
+_silent = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
 # These may reach their target twice: their receivers claim to know a copy when they see one.
-_repeatable = (FetchCall, PullCall, BallotCall, LeadCall, PassCall, WriteCall)
+_repeatable = (FetchCall, FetchSnapshotCall, VoteCall, BeginEpochCall, BundleForwardCall, WriteCall)
 
 
 class World:
-    def __init__(self, *, loop: ClockworkLoop, seed: int, folder: Path) -> None:
+    def __init__(self, *, loop: SimulatedTimeLoop, seed: int, folder: Path) -> None:
         self.loop = loop
         self.random = random.Random(seed)
         self.folder = folder
-        self.listeners: dict[str, tuple[Life, Handler]] = {}
+        self.listeners: dict[str, tuple[SimulatedProcess, Handler]] = {}
         # Pairs (from, to) of process names between which nothing passes.
         self.cuts: set[tuple[str, str]] = set()
         self.lost = 0.0
         self.repeated = 0.01
         self.slow = 0.01
         # In the order of their calls: a set of futures would be walked in a random one.
-        self.pending: dict[Life, dict[asyncio.Future, None]] = {}
-        self.seen_calls: Callable[[Life, str, tuple], None] = lambda life, address, message: None
+        self.pending: dict[SimulatedProcess, dict[asyncio.Future, None]] = {}
+        self.on_call: Callable[[SimulatedProcess, str, tuple], None] = lambda life, address, message: None
         self.disk_faults: dict[str, str] = {}
         self.sync_seconds = (0.0005, 0.004)
 
@@ -62,7 +69,7 @@
     def heal(self) -> None:
         self.cuts.clear()
 
-    def kill(self, life: Life) -> None:
+    def kill(self, life: SimulatedProcess) -> None:
         life.kill()
         for address in [address for address, (owner, _) in self.listeners.items() if owner is life]:
             del self.listeners[address]
@@ -75,7 +82,9 @@
         if not future.done():
             future.set_result(result)
 
-    def start_call(self, life: Life, address: str, message: tuple, future: asyncio.Future, within: float) -> None:
+    def start_call(
+        self, life: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
+    ) -> None:
         caller = life.context
 
         def settle(result) -> None:
@@ -88,7 +97,7 @@
         if self.cut_off(life.name, target.name):
             # Half the time the connection stood already: then the bytes wait, and may arrive once the cut heals.
             if self.random.random() < 0.5:
-                wait = min(within * 0.98, CONNECT_SPAN.total_seconds())
+                wait = min(within * 0.98, CONNECT_TIMEOUT.total_seconds())
                 self.loop.call_later(wait, self._settle, future, _unreachable, context=caller)
             else:
                 self._arrive_late(life, address, message, until=self.loop.time() + 4)
@@ -110,7 +119,7 @@
                 context=target.context,
             )
 
-    def _arrive_late(self, life: Life, address: str, message: tuple, *, until: float) -> None:
+    def _arrive_late(self, life: SimulatedProcess, address: str, message: tuple, *, until: float) -> None:
         listener = self.listeners.get(address)
         if listener is None or self.loop.time() > until:
             return
@@ -122,7 +131,9 @@
             self.latency(), self._deliver, life, target, handler, message, None, context=target.context
         )
 
-    def _deliver(self, caller: Life, target: Life, handler: Handler, message: tuple, settle) -> None:
+    def _deliver(
+        self, caller: SimulatedProcess, target: SimulatedProcess, handler: Handler, message: tuple, settle
+    ) -> None:
         async def carry() -> None:
             answer = await handler(message)
             # The way back has cuts and losses of its own.
@@ -137,19 +148,19 @@
         target.spawn(carry())
 
 
-class SimulatedLines:
-    def __init__(self, *, world: World, life: Life) -> None:
+class SimulatedRpcClient:
+    def __init__(self, *, world: World, life: SimulatedProcess) -> None:
         self.world = world
         self.life = life
 
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = lambda: True
-    ) -> Result[tuple, Mishap]:
+    ) -> Result[tuple, MeshError]:
         # A connection may have to be made first, and a freeze may fall right there.
         await asyncio.sleep(self.world.latency())
         if not still():
             return _unreachable
-        self.world.seen_calls(self.life, address, message)
+        self.world.on_call(self.life, address, message)
         future = self.world.loop.create_future()
         self.world.start_call(self.life, address, message, future, within.total_seconds())
         try:
@@ -172,11 +183,11 @@
 
 
 class SimulatedRuntime:
-    def __init__(self, *, world: World, life: Life) -> None:
+    def __init__(self, *, world: World, life: SimulatedProcess) -> None:
         self.world = world
         self.life = life
         self.random = random.Random(world.random.random())
-        self.lines = SimulatedLines(world=world, life=life)
+        self.rpc_client = SimulatedRpcClient(world=world, life=life)
 
     def now(self) -> timedelta:
         return self.world.loop.now()
@@ -193,7 +204,7 @@
     """Does the disk's jobs after simulated syncs. What a killed process had not synced is lost."""
 
     def __init__(
-        self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters, world: World, life: Life
+        self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters, world: World, life: SimulatedProcess
     ) -> None:
         self.jobs = DiskJobs(disk=disk, counters=counters)
         self.report = report
--- a/packages/testbed/src/hoistsaddle/testbed/standins.py
+++ b/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers: they answer JSON, call each other through their stalls, report vitals, and record what they ran."""
+"""Stand-in servers: they answer JSON, call each other through their proxies, report health, and record what ran."""
 
 import asyncio
 import itertools
@@ -9,14 +9,22 @@
 from aiohttp import web
 
 from hoistsaddle.testbed.deployments import Deployment
-from hoistsaddle.testbed.history import Further, Got, History, Ran, Replied, ServerChanged, mark_of
+from hoistsaddle.testbed.history import (
+    AttemptSeen,
+    History,
+    RequestResult,
+    RunEnded,
+    RunStarted,
+    ServerStateChanged,
+    body_digest_of,
+)
 
-VITALS_SECONDS = 0.8
+HEALTH_SECONDS = 0.8
 _runs = itertools.count(1)
 
 
-class StandIn:
-    """One server beside one stall. Its manners can be spoilt by the tests."""
+class StubServer:
+    """One server beside one proxy. Its manners can be spoilt by the tests."""
 
     def __init__(
         self,
@@ -26,10 +34,10 @@
         inner_door: str,
         deployment: Deployment,
         history: History,
-        stall: str = "",
+        proxy: str = "",
     ) -> None:
         self.service = service
-        self.stall = stall
+        self.proxy = proxy
         self.address = address
         self.inner_door = inner_door
         self.deployment = deployment
@@ -37,7 +45,7 @@
         self.instance = f"{service}-{secrets.token_hex(3)}"
         self.state = "ready"
         # "", "lose answer", "garbage", "truncate" or "refuse": what the server does instead of answering well.
-        self.manner = ""
+        self.misbehaviour = ""
         self.slow_seconds = 0.0
         self.hold: asyncio.Event | None = None
         self.runner: web.AppRunner | None = None
@@ -58,14 +66,14 @@
         self.task = asyncio.ensure_future(self._report())
 
     async def tell(self, state: str | None = None) -> bool:
-        """One report of vitals, now."""
+        """One report of health reports, now."""
         if state is not None:
             self.state = state
-            self.history.add(ServerChanged(self._now(), self.service, self.instance, state))
-        vitals = {"service": self.service, "instance": self.instance, "address": self.address, "state": self.state}
+            self.history.add(ServerStateChanged(self._now(), self.service, self.instance, state))
+        health = {"service": self.service, "instance": self.instance, "address": self.address, "state": self.state}
         try:
             async with self.session.post(
-                f"http://{self.inner_door}/hoistsaddle/vitals", json=vitals, timeout=aiohttp.ClientTimeout(total=1)
+                f"http://{self.inner_door}/hoistsaddle/vitals", json=health, timeout=aiohttp.ClientTimeout(total=1)
             ) as response:
                 return response.status == 200
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -74,11 +82,11 @@
     async def _report(self) -> None:
         while True:
             await self.tell()
-            await asyncio.sleep(VITALS_SECONDS)
+            await asyncio.sleep(HEALTH_SECONDS)
 
     async def vanish(self) -> None:
         """Gone without a word."""
-        self.history.add(ServerChanged(self._now(), self.service, self.instance, "vanished"))
+        self.history.add(ServerStateChanged(self._now(), self.service, self.instance, "vanished"))
         await self.stop()
 
     async def stop(self) -> None:
@@ -98,7 +106,7 @@
         run = f"run-{next(_runs)}"
         headers = request.headers
         self.history.add(
-            Ran(
+            RunStarted(
                 self._now(),
                 nonce,
                 self.service,
@@ -110,11 +118,11 @@
                 headers.get("X-Hoistsaddle-Caller", ""),
                 headers.get("X-Hoistsaddle-Send", ""),
                 run,
-                self.stall,
+                self.proxy,
                 len(body),
             )
         )
-        self.history.add(Further(self._now(), self.service, headers.get("X-Hoistsaddle-Ordinal", "1") != "1"))
+        self.history.add(AttemptSeen(self._now(), self.service, headers.get("X-Hoistsaddle-Ordinal", "1") != "1"))
         if self.slow_seconds:
             await asyncio.sleep(self.slow_seconds)
         if self.hold is not None:
@@ -131,7 +139,7 @@
             "padding": "x" * int(told.get("padding", 0)),
         }
         data = msgspec.json.encode(answer)
-        match self.manner:
+        match self.misbehaviour:
             case "lose answer":
                 request.transport.abort()
                 return web.Response()
@@ -160,12 +168,12 @@
                 await response.write(data[: len(data) // 2])
                 request.transport.close()
                 return response
-        self.history.add(Replied(run, 200, mark_of(data)))
+        self.history.add(RunEnded(run, 200, body_digest_of(data)))
         return web.Response(body=data, content_type="application/json")
 
     async def call_inner(self, method: str, path: str, nonce: str) -> dict:
         url = f"http://{self.inner_door}{path}?nonce={nonce}"
-        # By this the stall knows the call for the present server's, and not a former one's that still lives.
+        # By this the proxy knows the call for the present server's, and not a former one's that still lives.
         headers = {"X-Hoistsaddle-Instance": self.instance}
         asked = self._now()
         try:
@@ -174,7 +182,7 @@
                 outcome = response.headers.get("X-Hoistsaddle-Outcome", "")
                 told = msgspec.json.decode(data) if outcome == "answered" and data else {}
                 self.history.add(
-                    Got(
+                    RequestResult(
                         self._now(),
                         nonce,
                         outcome,
@@ -182,9 +190,9 @@
                         told.get("nonce", ""),
                         told.get("run", ""),
                         False,
-                        self.stall,
+                        self.proxy,
                         "",
-                        mark_of(data) if outcome == "answered" else "",
+                        body_digest_of(data) if outcome == "answered" else "",
                         asked,
                         self.service,
                     )
--- a/packages/usage/src/hoistsaddle/usage/usage.py
+++ b/packages/usage/src/hoistsaddle/usage/usage.py
@@ -7,14 +7,14 @@
 from pyarrow import csv, parquet
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 
 SCHEMA = pyarrow.schema(
     [
         pyarrow.field(
-            "read_at", pyarrow.timestamp("ms", tz="UTC"), nullable=False, metadata={"about": "when the stall was read"}
+            "read_at", pyarrow.timestamp("ms", tz="UTC"), nullable=False, metadata={"about": "when the proxy was read"}
         ),
-        pyarrow.field("stall", pyarrow.string(), nullable=False, metadata={"about": "the entry's stall"}),
+        pyarrow.field("stall", pyarrow.string(), nullable=False, metadata={"about": "the entry's proxy"}),
         pyarrow.field(
             "life",
             pyarrow.string(),
@@ -24,7 +24,7 @@
         pyarrow.field("service", pyarrow.string(), nullable=False),
         pyarrow.field("entry", pyarrow.string(), nullable=False),
         pyarrow.field(
-            "caller", pyarrow.string(), nullable=False, metadata={"about": "visitors, or the calling service"}
+            "caller", pyarrow.string(), nullable=False, metadata={"about": "clients, or the calling service"}
         ),
         pyarrow.field(
             "outcome",
@@ -40,22 +40,22 @@
 )
 
 
-def table_of(told: list[dict], *, read_at: datetime) -> pyarrow.Table:
-    """One row for each stall's life, service, entry, caller and outcome."""
+def table_of(reports: list[dict], *, read_at: datetime) -> pyarrow.Table:
+    """One row for each proxy's life, service, entry, caller and outcome."""
     rows = [
         {"read_at": read_at, "stall": each["stall"], "life": each["life"], **row}
-        for each in told
+        for each in reports
         for row in each["usage"]
     ]
     return pyarrow.Table.from_pylist(rows, schema=SCHEMA)
 
 
-def write_usage(table: pyarrow.Table, *, path: Path) -> Result[int, Mishap]:
+def write_usage(table: pyarrow.Table, *, path: Path) -> Result[int, MeshError]:
     writers = {".parquet": lambda: parquet.write_table(table, path), ".csv": lambda: csv.write_csv(table, path)}
     if path.suffix not in writers:
         return Failure(
-            Mishap(
-                MishapKind.PARAMS,
+            MeshError(
+                ErrorKind.PARAMS,
                 f"{path.name} ends in neither .parquet nor .csv.",
                 "Name the file by the format wanted.",
                 "out",
@@ -65,6 +65,8 @@
         writers[path.suffix]()
     except OSError as problem:
         return Failure(
-            Mishap(MishapKind.PARAMS, f"{path} can't be written: {problem}.", "Name a file that can be written.", "out")
+            MeshError(
+                ErrorKind.PARAMS, f"{path} can't be written: {problem}.", "Name a file that can be written.", "out"
+            )
         )
     return Success(table.num_rows)
--- a/tests/markets.py
+++ b/tests/controller_deployment.py
@@ -1,4 +1,4 @@
-"""Markets and brokers as processes on loopback, each with a server in the test's own process."""
+"""Controllers and sidecars as processes on loopback, each with a server in the test's own process."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 
 class Deployment:
-    """Three markets on loopback addresses of their own, two brokers, each with a server in this process."""
+    """Three controllers on loopback addresses of their own, two sidecars, each with a server in this process."""
 
     hosts = ("127.0.77.1", "127.0.77.2", "127.0.77.3")
 
@@ -44,8 +44,8 @@
                 sys.executable, "-m", "hoistsaddle.cli", kind, str(path), stdout=log, stderr=log
             )
 
-    async def market(self, place: int, *, cold: bool) -> None:
-        bourse, warehouse, operators = self.ports
+    async def start_controller(self, place: int, *, cold: bool) -> None:
+        registry, store, operators = self.ports
         await self.launch(
             f"market-{place}",
             "market",
@@ -55,14 +55,14 @@
                 "data_folder": str(self.folder / f"data-{place}"),
                 "seeds": list(self.hosts),
                 "cold_start": cold,
-                "bourse_port": bourse,
-                "warehouse_port": warehouse,
+                "bourse_port": registry,
+                "warehouse_port": store,
                 "operators_port": operators,
                 "standing_sign_off": "ben",
             },
         )
 
-    async def broker(self, number: int) -> tuple[str, str, str]:
+    async def start_sidecar(self, number: int) -> tuple[str, str, str]:
         listen, door, side, server = (f"127.0.0.1:{port}" for port in free_ports(4))
         await self.launch(
             f"stall-{number}",
--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -18,23 +18,23 @@
     Capture,
     CheckpointLoaded,
     CheckpointStored,
-    Concluded,
     DropCheckpoints,
     Ended,
-    Mark,
-    Pace,
+    OffsetAndEpoch,
     ProposalArrived,
+    ProposalResult,
+    RaftTimings,
     ReadChunk,
     Send,
-    StopAsked,
+    StopRequested,
     StoreChunk,
     Synced,
     Ticked,
     Write,
 )
-from hoistsaddle.rpc.messages import PullAnswer
+from hoistsaddle.rpc.messages import FetchSnapshotAnswer
 from hoistsaddle.statemachine.commands import LEVEL, ClaimHold, pack_command
-from hoistsaddle.statemachine.state import State, found_state, pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, initial_state, pack_state, unpack_state
 
 TICK = milliseconds(15)
 # What one event costs a whole processor: a fetch that arrives, is unpacked, handled and answered, with some to spare.
@@ -52,12 +52,14 @@
         self.incarnation = incarnation
         self.latest: Write | None = None
         self.log: dict[int, tuple] = {}
-        self.checkpoints: dict[Mark, bytes] = {}
+        self.checkpoints: dict[OffsetAndEpoch, bytes] = {}
         self.pulled = b""
 
     def found(self, state: State) -> None:
-        self.checkpoints[Mark(0, 0)] = pack_state(state)
-        self.latest = Write(0, 0, None, tuple(state.voters.items()), state.mesh, Mark(0, 0), False, False, -1, ())
+        self.checkpoints[OffsetAndEpoch(0, 0)] = pack_state(state)
+        self.latest = Write(
+            0, 0, None, tuple(state.voters.items()), state.mesh, OffsetAndEpoch(0, 0), False, False, -1, ()
+        )
 
     def write(self, write: Write) -> None:
         self.latest = write
@@ -85,9 +87,11 @@
         )
         if facts.catching:
             return known
-        mark = max(self.checkpoints)
+        checkpoint_id = max(self.checkpoints)
         records = tuple(record for _, record in sorted(self.log.items()))
-        return known._replace(records=records, checkpoint=mark, state=unpack_state(self.checkpoints[mark]))
+        return known._replace(
+            records=records, checkpoint=checkpoint_id, state=unpack_state(self.checkpoints[checkpoint_id])
+        )
 
 
 class Node:
@@ -107,7 +111,7 @@
         self.synced = 0
         self.waiting: list[tuple] = []
         self.tickets: dict[int, Callable[[tuple], None]] = {}
-        self.concluded: dict[int, Concluded] = {}
+        self.concluded: dict[int, ProposalResult] = {}
         self.next_ticket = 0
 
     @property
@@ -125,7 +129,7 @@
             self.core = RaftCore(
                 boot=self.disk.boot(self.replica),
                 replicas=self.seeds,
-                pace=mesh.pace,
+                timings=mesh.timings,
                 seed=random.Random(mesh.random.random()),
                 now=mesh.now,
                 wanted_voters=mesh.wanted,
@@ -185,25 +189,31 @@
                         self.feed(Synced(sequence))
 
                 mesh.at(self.disk_busy, synced)
-            case Capture(mark=mark, state=state):
-                disk.checkpoints[mark] = pack_state(state)
-                self.feed(CheckpointStored(mark, len(disk.checkpoints[mark])))
+            case Capture(checkpoint_id=checkpoint_id, state=state):
+                disk.checkpoints[checkpoint_id] = pack_state(state)
+                self.feed(CheckpointStored(checkpoint_id, len(disk.checkpoints[checkpoint_id])))
             case ReadChunk(ticket=ticket, epoch=epoch, call=call, max_bytes=most):
-                mark = Mark(call.checkpoint_offset, call.checkpoint_epoch)
-                whole = disk.checkpoints.get(mark, b"")
-                data = whole[call.position : call.position + most]
-                continues = call.position + len(data) < len(whole)
-                error = "" if whole else "SNAPSHOT_NOT_FOUND"
+                checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
+                complete = disk.checkpoints.get(checkpoint_id, b"")
+                data = complete[call.position : call.position + most]
+                continues = call.position + len(data) < len(complete)
+                error = "" if complete else "SNAPSHOT_NOT_FOUND"
                 if ticket in self.tickets:
-                    self.tickets.pop(ticket)(PullAnswer(error, epoch, *mark, call.position, data, continues))
-            case StoreChunk(mark=mark, position=position, data=data, last=last):
+                    self.tickets.pop(ticket)(
+                        FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
+                    )
+            case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
                 disk.pulled = disk.pulled[:position] + data
                 if last:
-                    disk.checkpoints[mark] = disk.pulled
-                    self.feed(CheckpointLoaded(mark, unpack_state(disk.pulled)))
+                    disk.checkpoints[checkpoint_id] = disk.pulled
+                    self.feed(CheckpointLoaded(checkpoint_id, unpack_state(disk.pulled)))
             case DropCheckpoints(below=below):
-                disk.checkpoints = {mark: data for mark, data in disk.checkpoints.items() if mark.offset >= below}
-            case Concluded(ticket=ticket):
+                disk.checkpoints = {
+                    checkpoint_id: data
+                    for checkpoint_id, data in disk.checkpoints.items()
+                    if checkpoint_id.offset >= below
+                }
+            case ProposalResult(ticket=ticket):
                 self.concluded[ticket] = command
             case Ended(why=why):
                 self.ended = why
@@ -223,10 +233,10 @@
         level: int = LEVEL,
         processor: float = 1.0,
         sync: timedelta = milliseconds(0.5),
-        pace: Pace | None = None,
+        timings: RaftTimings | None = None,
     ) -> None:
         self.random = random.Random(seed)
-        self.pace = pace or Pace(boot_share=0.4, checkpoint_records=100)
+        self.timings = timings or RaftTimings(startup_election_fraction=0.4, checkpoint_records=100)
         self.wanted = voters
         self.processor, self.sync = processor, sync
         self.now = timedelta(seconds=100)
@@ -237,7 +247,7 @@
         self.seeds = tuple(range(1, min(3, machines) + 1))
         self.nodes: dict[int, Node] = {}
         founded = {each: f"life-{each}" for each in range(1, voters + 1)}
-        state = found_state(mesh="m", voters=founded, operators={}, level=level)
+        state = initial_state(mesh="m", voters=founded, operators={}, level=level)
         for replica in range(1, machines + 1):
             disk = MemoryDisk(f"life-{replica}")
             if replica <= voters:
@@ -247,8 +257,8 @@
 
     # -- time and network --------------------------------------------------------------------------------------------
 
-    def at(self, moment: timedelta, work: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (moment, next(self.count), work))
+    def at(self, timestamp: timedelta, work: Callable[[], None]) -> None:
+        heapq.heappush(self.queue, (timestamp, next(self.count), work))
 
     def later(self, span: timedelta, work: Callable[[], None]) -> None:
         self.at(self.now + span, work)
@@ -321,7 +331,7 @@
     def stop(self, replica: int, *, grace: timedelta = timedelta(seconds=3)) -> timedelta:
         """SIGTERM; the process ends once nothing keeps it, and its silence begins there. Gives how long it stayed."""
         node = self.nodes[replica]
-        node.feed(StopAsked(grace))
+        node.feed(StopRequested(grace))
         stayed = self.until(lambda: node.ended != "", most=grace + timedelta(seconds=1))
         self.run(milliseconds(100))
         node.kill()
@@ -330,7 +340,7 @@
     # -- what is seen ------------------------------------------------------------------------------------------------
 
     def leader(self) -> Node | None:
-        leading = [node for node in self.nodes.values() if node.up and node.core.standing == LEADER]
+        leading = [node for node in self.nodes.values() if node.up and node.core.role == LEADER]
         return max(leading, key=lambda node: node.core.epoch, default=None)
 
     def voters(self) -> dict[int, str]:
@@ -344,7 +354,7 @@
             node is not None
             and leader is not None
             and leader.core.state.voters.get(replica) == node.disk.incarnation
-            and not leader.core.swaps
+            and not leader.core.pending_voter_changes
         )
 
     def led(self) -> bool:
@@ -366,7 +376,7 @@
             node.feed(ProposalArrived(ticket, (payload,)))
             while self.now - began < most and node.life == life and ticket not in node.concluded:
                 self.run(milliseconds(5))
-            if node.life == life and ticket in node.concluded and not node.concluded[ticket].mishap:
+            if node.life == life and ticket in node.concluded and not node.concluded[ticket].error:
                 return node.concluded[ticket].offset
             self.run(milliseconds(20))
         raise AssertionError(f"nothing is committed any more: {self.picture()}")
@@ -380,7 +390,7 @@
             core = node.core
             sets = [sorted(each) for each in core.voter_sets()]
             parts.append(
-                f"{replica} {core.standing} epoch {core.epoch} leader {core.leader} whole {core.whole}"
+                f"{replica} {core.role} epoch {core.epoch} leader {core.leader} whole {core.complete}"
                 f" last {core.last.offset} high {core.high_watermark} voters {sets}"
             )
         return "; ".join(parts)
--- a/tests/arcade_plants.py
+++ b/tests/emulator_faults.py
@@ -8,60 +8,60 @@
 from returns.result import Failure, Success
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.config.items import ItemSetup
-from hoistsaddle.proxy.further import FurtherSends
-from hoistsaddle.raft.events import Pace
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.config.items import ItemConfiguration
+from hoistsaddle.proxy.retry_budget import RetryBudget
+from hoistsaddle.raft.events import RaftTimings
 from hoistsaddle.raft.files import Files
-from hoistsaddle.raft.voterchanges import VoterChanges
+from hoistsaddle.raft.voter_changes import VoterChanges
 from hoistsaddle.registry import controller
 from hoistsaddle.registry.controller import Controller
 from hoistsaddle.sidecar.core import SidecarCore
-from hoistsaddle.sidecar.door import Door
-from hoistsaddle.sidecar.entry import EntrySide
+from hoistsaddle.sidecar.ingress import IngressCore
+from hoistsaddle.sidecar.listener import IngressHandler
 from hoistsaddle.sidecar.messages import Reply
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.statemachine.commands import Outcome
-from hoistsaddle.statemachine.orders import OrderCheck
+from hoistsaddle.statemachine.deduplication import PatchCheck
 from hoistsaddle.statemachine.state import READY
-from hoistsaddle.testbed.emulator.customs import adapter
 from hoistsaddle.testbed.emulator.day import Day
-from hoistsaddle.testbed.emulator.site import draw_site
-from hoistsaddle.testbed.emulator.troubles import (
+from hoistsaddle.testbed.emulator.platform_adapter import adapter
+from hoistsaddle.testbed.emulator.scheduled_events import (
     SNAPSHOT,
-    AfterWord,
-    Again,
-    BadOrder,
     Change,
-    Closing,
-    Happening,
+    ChangeStorm,
+    FinalFault,
+    InvalidChange,
     Kill,
-    Large,
-    LostWords,
+    LargeChange,
+    LostAnswers,
     Misbehave,
-    Release,
+    RepeatChange,
     ReplaceCore,
-    Reset,
+    ResetConnections,
+    RestartServer,
+    ScheduledEvent,
     Stop,
-    Storm,
+    TriggeredFault,
 )
+from hoistsaddle.testbed.emulator.site import draw_site
 
 
-def small_day(*happenings: Happening, seconds: float = 9.0, seed: int = 1) -> Day:
-    return Day(seed, draw_site(seed, small=True), happenings, seconds)
+def small_day(*events: ScheduledEvent, seconds: float = 9.0, seed: int = 1) -> Day:
+    return Day(seed, draw_site(seed, small=True), events, seconds)
 
 
-SERVICES = tuple(shape.name for shape in draw_site(1, small=True).services)
+SERVICES = tuple(service_spec.name for service_spec in draw_site(1, small=True).services)
 CALM = small_day(seconds=6.0)
 # What is planned: new routes, moves, an invalid order, a server's leaving and a machine's stop.
 PLANNED = small_day(
     Change(0.5, "add", 1),
     Change(1.0, "move", 7),
-    BadOrder(1.5, "aim", 3),
-    Release(2.0, "side-00"),
+    InvalidChange(1.5, "aim", 3),
+    RestartServer(2.0, "side-00"),
     Change(3.0, "drop", 2),
     Stop(4.0, "side-03", 0.3),
-    Release(4.0, "side-02"),
+    RestartServer(4.0, "side-02"),
 )
 # Long enough that the margin for further sends has come up and is used many times over.
 LOSSES = small_day(Misbehave(0.5, SERVICES[1], 0.6, 14.0, "cut"), seconds=16.0)
@@ -73,47 +73,47 @@
     tuple(Stop(1.0 + place, f"side-{place:02d}", 0.3) for place in range(4)),
     5.0,
 )
-ENDED = small_day(Closing(3.0, "kill", 0.5), seconds=3.0)
+ENDED = small_day(FinalFault(3.0, "kill", 0.5), seconds=3.0)
 # A core machine loses its disk and is taken in again; then, in calm, another one's disk goes and all power with it.
 SWAPPED = small_day(
-    Kill(0.5, ("core-1",), 0.5, power=True, wipe=True), Closing(7.0, "wipe and power", 0.5), seconds=7.0
+    Kill(0.5, ("core-1",), 0.5, power=True, wipe=True), FinalFault(7.0, "wipe and power", 0.5), seconds=7.0
 )
 # Eight orders at once, a large one, answers lost and connections reset, and orders that come again long after.
 REPEATED = small_day(
-    LostWords(0.5, 0.7, 6.0),
+    LostAnswers(0.5, 0.7, 6.0),
     Change(0.6, "move", 7),
-    Change(0.7, "times", 8, desks=8),
-    Storm(1.0, 24, 0.05, 3),
-    Large(1.5, 60),
-    Reset(2.5, ("core-0", "core-1", "core-2"), 1.0),
-    Reset(3.0, ("side-00", "side-01"), 1.0),
-    Again(4.0, 0),
-    Again(5.0, 3),
+    Change(0.7, "times", 8, operators=8),
+    ChangeStorm(1.0, 24, 0.05, 3),
+    LargeChange(1.5, 60),
+    ResetConnections(2.5, ("core-0", "core-1", "core-2"), 1.0),
+    ResetConnections(3.0, ("side-00", "side-01"), 1.0),
+    RepeatChange(4.0, 0),
+    RepeatChange(5.0, 3),
     Kill(5.5, ("core-0",), 0.5, power=True),
-    Again(7.0, 5),
-    Again(7.5, 9),
+    RepeatChange(7.0, 5),
+    RepeatChange(7.5, 9),
 )
 # Power goes as a snapshot is written, then everywhere, and at last everywhere again as one is written.
 SNAPSHOTS = Day(
     1,
     draw_site(1, small=True)._replace(snapshot_records=30),
     (
-        Storm(0.3, 40, 0.1, 3),
-        AfterWord(0.5, "power", 0.5, SNAPSHOT),
+        ChangeStorm(0.3, 40, 0.1, 3),
+        TriggeredFault(0.5, "power", 0.5, SNAPSHOT),
         Kill(5.5, ("core-0", "core-1", "core-2"), 0.3, power=True),
-        Closing(11.0, "power", 0.5, SNAPSHOT),
+        FinalFault(11.0, "power", 0.5, SNAPSHOT),
     ),
     11.0,
 )
 # Desks with other contents under one version, their answers lost half of the time, and old orders again.
 CONTESTED = small_day(
-    LostWords(0.4, 0.5, 5.0),
-    Change(0.5, "move", 7, desks=2, contested=True),
-    Change(1.5, "move", 8, desks=4, contested=True),
+    LostAnswers(0.4, 0.5, 5.0),
+    Change(0.5, "move", 7, operators=2, contested=True),
+    Change(1.5, "move", 8, operators=4, contested=True),
     Change(2.5, "times", 9),
-    Again(3.5, 1),
-    Change(4.0, "move", 10, desks=2, contested=True),
-    Again(6.0, 3),
+    RepeatChange(3.5, 1),
+    Change(4.0, "move", 10, operators=2, contested=True),
+    RepeatChange(6.0, 3),
 )
 # Two core machines are gone for good, one after the other, and empty ones come at other addresses.
 REPLACED = small_day(
@@ -134,7 +134,7 @@
 }
 
 
-class Plant(NamedTuple):
+class InjectedFault(NamedTuple):
     name: str
     # All of them have to see it.
     rules: tuple[str, ...]
@@ -143,35 +143,35 @@
 
 
 def _answers_swapped():
-    plain, kept = Door._respond, {}
+    plain, kept = IngressHandler._respond, {}
 
-    def swapped(self: Door, answer: Reply):
+    def swapped(self: IngressHandler, answer: Reply):
         before = kept.get("answer")
-        if answer.mishap is None:
+        if answer.error is None:
             kept["answer"] = answer
-        return plain(self, answer if before is None or answer.mishap else answer._replace(body=before.body))
+        return plain(self, answer if before is None or answer.error else answer._replace(body=before.body))
 
-    return mock.patch.object(Door, "_respond", swapped)
+    return mock.patch.object(IngressHandler, "_respond", swapped)
 
 
 def _key_answers_forgotten():
     """A repeat of a key gets whatever answer its door gave last."""
-    plain, kept = Door._respond, {}
+    plain, kept = IngressHandler._respond, {}
 
-    def other(self: Door, answer: Reply):
+    def other(self: IngressHandler, answer: Reply):
         before = kept.get("answer", answer)
-        if answer.mishap is None:
+        if answer.error is None:
             kept["answer"] = answer
-        return plain(self, before if answer.mishap is None else answer)
+        return plain(self, before if answer.error is None else answer)
 
-    return mock.patch.object(Door, "_respond", other)
+    return mock.patch.object(IngressHandler, "_respond", other)
 
 
-def _callers_untold():
-    plain = SidecarNode._deal_on
+def _callers_unnamed():
+    plain = SidecarNode._forward_attempt
     return mock.patch.object(
         SidecarNode,
-        "_deal_on",
+        "_forward_attempt",
         lambda self, command, **needs: plain(
             self, command._replace(call=command.call._replace(caller="somebody")), **needs
         ),
@@ -179,10 +179,10 @@
 
 
 def _paths_changed():
-    plain = SidecarNode._deal_on
+    plain = SidecarNode._forward_attempt
     return mock.patch.object(
         SidecarNode,
-        "_deal_on",
+        "_forward_attempt",
         lambda self, command, **needs: plain(
             self, command._replace(call=command.call._replace(path=command.call.path + b"?more")), **needs
         ),
@@ -191,38 +191,39 @@
 
 def _every_claim_granted():
     return mock.patch(
-        "hoistsaddle.statemachine.keys.claim", lambda state, command: (state, Outcome(detail={"phase": "granted"}))
+        "hoistsaddle.statemachine.idempotency.claim",
+        lambda state, command: (state, Outcome(detail={"phase": "granted"})),
     )
 
 
 def _uncertain_is_sent_again():
-    def again(self: EntrySide, ticket: int, deal, mishap) -> None:
-        deal.uncertain, deal.why = True, mishap
-        deal.avoid.add(deal.target.stall)
+    def again(self: IngressCore, ticket: int, pending, error) -> None:
+        pending.uncertain, pending.why = True, error
+        pending.avoid.add(pending.target.proxy)
         self._place(ticket)
 
-    return mock.patch.object(EntrySide, "_uncertain", again)
+    return mock.patch.object(IngressCore, "_uncertain", again)
 
 
 def _unknown_is_called_not_run():
-    def unknown(self: EntrySide, ticket: int) -> None:
-        self._reply(ticket, 503, mishap=Mishap(MishapKind.SILENT, "planted", "planted"), retry_after=milliseconds(50))
+    def unknown(self: IngressCore, ticket: int) -> None:
+        self._reply(ticket, 503, error=MeshError(ErrorKind.SILENT, "planted", "planted"), retry_after=milliseconds(50))
 
-    return mock.patch.object(EntrySide, "_unknown", unknown)
+    return mock.patch.object(IngressCore, "_unknown", unknown)
 
 
 def _some_entries_unknown():
-    plain, draw = ItemSetup.select_entry, random.Random(1)
+    plain, draw = ItemConfiguration.select_entry, random.Random(1)
     return mock.patch.object(
-        ItemSetup, "select_entry", lambda self, **needs: None if draw.random() < 0.3 else plain(self, **needs)
+        ItemConfiguration, "select_entry", lambda self, **needs: None if draw.random() < 0.3 else plain(self, **needs)
     )
 
 
 def _any_service_will_do():
-    def any_service(self: EntrySide, entry) -> str:
+    def any_service(self: IngressCore, entry) -> str:
         return self.random.choice(sorted(self.view.items.services))
 
-    return mock.patch.object(EntrySide, "_select_service", any_service)
+    return mock.patch.object(IngressCore, "_select_service", any_service)
 
 
 def _leaving_is_ready():
@@ -233,10 +234,10 @@
     plain = SidecarNode.wind_down
 
     async def at_once(self: SidecarNode, **needs) -> None:
-        for ticket in list(self.core.deals):
+        for ticket in list(self.core.pending_requests):
             future = self.answers.pop(ticket, None)
             if future is not None and not future.done():
-                future.set_result(Reply(ticket, 502, b"", b"", Mishap(MishapKind.SILENT, "planted", "planted"), None))
+                future.set_result(Reply(ticket, 502, b"", b"", MeshError(ErrorKind.SILENT, "planted", "planted"), None))
         await plain(self, **needs)
 
     return mock.patch.object(SidecarNode, "wind_down", at_once)
@@ -254,20 +255,20 @@
 
 
 def _first_items_kept():
-    plain = SidecarCore._setup
+    plain = SidecarCore._configuration
 
     def first(self: SidecarCore, view) -> None:
         kept = self.view.items
         plain(self, view if kept is None else view._replace(items=kept))
 
-    return mock.patch.object(SidecarCore, "_setup", first)
+    return mock.patch.object(SidecarCore, "_configuration", first)
 
 
 def _items_waver():
-    """Each second request is judged by the first items that its stall took up."""
-    plain = EntrySide._asked
+    """Each second request is judged by the first items that its proxy took up."""
+    plain = IngressCore._asked
 
-    def wavering(self: EntrySide, event) -> None:
+    def wavering(self: IngressCore, event) -> None:
         now = self.view
         self.first_items = getattr(self, "first_items", None) or now.items
         self.turn = not getattr(self, "turn", False)
@@ -276,7 +277,7 @@
         plain(self, event)
         self.view = now
 
-    return mock.patch.object(EntrySide, "_asked", wavering)
+    return mock.patch.object(IngressCore, "_asked", wavering)
 
 
 def _entries_unchecked():
@@ -292,7 +293,7 @@
     plain = Controller.patch
 
     async def first_alone(self: Controller, patch):
-        # The first setup goes through, so that there is a day.
+        # The first configuration goes through, so that there is a day.
         return await plain(self, patch) if len(patch.sets) > 4 else await Controller.planted(self, patch)
 
     return mock.patch.multiple(Controller, patch=first_alone, planted=patch, create=True)
@@ -313,7 +314,7 @@
     async def once(self: Controller, patch):
         said = repr(patch)
         if said in taken:
-            return Failure(Mishap(MishapKind.ITEM_BROKEN, "planted", "planted"))
+            return Failure(MeshError(ErrorKind.ITEM_BROKEN, "planted", "planted"))
         answer = await plain(self, patch)
         if isinstance(answer, Success):
             taken.add(said)
@@ -323,17 +324,17 @@
 
 
 def _contents_are_not_compared():
-    return mock.patch("hoistsaddle.statemachine.items.check_order", lambda *needs: OrderCheck(None))
+    return mock.patch("hoistsaddle.statemachine.items.check_order", lambda *needs: PatchCheck(None))
 
 
 def _valid_orders_are_refused():
     plain = Controller.patch
 
     async def refusing(self: Controller, patch):
-        # The first setup goes through, so that there is a day.
+        # The first configuration goes through, so that there is a day.
         if len(patch.sets) > 4:
             return await plain(self, patch)
-        return Failure(Mishap(MishapKind.ITEM_BROKEN, "planted", "planted"))
+        return Failure(MeshError(ErrorKind.ITEM_BROKEN, "planted", "planted"))
 
     return mock.patch.object(Controller, "patch", refusing)
 
@@ -348,60 +349,60 @@
 
 
 def _further_sends_unbounded():
-    return mock.patch.object(FurtherSends, "gate", lambda self, service, *, now: "share")
+    return mock.patch.object(RetryBudget, "gate", lambda self, service, *, now: "share")
 
 
 def _slow_elections_after_the_first():
     starts: list[None] = []
 
-    def pace(**needs) -> Pace:
+    def timings(**needs) -> RaftTimings:
         starts.append(None)
         slow = milliseconds(600000) if len(starts) > 3 else milliseconds(500)
-        return Pace(election_least=slow, election_most=slow * 1.5, **needs)
+        return RaftTimings(election_timeout_min=slow, election_timeout_max=slow * 1.5, **needs)
 
-    return mock.patch.object(controller, "Pace", pace)
+    return mock.patch.object(controller, "Pace", timings)
 
 
 def _some_answers_raise():
-    plain, draw = Door._respond, random.Random(1)
+    plain, draw = IngressHandler._respond, random.Random(1)
 
-    def raising(self: Door, answer: Reply):
+    def raising(self: IngressHandler, answer: Reply):
         if draw.random() < 0.05:
             raise RuntimeError("planted")
         return plain(self, answer)
 
-    return mock.patch.object(Door, "_respond", raising)
+    return mock.patch.object(IngressHandler, "_respond", raising)
 
 
 def _nobody_is_selected():
-    return mock.patch.object(EntrySide, "_select", lambda self, deal: None)
-
-
-PLANTS = (
-    Plant("answers are swapped", ("MIXED",), "calm", _answers_swapped),
-    Plant("answers of other keys", ("MIXED",), "calm", _key_answers_forgotten),
-    Plant("callers go untold", ("UNASKED",), "calm", _callers_untold),
-    Plant("paths are changed", ("UNASKED",), "calm", _paths_changed),
-    Plant("every claim is granted", ("TWICE",), "calm", _every_claim_granted),
-    Plant("uncertain sends are repeated", ("TWICE",), "losses", _uncertain_is_sent_again),
-    Plant("unknown is called not run", ("REFUSED",), "losses", _unknown_is_called_not_run),
-    Plant("some entries are unknown", ("DENIED",), "calm", _some_entries_unknown),
-    Plant("any service will do", ("ROUTE",), "calm", _any_service_will_do),
-    Plant("leaving is ready", ("DRAIN",), "planned", _leaving_is_ready),
-    Plant("a stop answers for its servers", ("LOST",), "stops", _stops_answer_for_servers),
-    Plant("a stop breaks off", ("LOST",), "stops", _stops_break_off),
-    Plant("the first items are kept", ("CONFIG",), "planned", _first_items_kept),
-    Plant("items waver", ("CONFIG back",), "planned", _items_waver),
-    Plant("entries are unchecked", ("CONFIG orders",), "planned", _entries_unchecked),
-    Plant("patches go unanswered", ("CONFIG orders",), "planned", _patches_unanswered),
-    Plant("an item is not read", ("CONFIG read-back",), "calm", _an_item_is_not_read),
-    Plant("folders are not synced", ("CONFIG read-back",), "snapshots", _folders_unsynced),
-    Plant("contents are not compared", ("CONFIG one content",), "contested", _contents_are_not_compared),
-    Plant("valid orders are refused", ("CONFIG one content",), "planned", _valid_orders_are_refused),
-    Plant("nobody is replaced", ("CONFIG majority",), "replaced", _nobody_is_replaced),
-    Plant("repeats are refused", ("CONFIG taken",), "repeated", _repeats_are_refused),
-    Plant("further sends are unbounded", ("BUDGET",), "failures", _further_sends_unbounded),
-    Plant("elections are slow", ("RECOVER", "CONFIG majority"), "ended", _slow_elections_after_the_first),
-    Plant("some answers raise", ("FAULT",), "calm", _some_answers_raise),
-    Plant("nobody is selected", ("GATE",), "calm", _nobody_is_selected),
+    return mock.patch.object(IngressCore, "_select", lambda self, pending: None)
+
+
+INJECTED_FAULTS = (
+    InjectedFault("answers are swapped", ("MIXED",), "calm", _answers_swapped),
+    InjectedFault("answers of other keys", ("MIXED",), "calm", _key_answers_forgotten),
+    InjectedFault("callers go untold", ("UNASKED",), "calm", _callers_unnamed),
+    InjectedFault("paths are changed", ("UNASKED",), "calm", _paths_changed),
+    InjectedFault("every claim is granted", ("TWICE",), "calm", _every_claim_granted),
+    InjectedFault("uncertain sends are repeated", ("TWICE",), "losses", _uncertain_is_sent_again),
+    InjectedFault("unknown is called not run", ("REFUSED",), "losses", _unknown_is_called_not_run),
+    InjectedFault("some entries are unknown", ("DENIED",), "calm", _some_entries_unknown),
+    InjectedFault("any service will do", ("ROUTE",), "calm", _any_service_will_do),
+    InjectedFault("leaving is ready", ("DRAIN",), "planned", _leaving_is_ready),
+    InjectedFault("a stop answers for its servers", ("LOST",), "stops", _stops_answer_for_servers),
+    InjectedFault("a stop breaks off", ("LOST",), "stops", _stops_break_off),
+    InjectedFault("the first items are kept", ("CONFIG",), "planned", _first_items_kept),
+    InjectedFault("items waver", ("CONFIG back",), "planned", _items_waver),
+    InjectedFault("entries are unchecked", ("CONFIG orders",), "planned", _entries_unchecked),
+    InjectedFault("patches go unanswered", ("CONFIG orders",), "planned", _patches_unanswered),
+    InjectedFault("an item is not read", ("CONFIG read-back",), "calm", _an_item_is_not_read),
+    InjectedFault("folders are not synced", ("CONFIG read-back",), "snapshots", _folders_unsynced),
+    InjectedFault("contents are not compared", ("CONFIG one content",), "contested", _contents_are_not_compared),
+    InjectedFault("valid orders are refused", ("CONFIG one content",), "planned", _valid_orders_are_refused),
+    InjectedFault("nobody is replaced", ("CONFIG majority",), "replaced", _nobody_is_replaced),
+    InjectedFault("repeats are refused", ("CONFIG taken",), "repeated", _repeats_are_refused),
+    InjectedFault("further sends are unbounded", ("BUDGET",), "failures", _further_sends_unbounded),
+    InjectedFault("elections are slow", ("RECOVER", "CONFIG majority"), "ended", _slow_elections_after_the_first),
+    InjectedFault("some answers raise", ("FAULT",), "calm", _some_answers_raise),
+    InjectedFault("nobody is selected", ("GATE",), "calm", _nobody_is_selected),
 )
