--- a/tests/plants.py
+++ b/tests/injected_faults.py
@@ -7,23 +7,23 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.proxy import entry
+from hoistsaddle.proxy import ingress
 from hoistsaddle.proxy.core import ProxyCore
-from hoistsaddle.proxy.further import FurtherSends
 from hoistsaddle.proxy.messages import RequestArrived
 from hoistsaddle.proxy.node import ProxyNode
+from hoistsaddle.proxy.retry_budget import RetryBudget
 from hoistsaddle.raft import applying
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.raft.events import Answer, Pace, Send
+from hoistsaddle.raft.events import Answer, RaftTimings, Send
 from hoistsaddle.registry.service import Registry
-from hoistsaddle.statemachine import bundles, fleet, itemmemory, keys
+from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.store import service
-from hoistsaddle.testbed.simulation import hardships, orders, rules, scenarios
+from hoistsaddle.testbed.simulation import faults, orders, rules, scenarios
 
 
-class Plant(NamedTuple):
+class InjectedFault(NamedTuple):
     name: str
     line: str
     deployment: str
@@ -33,24 +33,27 @@
 
 
 def _newest_revision_alone():
-    plain = itemmemory.meet
+    plain = revision_history.meet
 
-    def planted(memory, *, revision: int, digest: bytes):
+    def patched(memory, *, revision: int, digest: bytes):
         overtaken = memory is not None and revision < memory.taken[-1].revision
-        return itemmemory.Meeting.OVERTAKEN if overtaken else plain(memory, revision=revision, digest=digest)
+        return (
+            revision_history.RevisionStatus.OVERTAKEN if overtaken else plain(memory, revision=revision, digest=digest)
+        )
 
-    return mock.patch("hoistsaddle.statemachine.orders.meet", planted)
+    return mock.patch("hoistsaddle.statemachine.deduplication.meet", patched)
 
 
 def _every_claim_granted():
     return mock.patch(
-        "hoistsaddle.statemachine.keys.claim", lambda state, command: (state, Outcome(detail={"phase": "granted"}))
+        "hoistsaddle.statemachine.idempotency.claim",
+        lambda state, command: (state, Outcome(detail={"phase": "granted"})),
     )
 
 
-def _uncertain_said_not_run():
-    def not_run(self: ProxyCore, ticket: int, mishap) -> None:
-        self._not_run(ticket, mishap)
+def _uncertain_reported_as_not_run():
+    def not_run(self: ProxyCore, ticket: int, error) -> None:
+        self._not_run(ticket, error)
 
     return mock.patch.object(ProxyCore, "_uncertain", not_run)
 
@@ -72,7 +75,7 @@
     return mock.patch.object(ProxyCore, "_gate", lambda self, event: None)
 
 
-def _inner_calls_as_visitors():
+def _inner_calls_as_clients():
     plain = ProxyCore._request
 
     def unnamed(self: ProxyCore, event: RequestArrived) -> None:
@@ -86,10 +89,10 @@
 
 
 def _accepted_without_waiting():
-    async def at_once(self: Registry, *, revision, stalls, committed) -> dict[str, str]:
-        return dict.fromkeys(stalls(), "taken up")
+    async def at_once(self: Registry, *, revision, proxies, committed) -> dict[str, str]:
+        return dict.fromkeys(proxies(), "taken up")
 
-    return mock.patch.object(Registry, "await_uptake", at_once)
+    return mock.patch.object(Registry, "await_applied_version", at_once)
 
 
 def _bundles_unchecked():
@@ -104,29 +107,29 @@
 
 
 def _further_sends_unbounded():
-    return mock.patch.object(FurtherSends, "gate", lambda self, service, *, now: "share")
+    return mock.patch.object(RetryBudget, "gate", lambda self, service, *, now: "share")
 
 
 def _margin_of_one_each():
-    plain = entry.part_of
-    return mock.patch.object(entry, "part_of", lambda **needs: max(1, plain(**needs)))
+    plain = ingress.retry_quota_of
+    return mock.patch.object(ingress, "retry_quota_of", lambda **needs: max(1, plain(**needs)))
 
 
 def _claims_by_name():
     patches = contextlib.ExitStack()
-    patches.enter_context(mock.patch.object(keys, "claim", keys._claim_by_scope))
+    patches.enter_context(mock.patch.object(idempotency, "claim", idempotency._claim_by_scope))
     patches.enter_context(mock.patch.object(bundles, "_renames_held", lambda state, number: False))
     return patches
 
 
-def _other_credentials_other_visitor():
+def _other_credentials_other_client():
     return mock.patch.object(
-        keys, "_told_apart", lambda hold, command: (hold.by, hold.who) != (command.by, command.who)
+        idempotency, "_told_apart", lambda hold, command: (hold.by, hold.who) != (command.by, command.who)
     )
 
 
 def _judged_by_the_target_alone():
-    return mock.patch.object(entry, "number_of", lambda bundle: 0)
+    return mock.patch.object(ingress, "number_of", lambda bundle: 0)
 
 
 def _newer_records_passed_over():
@@ -145,16 +148,16 @@
     plain = Relay.polled
 
     def blind(self: Relay, answer, *, sent) -> bool:
-        return plain(self, answer._replace(vouched=()), sent=sent)
+        return plain(self, answer._replace(expected_digests=()), sent=sent)
 
     return mock.patch.multiple(Relay, polled=blind, sound=lambda self: True)
 
 
 def _waits_for_ever():
-    return mock.patch.object(entry, "GAP", milliseconds(100000))
+    return mock.patch.object(ingress, "GAP", milliseconds(100000))
 
 
-def _inner_door_names_whoever_came_last():
+def _inner_listener_names_last_caller():
     plain = ProxyCore._request
 
     def trusting(self: ProxyCore, event: RequestArrived) -> None:
@@ -164,54 +167,58 @@
 
 
 def _late_reports_taken():
-    return mock.patch.multiple(fleet, _too_late=lambda state, command: False, _unheard=lambda *needs: False)
+    return mock.patch.multiple(
+        fleet, _predates_purge=lambda state, command: False, _is_stale_report=lambda *needs: False
+    )
 
 
 def _a_byte_of_the_text_lost():
-    plain = service.read_back
+    plain = service.state_report
 
     def short(state) -> dict:
         setup = plain(state)
         return {**setup, "texts": {number: text[:-1] for number, text in setup["texts"].items()}}
 
-    return mock.patch.object(service, "read_back", short)
+    return mock.patch.object(service, "state_report", short)
 
 
 def _status_altered_on_the_way():
-    plain = ProxyCore._pass_answered
+    plain = ProxyCore._forward_answered
 
     def altered(self: ProxyCore, number: int, answer) -> None:
         plain(self, number, answer._replace(status=201) if answer.status == 200 else answer)
 
-    return mock.patch.object(ProxyCore, "_pass_answered", altered)
+    return mock.patch.object(ProxyCore, "_forward_answered", altered)
 
 
 def _read_back_kept():
-    plain = service.read_back
+    plain = service.state_report
     kept: list[dict] = []
 
     def first(state) -> dict:
         kept.append(plain(state))
         return next((setup for setup in kept if setup["in_force"]), kept[-1])
 
-    return mock.patch.object(service, "read_back", first)
+    return mock.patch.object(service, "state_report", first)
 
 
 def _slow_elections():
     starts: list[int] = []
 
-    def pace(params) -> Pace:
+    def timings(settings) -> RaftTimings:
         # The first start is left as it is, so that there is a service to lose.
-        starts.append(params.replica)
-        slow = milliseconds(16000) if len(starts) > len(params.core) else milliseconds(500)
-        return Pace(election_least=slow, election_most=slow * 1.5, checkpoint_records=params.checkpoint_records)
+        starts.append(settings.replica)
+        slow = milliseconds(16000) if len(starts) > len(settings.core) else milliseconds(500)
+        return RaftTimings(
+            election_timeout_min=slow, election_timeout_max=slow * 1.5, checkpoint_records=settings.checkpoint_records
+        )
 
-    return mock.patch("hoistsaddle.store.service.pace_of", pace)
+    return mock.patch("hoistsaddle.store.service.timings_of", timings)
 
 
 def _blank_disks_vote():
     """As if there were no incarnations: a wiped replica goes on voting and counting in its predecessor's place."""
-    plain_vote, plain_lay = RaftCore._ballot_call, Disk._lay
+    plain_vote, plain_lay = RaftCore._vote_call, Disk._lay
 
     def vote(self: RaftCore, ticket, call) -> None:
         self.mesh = self.mesh or call.mesh
@@ -222,12 +229,12 @@
         plain_lay(self)
 
     patches = contextlib.ExitStack()
-    patches.enter_context(mock.patch.multiple(RaftCore, is_voter=lambda self: True, _ballot_call=vote))
+    patches.enter_context(mock.patch.multiple(RaftCore, is_voter=lambda self: True, _vote_call=vote))
     patches.enter_context(mock.patch.object(Disk, "_lay", lay))
     return patches
 
 
-def _said_before_synced():
+def _answered_before_synced():
     plain = RaftCore.handle
 
     def unsynced(self: RaftCore, event, *, now):
@@ -239,7 +246,7 @@
     return mock.patch.object(RaftCore, "handle", unsynced)
 
 
-def _own_unsynced_counted():
+def _leader_alone_commits():
     plain = RaftCore._append
 
     def counted(self: RaftCore, records) -> None:
@@ -247,26 +254,26 @@
         self.durable = self.last.offset
 
     def single(self: RaftCore) -> None:
-        if self.standing == "leader" and self.durable > self.high_watermark:
+        if self.role == "leader" and self.durable > self.high_watermark:
             self.high_watermark = self.durable
             self._apply()
 
     return mock.patch.multiple(RaftCore, _append=counted, _advance=single)
 
 
-PLANTS = (
-    Plant(
+INJECTED_FAULTS = (
+    InjectedFault(
         "every claim is granted", "nothing with a key runs twice", "thimble", scenarios.calm, (1,), _every_claim_granted
     ),
-    Plant(
+    InjectedFault(
         "uncertain is called not run",
         "not run means not run",
         "thimble",
         scenarios.servers_misbehave,
         (1,),
-        _uncertain_said_not_run,
+        _uncertain_reported_as_not_run,
     ),
-    Plant(
+    InjectedFault(
         "answers are swapped",
         "every answer is its caller's own and whole",
         "thimble",
@@ -274,23 +281,23 @@
         (1,),
         _answers_swapped,
     ),
-    Plant(
-        "the target's stall admits all",
+    InjectedFault(
+        "the target's proxy admits all",
         "only what a bundle allows is reached",
         "thimble",
         scenarios.servers_change,
         (1, 2, 3),
         _target_admits_all,
     ),
-    Plant(
-        "inner calls go as visitors",
+    InjectedFault(
+        "inner calls go as clients",
         "callers are told truly",
         "thimble",
         scenarios.calm,
         (1,),
-        _inner_calls_as_visitors,
+        _inner_calls_as_clients,
     ),
-    Plant(
+    InjectedFault(
         "leaving goes unseen",
         "leaving servers get no new work",
         "thimble",
@@ -298,7 +305,7 @@
         (1,),
         _leaving_goes_unseen,
     ),
-    Plant(
+    InjectedFault(
         "accepted without waiting",
         "accepted is in force and stays",
         "thimble",
@@ -306,7 +313,7 @@
         (1, 2, 3),
         _accepted_without_waiting,
     ),
-    Plant(
+    InjectedFault(
         "bundles are not checked",
         "broken bundles have no effect",
         "thimble",
@@ -314,7 +321,7 @@
         (1,),
         _bundles_unchecked,
     ),
-    Plant(
+    InjectedFault(
         "stops finish nothing",
         "planned stops drop nothing",
         "thimble",
@@ -322,7 +329,7 @@
         (1, 2, 3),
         _stop_without_finishing,
     ),
-    Plant(
+    InjectedFault(
         "further sends are unbounded",
         "further sends keep their bound",
         "thimble",
@@ -330,24 +337,26 @@
         (1,),
         _further_sends_unbounded,
     ),
-    Plant(
-        "a margin of one for each stall",
+    InjectedFault(
+        "a margin of one for each proxy",
         "further sends keep their bound",
         "thimble",
-        hardships.margins_kept,
+        faults.margins_kept,
         (1, 2),
         _margin_of_one_each,
     ),
-    Plant("claims by name", "nothing with a key runs twice", "thimble", rules.keys_travel, (1,), _claims_by_name),
-    Plant(
-        "other credentials, other visitor",
+    InjectedFault(
+        "claims by name", "nothing with a key runs twice", "thimble", rules.keys_travel, (1,), _claims_by_name
+    ),
+    InjectedFault(
+        "other credentials, other client",
         "nothing with a key runs twice",
         "thimble",
         rules.keys_travel,
         (1,),
-        _other_credentials_other_visitor,
+        _other_credentials_other_client,
     ),
-    Plant(
+    InjectedFault(
         "judged by the target's stage",
         "what a bundle allows is served",
         "thimble",
@@ -355,15 +364,15 @@
         (1,),
         _judged_by_the_target_alone,
     ),
-    Plant(
+    InjectedFault(
         "newer records are passed over",
         "what is promised comes true",
         "thimble",
-        hardships.releases_side_by_side,
+        faults.releases_side_by_side,
         (1,),
         _newer_records_passed_over,
     ),
-    Plant(
+    InjectedFault(
         "only the newest revision is compared",
         "what is promised comes true",
         "three",
@@ -371,28 +380,30 @@
         (1,),
         _newest_revision_alone,
     ),
-    Plant(
+    InjectedFault(
         "copies are taken as sent",
         "damage mends and never spreads",
         "thimble",
-        hardships.copies_damaged,
+        faults.copies_damaged,
         (1, 2, 3),
         _copies_taken_as_sent,
     ),
-    Plant("waits for ever", "given up means answered at once", "thimble", hardships.isolated, (1,), _waits_for_ever),
-    Plant(
+    InjectedFault(
+        "waits for ever", "given up means answered at once", "thimble", faults.isolated, (1,), _waits_for_ever
+    ),
+    InjectedFault(
         "the inner door names whoever came last",
         "callers are told truly",
         "thimble",
         rules.old_process_lives,
         (1,),
-        _inner_door_names_whoever_came_last,
+        _inner_listener_names_last_caller,
     ),
-    Plant(
-        "late reports are taken", "read-back is true", "thimble", hardships.gone_forgotten, (1,), _late_reports_taken
+    InjectedFault(
+        "late reports are taken", "read-back is true", "thimble", faults.gone_forgotten, (1,), _late_reports_taken
     ),
-    Plant("a byte is lost", "read-back is true", "thimble", scenarios.calm, (1,), _a_byte_of_the_text_lost),
-    Plant(
+    InjectedFault("a byte is lost", "read-back is true", "thimble", scenarios.calm, (1,), _a_byte_of_the_text_lost),
+    InjectedFault(
         "the status is altered",
         "every answer is its caller's own and whole",
         "thimble",
@@ -400,9 +411,11 @@
         (1,),
         _status_altered_on_the_way,
     ),
-    Plant("read-back is kept", "read-back is true", "thimble", scenarios.servers_change, (1,), _read_back_kept),
-    Plant("elections are slow", "service returns in time", "thimble", scenarios.herd_killed, (1,), _slow_elections),
-    Plant(
+    InjectedFault("read-back is kept", "read-back is true", "thimble", scenarios.servers_change, (1,), _read_back_kept),
+    InjectedFault(
+        "elections are slow", "service returns in time", "thimble", scenarios.herd_killed, (1,), _slow_elections
+    ),
+    InjectedFault(
         "blank disks vote",
         "what was agreed stays agreed",
         "three",
@@ -410,20 +423,20 @@
         (1,),
         _blank_disks_vote,
     ),
-    Plant(
+    InjectedFault(
         "said before it is synced",
         "what was agreed stays agreed",
         "three",
         scenarios.power_lost,
         (1, 2),
-        _said_before_synced,
+        _answered_before_synced,
     ),
-    Plant(
+    InjectedFault(
         "the leader's word alone commits",
         "what was agreed stays agreed",
         "three",
         scenarios.core_chaos,
         tuple(range(1, 5)),
-        _own_unsynced_counted,
+        _leader_alone_commits,
     ),
 )
--- a/tests/orders_model.py
+++ b/tests/orders_model.py
@@ -10,10 +10,10 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from hoistsaddle.config.items import ENTRY, SERVICE, Dropping, Patch, Setting, key_of, pack_patch
+from hoistsaddle.config.items import ENTRY, SERVICE, ItemDeletion, ItemUpsert, Patch, key_of, pack_patch
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import Outcome, PatchItems, Tick, pack_command
-from hoistsaddle.statemachine.state import State, found_state, pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, initial_state, pack_state, unpack_state
 
 # Seconds of mesh time for which an order may be sent again, and between two records.
 SPAN = 60
@@ -35,9 +35,11 @@
         for key, revision, content in self.items:
             kind, _, name = key.partition(":")
             if content is None:
-                drops.append(Dropping(SERVICE if kind == SERVICE else ENTRY, revision, name))
+                drops.append(ItemDeletion(SERVICE if kind == SERVICE else ENTRY, revision, name))
             elif kind == SERVICE:
-                sets.append(Setting(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode()))
+                sets.append(
+                    ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
+                )
             else:
                 item: dict[str, Any] = {
                     "name": name,
@@ -48,7 +50,7 @@
                     "hold_seconds": 2.0,
                     "aim_seconds": 0.5,
                 }
-                sets.append(Setting(ENTRY, revision, item, content.encode()))
+                sets.append(ItemUpsert(ENTRY, revision, item, content.encode()))
         patch = pack_patch(Patch(sets, drops))
         return pack_command(PatchItems("request", "desk", "standing", patch, SPAN, 0 if self.early else seen))
 
@@ -70,7 +72,7 @@
 WAIT = ModelOrder("wait", ())
 
 
-class Told(NamedTuple):
+class PatchAnswer(NamedTuple):
     """What an order was told, and at which offset."""
 
     offset: int
@@ -81,19 +83,19 @@
     """One sequence of records: the state it came to, and all that was answered on the way."""
 
     state: State
-    told: tuple[tuple[ModelOrder, Told], ...] = ()
+    told: tuple[tuple[ModelOrder, PatchAnswer], ...] = ()
     # The offset of the newest wait.
     waited: int = 0
 
 
 def answer_of(outcome: Outcome) -> str:
-    if not outcome.mishap:
+    if not outcome.error:
         return CONFIRMED
-    return REFUSED if outcome.mishap in REFUSALS else UNSURE
+    return REFUSED if outcome.error in REFUSALS else UNSURE
 
 
 def start(*, level: int) -> Path:
-    return Path(found_state(mesh="m", voters={1: "one"}, operators={}, level=level))
+    return Path(initial_state(mesh="m", voters={1: "one"}, operators={}, level=level))
 
 
 def follow(path: Path, order: ModelOrder) -> Path:
@@ -109,7 +111,7 @@
     stamp = state.stamp + timedelta(seconds=STEP)
     payload = order.payload(seen=path.state.offset)
     state, outcome = apply(state, offset=offset, epoch=1, stamp=stamp, payload=payload)
-    return path._replace(state=state, told=(*path.told, (order, Told(offset, answer_of(outcome)))))
+    return path._replace(state=state, told=(*path.told, (order, PatchAnswer(offset, answer_of(outcome)))))
 
 
 # -- what must hold of every path -------------------------------------------------------------------------------------
@@ -126,7 +128,7 @@
     return f"confirmed with two contents: {twice}" if twice else ""
 
 
-def taken_never_refused(path: Path, before: Path) -> str:
+def accepted_never_refused(path: Path, before: Path) -> str:
     """What was confirmed once is confirmed again, or, when all spans are over, left without a clear answer."""
     if len(path.told) == len(before.told):
         return ""
@@ -171,7 +173,7 @@
 
 CHECKS: tuple[Callable[[Path, Path], str], ...] = (
     one_content,
-    taken_never_refused,
+    accepted_never_refused,
     refused_never_counts,
     highest_stands,
 )
--- a/tests/brokers.py
+++ b/tests/sidecar_bench.py
@@ -1,46 +1,46 @@
-"""Brokers' cores on one bench: their lines, log and servers are played, and every command is kept for the checks."""
+"""Sidecars' cores on one bench: their lines, log and servers are played, and every command is kept for the checks."""
 
 import random
 from datetime import timedelta
 from typing import Any
 
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.config.items import EntryItem, ItemSetup, LimitsItem, Part, ServiceItem
-from hoistsaddle.proxy.messages import AskHold, HoldAnswered, SetupChanged, Ticked
-from hoistsaddle.proxy.standing import ProxyParamsView
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.config.items import ItemConfiguration, LimitsItem, Part, RouteItem, ServiceItem
+from hoistsaddle.proxy.core_state import CoreSettings
+from hoistsaddle.proxy.messages import ConfigurationChanged, HoldAnswered, SubmitHold, Ticked
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import (
     Abandon,
     AbandonArrived,
-    AbortServe,
-    AnswerDeal,
-    AnswerRecall,
-    Asked,
-    DealAnswered,
-    DealArrived,
-    DealMissed,
-    DealOn,
-    Gone,
-    Recall,
-    RecallAnswered,
-    RecallArrived,
+    AnswerClaimQuery,
+    AnswerForward,
+    CancelRun,
+    ClaimQueryAnswered,
+    ClaimQueryArrived,
+    ClientDisconnected,
+    ForwardAnswered,
+    ForwardArrived,
+    ForwardFailed,
+    ForwardRequest,
+    HealthReported,
+    QueryClaim,
     Reply,
-    Serve,
-    Served,
-    ServeMissed,
-    Vitals,
+    RequestArrived,
+    RunOnServer,
+    ServerAnswered,
+    ServerFailed,
 )
-from hoistsaddle.sidecar.serverside import Pace
+from hoistsaddle.sidecar.upstream import LatencyEstimate
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import pack_command
-from hoistsaddle.statemachine.state import READY, NodeEntry, ServerEntry, State, found_state
+from hoistsaddle.statemachine.state import READY, NodeRecord, ServerRecord, State, initial_state
 from hoistsaddle.statemachine.view import View
 
 HOST = "shop.example"
 KINDS = {"read": "repeatable", "post": "once per send", "pay": "once per key", "pack": "upload"}
 
 
-def entry(name: str, **changes: Any) -> EntryItem:
+def entry(name: str, **changes: Any) -> RouteItem:
     values: dict[str, Any] = {
         "name": name,
         "host": HOST,
@@ -52,39 +52,39 @@
         "rank": 1,
         "most_sends": 3,
     }
-    return EntryItem(**{**values, **changes})
+    return RouteItem(**{**values, **changes})
 
 
-def pace_of(seconds: float, *, deviation: float = 0.0) -> Pace:
+def pace_of(seconds: float, *, deviation: float = 0.0) -> LatencyEstimate:
     """A pace well known."""
-    pace = Pace()
+    pace = LatencyEstimate()
     pace.count = 100
     pace.mean, pace.deviation = timedelta(seconds=seconds), timedelta(seconds=deviation)
     return pace
 
 
-def server_of(name: str) -> ServerEntry:
-    return ServerEntry(name, "ledger", f"i-{name}", f"plant-{name}", "a", READY, 1, "life", "", 1)
+def server_of(name: str) -> ServerRecord:
+    return ServerRecord(name, "ledger", f"i-{name}", f"plant-{name}", "a", READY, 1, "life", "", 1)
 
 
-class Brokers:
-    """Some stalls, each with a server of one service, over one log."""
+class SidecarBench:
+    """Some proxies, each with a server of one service, over one log."""
 
     def __init__(
         self,
         *names: str,
-        entries: tuple[EntryItem, ...] = (),
+        entries: tuple[RouteItem, ...] = (),
         limits: LimitsItem | None = None,
         room: int = 2,
         margin: int = 0,
         seed: int = 1,
     ) -> None:
         names = names or ("s-1", "s-2", "s-3")
-        self.moment = timedelta(seconds=100)
-        self.log: State = found_state(mesh="m", voters={1: "one"}, operators={}, level=3)
+        self.timestamp = timedelta(seconds=100)
+        self.log: State = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
         # Whether the core answers about keys.
         self.core_up = True
-        # Stalls that give no answer at all, and those whose ports refuse.
+        # Proxies that give no answer at all, and those whose ports refuse.
         self.silent: set[str] = set()
         self.refusing: set[str] = set()
         # Whether each sidecar has heard from the core just now.
@@ -93,10 +93,10 @@
         self.replies: dict[int, Reply] = {}
         self.answers: dict[int, Any] = {}
         # What runs on servers now.
-        self.serves: dict[tuple[str, int], Serve] = {}
+        self.serves: dict[tuple[str, int], RunOnServer] = {}
         # What was broken off on a server, as its client had left.
-        self.aborted: list[Serve] = []
-        self._deals: dict[tuple[str, int], tuple[str, int]] = {}
+        self.aborted: list[RunOnServer] = []
+        self._pending_requests: dict[tuple[str, int], tuple[str, int]] = {}
         self._recalls: dict[tuple[str, int], tuple[str, int]] = {}
         self.tickets = 0
         items: dict[str, Any] = {f"entry:{each.name}": each for each in entries or tuple(entry(name) for name in KINDS)}
@@ -105,23 +105,23 @@
             items["limits:limits"] = limits
         self.view = View(
             revision=5,
-            items=ItemSetup(items=items),
-            item_marks=dict.fromkeys(items, 1),
+            items=ItemConfiguration(items=items),
+            item_revisions=dict.fromkeys(items, 1),
             servers={name: server_of(name) for name in names},
-            nodes={name: NodeEntry(name, "stall", f"at-{name}", "a", "life", "alive", 1) for name in names},
+            nodes={name: NodeRecord(name, "stall", f"at-{name}", "a", "life", "alive", 1) for name in names},
         )
         self.cores = {name: self.make(name, margin=margin, seed=seed) for name in names}
         self.show(self.view)
         for name in names:
-            self.vitals(name, room=room)
+            self.health(name, room=room)
 
     def make(self, name: str, *, margin: int, seed: int) -> SidecarCore:
         return SidecarCore(
-            params=ProxyParamsView(
-                name, "a", f"life-{self.moment}", timedelta(seconds=1.5), timedelta(seconds=5), 50, 50
+            settings=CoreSettings(
+                name, "a", f"life-{self.timestamp}", timedelta(seconds=1.5), timedelta(seconds=5), 50, 50
             ),
             seed=random.Random(seed),
-            now=self.moment,
+            now=self.timestamp,
             server=f"plant-{name}",
             drain_span=timedelta(seconds=2),
             further_percent=20,
@@ -133,21 +133,21 @@
     def show(self, view: View) -> None:
         self.view = view
         for name in self.cores:
-            self.feed(name, SetupChanged(view))
+            self.feed(name, ConfigurationChanged(view))
 
-    def vitals(self, name: str, *, state: str = READY, room: int = 2, instance: str = "") -> None:
+    def health(self, name: str, *, state: str = READY, room: int = 2, instance: str = "") -> None:
         self.feed(
             name,
-            Vitals("ledger", instance or f"i-{name}", f"plant-{name}", state, room, timedelta()),
+            HealthReported("ledger", instance or f"i-{name}", f"plant-{name}", state, room, timedelta()),
         )
 
     def pass_time(self, seconds: float, *, step: float = 0.02, beats: bool = True) -> None:
-        until = self.moment + timedelta(seconds=seconds)
-        while self.moment < until:
-            self.moment += timedelta(seconds=step)
+        until = self.timestamp + timedelta(seconds=seconds)
+        while self.timestamp < until:
+            self.timestamp += timedelta(seconds=step)
             for name, core in self.cores.items():
                 if beats and core.server is not None and core.server.state == READY:
-                    core.server = core.server._replace(heard=self.moment)
+                    core.server = core.server._replace(heard=self.timestamp)
                 self.feed(name, Ticked())
 
     # -- what is asked -----------------------------------------------------------------------------------------------
@@ -168,43 +168,43 @@
         budget_span = None if budget is None else timedelta(seconds=budget)
         self.feed(
             door,
-            Asked(ticket, "POST", host, path, b"", header_bytes, body, budget_span, key, f"try-{ticket}"),
+            RequestArrived(ticket, "POST", host, path, b"", header_bytes, body, budget_span, key, f"try-{ticket}"),
         )
         return ticket
 
     def leave(self, ticket: int, *, door: str = "s-1") -> None:
         """The client of this request closes its connection."""
-        self.feed(door, Gone(ticket))
+        self.feed(door, ClientDisconnected(ticket))
 
     def arrive(self, name: str, call: Any) -> int:
-        """A deal straight to a stall, its answer kept under the ticket."""
+        """A deal straight to a proxy, its answer kept under the ticket."""
         self.tickets += 1
         ticket = self.tickets
-        self.feed(name, DealArrived(ticket, call))
+        self.feed(name, ForwardArrived(ticket, call))
         return ticket
 
     # -- what the servers do -----------------------------------------------------------------------------------------
 
-    def finish(self, *, status: int = 200, body: bytes = b"done", not_run: bool = False, at: str = "") -> Serve:
-        """The oldest run, or the oldest at this stall, ends."""
+    def finish(self, *, status: int = 200, body: bytes = b"done", not_run: bool = False, at: str = "") -> RunOnServer:
+        """The oldest run, or the oldest at this proxy, ends."""
         name, number = next(key for key in self.serves if not at or key[0] == at)
         serve = self.serves.pop((name, number))
-        self.feed(name, Served(number, status, b"", body, not_run))
+        self.feed(name, ServerAnswered(number, status, b"", body, not_run))
         return serve
 
-    def lose(self, *, unsent: bool = False, at: str = "") -> Serve:
+    def lose(self, *, unsent: bool = False, at: str = "") -> RunOnServer:
         name, number = next(key for key in self.serves if not at or key[0] == at)
         serve = self.serves.pop((name, number))
-        kind = MishapKind.UNREACHABLE if unsent else MishapKind.SILENT
-        self.feed(name, ServeMissed(number, unsent, Mishap(kind, "no answer", "ask")))
+        kind = ErrorKind.UNREACHABLE if unsent else ErrorKind.SILENT
+        self.feed(name, ServerFailed(number, unsent, MeshError(kind, "no answer", "ask")))
         return serve
 
     # -- carrying out ------------------------------------------------------------------------------------------------
 
     def feed(self, name: str, event: tuple) -> None:
         if self.leased:
-            self.cores[name].lease_start = self.moment
-        for command in self.cores[name].handle(event, now=self.moment):
+            self.cores[name].lease_start = self.timestamp
+        for command in self.cores[name].handle(event, now=self.timestamp):
             self.commands.append((name, command))
             self._carry_out(name, command)
 
@@ -213,52 +213,52 @@
             case Reply(ticket=ticket):
                 assert ticket not in self.replies, "two final answers"
                 self.replies[ticket] = command
-            case DealOn(number=number, address=address, call=call):
+            case ForwardRequest(number=number, address=address, call=call):
                 target = address.removeprefix("at-")
                 if target in self.refusing:
-                    self.feed(name, DealMissed(number, True))
+                    self.feed(name, ForwardFailed(number, True))
                 elif target not in self.silent:
                     self.tickets += 1
-                    self._deals[target, self.tickets] = (name, number)
-                    self.feed(target, DealArrived(self.tickets, call))
-            case AnswerDeal(ticket=ticket, answer=answer):
+                    self._pending_requests[target, self.tickets] = (name, number)
+                    self.feed(target, ForwardArrived(self.tickets, call))
+            case AnswerForward(ticket=ticket, answer=answer):
                 assert ticket not in self.answers, "two answers to one deal"
                 self.answers[ticket] = answer
-                if (name, ticket) in self._deals:
-                    source, number = self._deals.pop((name, ticket))
-                    self.feed(source, DealAnswered(number, answer))
-            case Serve(number=number):
+                if (name, ticket) in self._pending_requests:
+                    source, number = self._pending_requests.pop((name, ticket))
+                    self.feed(source, ForwardAnswered(number, answer))
+            case RunOnServer(number=number):
                 self.serves[name, number] = command
             case Abandon(address=address, call=call):
                 target = address.removeprefix("at-")
                 if target not in self.silent and target not in self.refusing:
                     self.tickets += 1
                     self.feed(target, AbandonArrived(self.tickets, call))
-            case AbortServe(number=number):
+            case CancelRun(number=number):
                 self.aborted.append(self.serves.pop((name, number)))
-            case AskHold(number=number, command=record):
+            case SubmitHold(number=number, command=record):
                 self.feed(name, HoldAnswered(number, self.write(record) if self.core_up else None))
-            case Recall(number=number, address=address, call=call):
+            case QueryClaim(number=number, address=address, call=call):
                 holder = address.removeprefix("at-")
                 if holder in self.silent or holder in self.refusing:
-                    self.feed(name, RecallAnswered(number, None))
+                    self.feed(name, ClaimQueryAnswered(number, None))
                 else:
                     self.tickets += 1
                     self._recalls[holder, self.tickets] = (name, number)
-                    self.feed(holder, RecallArrived(self.tickets, call))
-            case AnswerRecall(ticket=ticket, answer=answer):
+                    self.feed(holder, ClaimQueryArrived(self.tickets, call))
+            case AnswerClaimQuery(ticket=ticket, answer=answer):
                 source, number = self._recalls.pop((name, ticket))
-                self.feed(source, RecallAnswered(number, answer))
+                self.feed(source, ClaimQueryAnswered(number, answer))
 
     def write(self, record: Any) -> Any:
         self.log, outcome = apply(
             self.log,
             offset=self.log.offset + 1,
             epoch=1,
-            stamp=self.moment,
+            stamp=self.timestamp,
             payload=pack_command(record),
         )
         return outcome
 
-    def sent(self, kind: type = DealOn) -> list[Any]:
+    def sent(self, kind: type = ForwardRequest) -> list[Any]:
         return [command for _, command in self.commands if isinstance(command, kind)]
--- a/tests/stacks.py
+++ b/tests/sidecar_stack.py
@@ -9,45 +9,45 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from brokers import HOST, KINDS, entry
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.settings import SidecarParams
-from hoistsaddle.config.items import ItemSetup, ServiceItem
-from hoistsaddle.proxy.messages import SetupChanged
-from hoistsaddle.rpc.connection import Lines, LineServer, Pulse
+from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.config.items import ItemConfiguration, ServiceItem
+from hoistsaddle.proxy.messages import ConfigurationChanged
+from hoistsaddle.rpc.connection import KeepAlive, RpcClient, RpcServer
 from hoistsaddle.rpc.messages import WriteAnswer, WriteCall
-from hoistsaddle.sidecar.door import Door, open_door
-from hoistsaddle.sidecar.messages import Vitals
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.listener import IngressHandler, open_listener
+from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.serverconnection import ServerLine
-from hoistsaddle.sidecar.wording import Wording
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import pack_outcome
-from hoistsaddle.statemachine.state import READY, NodeEntry, ServerEntry, State, found_state
+from hoistsaddle.statemachine.state import READY, NodeRecord, ServerRecord, State, initial_state
 from hoistsaddle.statemachine.view import View
-from stepped import Noted, step
+from sidecar_bench import HOST, KINDS, entry
+from stepped_clock import EventCounter, step
 
-WORDING = Wording()
-PULSE = Pulse(every=milliseconds(250), span=milliseconds(900))
+HEADER_NAMES = HeaderNames()
+KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
 CORE = "127.0.0.1:9"
 BUDGET = 3.0
 REPEATABLE = ("read",)
 
 
-class Wire:
+class ControlledLink:
     """A relay on one hop. Up is towards the callee."""
 
     def __init__(self, port: int) -> None:
         self.target = port
         self.port = 0
         self.gates = {"up": asyncio.Event(), "down": asyncio.Event()}
-        self.held = {"up": Noted(), "down": Noted()}
+        self.held = {"up": EventCounter(), "down": EventCounter()}
         self.doubled = False
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task] = set()
         self.release()
 
-    async def start(self) -> "Wire":
+    async def start(self) -> "ControlledLink":
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -59,26 +59,26 @@
             writer.transport.abort()
             return
         self.writers |= {writer, far_writer}
-        for way, source, sink in (("up", reader, far_writer), ("down", far_reader, writer)):
-            task = asyncio.ensure_future(self._pump(way, source, sink))
+        for direction, source, sink in (("up", reader, far_writer), ("down", far_reader, writer)):
+            task = asyncio.ensure_future(self._pump(direction, source, sink))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _pump(self, way: str, source: asyncio.StreamReader, sink: asyncio.StreamWriter) -> None:
+    async def _pump(self, direction: str, source: asyncio.StreamReader, sink: asyncio.StreamWriter) -> None:
         try:
             while data := await source.read(65536):
-                if not self.gates[way].is_set():
-                    self.held[way].note()
-                await self.gates[way].wait()
-                sink.write(data * 2 if self.doubled and way == "down" else data)
-            await self.gates[way].wait()
+                if not self.gates[direction].is_set():
+                    self.held[direction].count_event()
+                await self.gates[direction].wait()
+                sink.write(data * 2 if self.doubled and direction == "down" else data)
+            await self.gates[direction].wait()
             sink.close()
         except (OSError, asyncio.CancelledError):
             sink.transport.abort()
 
-    def hold(self, *ways: str) -> None:
-        for way in ways or ("up", "down"):
-            self.gates[way].clear()
+    def hold(self, *directions: str) -> None:
+        for direction in directions or ("up", "down"):
+            self.gates[direction].clear()
 
     def release(self) -> None:
         for gate in self.gates.values():
@@ -106,18 +106,18 @@
         self.reset()
 
 
-class Plant:
+class LocalServer:
     """A server: runs what names its instance, and answers when it may."""
 
     def __init__(self, *, service: str, instance: str, history: "History") -> None:
         self.service, self.instance, self.history = service, instance, history
         self.go = asyncio.Event()
-        self.begun = Noted()
+        self.begun = EventCounter()
         self.surplus = False
         self.writers: set[asyncio.StreamWriter] = set()
         self.port = 0
 
-    async def start(self, port: int = 0) -> "Plant":
+    async def start(self, port: int = 0) -> "LocalServer":
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -129,12 +129,12 @@
             while head := await reader.readuntil(b"\r\n\r\n"):
                 headers = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:] if line)
                 await reader.readexactly(int(headers.get("Content-Length", 0)))
-                attempt = headers.get(WORDING.send_id, "")
-                if headers.get(WORDING.instance) != self.instance:
+                attempt = headers.get(HEADER_NAMES.client_attempt_id, "")
+                if headers.get(HEADER_NAMES.instance) != self.instance:
                     writer.write(self.answer(attempt, "421 Other", b"another"))
                     continue
                 self.history.runs.append((attempt, self.instance))
-                self.begun.note()
+                self.begun.count_event()
                 await self.go.wait()
                 said = self.answer(attempt, "200 OK", f"run of {attempt}".encode())
                 if self.surplus:
@@ -148,7 +148,9 @@
 
     @staticmethod
     def answer(attempt: str, status: str, body: bytes) -> bytes:
-        head = f"HTTP/1.1 {status}\r\n{WORDING.send_id}: {attempt}\r\nContent-Length: {len(body)}\r\n\r\n"
+        head = (
+            f"HTTP/1.1 {status}\r\n{HEADER_NAMES.client_attempt_id}: {attempt}\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
         return head.encode() + body
 
     def stop(self) -> None:
@@ -157,7 +159,7 @@
             writer.transport.abort()
 
 
-class Ask(NamedTuple):
+class ClientRequest(NamedTuple):
     kind: str
     key: str
 
@@ -166,7 +168,7 @@
     """What clients asked under which attempt, what ran where, and what they were told."""
 
     def __init__(self) -> None:
-        self.asked: dict[str, Ask] = {}
+        self.asked: dict[str, ClientRequest] = {}
         self.runs: list[tuple[str, str]] = []
         self.told: dict[str, tuple[int, bytes]] = {}
 
@@ -196,8 +198,8 @@
     def __init__(self, *, seed: int, life: int, core: Any) -> None:
         self.random = random.Random(seed)
         self.life = life
-        self.lines = Lines(pulse=PULSE, connect_span=milliseconds(350))
-        self.lines.home[CORE] = core
+        self.rpc_client = RpcClient(keep_alive=KEEP_ALIVE, connect_timeout=milliseconds(350))
+        self.rpc_client.home[CORE] = core
 
     def now(self) -> timedelta:
         return timedelta(seconds=asyncio.get_running_loop().time())
@@ -205,8 +207,8 @@
     def token(self, size: int) -> str:
         return f"life{self.life}"
 
-    async def serve(self, address: str, handler: Any) -> LineServer:
-        server = LineServer(address=address, handler=handler)
+    async def serve(self, address: str, handler: Any) -> RpcServer:
+        server = RpcServer(address=address, handler=handler)
         await server.start()
         return server
 
@@ -214,52 +216,54 @@
 class Machine:
     """One sidecar with its server, and the wires to its handler, its line and its server."""
 
-    def __init__(self, *, name: str, stack: "Stack") -> None:
+    def __init__(self, *, name: str, stack: "SidecarStack") -> None:
         self.name, self.stack = name, stack
         self.ports = {"handler": 0, "line": 0}
 
     async def start(self, *, service: str = "ledger") -> "Machine":
         self.service = service
-        self.plant = await Plant(service=service, instance=f"i-{self.name}", history=self.stack.history).start()
-        self.to_server = await Wire(self.plant.port).start()
+        self.local_server = await LocalServer(
+            service=service, instance=f"i-{self.name}", history=self.stack.history
+        ).start()
+        self.to_server = await ControlledLink(self.local_server.port).start()
         await self.boot(name=self.name)
-        self.to_line = await Wire(self.ports["line"]).start()
-        self.to_handler = await Wire(self.ports["handler"]).start()
+        self.to_line = await ControlledLink(self.ports["line"]).start()
+        self.to_handler = await ControlledLink(self.ports["handler"]).start()
         return self
 
     async def boot(self, *, name: str) -> None:
         """A life of the sidecar, at the ports of the life before."""
         self.stack.lives += 1
         address = f"127.0.0.1:{self.ports['line']}"
-        params = SidecarParams(
+        settings = SidecarSettings(
             name=name,
             zone="a",
             listen=address,
             door="127.0.0.1:1",
-            vitals_door="127.0.0.1:1",
+            health_door="127.0.0.1:1",
             ready_door="127.0.0.1:1",
             seeds=[CORE],
             service=self.service,
             server="127.0.0.1:1",
-            vitals_seconds=60,
+            health_seconds=60,
         )
         runtime = SteppedRuntime(seed=self.stack.seed, life=self.stack.lives, core=self.stack.core)
         # A line of its own: a life's kept connections die with it.
-        self.server_line = ServerLine(wording=WORDING, counters=None)  # type: ignore[arg-type]
-        self.node = SidecarNode(params=params, runtime=runtime, serve=self.server_line.serve)
-        self.server_line.counters = self.node.counters
+        self.server_connections = ServerConnectionPool(header_names=HEADER_NAMES, counters=None)  # type: ignore[arg-type]
+        self.node = SidecarNode(settings=settings, runtime=runtime, serve=self.server_connections.serve)
+        self.server_connections.counters = self.node.counters
         self.line = await runtime.serve(address, self.node.answer)
         self.ports["line"] = self.line._server.sockets[0].getsockname()[1]
-        handler = Door(node=self.node, wording=WORDING).handle
-        self.handler = await open_door(address=f"127.0.0.1:{self.ports['handler']}", handler=handler)
+        handler = IngressHandler(node=self.node, header_names=HEADER_NAMES).handle
+        self.handler = await open_listener(address=f"127.0.0.1:{self.ports['handler']}", handler=handler)
         self.ports["handler"] = self.handler.addresses[0][1]
         self.ticking = asyncio.ensure_future(self.node._ticks())
 
     def tell(self) -> None:
         """What its server and the core told it."""
-        self.node.feed(SetupChanged(self.stack.view()))
-        plant, address = self.plant, f"127.0.0.1:{self.to_server.port}"
-        self.node.feed(Vitals(plant.service, plant.instance, address, READY, 8, timedelta()))
+        self.node.feed(ConfigurationChanged(self.stack.view()))
+        local_server, address = self.local_server, f"127.0.0.1:{self.to_server.port}"
+        self.node.feed(HealthReported(local_server.service, local_server.instance, address, READY, 8, timedelta()))
 
     async def die(self) -> None:
         """All at once, as a kill does."""
@@ -267,14 +271,14 @@
         for task in self.node.work:
             task.cancel()
         await self.line.stop()
-        self.node.runtime.lines.close()
-        self.server_line.close()
+        self.node.runtime.rpc_client.close()
+        self.server_connections.close()
         for connection in list(self.handler.server.connections):
             if connection.transport is not None:
                 connection.transport.abort()
         await self.handler.cleanup()
 
-    def wires(self) -> tuple[Wire, ...]:
+    def wires(self) -> tuple[ControlledLink, ...]:
         return self.to_server, self.to_line, self.to_handler
 
     def freeze(self) -> None:
@@ -289,19 +293,19 @@
             wire.release()
 
 
-class Stack:
+class SidecarStack:
     """Entry sidecar s-1, and s-2 and s-3 whose servers do the work."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.seed = seed
         self.lives = 0
         self.history = History()
-        self.log: State = found_state(mesh="m", voters={1: "one"}, operators={}, level=3)
+        self.log: State = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
         self.machines: dict[str, Machine] = {}
         self.attempts = 0
         self.clients: set[asyncio.Task] = set()
 
-    async def start(self) -> "Stack":
+    async def start(self) -> "SidecarStack":
         for name in ("s-1", "s-2", "s-3"):
             self.machines[name] = await Machine(name=name, stack=self).start()
         for machine in self.machines.values():
@@ -311,7 +315,7 @@
     async def stop(self) -> None:
         for machine in self.machines.values():
             await machine.die()
-            machine.plant.stop()
+            machine.local_server.stop()
             for wire in machine.wires():
                 wire.stop()
         for client in self.clients:
@@ -321,17 +325,17 @@
         items: dict[str, Any] = {f"entry:{name}": entry(name, hold_seconds=BUDGET) for name in KINDS}
         items["service:ledger"] = ServiceItem("ledger")
         nodes = {
-            name: NodeEntry(
+            name: NodeRecord(
                 name, "stall", f"127.0.0.1:{machine.to_line.port}", "a", machine.node.incarnation, "alive", 1
             )
             for name, machine in self.machines.items()
         }
         return View(
             revision=5,
-            items=ItemSetup(items=items),
-            item_marks=dict.fromkeys(items, 1),
+            items=ItemConfiguration(items=items),
+            item_revisions=dict.fromkeys(items, 1),
             servers={
-                name: ServerEntry(name, "ledger", f"i-{name}", "there", "a", READY, 1, "life", "", 1)
+                name: ServerRecord(name, "ledger", f"i-{name}", "there", "a", READY, 1, "life", "", 1)
                 for name in ("s-2", "s-3")
             },
             nodes=nodes,
@@ -351,16 +355,16 @@
 
     def client(self, kind: str, *, key: str = "", doors: tuple[str, ...] = ("s-1", "s-1", "s-2")) -> asyncio.Task:
         """Tries as the platform's clients do: what may not be repeated only after a promise; keys after any failure."""
-        task = asyncio.ensure_future(self._tries(kind, key, doors))
+        task = asyncio.ensure_future(self._send_with_retries(kind, key, doors))
         self.clients.add(task)
         return task
 
-    async def _tries(self, kind: str, key: str, doors: tuple[str, ...]) -> None:
+    async def _send_with_retries(self, kind: str, key: str, doors: tuple[str, ...]) -> None:
         for door in doors:
             self.attempts += 1
             attempt = f"try-{self.attempts}"
-            self.history.asked[attempt] = Ask(kind, key)
-            told = await self._try(attempt, kind, key, self.machines[door].to_handler.port)
+            self.history.asked[attempt] = ClientRequest(kind, key)
+            told = await self._send_attempt(attempt, kind, key, self.machines[door].to_handler.port)
             if told is not None:
                 self.history.told[attempt] = told
             status = told[0] if told is not None else 0
@@ -368,16 +372,16 @@
                 return
             await asyncio.sleep(0.2)
 
-    async def _try(self, attempt: str, kind: str, key: str, port: int) -> tuple[int, bytes] | None:
+    async def _send_attempt(self, attempt: str, kind: str, key: str, port: int) -> tuple[int, bytes] | None:
         body = b"x" * (20000 if kind == "pack" else 3)
-        lines = [f"POST /{kind}/x HTTP/1.1", f"Host: {HOST}", f"{WORDING.send_id}: {attempt}"]
-        lines += [f"{WORDING.budget}: {BUDGET * 1000:.0f}", f"Content-Length: {len(body)}"]
-        lines += [f"{WORDING.key}: {key}"] if key else []
+        rpc_client = [f"POST /{kind}/x HTTP/1.1", f"Host: {HOST}", f"{HEADER_NAMES.client_attempt_id}: {attempt}"]
+        rpc_client += [f"{HEADER_NAMES.budget}: {BUDGET * 1000:.0f}", f"Content-Length: {len(body)}"]
+        rpc_client += [f"{HEADER_NAMES.key}: {key}"] if key else []
         try:
             async with asyncio.timeout(BUDGET):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 try:
-                    writer.write("\r\n".join([*lines, "", ""]).encode() + body)
+                    writer.write("\r\n".join([*rpc_client, "", ""]).encode() + body)
                     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
                     headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:])}
                     return int(head[0].split()[1]), await reader.readexactly(int(headers["content-length"]))
--- a/tests/stepped.py
+++ b/tests/stepped_clock.py
@@ -26,22 +26,22 @@
 class SteppedLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         # A whole number, so that sums with whole seconds and halves are exact.
-        self.moment = 1000.0
+        self.current_seconds = 1000.0
         super().__init__(_Selector())
         self._clock_resolution = 1e-9
 
     def time(self) -> float:
-        return self.moment
+        return self.current_seconds
 
 
 async def step(seconds: float) -> None:
     """Time passes in one leap. What became due by it has run on return."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, SteppedLoop)
-    loop.moment += seconds
+    loop.current_seconds += seconds
     # This timer is the last one due, so the others' turn is over when it wakes us.
     over = loop.create_future()
-    loop.call_at(loop.moment, over.set_result, None)
+    loop.call_at(loop.current_seconds, over.set_result, None)
     await over
     # A future that was settled by then wakes its task, and that one whoever waits for it.
     for _ in range(4):
@@ -53,14 +53,14 @@
         return runner.run(work)
 
 
-class Noted:
+class EventCounter:
     """Waits until something was noted so many times."""
 
     def __init__(self) -> None:
         self.count = 0
         self._changed = asyncio.Event()
 
-    def note(self) -> None:
+    def count_event(self) -> None:
         self.count += 1
         self._changed.set()
 
--- a/tests/test_customs.py
+++ b/tests/test_adapter.py
@@ -13,13 +13,13 @@
 from testtools.matchers import Contains, Equals, Is, IsInstance
 
 from hoistsaddle.adapter.config_items import read_call, write_items
-from hoistsaddle.adapter.handlers import BeatDoor, OperatorDoor, ready_door
-from hoistsaddle.adapter.headers import WORDING, Settings, broker_params, market_params, read_settings
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.common.settings import check_params
-from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, Dropping, Patch, check_patch
-from hoistsaddle.proxy.standing import OwnServer
-from hoistsaddle.sidecar.messages import Vitals
+from hoistsaddle.adapter.handlers import ConfigurationHandler, HeartbeatHandler, ready_door
+from hoistsaddle.adapter.headers import HEADER_NAMES, Settings, controller_settings, read_settings, sidecar_settings
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.settings import check_settings
+from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, Patch, check_patch
+from hoistsaddle.proxy.core_state import LocalServer
+from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
 
 SETTINGS: dict[str, Any] = {
@@ -77,7 +77,7 @@
 )
 
 
-class Papers(TestCase):
+class PlatformHeaders(TestCase):
     def read(self, **changes: Any) -> Settings:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "boot.json"
@@ -86,33 +86,34 @@
 
     def test_the_pages_example_makes_checked_params(self) -> None:
         settings = self.read()
-        broker = broker_params(settings)
-        self.assertThat(check_params(broker), IsInstance(Success))
+        sidecar = sidecar_settings(settings)
+        self.assertThat(check_settings(sidecar), IsInstance(Success))
         self.assertThat(
-            (broker.name, broker.zone, broker.listen, broker.door, broker.vitals_door, broker.ready_door),
+            (sidecar.name, sidecar.zone, sidecar.listen, sidecar.door, sidecar.health_door, sidecar.ready_door),
             Equals(("sidecar-mids-a-1", "mids-a", "10.1.0.8:7620", "10.1.0.8:8304", "10.1.0.8:8306", "10.1.0.8:8302")),
         )
-        self.assertThat(broker.seeds, Equals(["10.1.0.12:7620", "10.2.0.10:7620", "10.3.0.10:7620"]))
-        self.assertThat((broker.service, broker.server), Equals(("huvo11a", "10.1.0.8:8301")))
-        self.assertThat((broker.further_percent, broker.further_margin), Equals((20, 58)))
-        self.assertThat((broker.grace_seconds, broker.drain_seconds), Equals((6.0, 2.0)))
+        self.assertThat(sidecar.seeds, Equals(["10.1.0.12:7620", "10.2.0.10:7620", "10.3.0.10:7620"]))
+        self.assertThat((sidecar.service, sidecar.server), Equals(("huvo11a", "10.1.0.8:8301")))
+        self.assertThat((sidecar.further_percent, sidecar.further_margin), Equals((20, 58)))
+        self.assertThat((sidecar.grace_seconds, sidecar.drain_seconds), Equals((6.0, 2.0)))
         # A key is held for at least its window.
-        self.assertThat(broker.key_seconds >= 60, Equals(True))
+        self.assertThat(sidecar.key_seconds >= 60, Equals(True))
         # A server is silent only after more than one of its beats is missing.
-        self.assertThat(broker.vitals_seconds > 2 * 1.5, Equals(True))
+        self.assertThat(sidecar.health_seconds > 2 * 1.5, Equals(True))
 
     def test_a_core_machines_settings(self) -> None:
-        params = market_params(self.read(state_dir="/data", ip_addr="10.1.0.12"))
-        self.assertThat(check_params(params), IsInstance(Success))
+        daemon_settings = controller_settings(self.read(state_dir="/data", ip_addr="10.1.0.12"))
+        self.assertThat(check_settings(daemon_settings), IsInstance(Success))
         self.assertThat(
-            (params.host, params.data_folder, params.cold_start, params.losses), Equals(("10.1.0.12", "/data", True, 1))
+            (daemon_settings.host, daemon_settings.data_folder, daemon_settings.cold_start, daemon_settings.losses),
+            Equals(("10.1.0.12", "/data", True, 1)),
         )
-        self.assertThat(params.seeds, Equals(["10.1.0.12", "10.2.0.10", "10.3.0.10"]))
-        self.assertThat(params.bourse_port == params.warehouse_port, Equals(False))
+        self.assertThat(daemon_settings.seeds, Equals(["10.1.0.12", "10.2.0.10", "10.3.0.10"]))
+        self.assertThat(daemon_settings.registry_port == daemon_settings.store_port, Equals(False))
         for window, seconds in (("60", 600.0), ("0.1", 600.0), ("300", 3000.0), ("1e9", 86400.0)):
-            told = market_params(self.read(state_dir="/data", bounds=[f"key_window_s={window}"]))
-            self.assertThat((told.resend_seconds, type(check_params(told))), Equals((seconds, Success)))
-        refused = check_params(market_params(self.read(state_dir=None)))
+            told = controller_settings(self.read(state_dir="/data", bounds=[f"key_window_s={window}"]))
+            self.assertThat((told.resend_seconds, type(check_settings(told))), Equals((seconds, Success)))
+        refused = check_settings(controller_settings(self.read(state_dir=None)))
         self.assertThat(refused.failure().field, Equals("data_folder"))
 
     def test_fields_nobody_knows_yet_are_passed_over(self) -> None:
@@ -121,8 +122,8 @@
 
     def test_fewer_seeds_and_a_settled_mesh(self) -> None:
         settings = self.read(seed_nodes=["10.9.0.1:8306"], cold_start=False)
-        self.assertThat(broker_params(settings).seeds, Equals(["10.9.0.1:7620"]))
-        self.assertThat(market_params(settings).cold_start, Is(False))
+        self.assertThat(sidecar_settings(settings).seeds, Equals(["10.9.0.1:7620"]))
+        self.assertThat(controller_settings(settings).cold_start, Is(False))
 
     def test_bounds_as_a_list_of_texts_or_as_a_table(self) -> None:
         for bounds in (
@@ -137,23 +138,25 @@
 
     def test_fractions_of_a_share_are_not_lost_in_counting(self) -> None:
         for ratio, percent in (("0.29", 29), ("0.57", 57), ("0.2", 20), ("0", 0)):
-            params = broker_params(self.read(bounds=[f"budget_ratio={ratio}"]))
-            self.assertThat(params.further_percent, Equals(percent), ratio)
+            daemon_settings = sidecar_settings(self.read(bounds=[f"budget_ratio={ratio}"]))
+            self.assertThat(daemon_settings.further_percent, Equals(percent), ratio)
 
     def test_a_lease_follows_from_the_bounds(self) -> None:
         for contact, apply, lease in ((3, 2, 1.5), (2, 2, 1.0), (9, 1, 0.75), (60, 60, 1.5), (0.4, 9, 0.6)):
             settings = self.read(state_dir="/data", bounds=[f"contact_s={contact}", f"apply_s={apply}"])
-            for params in (broker_params(settings), market_params(settings)):
-                self.assertThat((params.lease_seconds, type(check_params(params))), Equals((lease, Success)))
+            for daemon_settings in (sidecar_settings(settings), controller_settings(settings)):
+                self.assertThat(
+                    (daemon_settings.lease_seconds, type(check_settings(daemon_settings))), Equals((lease, Success))
+                )
 
     def test_the_platforms_own_names_of_headers(self) -> None:
         self.assertThat(
-            tuple(WORDING),
+            tuple(HEADER_NAMES),
             Equals(("Attempt-Id", "Deadline-Ms", "Operation-Key", "Caller-Service", "Target-Instance", "Not-Run")),
         )
 
 
-class Goods(TestCase):
+class ConfigItems(TestCase):
     def read(self, body: str | bytes) -> Patch:
         return read_call(body.encode() if isinstance(body, str) else body).unwrap()
 
@@ -186,7 +189,7 @@
     def test_the_pages_second_call(self) -> None:
         patch = self.read(SECOND)
         self.assertThat([(each.kind, each.revision) for each in patch.sets], Equals([(ENTRY, 9)]))
-        self.assertThat(patch.drops, Equals([Dropping(ENTRY, 9, "r-old")]))
+        self.assertThat(patch.drops, Equals([ItemDeletion(ENTRY, 9, "r-old")]))
 
     def test_what_stands_is_given_back_word_for_word(self) -> None:
         patch = self.read(FIRST)
@@ -209,7 +212,7 @@
     def test_versions_go_by_their_numbers(self) -> None:
         for tag, revision in (("r0", 0), ("r9", 9), ("r12", 12), ("r100000", 100000)):
             patch = self.read(f'{{"remove":{{"services":[{{"name":"x","generation":"{tag}"}}]}}}}')
-            self.assertThat(patch.drops, Equals([Dropping(SERVICE, revision, "x")]))
+            self.assertThat(patch.drops, Equals([ItemDeletion(SERVICE, revision, "x")]))
 
     def test_all_kinds_of_routes(self) -> None:
         for said, kind in (
@@ -265,8 +268,8 @@
         ):
             told = read_call(body.encode())
             self.assertThat(told, IsInstance(Failure), body[:80])
-            mishap = told.failure()
-            self.assertThat((mishap.kind, mishap.remedy != ""), Equals((MishapKind.ITEM_BROKEN, True)))
+            error = told.failure()
+            self.assertThat((error.kind, error.remedy != ""), Equals((ErrorKind.ITEM_BROKEN, True)))
         self.assertThat(read_call(b"\xff\xfe{}"), IsInstance(Failure))
 
     def test_calls_that_make_no_sense_are_refused_by_the_product(self) -> None:
@@ -276,7 +279,7 @@
             {"split": [{"service": "huvo11a", "gain": -1}]},
             {"target_s": 63.0, "cutoff_s": 3},
             {"split": []},
-            # More than 64 bits: neither the log nor a stall could hold it.
+            # More than 64 bits: neither the log nor a proxy could hold it.
             {"rank": 10**30},
             {"tries": 2**64},
         ):
@@ -299,34 +302,34 @@
 
 class Core:
     def __init__(self) -> None:
-        self.mishap: Mishap | None = None
-        self.server: OwnServer | None = None
+        self.error: MeshError | None = None
+        self.server: LocalServer | None = None
 
-    def ready(self) -> Mishap | None:
-        return self.mishap
+    def ready(self) -> MeshError | None:
+        return self.error
 
 
 class Node:
     def __init__(self) -> None:
         self.core = Core()
-        self.told: list[Vitals] = []
+        self.told: list[HealthReported] = []
 
-    def feed(self, event: Vitals) -> None:
+    def feed(self, event: HealthReported) -> None:
         self.told.append(event)
-        self.core.server = OwnServer(event.service, event.instance, event.address, event.state, timedelta())
+        self.core.server = LocalServer(event.service, event.instance, event.address, event.state, timedelta())
 
 
 class Controller:
-    def __init__(self, patched: Result[dict, Mishap], items: Result[list, Mishap] = Success([])) -> None:  # noqa: B008
+    def __init__(self, patched: Result[dict, MeshError], items: Result[list, MeshError] = Success([])) -> None:  # noqa: B008
         self.patched = patched
         self.items = items
         self.patches: list[Patch] = []
 
-    async def patch(self, patch: Patch) -> Result[dict, Mishap]:
+    async def patch(self, patch: Patch) -> Result[dict, MeshError]:
         self.patches.append(patch)
         return self.patched
 
-    async def read_items(self, *, within: timedelta) -> Result[list, Mishap]:
+    async def read_items(self, *, within: timedelta) -> Result[list, MeshError]:
         return self.items
 
 
@@ -334,11 +337,11 @@
     return asyncio.run(work)
 
 
-class Beats(TestCase):
+class Heartbeats(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.node = Node()
-        self.door = BeatDoor(node=self.node)
+        self.door = HeartbeatHandler(node=self.node)
 
     def put(self, instance: str = "i-7f3a91c2", **changes: Any) -> int:
         beat = {
@@ -361,7 +364,7 @@
         self.assertThat(self.put(), Equals(200))
         self.assertThat(
             self.node.told,
-            Equals([Vitals("huvo11a", "i-7f3a91c2", "10.128.0.9:8080", READY, 9, timedelta())]),
+            Equals([HealthReported("huvo11a", "i-7f3a91c2", "10.128.0.9:8080", READY, 9, timedelta())]),
         )
 
     def test_a_late_beat_says_nothing_new(self) -> None:
@@ -410,36 +413,36 @@
     def test_200_or_503_with_when_to_come_back(self) -> None:
         node = Node()
         self.assertThat(answered(ready_door(node, Request("GET", "/-/ready"))).status, Equals(200))
-        node.core.mishap = Mishap(MishapKind.NO_SETUP, "not yet", "wait")
+        node.core.error = MeshError(ErrorKind.NO_CONFIGURATION, "not yet", "wait")
         told = answered(ready_door(node, Request("GET", "/-/ready")))
         self.assertThat((told.status, "Retry-After" in told.headers), Equals((503, True)))
 
 
 class Operators(TestCase):
-    def call(self, market: Controller, method: str = "PATCH", body: str = FIRST, path: str = "/-/config") -> Any:
-        return answered(OperatorDoor(market=market).handle(Request(method, path, body.encode())))
+    def call(self, controller: Controller, method: str = "PATCH", body: str = FIRST, path: str = "/-/config") -> Any:
+        return answered(ConfigurationHandler(controller=controller).handle(Request(method, path, body.encode())))
 
     def test_a_good_call_is_passed_on_whole_and_acknowledged(self) -> None:
-        market = Controller(Success({"number": 1}))
-        self.assertThat(self.call(market).status, Equals(200))
-        self.assertThat(market.patches, Equals([read_call(FIRST.encode()).unwrap()]))
+        controller = Controller(Success({"number": 1}))
+        self.assertThat(self.call(controller).status, Equals(200))
+        self.assertThat(controller.patches, Equals([read_call(FIRST.encode()).unwrap()]))
 
     def test_a_broken_call_is_refused_for_good_and_goes_nowhere(self) -> None:
-        market = Controller(Success({}))
-        self.assertThat((self.call(market, body="{").status, market.patches), Equals((400, [])))
+        controller = Controller(Success({}))
+        self.assertThat((self.call(controller, body="{").status, controller.patches), Equals((400, [])))
 
     def test_what_the_product_refuses_is_refused_for_good(self) -> None:
-        told = self.call(Controller(Failure(Mishap(MishapKind.ITEM_BROKEN, "wrong", "mend it", "sets[0].parts"))))
+        told = self.call(Controller(Failure(MeshError(ErrorKind.ITEM_BROKEN, "wrong", "mend it", "sets[0].parts"))))
         self.assertThat((told.status, told.text), Equals((400, told.text)))
         self.assertThat(told.text, Contains("sets[0].parts"))
-        taken = Mishap(MishapKind.ITEM_CONFLICT, "Revision 7 of entry pay has another content.", "higher", "sets[0]")
+        taken = MeshError(ErrorKind.ITEM_CONFLICT, "Revision 7 of entry pay has another content.", "higher", "sets[0]")
         told = self.call(Controller(Failure(taken)))
         self.assertThat((told.status, told.text), Equals((409, told.text)))
         self.assertThat(told.text, Contains("Revision 7 of entry pay"))
 
     def test_everything_else_is_unclear_and_worth_another_call(self) -> None:
-        for kind in (MishapKind.NO_LEADER, MishapKind.UNSURE, MishapKind.RELEASE_LEVEL, MishapKind.ORDER_UNSURE):
-            told = self.call(Controller(Failure(Mishap(kind, "not now", "again"))))
+        for kind in (ErrorKind.NO_LEADER, ErrorKind.UNSURE, ErrorKind.RELEASE_LEVEL, ErrorKind.ORDER_UNSURE):
+            told = self.call(Controller(Failure(MeshError(kind, "not now", "again"))))
             self.assertThat((told.status, "Retry-After" in told.headers), Equals((503, True)))
 
     def test_reading_gives_what_stands_or_says_that_it_cannot(self) -> None:
@@ -450,11 +453,11 @@
             json.loads(told.body),
             Equals({"route_table": [json.loads(ROUTE)], "services": [], "constraints": json.loads(CONSTRAINTS)}),
         )
-        away = self.call(Controller(Success({}), Failure(Mishap(MishapKind.NO_LEADER, "away", "again"))), "GET", "")
+        away = self.call(Controller(Success({}), Failure(MeshError(ErrorKind.NO_LEADER, "away", "again"))), "GET", "")
         self.assertThat((away.status, "Retry-After" in away.headers), Equals((503, True)))
 
     def test_no_other_calls(self) -> None:
-        market = Controller(Success({}))
-        self.assertThat(self.call(market, path="/-/other").status, Equals(404))
-        self.assertThat(self.call(market, method="DELETE").status, Equals(405))
-        self.assertThat(market.patches, Equals([]))
+        controller = Controller(Success({}))
+        self.assertThat(self.call(controller, path="/-/other").status, Equals(404))
+        self.assertThat(self.call(controller, method="DELETE").status, Equals(405))
+        self.assertThat(controller.patches, Equals([]))
--- a/tests/test_benchdays.py
+++ b/tests/test_benchdays.py
@@ -9,7 +9,7 @@
 from testtools.matchers import Equals, GreaterThan, MatchesAny
 
 from hoistsaddle.cli.commands import main
-from hoistsaddle.testbed.benchdays.points import POINTS
+from hoistsaddle.testbed.benchdays.scenarios import POINTS
 from hoistsaddle.testbed.benchdays.site import BenchSite, read_site
 from hoistsaddle.testbed.benchdays.writer import ALL, draw, text_of
 
--- a/tests/test_brief.py
+++ b/tests/test_brief.py
@@ -13,7 +13,7 @@
 
 TESTS = Path(__file__).parent
 sys.path.insert(0, str(TESTS))
-from plants import PLANTS  # noqa: E402
+from injected_faults import INJECTED_FAULTS  # noqa: E402
 
 BRIEF = (TESTS.parent / "docs" / "brief.md").read_text()
 
@@ -32,7 +32,7 @@
         there = {
             "sim": set(SCENARIOS) | set(CORE_SCENARIOS),
             "test": all_tests(),
-            "plant": {plant.name for plant in PLANTS},
+            "plant": {injected_fault.name for injected_fault in INJECTED_FAULTS},
         }
         named = re.findall(r"`(sim|test|plant):([^`]+)`", BRIEF)
         self.assertThat([f"{kind}:{name}" for kind, name in named if name not in there[kind]], Equals([]))
@@ -40,10 +40,15 @@
 
     def test_every_scenario_and_plant_is_named(self) -> None:
         named = {name for _, name in re.findall(r"`(sim|plant):([^`]+)`", BRIEF)}
-        there = set(SCENARIOS) | set(CORE_SCENARIOS) | {plant.name for plant in PLANTS}
+        there = set(SCENARIOS) | set(CORE_SCENARIOS) | {injected_fault.name for injected_fault in INJECTED_FAULTS}
         self.assertThat(sorted(there - named), Equals([]))
 
     def test_every_line_that_is_checked_has_a_row(self) -> None:
         rows = [line for line in BRIEF.split("## The product")[0].splitlines() if "`plant:" in line]
-        caught = {plant.line for plant in PLANTS for row in rows if f"`plant:{plant.name}`" in row}
+        caught = {
+            injected_fault.line
+            for injected_fault in INJECTED_FAULTS
+            for row in rows
+            if f"`plant:{injected_fault.name}`" in row
+        }
         self.assertThat(caught, Equals(set(CHECKERS)))
--- a/tests/test_bundles.py
+++ b/tests/test_config_bundles.py
@@ -4,7 +4,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals, IsInstance
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.bundle import read_bundle
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
@@ -46,9 +46,9 @@
             self.assertThat(GOOD.count(old) > 0, Equals(True), old)
             result = read_bundle(GOOD.replace(old, new, 1))
             self.assertThat(result, IsInstance(Failure), new)
-            mishap = result.failure()
+            error = result.failure()
             self.assertThat(
-                (mishap.kind, mishap.field, bool(mishap.remedy)), Equals((MishapKind.BUNDLE_BROKEN, field, True)), new
+                (error.kind, error.field, bool(error.remedy)), Equals((ErrorKind.BUNDLE_BROKEN, field, True)), new
             )
 
     def test_the_longest_path_wins_and_only_whole_segments_count(self) -> None:
--- a/tests/test_arcade.py
+++ b/tests/test_emulator.py
@@ -12,20 +12,20 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.items import Patch, pack_patch
 from hoistsaddle.statemachine import items
 from hoistsaddle.statemachine.commands import LEVEL, Outcome, PatchItems
-from hoistsaddle.statemachine.state import State, found_state
-from hoistsaddle.testbed.emulator.arena import play
+from hoistsaddle.statemachine.state import State, initial_state
 from hoistsaddle.testbed.emulator.checkers import RULES, check
-from hoistsaddle.testbed.emulator.customs import adapter
 from hoistsaddle.testbed.emulator.day import Day, draw_day
-from hoistsaddle.testbed.emulator.hunt import Hunted, Verdict, day_of, hunt, make_smaller
-from hoistsaddle.testbed.emulator.troubles import Kill
+from hoistsaddle.testbed.emulator.emulator import play
+from hoistsaddle.testbed.emulator.hunt import DayCase, Verdict, day_of, hunt, make_smaller
+from hoistsaddle.testbed.emulator.platform_adapter import adapter
+from hoistsaddle.testbed.emulator.scheduled_events import Kill
 
 sys.path.insert(0, str(Path(__file__).parent))
-from arcade_plants import DAYS, PLANTS  # noqa: E402
+from emulator_faults import DAYS, INJECTED_FAULTS  # noqa: E402
 
 # Plain days, and two about the control side with replaced machines, contested versions and repeated orders.
 SEEDS = (1, 2, 5)
@@ -36,12 +36,12 @@
 
 
 def rules_missed(place: int) -> set[str]:
-    plant = PLANTS[place]
-    with plant.patch():
-        return set(plant.rules) - set(broken(DAYS[plant.day]))
+    injected_fault = INJECTED_FAULTS[place]
+    with injected_fault.patch():
+        return set(injected_fault.rules) - set(broken(DAYS[injected_fault.day]))
 
 
-class ArcadeDays(TestCase):
+class EmulatorDays(TestCase):
     def test_days_of_the_plants_hold_without_them(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(zip(DAYS, pool.map(broken, DAYS.values()), strict=True))
@@ -49,13 +49,13 @@
 
     def test_drawn_days_hold(self) -> None:
         print("small days of seeds", SEEDS)
-        for verdict in hunt([Hunted(seed, small=True) for seed in SEEDS]):
-            self.assertThat((verdict.broken, verdict.failed), Equals(({}, "")), str(verdict.hunted))
+        for verdict in hunt([DayCase(seed, small=True) for seed in SEEDS]):
+            self.assertThat((verdict.broken, verdict.failed), Equals(({}, "")), str(verdict.day_case))
             # A day that serves nothing would break few rules.
-            self.assertThat(verdict.served * 2, GreaterThan(verdict.sent), str(verdict.hunted))
+            self.assertThat(verdict.served * 2, GreaterThan(verdict.sent), str(verdict.day_case))
 
     def test_a_seed_gives_the_same_day_again(self) -> None:
-        first, again = hunt([Hunted(1, small=True, only=(0, 1, 2))] * 2)
+        first, again = hunt([DayCase(1, small=True, only=(0, 1, 2))] * 2)
         self.assertThat(first, Equals(again))
         # Each process hashes names with a secret of its own, so an order taken from a set or a map shows here.
         code = (
@@ -73,18 +73,20 @@
             self.assertThat(said.strip(), Equals(first.digest))
 
 
-class ArcadePlants(TestCase):
+class EmulatorFaults(TestCase):
     def test_every_rule_has_a_plant(self) -> None:
-        self.assertThat({rule for plant in PLANTS for rule in plant.rules}, Equals(set(RULES)))
+        self.assertThat(
+            {rule for injected_fault in INJECTED_FAULTS for rule in injected_fault.rules}, Equals(set(RULES))
+        )
 
     def test_every_plant_is_caught(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
-            found = pool.map(rules_missed, range(len(PLANTS)))
-            missed = dict(zip((plant.name for plant in PLANTS), found, strict=True))
-        self.assertThat(missed, Equals({plant.name: set() for plant in PLANTS}))
+            found = pool.map(rules_missed, range(len(INJECTED_FAULTS)))
+            missed = dict(zip((injected_fault.name for injected_fault in INJECTED_FAULTS), found, strict=True))
+        self.assertThat(missed, Equals({injected_fault.name: set() for injected_fault in INJECTED_FAULTS}))
 
 
-class OrdersOfThePlatform(TestCase):
+class PlatformChanges(TestCase):
     def test_a_service_named_beside_a_split_is_checked_too(self) -> None:
         """The arcade's seed 52: such an order was acknowledged, though nobody knew the service."""
         samples = adapter("samples")
@@ -101,7 +103,7 @@
             revision=3,
         )
         patch = adapter("config_items").read_call(samples.call(routes=[{**told, "service": "nobody"}])).unwrap()
-        state = found_state(mesh="m", voters={}, operators={}, level=LEVEL)
+        state = initial_state(mesh="m", voters={}, operators={}, level=LEVEL)
         services = samples.call(services=[samples.service(name=name, revision=1) for name in ("known", "other")])
 
         def put(state: State, patch: Patch, offset: int) -> tuple[State, Outcome]:
@@ -109,23 +111,23 @@
 
         state, first = put(state, adapter("config_items").read_call(services).unwrap(), 1)
         _, second = put(state, patch, 2)
-        self.assertThat((first.mishap, second.mishap), Equals(("", MishapKind.ITEM_BROKEN)))
+        self.assertThat((first.error, second.error), Equals(("", ErrorKind.ITEM_BROKEN)))
 
 
 class Shrinking(TestCase):
     def test_a_failing_day_is_left_with_what_it_needs(self) -> None:
-        hunted = next(
+        day_case = next(
             each
-            for each in (Hunted(seed) for seed in range(1, 100))
-            if sum(isinstance(happening, Kill) for happening in day_of(each).happenings) >= 2
+            for each in (DayCase(seed) for seed in range(1, 100))
+            if sum(isinstance(happening, Kill) for happening in day_of(each).events) >= 2
         )
-        kills = [place for place, each in enumerate(day_of(hunted).happenings) if isinstance(each, Kill)][:2]
+        kills = [place for place, each in enumerate(day_of(day_case).events) if isinstance(each, Kill)][:2]
 
-        def run(tried: Hunted) -> Verdict:
+        def run(tried: DayCase) -> Verdict:
             # Only both kills together break the rule.
             bad = set(kills) <= set(tried.only or ())
             return Verdict(tried, 0, 0, "", {"TWICE": ["planted"]} if bad else {})
 
-        first = run(hunted._replace(only=tuple(range(len(draw_day(hunted.seed).happenings)))))
-        smaller = make_smaller(first, say=lambda text: None, run=run)
-        self.assertThat(smaller.hunted.only, Equals(tuple(kills)))
+        first = run(day_case._replace(only=tuple(range(len(draw_day(day_case.seed).events)))))
+        smaller = make_smaller(first, write_line=lambda text: None, run=run)
+        self.assertThat(smaller.day_case.only, Equals(tuple(kills)))
--- a/tests/test_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -16,16 +16,16 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.membership.relay import Relay
 from hoistsaddle.registry.controller import ControllerRegistry
 from hoistsaddle.registry.service import Registry
-from hoistsaddle.rpc.messages import PollCall, VitalsCall
+from hoistsaddle.rpc.messages import HealthCall, PollCall
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.testbed.emulator.day import BOUNDS, LEADER, Change, Cut, Day, DiskTrouble, Freeze, Kill, draw_site
+from hoistsaddle.testbed.emulator.day import BOUNDS, LEADER, Change, Day, DiskFault, Freeze, Kill, Partition, draw_site
 
 sys.path.insert(0, str(Path(__file__).parent))
-from watched import Seen, watch  # noqa: E402
+from emulator_witness import WitnessReport, watch  # noqa: E402
 
 # Longer than anybody's patience: the users' letter names twenty seconds and more.
 LONG = 22.0
@@ -34,13 +34,13 @@
 SIDES = ("side-00", "side-01")
 HOWS = ("add", "split", "times", "move", "add", "drop", "split", "times", "add", "split")
 CHANGES = tuple(
-    Change(4.0 + 2 * place, how, 17 * place + 3, desks=2 if place % 3 == 0 else 1) for place, how in enumerate(HOWS)
+    Change(4.0 + 2 * place, how, 17 * place + 3, operators=2 if place % 3 == 0 else 1) for place, how in enumerate(HOWS)
 )
 
 
-def day(seed: int, *happenings: tuple, seconds: float = 30.0) -> Day:
+def day(seed: int, *events: tuple, seconds: float = 30.0) -> Day:
     site = draw_site(seed, small=True)._replace(rate=5.0)
-    return Day(seed, site, tuple(sorted(happenings, key=lambda each: each.at)), seconds)
+    return Day(seed, site, tuple(sorted(events, key=lambda each: each.at)), seconds)
 
 
 def lost(name: str, at: float) -> Kill:
@@ -48,24 +48,24 @@
 
 
 DAYS = {
-    "leader silent": day(3, Cut(BEGINS, (LEADER,), CORE, LONG), *CHANGES),
-    "leader one way": day(4, Cut(BEGINS, (LEADER,), CORE, LONG, one_way=True), *CHANGES),
-    "leader with sidecars": day(5, Cut(BEGINS, (LEADER, *SIDES), CORE, LONG), *CHANGES),
+    "leader silent": day(3, Partition(BEGINS, (LEADER,), CORE, LONG), *CHANGES),
+    "leader one way": day(4, Partition(BEGINS, (LEADER,), CORE, LONG, one_way=True), *CHANGES),
+    "leader with sidecars": day(5, Partition(BEGINS, (LEADER, *SIDES), CORE, LONG), *CHANGES),
     "leader frozen": day(6, Freeze(BEGINS, (LEADER,), LONG), *CHANGES),
-    "leader's disk": day(7, DiskTrouble(BEGINS, LEADER, LONG, "stalled"), *CHANGES),
-    "follower one way": day(9, Cut(BEGINS, ("core-2",), CORE, LONG, one_way=True), *CHANGES),
+    "leader's disk": day(7, DiskFault(BEGINS, LEADER, LONG, "stalled"), *CHANGES),
+    "follower one way": day(9, Partition(BEGINS, ("core-2",), CORE, LONG, one_way=True), *CHANGES),
 }
 # Nobody leads from the second loss on.
 NO_MAJORITY = day(8, lost("core-0", 3.0), lost("core-1", 4.0), seconds=26.0)
 COUNT_FROM = 14.0
 
 
-def seen(name: str) -> Seen:
+def seen(name: str) -> WitnessReport:
     return watch(DAYS[name])
 
 
-def seen_with_old_for_new() -> Seen:
-    with mock.patch.object(ControllerRegistry, "_heard_leader", lambda registry: registry.runtime.now()):
+def seen_with_old_for_new() -> WitnessReport:
+    with mock.patch.object(ControllerRegistry, "_confirmed_current_at", lambda registry: registry.runtime.now()):
         # Those sidecars have nobody else to ask.
         return seen("leader with sidecars")
 
@@ -76,7 +76,7 @@
             found = dict(zip(DAYS, pool.map(seen, DAYS), strict=True))
         for name, each in found.items():
             print(name, "seed", DAYS[name].seed)
-            self.assertThat((each.broken, each.untrue, each.back), Equals(({}, [], [])), name)
+            self.assertThat((each.broken, each.overstated, each.back), Equals(({}, [], [])), name)
             # Whoever is fed by it moves on: only those that are cut off themselves go without fresh news for long.
             cut = SIDES if "sidecars" in name else ()
             for sidecar, longest in each.longest.items():
@@ -90,7 +90,7 @@
 
     def test_the_witness_sees_a_core_machine_that_takes_old_for_new(self) -> None:
         with ProcessPoolExecutor(1) as pool:
-            self.assertThat(pool.submit(seen_with_old_for_new).result().untrue, GreaterThan([]))
+            self.assertThat(pool.submit(seen_with_old_for_new).result().overstated, GreaterThan([]))
 
     def test_without_a_majority_little_is_sent(self) -> None:
         # In a process of its own, as every day here: what its lives leave behind goes with it.
@@ -119,10 +119,10 @@
         child = self.relay("child")
         news: list[tuple[int, int]] = [(1, 1)]
         found, late = [], []
-        moment = 100.0
+        timestamp = 100.0
         for _ in range(200):
-            moment += draw.uniform(0.0, 0.3)
-            now = timedelta(seconds=moment)
+            timestamp += draw.uniform(0.0, 0.3)
+            now = timedelta(seconds=timestamp)
             if draw.random() < 0.3:
                 epoch, revision = news[-1]
                 news.append((epoch + (draw.random() < 0.3), revision + draw.choice((0, 1, 3))))
@@ -132,7 +132,7 @@
             items = {f"item:{place}": (place, b"x") for place in range(revision)}
             if parent.copy.revision <= revision:
                 parent.confirmed(
-                    asked=now, mesh="m", revision=revision, items=items, vouched=digests_of(items), epoch=epoch
+                    asked=now, mesh="m", revision=revision, items=items, expected_digests=digests_of(items), epoch=epoch
                 )
             asked = draw.choice(parents)
             if asked.fresh(now=now):
@@ -161,7 +161,7 @@
             self.assertThat([found for seed in range(40) for found in self.walk(seed)], GreaterThan([]))
 
 
-class Vitals(TestCase):
+class HealthReported(TestCase):
     def test_a_registry_without_fresh_news_notes_nothing_and_says_so(self) -> None:
         """Its copy still shows the server as it is told; the log may have called it gone since."""
         relay = Relay(node="bourse-1", incarnation="life", lease_span=timedelta(seconds=1.5))
@@ -172,10 +172,10 @@
             relay=relay,
             runtime=SimpleNamespace(now=lambda: timedelta(seconds=21)),
             counters=SimpleNamespace(add=noted.append),
-            warden=SimpleNamespace(hear=lambda *told, **more: None, levels={}),
+            node_monitor=SimpleNamespace(record_heartbeat=lambda *told, **more: None, levels={}),
             view=SimpleNamespace(nodes={"side": node}, servers={}),
         )
-        call = VitalsCall("side", "life", "10.0.0.1:1", "z", "", "", "", "", 7, 1, 4)
-        told = asyncio.run(Registry.take_vitals(registry, call))
-        self.assertThat(told.mishap, Equals(str(MishapKind.NO_LEADER)))
+        call = HealthCall("side", "life", "10.0.0.1:1", "z", "", "", "", "", 7, 1, 4)
+        told = asyncio.run(Registry.record_health(registry, call))
+        self.assertThat(told.error, Equals(str(ErrorKind.NO_LEADER)))
         self.assertThat(noted, Equals(["vitals.not_fresh"]))
--- a/tests/test_emulator_disks.py
+++ b/tests/test_emulator_disks.py
@@ -9,8 +9,8 @@
 from testtools.matchers import Equals
 
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.raft.events import Mark
-from hoistsaddle.statemachine.state import found_state
+from hoistsaddle.raft.events import OffsetAndEpoch
+from hoistsaddle.statemachine.state import initial_state
 from hoistsaddle.testbed.emulator.disks import Disks, PowerLostError
 
 SEEDS = range(40)
@@ -34,7 +34,7 @@
         """Two files are synced; one is removed, one replaced and one made before the power goes."""
         folder = self.root / str(seed)
         folder.mkdir()
-        disks = Disks(draw=random.Random(seed))
+        disks = Disks(rng=random.Random(seed))
         disks.add(folder)
         with disks.watched():
             (folder / "kept").write_text("old")
@@ -57,23 +57,23 @@
         self.assertThat(len(found), Equals(2**3))
 
     def test_a_power_loss_in_a_snapshot_leaves_a_folder_that_boots(self) -> None:
-        state = found_state(mesh="m", voters={1: "a"}, operators={})
+        state = initial_state(mesh="m", voters={1: "a"}, operators={})
         names = set()
         for seed in SEEDS:
             folder = self.root / f"data-{seed}"
             folder.mkdir()
-            disks = Disks(draw=random.Random(seed))
+            disks = Disks(rng=random.Random(seed))
             disks.add(folder)
             with disks.watched():
                 disk = Disk(folder=folder, replica=1, synchronous="OFF")
                 disk.boot()
                 disk.found(mesh="m", voters={1: "a"}, operators={})
-                disks.fuse = seed % 3
+                disks.syncs_until_power_loss = seed % 3
                 try:
-                    disk.store_checkpoint(mark=Mark(5, 1), state=state._replace(offset=5, epoch=1))
+                    disk.store_checkpoint(checkpoint_id=OffsetAndEpoch(5, 1), state=state._replace(offset=5, epoch=1))
                 except PowerLostError:
-                    names.add(disks.fuse)
-                disks.fuse = None
+                    names.add(disks.syncs_until_power_loss)
+                disks.syncs_until_power_loss = None
                 ledger = {path: path.read_bytes() for path in folder.glob("ledger*")}
                 disk.close()
                 disks.lose_power(folder, ledger)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,24 +12,24 @@
 
 from fleets import THIMBLE, on_fleet
 from hoistsaddle.testbed.checkers import check
-from hoistsaddle.testbed.deployments import DEPLOYMENTS, Ask
+from hoistsaddle.testbed.deployments import DEPLOYMENTS, RequestKind
 from hoistsaddle.testbed.fleet import AUTHOR, SIGNER, Fleet
-from hoistsaddle.testbed.history import Got, Ran
+from hoistsaddle.testbed.history import RequestResult, RunStarted
 from hoistsaddle.testbed.load import Load
 from hoistsaddle.testbed.proof import prove
 
-PAY = Ask("POST", "/payments", True, 1)
+PAY = RequestKind("POST", "/payments", True, 1)
 
 
 class RealProcesses(TestCase):
     def test_a_day_of_harm(self) -> None:
-        """A rolling upgrade, racing and broken bundles, a drain, the leader wiped, stalls killed, everything killed."""
+        """A rolling upgrade, racing bundles, a drain, the leader wiped, proxies killed, everything killed."""
         said: list[str] = []
 
         async def run(folder: Path) -> Fleet:
             async with Fleet(deployment=THIMBLE, folder=folder, seed=4, former=True) as fleet:
                 await fleet.start()
-                await prove(fleet=fleet, seed=4, rate=30, say=said.append)
+                await prove(fleet=fleet, seed=4, rate=30, write_line=said.append)
             return fleet
 
         with tempfile.TemporaryDirectory() as folder:
@@ -38,40 +38,42 @@
         broken = {line: found for line, found in check(fleet.history, THIMBLE, timed=False).items() if found}
         self.assertThat(broken, Equals({}))
         self.assertThat({process.returncode is not None for process in fleet.processes.values()}, Equals({True}))
-        self.assertThat(sum(got.outcome == "answered" for got in fleet.history.of(Got)) > 100, Equals(True))
+        self.assertThat(sum(got.outcome == "answered" for got in fleet.history.of(RequestResult)) > 100, Equals(True))
 
     def test_frozen_machines_do_nothing_on_stale_authority(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            door = next(name for name, stall in fleet.stalls.items() if stall["service"] == "portal")
+            listener = next(name for name, proxy in fleet.proxies.items() if proxy["service"] == "portal")
             # Frozen with the old bundle; meanwhile a new one that forbids uploads comes into force without it.
-            fleet.freeze(door)
+            fleet.freeze(listener)
             text = fleet.deployment.first_bundle().replace("number = 1\nbased_on = 0", "number = 2\nbased_on = 1")
             head, _, tail = text.partition('name = "uploads"')
             answers = await fleet.roll_out(
                 head + 'name = "uploads"' + tail.replace('callers = ["visitors"]', 'callers = ["portal"]', 1)
             )
-            self.assertThat(answers[0]["machines"][door], Equals("lapsed"))
-            before = len([ran for ran in fleet.history.of(Ran) if ran.path == "/uploads"])
+            self.assertThat(answers[0]["machines"][listener], Equals("lapsed"))
+            before = len([ran for ran in fleet.history.of(RunStarted) if ran.path == "/uploads"])
             asking = asyncio.ensure_future(
-                load.insist(
-                    ask=Ask("POST", "/uploads", True, 1),
-                    visitor="late",
+                load.ask_until_run(
+                    ask=RequestKind("POST", "/uploads", True, 1),
+                    client="late",
                     key="late",
-                    door=fleet.stalls[door]["visitors"],
+                    listener=fleet.proxies[listener]["visitors"],
                 )
             )
             # The request lies in the frozen machine's door before it wakes.
             await asyncio.wait([asking], timeout=0.2)
-            fleet.wake(door)
+            fleet.wake(listener)
             got = await asking
             self.assertThat((got.outcome, got.status), Equals(("refused", 403)))
-            self.assertThat(len([ran for ran in fleet.history.of(Ran) if ran.path == "/uploads"]), Equals(before))
+            self.assertThat(
+                len([ran for ran in fleet.history.of(RunStarted) if ran.path == "/uploads"]), Equals(before)
+            )
 
         on_fleet(scenario)
 
     def test_a_request_on_a_standing_connection_is_answered_while_the_doors_close(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            host, _, port = fleet.visitor_doors()[0].rpartition(":")
+            host, _, port = fleet.client_addresses()[0].rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             stopping = asyncio.ensure_future(fleet.stop_process("stall-01"))
 
@@ -92,10 +94,10 @@
 
         on_fleet(scenario)
 
-    def test_what_visitors_do_wrong_is_refused_and_nothing_is_sent(self) -> None:
+    def test_what_clients_do_wrong_is_refused_and_nothing_is_sent(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            door = fleet.visitor_doors()[0]
-            url = f"http://{door}"
+            listener = fleet.client_addresses()[0]
+            url = f"http://{listener}"
             bearer = {"Authorization": "Bearer me"}
             key = {**bearer, "Idempotency-Key": "k1"}
             async with aiohttp.ClientSession() as session:
@@ -103,10 +105,10 @@
                 async def send(method: str, path: str, **more) -> tuple[int, str, str]:
                     async with session.request(method, yarl.URL(url + path, encoded=True), **more) as response:
                         told = await response.json()
-                        mishap = told.get("mishap", {})
-                        return response.status, response.headers["X-Hoistsaddle-Outcome"], mishap.get("kind", "")
+                        error = told.get("mishap", {})
+                        return response.status, response.headers["X-Hoistsaddle-Outcome"], error.get("kind", "")
 
-                ran = len(fleet.history.of(Ran))
+                ran = len(fleet.history.of(RunStarted))
                 refused = {
                     "no key": await send("POST", "/payments", json={"nonce": "x"}, headers=bearer),
                     "too large": await send("POST", "/payments", data=b"x" * 20000, headers=key),
@@ -140,44 +142,46 @@
                     b"POST /payments HTTP/1.1\r\nHost: a\r\nContent-Length: -4\r\n\r\n",
                     b"GET /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc",
                 ):
-                    host, _, port = door.rpartition(":")
+                    host, _, port = listener.rpartition(":")
                     reader, writer = await asyncio.open_connection(host, int(port))
                     writer.write(garbage)
                     line = await reader.readline()
                     self.assertThat((line[:7], line[8:12]), Equals((b"HTTP/1.", b" 400")), repr(garbage))
                     writer.close()
-                self.assertThat(len(fleet.history.of(Ran)), Equals(ran))
+                self.assertThat(len(fleet.history.of(RunStarted)), Equals(ran))
                 # The key runs once, its repeat gets the first answer, another body under it is refused.
-                first = await load.insist(ask=PAY, visitor="me", key="k2")
-                again = await load.insist(ask=PAY, visitor="me", key="k2", door=fleet.visitor_doors()[1])
+                first = await load.ask_until_run(ask=PAY, client="me", key="k2")
+                again = await load.ask_until_run(ask=PAY, client="me", key="k2", listener=fleet.client_addresses()[1])
                 self.assertThat(
                     (first.outcome, again.outcome, again.run, again.repeat),
                     Equals(("answered", "answered", first.run, True)),
                 )
-                other = await load.insist(ask=PAY, visitor="me", key="k2", body=b'{"nonce": "other"}')
+                other = await load.ask_until_run(ask=PAY, client="me", key="k2", body=b'{"nonce": "other"}')
                 self.assertThat((other.outcome, other.status), Equals(("refused", 422)))
                 # The same request under other credentials: a renewed token or somebody else, and nobody can say which.
-                someone = await load.insist(ask=PAY, visitor="someone else", key="k2")
+                someone = await load.ask_until_run(ask=PAY, client="someone else", key="k2")
                 self.assertThat((someone.outcome, someone.status, someone.run), Equals(("refused", 409, "")))
                 nobody = await send("POST", "/payments", json={"nonce": "x"}, headers={"Idempotency-Key": "k9"})
                 self.assertThat(nobody, Equals((400, "refused", "visitor-missing")))
-                self.assertThat(len([ran for ran in fleet.history.of(Ran) if ran.key == "k2"]), Equals(1))
-                self.assertThat({ran.caller for ran in fleet.history.of(Ran)}, Equals({"visitors"}))
+                self.assertThat(len([ran for ran in fleet.history.of(RunStarted) if ran.key == "k2"]), Equals(1))
+                self.assertThat({ran.caller for ran in fleet.history.of(RunStarted)}, Equals({"visitors"}))
 
         on_fleet(scenario)
 
     def test_what_servers_do_wrong_reaches_nobody(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            for manner in ("garbage", "truncate", "lose answer"):
-                for server in fleet.standins.values():
-                    server.manner = manner
-                read = await load.insist(ask=Ask("GET", "/readings", False, 1), visitor="me")
-                paid = await load.insist(ask=PAY, visitor="me", key=manner)
-                again = await load.insist(ask=PAY, visitor="me", key=manner)
+            for misbehaviour in ("garbage", "truncate", "lose answer"):
+                for server in fleet.stub_servers.values():
+                    server.misbehaviour = misbehaviour
+                read = await load.ask_until_run(ask=RequestKind("GET", "/readings", False, 1), client="me")
+                paid = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
+                again = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
                 self.assertThat(
-                    (read.outcome, paid.outcome, again.outcome), Equals(("unknown", "unknown", "still-working")), manner
+                    (read.outcome, paid.outcome, again.outcome),
+                    Equals(("unknown", "unknown", "still-working")),
+                    misbehaviour,
                 )
-            self.assertThat(len([ran for ran in fleet.history.of(Ran) if ran.key]), Equals(3))
+            self.assertThat(len([ran for ran in fleet.history.of(RunStarted) if ran.key]), Equals(3))
 
         on_fleet(scenario)
 
@@ -290,7 +294,7 @@
             _, said = await process.communicate()
             return process.returncode, said.decode()
 
-        stall = [
+        proxy = [
             "stall",
             "--name",
             "s",
@@ -307,8 +311,8 @@
 
         async def all_of_them() -> list[tuple[tuple[int, str], str]]:
             cases = [
-                (stall + seeds, "field seeds"),
-                (stall + seeds + ["--seed", "localhost:3"], "field seeds[2]"),
+                (proxy + seeds, "field seeds"),
+                (proxy + seeds + ["--seed", "localhost:3"], "field seeds[2]"),
                 (["stall", "--name", "s"], "field zone"),
                 (
                     [
--- a/tests/test_fleet_hardships.py
+++ b/tests/test_fleet_faults.py
@@ -13,39 +13,41 @@
 
 from fleets import THIMBLE, on_fleet
 from hoistsaddle.testbed.checkers import check
-from hoistsaddle.testbed.deployments import Ask
+from hoistsaddle.testbed.deployments import RequestKind
 from hoistsaddle.testbed.fleet import AUTHOR, SIGNER, Fleet
-from hoistsaddle.testbed.history import Got, Ran
+from hoistsaddle.testbed.history import RequestResult, RunStarted
 from hoistsaddle.testbed.load import Load
-from hoistsaddle.testbed.standins import StandIn
+from hoistsaddle.testbed.stub_servers import StubServer
 
-PAY = Ask("POST", "/payments", True, 1)
-READ = Ask("GET", "/readings", False, 1)
-STATEMENTS = Ask("GET", "/statements", False, 1)
+PAY = RequestKind("POST", "/payments", True, 1)
+READ = RequestKind("GET", "/readings", False, 1)
+STATEMENTS = RequestKind("GET", "/statements", False, 1)
 HUGE = "9" * 40
 
 
-class Hardships(TestCase):
+class Faults(TestCase):
     def held(self, fleet: Fleet) -> None:
         broken = {line: found for line, found in check(fleet.history, THIMBLE, timed=False).items() if found}
         self.assertThat(broken, Equals({}))
 
     def test_half_closed_connections_give_nobody_half_an_answer(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            for manner in ("half close", "unmarked"):
-                for server in fleet.standins.values():
-                    server.manner = manner
-                read = await load.insist(ask=READ, visitor="me")
-                paid = await load.insist(ask=PAY, visitor="me", key=manner)
-                again = await load.insist(ask=PAY, visitor="me", key=manner)
+            for misbehaviour in ("half close", "unmarked"):
+                for server in fleet.stub_servers.values():
+                    server.misbehaviour = misbehaviour
+                read = await load.ask_until_run(ask=READ, client="me")
+                paid = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
+                again = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
                 self.assertThat(
-                    (read.outcome, paid.outcome, again.outcome), Equals(("unknown", "unknown", "still-working")), manner
+                    (read.outcome, paid.outcome, again.outcome),
+                    Equals(("unknown", "unknown", "still-working")),
+                    misbehaviour,
                 )
                 self.assertThat((paid.retry_after, again.retry_after), Equals((True, True)))
-            for server in fleet.standins.values():
-                server.manner = ""
-            # A visitor that closes its own half after asking: its payment runs once, whatever it gets to hear.
-            host, _, port = fleet.visitor_doors()[0].rpartition(":")
+            for server in fleet.stub_servers.values():
+                server.misbehaviour = ""
+            # A client that closes its own half after asking: its payment runs once, whatever it gets to hear.
+            host, _, port = fleet.client_addresses()[0].rpartition(":")
             body = b'{"nonce": "key-half"}'
             for _ in range(2):
                 reader, writer = await asyncio.open_connection(host, int(port))
@@ -58,14 +60,14 @@
                 writer.close()
 
             async def settled() -> bool:
-                return (await load.insist(ask=READ, visitor="me")).outcome == "answered"
+                return (await load.ask_until_run(ask=READ, client="me")).outcome == "answered"
 
-            await fleet.until(settled, seconds=10, what="serving after half-closed visitors")
-            self.assertThat(len([ran for ran in fleet.history.of(Ran) if ran.key == "half"]) <= 1, Equals(True))
+            await fleet.until(settled, seconds=10, what="serving after half-closed clients")
+            self.assertThat(len([ran for ran in fleet.history.of(RunStarted) if ran.key == "half"]) <= 1, Equals(True))
 
         fleet = on_fleet(scenario)
         broken = {line: found for line, found in check(fleet.history, THIMBLE, timed=False).items() if found}
-        # The half-closed visitor's own request was sent by hand, so no caller of the history asked it.
+        # The half-closed client's own request was sent by hand, so no caller of the history asked it.
         broken.pop("callers are told truly", None)
         self.assertThat(broken, Equals({}))
 
@@ -73,7 +75,7 @@
         async def scenario(fleet: Fleet, load: Load) -> None:
             loading = asyncio.ensure_future(load.run(10**9))
             names = list(fleet.kinds)
-            stalls = [name for name in names if name.startswith("stall")]
+            proxies = [name for name in names if name.startswith("stall")]
 
             async def led() -> bool:
                 status, _ = await fleet.operate("GET", "/setup", doors=fleet.doors[1:])
@@ -96,13 +98,13 @@
                 states = await fleet.ready_states()
                 return states["stall-01"] is not None and not states["stall-01"]["ready"]
 
-            await fleet.until(closed, seconds=20, what="the isolated stall stops")
+            await fleet.until(closed, seconds=20, what="the isolated proxy stops")
             fleet.heal()
             await fleet.until(fleet.all_ready, seconds=30, what="ready after isolation")
             load.stopping = True
             await loading
-            self.assertThat(len(stalls), Equals(6))
-            answered = sum(got.outcome == "answered" for got in fleet.history.of(Got))
+            self.assertThat(len(proxies), Equals(6))
+            answered = sum(got.outcome == "answered" for got in fleet.history.of(RequestResult))
             self.assertThat(answered, GreaterThan(50))
 
         self.held(on_fleet(scenario, faults=True))
@@ -116,40 +118,42 @@
 
             first = await leader()
             held = fleet.stall_disk(first)
-            door = fleet.doors[first - 1]
+            listener = fleet.doors[first - 1]
 
             async def another() -> bool:
                 # Something must be written for the wait to show.
-                await load.insist(ask=PAY, visitor="me", key=f"stalled-{fleet.random.random()}")
+                await load.ask_until_run(ask=PAY, client="me", key=f"stalled-{fleet.random.random()}")
                 return await leader() not in (0, first)
 
             await fleet.until(another, seconds=40, what="another leader")
-            status, told = await fleet.operate("GET", "/ready", doors=(door,))
+            status, told = await fleet.operate("GET", "/ready", doors=(listener,))
             held.close()
 
             async def ready() -> bool:
-                status, _ = await fleet.operate("GET", "/ready", doors=(door,))
+                status, _ = await fleet.operate("GET", "/ready", doors=(listener,))
                 return status == 200
 
             await fleet.until(ready, seconds=30, what="ready once its disk writes")
             self.assertThat((status, told["ready"], bool(told["why"]["remedy"])), Equals((503, False, True)))
-            paid = await load.insist(ask=PAY, visitor="me", key="after")
+            paid = await load.ask_until_run(ask=PAY, client="me", key="after")
             self.assertThat(paid.outcome, Equals("answered"))
 
         self.held(on_fleet(scenario))
 
     def test_planned_stops_and_rollouts_finish_what_is_slow(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            async def slow(what: Callable[[], Coroutine], *, door: str, service: str) -> Got:
+            async def slow(what: Callable[[], Coroutine], *, listener: str, service: str) -> RequestResult:
                 """A payment in the middle of its run while something planned happens."""
                 hold = asyncio.Event()
-                for server in fleet.standins.values():
+                for server in fleet.stub_servers.values():
                     server.hold = hold if server.service == service else None
-                before = len(fleet.history.of(Ran))
-                asking = asyncio.ensure_future(load.insist(ask=PAY, visitor="me", key=f"slow-{before}", door=door))
+                before = len(fleet.history.of(RunStarted))
+                asking = asyncio.ensure_future(
+                    load.ask_until_run(ask=PAY, client="me", key=f"slow-{before}", listener=listener)
+                )
 
                 async def running() -> bool:
-                    return len(fleet.history.of(Ran)) > before
+                    return len(fleet.history.of(RunStarted)) > before
 
                 await fleet.until(running, seconds=10, what="the slow run has begun")
                 doing = asyncio.ensure_future(what())
@@ -166,44 +170,44 @@
             async def roll() -> None:
                 await fleet.roll_out(fleet.deployment.next_bundle(number=2, based_on=1))
 
-            doors = {name: stall["visitors"] for name, stall in fleet.stalls.items()}
+            doors = {name: proxy["visitors"] for name, proxy in fleet.proxies.items()}
             entry, machine = "stall-01", ["bourse-1", "warehouse-1"]
             rounds: list[tuple[str, Callable[[], Coroutine], list[str]]] = [
                 ("a roll-out", roll, []),
-                ("the entry's stall", lambda: stop(entry), [entry]),
+                ("the entry's proxy", lambda: stop(entry), [entry]),
                 ("a core machine", lambda: asyncio.gather(*map(stop, machine)), machine),
             ]
             for what, do, names in rounds:
-                got = await slow(do, door=doors[entry], service="ledger")
+                got = await slow(do, listener=doors[entry], service="ledger")
                 self.assertThat((got.outcome, got.status), Equals(("answered", 200)), what)
                 for name in names:
                     await fleet.launch(name)
                 await fleet.until(fleet.all_ready, seconds=30, what=f"ready after {what}")
-            # Every target's stall in turn: one of them runs it, and all of them stop as planned.
-            ledgers = [name for name, stall in fleet.stalls.items() if stall["service"] == "ledger"]
+            # Every target's proxy in turn: one of them runs it, and all of them stop as planned.
+            ledgers = [name for name, proxy in fleet.proxies.items() if proxy["service"] == "ledger"]
             got = await slow(
-                lambda: asyncio.gather(*(stop(name) for name in ledgers)), door=doors["stall-03"], service="ledger"
+                lambda: asyncio.gather(*(stop(name) for name in ledgers)), listener=doors["stall-03"], service="ledger"
             )
-            self.assertThat((got.outcome, got.status), Equals(("answered", 200)), "the target's stall")
+            self.assertThat((got.outcome, got.status), Equals(("answered", 200)), "the target's proxy")
 
         self.held(on_fleet(scenario))
 
     def test_an_old_process_is_not_taken_for_its_successor(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            old = fleet.standins["stall-01"]
+            old = fleet.stub_servers["stall-01"]
             first = await old.call_inner("GET", "/balance", "one")
             self.assertThat((first["status"], first["outcome"]), Equals((200, "answered")))
             # Another service's server takes the address over; the old process lives on and calls.
             await old.runner.cleanup()
             old.runner = None
             old.task.cancel()
-            fresh = StandIn(
+            fresh = StubServer(
                 service="ledger",
                 address=old.address,
                 inner_door=old.inner_door,
                 deployment=THIMBLE,
                 history=fleet.history,
-                stall="stall-01",
+                proxy="stall-01",
             )
             await fresh.start()
 
@@ -214,7 +218,7 @@
             await fleet.until(heard, seconds=10, what="the successor is heard")
             late = await old.call_inner("GET", "/balance", "two")
             self.assertThat((late["status"], late["outcome"]), Equals((403, "refused")))
-            self.assertThat([ran for ran in fleet.history.of(Ran) if ran.request == "two"], Equals([]))
+            self.assertThat([ran for ran in fleet.history.of(RunStarted) if ran.request == "two"], Equals([]))
             await old.session.close()
             await fresh.stop()
 
@@ -222,11 +226,11 @@
 
     def test_garbage_on_every_call_is_refused_by_kind_and_does_nothing(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            door, stall = fleet.doors[0], fleet.stalls["stall-01"]
+            listener, proxy = fleet.doors[0], fleet.proxies["stall-01"]
 
             async def all_noted() -> bool:
                 _, told = await fleet.operate("GET", "/setup")
-                return len(told["nodes"]) == len(fleet.stalls) + len(fleet.doors)
+                return len(told["nodes"]) == len(fleet.proxies) + len(fleet.doors)
 
             await fleet.until(all_noted, seconds=20, what="every node is noted")
             _, before = await fleet.operate("GET", "/setup")
@@ -266,15 +270,15 @@
 
                 for path in paths:
                     for body in bodies:
-                        await send("POST", door, path, body)
+                        await send("POST", listener, path, body)
                 for path in ("/happenings?after=", "/happenings?warehouse=", "/bundles/"):
                     for number in ("-1", "x", HUGE, "%C2%B2", "1.5"):
-                        await send("GET", door, path + number, b"")
+                        await send("GET", listener, path + number, b"")
                 for odd in ("a b", "x" * 300, "\u00e9"):
-                    await send("POST", door, "/servers/stall-02/drain", b"{}", {"X-Request-Id": odd})
-                # The stall's doors.
+                    await send("POST", listener, "/servers/stall-02/drain", b"{}", {"X-Request-Id": odd})
+                # The proxy's doors.
                 for body in (*bodies, b'{"service": "x"}', b'{"service": "a b", "instance": "i"}'):
-                    await send("POST", stall["inner"], "/hoistsaddle/vitals", body)
+                    await send("POST", proxy["inner"], "/hoistsaddle/vitals", body)
                 good = {"service": "ledger", "instance": "i", "address": "127.0.0.1:1", "state": "ready"}
                 for field, value in (
                     ("service", "a\r\nb"),
@@ -286,14 +290,14 @@
                     ("state", 1),
                 ):
                     await send(
-                        "POST", stall["inner"], "/hoistsaddle/vitals", msgspec.json.encode({**good, field: value})
+                        "POST", proxy["inner"], "/hoistsaddle/vitals", msgspec.json.encode({**good, field: value})
                     )
                 for number in ("-1", HUGE, "%C2%B2"):
-                    await send("GET", stall["visitors"], f"/hoistsaddle/happenings?after={number}", b"")
+                    await send("GET", proxy["visitors"], f"/hoistsaddle/happenings?after={number}", b"")
             wrong = [each for each in answers if not 400 <= each[1] < 500 or not each[2]]
             self.assertThat(wrong, Equals([]))
             # Bytes that are no text, in the path and in headers.
-            host, _, port = stall["visitors"].rpartition(":")
+            host, _, port = proxy["visitors"].rpartition(":")
             for line in (
                 b"GET /readings\xff HTTP/1.1\r\nHost: a\r\n\r\n",
                 b"GET /readings?nonce=1 HTTP/1.1\r\nHost: a\r\nAuthorization: \xff\xfe\r\n\r\n",
@@ -348,9 +352,9 @@
                 "disk_stall_seconds": "1.0",
             },
         }
-        from hoistsaddle.common.settings import ProxyParams, RegistryParams, StoreParams, read_params
+        from hoistsaddle.common.settings import ProxySettings, RegistrySettings, StoreSettings, read_settings_file
 
-        kinds = {"stall": ProxyParams, "bourse": RegistryParams, "warehouse": StoreParams}
+        kinds = {"stall": ProxySettings, "bourse": RegistrySettings, "warehouse": StoreSettings}
         odd = ("[[1]]", "-1", HUGE, "1e300", "nan", "true", '"\\u0000"', '""', "1979-05-27", "{}")
         # What is right for a field isn't wrong: an empty path means no faults, and 1 s is a fine number of records.
         fine = {("line_faults", '""'), ("line_faults", '"\\u0000"')}
@@ -359,7 +363,7 @@
 
             def refusal(kind: str, fields: dict[str, str]) -> str:
                 path.write_text("\n".join(f"{name} = {value}" for name, value in fields.items()))
-                result = read_params(kind=kinds[kind], path=str(path), flags={})
+                result = read_settings_file(kind=kinds[kind], path=str(path), flags={})
                 return "" if result.value_or(None) is not None else str(result.failure())
 
             for kind, fields in good.items():
@@ -378,5 +382,5 @@
             path.write_bytes(b"\xff\xfe")
             for text in (b"\xff\xfe", b"a = ", b"a = " + b"[" * 100000):
                 path.write_bytes(text)
-                result = read_params(kind=ProxyParams, path=str(path), flags={})
+                result = read_settings_file(kind=ProxySettings, path=str(path), flags={})
                 self.assertThat(str(result.failure()), Contains("Remedy:"))
--- a/tests/test_planted_faults.py
+++ b/tests/test_injected_faults.py
@@ -14,29 +14,37 @@
 from hoistsaddle.testbed.simulation.deployment import simulate
 
 sys.path.insert(0, str(Path(__file__).parent))
-from plants import PLANTS  # noqa: E402
+from injected_faults import INJECTED_FAULTS  # noqa: E402
 
 
 def caught(place: int) -> bool | str:
-    plant = PLANTS[place]
+    injected_fault = INJECTED_FAULTS[place]
     warnings.simplefilter("ignore", RuntimeWarning)
-    for seed in plant.seeds:
+    for seed in injected_fault.seeds:
         try:
-            with plant.patch():
-                whole = simulate(deployment=DEPLOYMENTS[plant.deployment], seed=seed, scenario=plant.scenario)
+            with injected_fault.patch():
+                complete = simulate(
+                    deployment=DEPLOYMENTS[injected_fault.deployment], seed=seed, scenario=injected_fault.scenario
+                )
         except Exception as problem:
             # A run that can't go on shows the fault, but not that its checker sees it.
             return f"{type(problem).__name__}: {str(problem)[:300]}"
-        if check(whole.history, whole.deployment)[plant.line]:
+        if check(complete.history, complete.deployment)[injected_fault.line]:
             return True
     return False
 
 
-class PlantedFaults(TestCase):
+class InjectedFaults(TestCase):
     def test_every_line_has_a_plant(self) -> None:
-        self.assertThat({plant.line for plant in PLANTS}, Equals(set(CHECKERS)))
+        self.assertThat({injected_fault.line for injected_fault in INJECTED_FAULTS}, Equals(set(CHECKERS)))
 
     def test_every_plant_is_caught(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
-            found = dict(zip((plant.name for plant in PLANTS), pool.map(caught, range(len(PLANTS))), strict=True))
+            found = dict(
+                zip(
+                    (injected_fault.name for injected_fault in INJECTED_FAULTS),
+                    pool.map(caught, range(len(INJECTED_FAULTS))),
+                    strict=True,
+                )
+            )
         self.assertThat(dict.fromkeys(found, True), Equals(found))
--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -12,7 +12,12 @@
 from testtools import TestCase
 from testtools.matchers import Equals, IsInstance, raises
 
-from hoistsaddle.raft.checkpoint import mark_of, name_of, pack_checkpoint, unpack_checkpoint
+from hoistsaddle.raft.checkpoint import (
+    checkpoint_file_name,
+    pack_checkpoint,
+    parse_checkpoint_file_name,
+    unpack_checkpoint,
+)
 from hoistsaddle.raft.core import (
     LEADER,
     NOT_LEADER_FOR_PARTITION,
@@ -30,11 +35,11 @@
     Capture,
     CheckpointLoaded,
     CheckpointStored,
-    Concluded,
     DropCheckpoints,
-    Mark,
-    Pace,
+    OffsetAndEpoch,
     ProposalArrived,
+    ProposalResult,
+    RaftTimings,
     RaiseArrived,
     ReadChunk,
     Send,
@@ -44,20 +49,20 @@
     Write,
 )
 from hoistsaddle.rpc.messages import (
-    BallotAnswer,
-    BallotCall,
+    BeginEpochCall,
     FetchAnswer,
     FetchCall,
-    LeadCall,
-    PullAnswer,
-    PullCall,
+    FetchSnapshotAnswer,
+    FetchSnapshotCall,
     Record,
+    VoteAnswer,
+    VoteCall,
 )
 from hoistsaddle.statemachine.commands import ClaimHold, RaiseLevel, pack_command
-from hoistsaddle.statemachine.state import State, found_state
+from hoistsaddle.statemachine.state import State, initial_state
 
 VOTERS = {1: "one", 2: "two", 3: "three"}
-PACE = Pace(checkpoint_records=5)
+TIMINGS = RaftTimings(checkpoint_records=5)
 
 
 def claim(number: int) -> bytes:
@@ -68,23 +73,23 @@
     """One core on a bench: its writes are synced at once, the rest is kept to be looked at."""
 
     def __init__(self, *, replica: int = 1, boot: Boot | None = None) -> None:
-        state = found_state(mesh="m", voters=VOTERS, operators={})
+        state = initial_state(mesh="m", voters=VOTERS, operators={})
         boot = boot or Boot(
             replica=replica,
             incarnation=VOTERS[replica],
             voters=tuple(VOTERS.items()),
             mesh="m",
-            checkpoint=Mark(0, 0),
+            checkpoint=OffsetAndEpoch(0, 0),
             state=state,
         )
-        self.moment = timedelta(seconds=100)
-        self.core = RaftCore(boot=boot, replicas=(1, 2, 3), pace=PACE, seed=random.Random(1), now=self.moment)
+        self.timestamp = timedelta(seconds=100)
+        self.core = RaftCore(boot=boot, replicas=(1, 2, 3), timings=TIMINGS, seed=random.Random(1), now=self.timestamp)
         self.commands: list[tuple] = []
         self.tickets = 0
 
     def feed(self, event: tuple, *, later: timedelta = timedelta(), sync: bool = True) -> list[tuple]:
-        self.moment += later
-        commands = self.core.handle(event, now=self.moment)
+        self.timestamp += later
+        commands = self.core.handle(event, now=self.timestamp)
         self.commands += commands
         for command in commands:
             if sync and isinstance(command, Write):
@@ -112,16 +117,16 @@
 
     def lead(self) -> "Bench":
         self.feed(Ticked(), later=timedelta(seconds=2))
-        for trial in (True, False):
-            epoch = self.core.epoch + 1 if trial else self.core.epoch
+        for pre_vote in (True, False):
+            epoch = self.core.epoch + 1 if pre_vote else self.core.epoch
             self.feed(
                 AnswerArrived(
-                    self.sent(BallotCall)[-1].number,
+                    self.sent(VoteCall)[-1].number,
                     2,
-                    BallotAnswer(epoch - 1 if trial else epoch, 2, "two", True, trial, epoch),
+                    VoteAnswer(epoch - 1 if pre_vote else epoch, 2, "two", True, pre_vote, epoch),
                 )
             )
-        assert self.core.standing == LEADER
+        assert self.core.role == LEADER
         return self
 
     def fetch(
@@ -130,13 +135,13 @@
         offset: int,
         epoch: int,
         *,
-        whole: bool = True,
+        complete: bool = True,
         incarnation: str = "",
         later: timedelta = timedelta(),
     ) -> FetchAnswer | None:
         return self.call(
             FetchCall(
-                "m", replica, incarnation or VOTERS[replica], self.core.epoch, offset, epoch, self.core.round, whole
+                "m", replica, incarnation or VOTERS[replica], self.core.epoch, offset, epoch, self.core.round, complete
             ),
             later=later,
         )
@@ -152,23 +157,29 @@
 
 class Checkpoints(TestCase):
     def test_names_hold_offset_of_twenty_digits_and_epoch(self) -> None:
-        self.assertThat(name_of(Mark(5120793, 2)), Equals("00000000000005120793-2.checkpoint"))
-        self.assertThat(mark_of("00000000000005120793-2.checkpoint"), Equals(Mark(5120793, 2)))
-        self.assertThat(mark_of("00000000000005120793-2.checkpoint.part"), Equals(None))
+        self.assertThat(checkpoint_file_name(OffsetAndEpoch(5120793, 2)), Equals("00000000000005120793-2.checkpoint"))
+        self.assertThat(
+            parse_checkpoint_file_name("00000000000005120793-2.checkpoint"), Equals(OffsetAndEpoch(5120793, 2))
+        )
+        self.assertThat(parse_checkpoint_file_name("00000000000005120793-2.checkpoint.part"), Equals(None))
 
     def test_torn_files_are_recognised_wherever_they_tear(self) -> None:
-        mark, state = (
-            Mark(7, 2),
-            found_state(mesh="m", voters=VOTERS, operators={"ada": "d"})._replace(offset=7, epoch=2),
+        checkpoint_id, state = (
+            OffsetAndEpoch(7, 2),
+            initial_state(mesh="m", voters=VOTERS, operators={"ada": "d"})._replace(offset=7, epoch=2),
         )
-        data = pack_checkpoint(mark=mark, state=state)
-        self.assertThat(unpack_checkpoint(mark=mark, data=data).unwrap(), Equals(state))
+        data = pack_checkpoint(checkpoint_id=checkpoint_id, state=state)
+        self.assertThat(unpack_checkpoint(checkpoint_id=checkpoint_id, data=data).unwrap(), Equals(state))
         for length in range(0, len(data), 7):
-            self.assertThat(unpack_checkpoint(mark=mark, data=data[:length]), IsInstance(Failure), str(length))
+            self.assertThat(
+                unpack_checkpoint(checkpoint_id=checkpoint_id, data=data[:length]), IsInstance(Failure), str(length)
+            )
         for place in range(0, len(data), 5):
             spoilt = data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]
-            self.assertThat(unpack_checkpoint(mark=mark, data=spoilt), IsInstance(Failure), str(place))
-        self.assertThat(unpack_checkpoint(mark=Mark(8, 2), data=data), IsInstance(Failure))
+            self.assertThat(
+                unpack_checkpoint(checkpoint_id=checkpoint_id, data=spoilt), IsInstance(Failure), str(place)
+            )
+        self.assertThat(unpack_checkpoint(checkpoint_id=OffsetAndEpoch(8, 2), data=data), IsInstance(Failure))
 
     def test_one_is_taken_after_the_minimum_of_committed_records_and_no_sooner(self) -> None:
         bench = Bench().lead()
@@ -181,7 +192,8 @@
         bench.commit()
         capture = bench.of(Capture)[0]
         self.assertThat(
-            (capture.mark.offset, capture.state.offset), Equals((bench.core.high_watermark, bench.core.high_watermark))
+            (capture.checkpoint_id.offset, capture.state.offset),
+            Equals((bench.core.high_watermark, bench.core.high_watermark)),
         )
 
     def test_the_capture_stands_still_while_records_apply(self) -> None:
@@ -189,64 +201,64 @@
         bench.write(6)
         bench.commit()
         capture = bench.of(Capture)[0]
-        before = pack_checkpoint(mark=capture.mark, state=capture.state)
+        before = pack_checkpoint(checkpoint_id=capture.checkpoint_id, state=capture.state)
         bench.write(5)
         bench.commit()
-        self.assertThat(bench.core.state.offset > capture.mark.offset, Equals(True))
-        self.assertThat(pack_checkpoint(mark=capture.mark, state=capture.state), Equals(before))
+        self.assertThat(bench.core.state.offset > capture.checkpoint_id.offset, Equals(True))
+        self.assertThat(pack_checkpoint(checkpoint_id=capture.checkpoint_id, state=capture.state), Equals(before))
 
 
 class BeginOffset(TestCase):
-    def leader_with_checkpoint(self) -> tuple[Bench, Mark]:
+    def leader_with_checkpoint(self) -> tuple[Bench, OffsetAndEpoch]:
         bench = Bench().lead()
         bench.write(6)
         bench.commit()
-        return bench, bench.of(Capture)[0].mark
+        return bench, bench.of(Capture)[0].checkpoint_id
 
     def test_it_waits_for_every_live_replica(self) -> None:
-        bench, mark = self.leader_with_checkpoint()
+        bench, checkpoint_id = self.leader_with_checkpoint()
         bench.fetch(3, 1, 0)
-        bench.feed(CheckpointStored(mark, 100))
+        bench.feed(CheckpointStored(checkpoint_id, 100))
         self.assertThat(bench.core.begin_offset, Equals(1))
         last = bench.core.last
         bench.fetch(3, last.offset + 1, last.epoch)
         bench.feed(Ticked())
-        self.assertThat(bench.core.begin_offset, Equals(mark.offset + 1))
-        self.assertThat(bench.of(DropCheckpoints)[-1].below, Equals(mark.offset))
+        self.assertThat(bench.core.begin_offset, Equals(checkpoint_id.offset + 1))
+        self.assertThat(bench.of(DropCheckpoints)[-1].below, Equals(checkpoint_id.offset))
 
     def test_it_waits_no_longer_than_the_lag_wait(self) -> None:
-        bench, mark = self.leader_with_checkpoint()
+        bench, checkpoint_id = self.leader_with_checkpoint()
         bench.fetch(3, 1, 0)
-        bench.feed(CheckpointStored(mark, 100))
-        for _ in range(int(PACE.lag_wait / timedelta(milliseconds=500)) + 1):
+        bench.feed(CheckpointStored(checkpoint_id, 100))
+        for _ in range(int(TIMINGS.lag_wait / timedelta(milliseconds=500)) + 1):
             # The slow one lives on: it fetches, but always from the first record.
             bench.fetch(3, 1, 0, later=timedelta(milliseconds=250))
             bench.fetch(2, bench.core.last.offset + 1, bench.core.last.epoch, later=timedelta(milliseconds=250))
             bench.feed(Ticked())
-        self.assertThat(bench.core.begin_offset, Equals(mark.offset + 1))
+        self.assertThat(bench.core.begin_offset, Equals(checkpoint_id.offset + 1))
 
     def test_the_dead_are_not_waited_for(self) -> None:
-        bench, mark = self.leader_with_checkpoint()
-        bench.feed(CheckpointStored(mark, 100))
+        bench, checkpoint_id = self.leader_with_checkpoint()
+        bench.feed(CheckpointStored(checkpoint_id, 100))
         # Replica 3 never fetched: the leader judges life from fetches alone.
-        self.assertThat(bench.core.begin_offset, Equals(mark.offset + 1))
+        self.assertThat(bench.core.begin_offset, Equals(checkpoint_id.offset + 1))
 
     def test_a_fetch_below_it_is_sent_to_the_checkpoint(self) -> None:
-        bench, mark = self.leader_with_checkpoint()
-        bench.feed(CheckpointStored(mark, 100))
+        bench, checkpoint_id = self.leader_with_checkpoint()
+        bench.feed(CheckpointStored(checkpoint_id, 100))
         answer = bench.fetch(3, 1, 0)
         self.assertThat(
             (answer.checkpoint_offset, answer.checkpoint_epoch, answer.next_offset, answer.records),
-            Equals((*mark, mark.offset + 1, ())),
+            Equals((*checkpoint_id, checkpoint_id.offset + 1, ())),
         )
 
     def test_followers_adopt_it_once_their_own_checkpoint_covers_it(self) -> None:
         bench = Bench(replica=2)
-        bench.call(LeadCall("m", 1, 1))
+        bench.call(BeginEpochCall("m", 1, 1))
         records = tuple(Record(offset, 1, timedelta(seconds=offset), claim(offset)) for offset in range(1, 9))
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 8, 8, records)))
         self.assertThat((bench.core.state.offset, bench.core.begin_offset), Equals((8, 1)))
-        bench.feed(CheckpointStored(bench.of(Capture)[0].mark, 100))
+        bench.feed(CheckpointStored(bench.of(Capture)[0].checkpoint_id, 100))
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 8, 8)))
         self.assertThat(bench.core.begin_offset, Equals(8))
 
@@ -254,7 +266,7 @@
 class CatchUp(TestCase):
     def follower_pulling(self) -> Bench:
         bench = Bench(replica=2)
-        bench.call(LeadCall("m", 3, 1))
+        bench.call(BeginEpochCall("m", 3, 1))
         bench.feed(
             AnswerArrived(
                 bench.core.fetch_number,
@@ -266,25 +278,28 @@
 
     def test_checkpoint_and_log_are_pulled_side_by_side_and_nothing_goes_before_both_are_here(self) -> None:
         bench = self.follower_pulling()
-        pull, fetch = bench.sent(PullCall)[-1].message, bench.sent(FetchCall)[-1].message
+        pull, fetch = bench.sent(FetchSnapshotCall)[-1].message, bench.sent(FetchCall)[-1].message
         self.assertThat(
             (pull.checkpoint_offset, pull.checkpoint_epoch, pull.position, pull.max_bytes),
-            Equals((40, 2, 0, PACE.chunk_bytes)),
+            Equals((40, 2, 0, TIMINGS.chunk_bytes)),
         )
-        self.assertThat((fetch.fetch_offset, fetch.fetch_epoch, fetch.whole), Equals((41, 2, False)))
+        self.assertThat((fetch.fetch_offset, fetch.fetch_epoch, fetch.complete), Equals((41, 2, False)))
         self.assertThat([write for write in bench.of(Write) if write.clear], Equals([]))
         self.assertThat(bench.of(DropCheckpoints), Equals([]))
-        self.assertThat((bench.core.whole, bench.core.state.mesh), Equals((True, "m")))
+        self.assertThat((bench.core.complete, bench.core.state.mesh), Equals((True, "m")))
 
     def test_once_it_is_loaded_log_and_checkpoints_are_thrown_away_in_one_write(self) -> None:
         bench = self.follower_pulling()
         records = tuple(Record(offset, 3, timedelta(seconds=offset), claim(offset)) for offset in (41, 42))
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
-        bench.feed(AnswerArrived(bench.core.pull_number, 1, PullAnswer("", 3, 40, 2, 0, b"abc", False)))
-        bench.feed(CheckpointLoaded(Mark(40, 2), State(mesh="m", offset=40, epoch=2, voters=Map(VOTERS))))
+        bench.feed(
+            AnswerArrived(bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False))
+        )
+        bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 2), State(mesh="m", offset=40, epoch=2, voters=Map(VOTERS))))
         cleared = [write for write in bench.of(Write) if write.clear]
         self.assertThat(
-            [(write.begin, write.catching, write.records) for write in cleared], Equals([(Mark(40, 2), False, records)])
+            [(write.begin, write.catching, write.records) for write in cleared],
+            Equals([(OffsetAndEpoch(40, 2), False, records)]),
         )
         # Only after that write: until it lasts, the old log rests on the old checkpoint.
         kinds = [type(command) for command in bench.commands]
@@ -294,8 +309,12 @@
     def test_it_pulls_until_continue_turns_false_then_applies_the_log_above(self) -> None:
         bench = self.follower_pulling()
         for position, data, continues in ((0, b"abc", True), (3, b"def", True), (6, b"g", False)):
-            self.assertThat(bench.sent(PullCall)[-1].message.position, Equals(position))
-            bench.feed(AnswerArrived(bench.core.pull_number, 1, PullAnswer("", 3, 40, 2, position, data, continues)))
+            self.assertThat(bench.sent(FetchSnapshotCall)[-1].message.position, Equals(position))
+            bench.feed(
+                AnswerArrived(
+                    bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer("", 3, 40, 2, position, data, continues)
+                )
+            )
         self.assertThat(
             [(chunk.position, chunk.last) for chunk in bench.of(StoreChunk)],
             Equals([(0, False), (3, False), (6, True)]),
@@ -303,58 +322,60 @@
         records = tuple(Record(offset, 3, timedelta(seconds=offset), claim(offset)) for offset in (41, 42))
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
         self.assertThat(bench.core.state.offset, Equals(0))
-        bench.feed(CheckpointLoaded(Mark(40, 2), State(mesh="m", offset=40, epoch=2, voters=Map(VOTERS))))
+        bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 2), State(mesh="m", offset=40, epoch=2, voters=Map(VOTERS))))
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41)))
-        self.assertThat((bench.core.whole, bench.core.state.offset), Equals((True, 42)))
+        self.assertThat((bench.core.complete, bench.core.state.offset), Equals((True, 42)))
 
     def test_each_of_the_three_errors_restarts_at_offset_and_epoch_zero(self) -> None:
-        for mishap in (SNAPSHOT_NOT_FOUND, OFFSET_OUT_OF_RANGE, NOT_LEADER_FOR_PARTITION):
+        for error in (SNAPSHOT_NOT_FOUND, OFFSET_OUT_OF_RANGE, NOT_LEADER_FOR_PARTITION):
             bench = self.follower_pulling()
-            bench.feed(AnswerArrived(bench.core.pull_number, 1, PullAnswer(mishap, 3, 40, 2)))
-            bench.feed(Ticked(), later=PACE.fetch_retry * 2)
+            bench.feed(AnswerArrived(bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer(error, 3, 40, 2)))
+            bench.feed(Ticked(), later=TIMINGS.fetch_timeout * 2)
             fetch = bench.sent(FetchCall)[-1].message
-            self.assertThat((fetch.fetch_offset, fetch.fetch_epoch), Equals((0, 0)), mishap)
+            self.assertThat((fetch.fetch_offset, fetch.fetch_epoch), Equals((0, 0)), error)
 
     def test_a_torn_pull_restarts_too(self) -> None:
         bench = self.follower_pulling()
-        bench.feed(AnswerArrived(bench.core.pull_number, 1, PullAnswer("", 3, 40, 2, 0, b"abc", False)))
-        bench.feed(CheckpointLoaded(Mark(40, 2), None))
-        bench.feed(Ticked(), later=PACE.fetch_retry * 2)
+        bench.feed(
+            AnswerArrived(bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False))
+        )
+        bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 2), None))
+        bench.feed(Ticked(), later=TIMINGS.fetch_timeout * 2)
         self.assertThat(bench.sent(FetchCall)[-1].message.fetch_offset, Equals(0))
 
     def test_an_incomplete_replica_votes_with_minus_one_and_does_not_stand(self) -> None:
         # Its former release threw its log away and was stopped before the checkpoint was whole.
         voters = tuple(VOTERS.items())
         bench = Bench(boot=Boot(replica=2, incarnation="two", epoch=3, voters=voters, mesh="m", catching=True))
-        self.assertThat(bench.core.vote_mark, Equals(Mark(-1, -1)))
+        self.assertThat(bench.core.vote_position, Equals(OffsetAndEpoch(-1, -1)))
         bench.feed(Ticked(), later=timedelta(seconds=5))
-        self.assertThat(bench.sent(BallotCall), Equals([]))
+        self.assertThat(bench.sent(VoteCall), Equals([]))
         # Even a candidate with nothing at all is complete beside it.
-        answer = bench.call(BallotCall("m", 9, 3, "three", -1, -1, False))
+        answer = bench.call(VoteCall("m", 9, 3, "three", -1, -1, False))
         self.assertThat(answer.granted, Equals(True))
 
     def test_records_above_a_checkpoint_still_being_pulled_do_not_count(self) -> None:
         bench = Bench().lead()
         bench.write(3)
         last = bench.core.last
-        bench.fetch(2, last.offset + 1, last.epoch, whole=False)
+        bench.fetch(2, last.offset + 1, last.epoch, complete=False)
         self.assertThat(bench.core.high_watermark, Equals(0))
-        bench.fetch(2, last.offset + 1, last.epoch, whole=True)
+        bench.fetch(2, last.offset + 1, last.epoch, complete=True)
         self.assertThat(bench.core.high_watermark, Equals(last.offset))
 
     def test_only_the_leader_serves_chunks(self) -> None:
         bench = Bench(replica=2)
-        answer = bench.call(PullCall(3, 0, 0, 0, 0, 100))
-        self.assertThat(answer.mishap, Equals(NOT_LEADER_FOR_PARTITION))
+        answer = bench.call(FetchSnapshotCall(3, 0, 0, 0, 0, 100))
+        self.assertThat(answer.error, Equals(NOT_LEADER_FOR_PARTITION))
         leading = Bench().lead()
-        leading.call(PullCall(3, leading.core.epoch, 0, 0, 0, 100))
+        leading.call(FetchSnapshotCall(3, leading.core.epoch, 0, 0, 0, 100))
         self.assertThat(len(leading.of(ReadChunk)), Equals(1))
 
 
 class BlankDisks(TestCase):
     def test_a_disk_outside_the_voter_set_neither_votes_nor_counts(self) -> None:
         blank = Bench(boot=Boot(replica=2, incarnation="two-again"))
-        self.assertThat(blank.call(BallotCall("m", 5, 1, "one", 9, 4, False)).granted, Equals(False))
+        self.assertThat(blank.call(VoteCall("m", 5, 1, "one", 9, 4, False)).granted, Equals(False))
         leading = Bench().lead()
         leading.write(2)
         last = leading.core.last
@@ -413,7 +434,9 @@
         disk.found(mesh="m", voters={1: boot.incarnation}, operators={})
         return disk
 
-    def write(self, disk: Disk, boot: Boot, records: tuple[Record, ...], begin: Mark = Mark(0, 0)) -> None:
+    def write(
+        self, disk: Disk, boot: Boot, records: tuple[Record, ...], begin: OffsetAndEpoch = OffsetAndEpoch(0, 0)
+    ) -> None:
         disk.write([Write(1, 4, (1, boot.incarnation), boot.voters, "m", begin, False, False, -1, records)])
 
     def test_log_epoch_and_vote_come_back(self) -> None:
@@ -425,7 +448,7 @@
         again = Disk(folder=self.folder, replica=1).boot()
         self.assertThat(
             (again.incarnation, again.epoch, again.vote, again.records, again.checkpoint),
-            Equals((boot.incarnation, 4, (1, boot.incarnation), records, Mark(0, 0))),
+            Equals((boot.incarnation, 4, (1, boot.incarnation), records, OffsetAndEpoch(0, 0))),
         )
 
     def test_a_torn_checkpoint_is_set_aside_and_the_older_one_used(self) -> None:
@@ -433,21 +456,22 @@
         boot = disk.boot()
         records = tuple(Record(offset, 4, timedelta(seconds=offset), claim(offset)) for offset in (1, 2, 3))
         self.write(disk, boot, records)
-        disk.store_checkpoint(mark=Mark(3, 4), state=boot.state._replace(offset=3, epoch=4))
-        path = self.folder / "checkpoints" / name_of(Mark(3, 4))
+        disk.store_checkpoint(checkpoint_id=OffsetAndEpoch(3, 4), state=boot.state._replace(offset=3, epoch=4))
+        path = self.folder / "checkpoints" / checkpoint_file_name(OffsetAndEpoch(3, 4))
         path.write_bytes(path.read_bytes()[:-9])
         disk.close()
         again = Disk(folder=self.folder, replica=1)
         booted = again.boot()
         self.assertThat(
-            (booted.checkpoint, len(booted.records), booted.incarnation), Equals((Mark(0, 0), 3, boot.incarnation))
+            (booted.checkpoint, len(booted.records), booted.incarnation),
+            Equals((OffsetAndEpoch(0, 0), 3, boot.incarnation)),
         )
         self.assertThat(path.exists(), Equals(False))
         self.assertThat(len(again.remarks), Equals(1))
 
     def test_another_releases_checkpoint_is_refused_and_left_alone(self) -> None:
         disk = self.founded()
-        path = self.folder / "checkpoints" / name_of(Mark(0, 0))
+        path = self.folder / "checkpoints" / checkpoint_file_name(OffsetAndEpoch(0, 0))
         path.write_bytes(path.read_bytes().replace(b"CHECKPOINT-1\n", b"CHECKPOINT-2\n"))
         disk.close()
         self.assertThat(lambda: Disk(folder=self.folder, replica=1).boot(), raises(OSError))
@@ -489,27 +513,40 @@
     def test_chunks_are_served_by_position_and_stored_whole_or_not_at_all(self) -> None:
         disk = self.founded()
         state = disk.boot().state._replace(offset=3, epoch=4)
-        disk.store_checkpoint(mark=Mark(3, 4), state=state)
-        self.assertThat(disk.read_chunk(mark=Mark(9, 4), position=0, max_bytes=10)[0], Equals(SNAPSHOT_NOT_FOUND))
-        self.assertThat(disk.read_chunk(mark=Mark(3, 4), position=10**6, max_bytes=10)[0], Equals(OFFSET_OUT_OF_RANGE))
+        disk.store_checkpoint(checkpoint_id=OffsetAndEpoch(3, 4), state=state)
+        self.assertThat(
+            disk.read_chunk(checkpoint_id=OffsetAndEpoch(9, 4), position=0, max_bytes=10)[0], Equals(SNAPSHOT_NOT_FOUND)
+        )
+        self.assertThat(
+            disk.read_chunk(checkpoint_id=OffsetAndEpoch(3, 4), position=10**6, max_bytes=10)[0],
+            Equals(OFFSET_OUT_OF_RANGE),
+        )
         other = Disk(folder=Path(self.useTemporary()), replica=2)
         other.boot()
         for spoil in (True, False):
             position, continues, loaded = 0, True, None
             while continues:
-                _, data, continues = disk.read_chunk(mark=Mark(3, 4), position=position, max_bytes=50)
+                _, data, continues = disk.read_chunk(
+                    checkpoint_id=OffsetAndEpoch(3, 4), position=position, max_bytes=50
+                )
                 loaded = other.store_chunk(
-                    mark=Mark(3, 4),
+                    checkpoint_id=OffsetAndEpoch(3, 4),
                     position=position,
                     data=bytes(len(data)) if spoil and position == 50 else data,
                     last=not continues,
                 )
                 position += len(data)
             self.assertThat(loaded, Equals(None if spoil else state))
-            self.assertThat((other.checkpoints / name_of(Mark(3, 4))).exists(), Equals(not spoil))
+            self.assertThat(
+                (other.checkpoints / checkpoint_file_name(OffsetAndEpoch(3, 4))).exists(), Equals(not spoil)
+            )
         self.assertThat(
             isinstance(
-                unpack_checkpoint(mark=Mark(3, 4), data=(other.checkpoints / name_of(Mark(3, 4))).read_bytes()), Success
+                unpack_checkpoint(
+                    checkpoint_id=OffsetAndEpoch(3, 4),
+                    data=(other.checkpoints / checkpoint_file_name(OffsetAndEpoch(3, 4))).read_bytes(),
+                ),
+                Success,
             ),
             Equals(True),
         )
@@ -521,8 +558,8 @@
     def raise_to(self, bench: Bench, level: int) -> str:
         ticket = 5000 + bench.tickets
         bench.feed(RaiseArrived(ticket, level))
-        concluded = [each for each in bench.of(Concluded) if each.ticket == ticket]
-        return concluded[0].mishap if concluded else "waits"
+        concluded = [each for each in bench.of(ProposalResult) if each.ticket == ticket]
+        return concluded[0].error if concluded else "waits"
 
     def test_the_level_rises_only_when_every_voter_says_it_supports_it(self) -> None:
         bench = Bench().lead()
@@ -544,37 +581,37 @@
         bench.tickets += 1
         bench.feed(RaiseArrived(9000, 2))
         # Logged and not committed: from here on a former release gets no records any more.
-        self.assertThat(fetch(3, 1).mishap, Equals("release-old"))
+        self.assertThat(fetch(3, 1).error, Equals("release-old"))
         last = bench.core.last
         fetch(2, 2)
-        self.assertThat((bench.core.state.level, bench.of(Concluded)[-1].mishap), Equals((2, "")))
+        self.assertThat((bench.core.state.level, bench.of(ProposalResult)[-1].error), Equals((2, "")))
 
     def test_after_the_raise_a_former_release_gets_neither_records_nor_votes(self) -> None:
-        state = found_state(mesh="m", voters=VOTERS, operators={}, level=2)
-        boot = Boot(1, "one", voters=tuple(VOTERS.items()), mesh="m", checkpoint=Mark(0, 0), state=state)
+        state = initial_state(mesh="m", voters=VOTERS, operators={}, level=2)
+        boot = Boot(1, "one", voters=tuple(VOTERS.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
         bench = Bench(boot=boot)
-        bench.moment += timedelta(seconds=3)
-        old = BallotCall("m", 5, 2, "two", 10, 4, True)
+        bench.timestamp += timedelta(seconds=3)
+        old = VoteCall("m", 5, 2, "two", 10, 4, True)
         self.assertThat(bench.call(old).granted, Equals(False))
         self.assertThat(bench.call(old._replace(level=2)).granted, Equals(True))
 
     def test_a_replica_that_meets_what_it_cant_apply_stops_and_says_so(self) -> None:
         bench = Bench(replica=2)
-        bench.call(LeadCall("m", 1, 1))
+        bench.call(BeginEpochCall("m", 1, 1))
         record = Record(1, 1, timedelta(), pack_command(RaiseLevel(99)))
         answer = FetchAnswer("", 1, 1, 1, 1, (record,))
         bench.feed(AnswerArrived(bench.sent(FetchCall)[-1].number, 1, answer))
         self.assertThat((bench.core.state.offset, "offset 1" in bench.core.halted), Equals((0, True)))
         self.assertThat("halted" in [each.kind for each in bench.of(Announce)], Equals(True))
-        fetches, ballots = len(bench.sent(FetchCall)), len(bench.sent(BallotCall))
+        fetches, votes = len(bench.sent(FetchCall)), len(bench.sent(VoteCall))
         for _ in range(20):
             bench.feed(Ticked(), later=timedelta(seconds=1))
-        self.assertThat((len(bench.sent(FetchCall)), len(bench.sent(BallotCall))), Equals((fetches, ballots)))
-        self.assertThat(bench.call(BallotCall("m", 9, 1, "one", 10, 4, False, 99)).granted, Equals(False))
+        self.assertThat((len(bench.sent(FetchCall)), len(bench.sent(VoteCall))), Equals((fetches, votes)))
+        self.assertThat(bench.call(VoteCall("m", 9, 1, "one", 10, 4, False, 99)).granted, Equals(False))
 
     def test_a_disk_past_this_releases_level_is_left_alone(self) -> None:
-        state = found_state(mesh="m", voters=VOTERS, operators={}, level=99)
-        boot = Boot(1, "one", voters=tuple(VOTERS.items()), mesh="m", checkpoint=Mark(0, 0), state=state)
+        state = initial_state(mesh="m", voters=VOTERS, operators={}, level=99)
+        boot = Boot(1, "one", voters=tuple(VOTERS.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
         bench = Bench(boot=boot)
         bench.feed(Ticked(), later=timedelta(seconds=9))
-        self.assertThat((bench.core.halted != "", bench.sent(BallotCall), bench.of(Write)), Equals((True, [], [])))
+        self.assertThat((bench.core.halted != "", bench.sent(VoteCall), bench.of(Write)), Equals((True, [], [])))
--- a/tests/test_crier.py
+++ b/tests/test_membership.py
@@ -7,28 +7,28 @@
 from testtools.matchers import Contains, Equals
 
 from hoistsaddle.membership import relay as relays
-from hoistsaddle.membership.changes import MOST_REMOVALS, RemovalHistory
 from hoistsaddle.membership.membership import (
     ALIVE,
     DEAD,
     SUSPECT,
-    AskOpinions,
     Changed,
+    GossipReceived,
+    IndirectProbesAnswered,
     Membership,
-    OpinionsIn,
     Probe,
     ProbeAnswered,
-    ProbeMissed,
-    RumoursArrived,
+    ProbeTimedOut,
+    RequestIndirectProbes,
     Ticked,
 )
 from hoistsaddle.membership.packing import pack_items, unpack_items
-from hoistsaddle.membership.relay import Relay, SetupCopy, select_parents
-from hoistsaddle.rpc.messages import NewsItem, PollAnswer, Rumour, Uptake
+from hoistsaddle.membership.relay import ConfigurationCopy, Relay, select_parents
+from hoistsaddle.membership.removal_history import MAX_REMOVALS, RemovalHistory
+from hoistsaddle.rpc.messages import AppliedVersion, ConfigurationItem, MemberState, PollAnswer
 from hoistsaddle.statemachine.digests import RANGES, digests_of, range_of
 
 SPAN = timedelta(seconds=1.5)
-OWN = Uptake("child", 0, 0, "", "life", 0)
+OWN = AppliedVersion("child", 0, 0, "", "life", 0)
 
 
 def at(seconds: float) -> timedelta:
@@ -58,18 +58,20 @@
         root.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
         answer = root.answer(child.poll(own=OWN, now=at(0)), now=at(12))
         self.assertThat(
-            (answer.mishap, child.polled(answer, sent=at(0)), child.lease_start), Equals(("lease-lapsed", False, None))
+            (answer.error, child.polled(answer, sent=at(0)), child.lease_start), Equals(("lease-lapsed", False, None))
         )
 
     def test_a_ring_of_relays_starves(self) -> None:
         one, two = relay("one"), relay("two")
         one.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
-        moment = 10.0
-        while moment < 14:
+        timestamp = 10.0
+        while timestamp < 14:
             for child, parent in ((one, two), (two, one)):
-                child.polled(parent.answer(child.poll(own=OWN, now=at(moment)), now=at(moment + 0.01)), sent=at(moment))
-            moment += 0.1
-        self.assertThat((one.fresh(now=at(moment)), two.fresh(now=at(moment))), Equals((False, False)))
+                child.polled(
+                    parent.answer(child.poll(own=OWN, now=at(timestamp)), now=at(timestamp + 0.01)), sent=at(timestamp)
+                )
+            timestamp += 0.1
+        self.assertThat((one.fresh(now=at(timestamp)), two.fresh(now=at(timestamp))), Equals((False, False)))
 
     def test_revisions_never_go_back_and_an_older_parent_gives_no_lease(self) -> None:
         old, child = relay("old"), relay("child")
@@ -102,7 +104,7 @@
             taken.append(len(items))
             return digests_of(items)
 
-        copy = SetupCopy()
+        copy = ConfigurationCopy()
         copy.replace(mesh="m", revision=5, items=items(50))
         self.patch(relays, "digests_of", digests)
         sound = copy.audit()
@@ -130,18 +132,18 @@
         root, child = relay("root"), relay("child")
         root.confirmed(asked=at(1), mesh="other", revision=9, items=items(3))
         child.confirmed(asked=at(1), mesh="m", revision=5, items=items(2))
-        self.assertThat(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)).mishap, Equals("wrong-mesh"))
+        self.assertThat(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)).error, Equals("wrong-mesh"))
 
 
 class Changes(TestCase):
     """What was set or removed since a child's revision travels alone; whole ranges are for those that can't be told."""
 
     def confirm(self, root: Relay, revision: int, found: dict[str, tuple[int, bytes]]) -> None:
-        root.confirmed(asked=at(revision), mesh="m", revision=revision, items=found, vouched=digests_of(found))
+        root.confirmed(asked=at(revision), mesh="m", revision=revision, items=found, expected_digests=digests_of(found))
 
-    def taught(self, child: Relay, parent: Relay, moment: float) -> PollAnswer:
-        answer = parent.answer(child.poll(own=OWN, now=at(moment)), now=at(moment))
-        child.polled(answer, sent=at(moment))
+    def taught(self, child: Relay, parent: Relay, timestamp: float) -> PollAnswer:
+        answer = parent.answer(child.poll(own=OWN, now=at(timestamp)), now=at(timestamp))
+        child.polled(answer, sent=at(timestamp))
         return answer
 
     def family(self, count: int = 200) -> tuple[Relay, Relay]:
@@ -207,7 +209,7 @@
         root, child = self.family()
         self.confirm(root, 6, items(199, revision=5))
         good = root.answer(child.poll(own=OWN, now=at(6)), now=at(6))
-        other = pack_items([NewsItem("server:x", 6, b"x")])
+        other = pack_items([ConfigurationItem("server:x", 6, b"x")])
         for block in (good.block[:-3] or b"cut", b"garbage", other[:-4], other + b"more"):
             child.polled(good._replace(block=block), sent=at(6))
             self.assertThat((child.copy.revision, child.needs_ranges), Equals((5, True)), str(block))
@@ -233,14 +235,14 @@
     def test_more_removals_than_are_remembered_send_ranges(self) -> None:
         history = RemovalHistory()
         history.restart(revision=1)
-        found = {f"key-{number}": (1, b"") for number in range(MOST_REMOVALS + 2)}
-        for number in range(MOST_REMOVALS + 2):
+        found = {f"key-{number}": (1, b"") for number in range(MAX_REMOVALS + 2)}
+        for number in range(MAX_REMOVALS + 2):
             fewer = {key: item for key, item in found.items() if key != f"key-{number}"}
             history.note(before=found, after=fewer, revision=number + 2)
             found = fewer
         self.assertThat(
             (history.reaches_back_to(1), history.reaches_back_to(3), len(history.removed_after(3))),
-            Equals((False, True, MOST_REMOVALS)),
+            Equals((False, True, MAX_REMOVALS)),
         )
 
     def test_random_trees_always_hold_what_the_log_held_at_their_revision(self) -> None:
@@ -269,9 +271,9 @@
 class Tree(TestCase):
     def test_everyone_has_a_way_to_a_root_and_no_parent_feeds_many(self) -> None:
         roots = [(f"bourse-{number}", f"root-{number}") for number in range(3)]
-        stalls = [(f"stall-{number:02d}", f"at-{number:02d}") for number in range(40)]
-        first = {name: select_parents(node=name, stalls=stalls, roots=roots) for name, _ in stalls}
-        address_of = dict(stalls)
+        proxies = [(f"stall-{number:02d}", f"at-{number:02d}") for number in range(40)]
+        first = {name: select_parents(node=name, proxies=proxies, roots=roots) for name, _ in proxies}
+        address_of = dict(proxies)
         feeds: dict[str, int] = {}
         for name, parents in first.items():
             feeds[parents[0]] = feeds.get(parents[0], 0) + 1
@@ -285,14 +287,18 @@
 
 
 class Members(TestCase):
-    def member(self, name: str, *, count: int = 0, state: str = ALIVE) -> Rumour:
-        return Rumour(name, "stall", f"at-{name}", "a", f"life-{name}", count, state)
+    def member(self, name: str, *, count: int = 0, state: str = ALIVE) -> MemberState:
+        return MemberState(name, "stall", f"at-{name}", "a", f"life-{name}", count, state)
 
-    def membership(self, *, spread: int | None = None) -> Membership:
+    def membership(self, *, retransmit_limit: int | None = None) -> Membership:
         core = Membership(
-            me=self.member("me"), seed=random.Random(1), period=at(0.25), suspicion=at(1.2), spread=spread
+            me=self.member("me"),
+            seed=random.Random(1),
+            period=at(0.25),
+            suspicion=at(1.2),
+            retransmit_limit=retransmit_limit,
         )
-        core.handle(RumoursArrived(tuple(self.member(name) for name in ("one", "two", "three"))), now=at(0))
+        core.handle(GossipReceived(tuple(self.member(name) for name in ("one", "two", "three"))), now=at(0))
         return core
 
     def test_everyone_is_probed_once_a_turn(self) -> None:
@@ -307,17 +313,19 @@
 
     def test_a_miss_asks_others_then_suspects_then_removes(self) -> None:
         core = self.membership()
-        asked = core.handle(ProbeMissed("one"), now=at(1))[0]
+        asked = core.handle(ProbeTimedOut("one"), now=at(1))[0]
         self.assertThat(
-            (type(asked), asked.node, sorted(asked.helpers)), Equals((AskOpinions, "one", ["at-three", "at-two"]))
+            (type(asked), asked.node, sorted(asked.helpers)),
+            Equals((RequestIndirectProbes, "one", ["at-three", "at-two"])),
         )
-        self.assertThat(core.handle(OpinionsIn("one", True), now=at(1)), Equals([]))
+        self.assertThat(core.handle(IndirectProbesAnswered("one", True), now=at(1)), Equals([]))
         self.assertThat(
-            [change.rumour.state for change in core.handle(OpinionsIn("one", False), now=at(1))], Equals([SUSPECT])
+            [change.member_state.state for change in core.handle(IndirectProbesAnswered("one", False), now=at(1))],
+            Equals([SUSPECT]),
         )
         self.assertThat([member.node for member in core.alive(kind="stall")], Contains("one"))
         changes = [
-            command.rumour.state for command in core.handle(Ticked(), now=at(2.3)) if isinstance(command, Changed)
+            command.member_state.state for command in core.handle(Ticked(), now=at(2.3)) if isinstance(command, Changed)
         ]
         self.assertThat(
             (changes, "one" in [member.node for member in core.alive(kind="stall")]), Equals(([DEAD], False))
@@ -325,19 +333,19 @@
 
     def test_a_suspect_outbids_the_rumour(self) -> None:
         core = self.membership()
-        core.handle(RumoursArrived((self.member("me", state=SUSPECT),)), now=at(1))
+        core.handle(GossipReceived((self.member("me", state=SUSPECT),)), now=at(1))
         self.assertThat((core.me.state, core.me.count), Equals((ALIVE, 1)))
         other = self.membership()
-        other.handle(OpinionsIn("one", False), now=at(1))
+        other.handle(IndirectProbesAnswered("one", False), now=at(1))
         other.handle(ProbeAnswered("one", (self.member("one", count=1),)), now=at(1.5))
         other.handle(Ticked(), now=at(4))
         self.assertThat("one" in [member.node for member in other.alive(kind="stall")], Equals(True))
 
     def told(self, core: Membership, turns: int) -> list[list[str]]:
-        return [[rumour.node for rumour in core.rumours()] for _ in range(turns)]
+        return [[member_state.node for member_state in core.member_states()] for _ in range(turns)]
 
     def test_a_rumour_is_passed_on_so_often_and_then_counts_as_known(self) -> None:
-        told = self.told(self.membership(spread=2), 5)
+        told = self.told(self.membership(retransmit_limit=2), 5)
         self.assertThat([sorted(each) for each in told[:2]], Equals([["me", "one", "three", "two"]] * 2))
         # Oneself is always told of: whoever is probed must be able to answer back.
         self.assertThat(told[2:], Equals([["me"]] * 3))
@@ -346,18 +354,19 @@
         self.assertThat([len(each) for each in self.told(self.membership(), 9)], Equals([4] * 9))
 
     def test_what_changed_is_told_anew(self) -> None:
-        core = self.membership(spread=2)
+        core = self.membership(retransmit_limit=2)
         self.told(core, 3)
-        core.handle(RumoursArrived((self.member("two", count=1),)), now=at(1))
+        core.handle(GossipReceived((self.member("two", count=1),)), now=at(1))
         self.assertThat(self.told(core, 3), Equals([["me", "two"], ["me", "two"], ["me"]]))
-        core.handle(OpinionsIn("one", False), now=at(1))
+        core.handle(IndirectProbesAnswered("one", False), now=at(1))
         self.assertThat(self.told(core, 1), Equals([["me", "one"]]))
 
     def test_one_just_met_hears_of_everybody(self) -> None:
-        core = self.membership(spread=2)
+        core = self.membership(retransmit_limit=2)
         self.told(core, 5)
         self.assertThat(
-            sorted(rumour.node for rumour in core.rumours(whole=True)), Equals(["me", "one", "three", "two"])
+            sorted(member_state.node for member_state in core.member_states(complete=True)),
+            Equals(["me", "one", "three", "two"]),
         )
         self.assertThat((core.knows("one"), core.knows("stranger")), Equals((True, False)))
 
@@ -366,25 +375,29 @@
         dice = random.Random(3)
         names = [f"n{number}" for number in range(40)]
         cores = {
-            name: Membership(me=self.member(name), seed=random.Random(name), period=at(1), suspicion=at(2), spread=6)
+            name: Membership(
+                me=self.member(name), seed=random.Random(name), period=at(1), suspicion=at(2), retransmit_limit=6
+            )
             for name in names
         }
         everyone = tuple(self.member(name) for name in names[:-1])
         for name in names[:-1]:
-            cores[name].handle(RumoursArrived(everyone), now=at(0))
+            cores[name].handle(GossipReceived(everyone), now=at(0))
             for _ in range(10):
-                cores[name].rumours()
+                cores[name].member_states()
         # It knows one node, and that one knows it from its first probe.
-        cores["n39"].handle(RumoursArrived((self.member("n0"),)), now=at(0))
-        moment = 0.0
+        cores["n39"].handle(GossipReceived((self.member("n0"),)), now=at(0))
+        timestamp = 0.0
         while not all(core.knows("n39") for core in cores.values()):
-            moment += 0.5
-            self.assertThat(moment < 30, Equals(True))
+            timestamp += 0.5
+            self.assertThat(timestamp < 30, Equals(True))
             for core in dice.sample(list(cores.values()), len(cores)):
-                for command in core.handle(Ticked(), now=at(moment)):
+                for command in core.handle(Ticked(), now=at(timestamp)):
                     if isinstance(command, Probe):
                         other = cores[command.node]
-                        whole = not other.knows(core.me.node)
-                        other.handle(RumoursArrived(command.rumours), now=at(moment))
-                        core.handle(ProbeAnswered(command.node, other.rumours(whole=whole)), now=at(moment))
+                        complete = not other.knows(core.me.node)
+                        other.handle(GossipReceived(command.member_states), now=at(timestamp))
+                        core.handle(
+                            ProbeAnswered(command.node, other.member_states(complete=complete)), now=at(timestamp)
+                        )
         self.assertThat(len(cores["n39"].members), Equals(40))
--- a/tests/test_polling.py
+++ b/tests/test_membership_polling.py
@@ -1,4 +1,4 @@
-"""How a stall goes on from one parent to the next: on a script of answers, without lines."""
+"""How a proxy goes on from one parent to the next: on a script of answers, without lines."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from hoistsaddle.common.settings import SidecarParams
+from hoistsaddle.common.settings import SidecarSettings
 from hoistsaddle.proxy.node import MOST_LATE_POLLS
 from hoistsaddle.rpc.connection import silent_at
 from hoistsaddle.rpc.messages import PollAnswer, PollCall
@@ -16,12 +16,12 @@
 
 FIRST, SECOND, THIRD = SEEDS = ["127.0.0.1:1", "127.0.0.2:1", "127.0.0.3:1"]
 
-PARAMS = SidecarParams(
+PARAMS = SidecarSettings(
     name="stall-1",
     zone="a",
     listen="127.0.0.9:1",
     door="127.0.0.9:2",
-    vitals_door="127.0.0.9:3",
+    health_door="127.0.0.9:3",
     ready_door="127.0.0.9:4",
     seeds=SEEDS,
     service="one",
@@ -29,18 +29,18 @@
 )
 
 
-class Script:
+class ScriptedRuntime:
     """A runtime whose lines answer polls from a list of lease starts; None is no answer."""
 
     def __init__(self, starts: list[float | None]) -> None:
         self.starts = list(starts)
         self.asked: list[str] = []
         self.random = random.Random(1)
-        self.moment = 100.0
-        self.lines = self
+        self.timestamp = 100.0
+        self.rpc_client = self
 
     def now(self) -> timedelta:
-        return timedelta(seconds=self.moment)
+        return timedelta(seconds=self.timestamp)
 
     def token(self, size: int) -> str:
         return "life"
@@ -50,18 +50,18 @@
         if not self.starts:
             raise asyncio.CancelledError
         start = self.starts.pop(0)
-        self.moment += 0.3
+        self.timestamp += 0.3
         if start is None:
             return Failure(silent_at(address))
         # The age counts from when the poll was sent.
-        return Success(PollAnswer("", "m", 1, timedelta(seconds=self.moment - 0.3 - start)))
+        return Success(PollAnswer("", "m", 1, timedelta(seconds=self.timestamp - 0.3 - start)))
 
 
 def asked(*starts: float | None) -> list[str]:
-    script = Script(list(starts))
+    script = ScriptedRuntime(list(starts))
 
     async def scenario() -> None:
-        node = SidecarNode(params=PARAMS, runtime=script, serve=None)
+        node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
         try:
             await node._poll()
         except asyncio.CancelledError:
@@ -74,18 +74,18 @@
 class OlderNews(TestCase):
     def test_it_is_refused_counted_and_its_sender_named(self) -> None:
         """A parent that was cut off comes back with what it held: nothing of it counts, and it is told once."""
-        script = Script([99.9, 100.2, 100.5, 100.8, 101.1])
+        script = ScriptedRuntime([99.9, 100.2, 100.5, 100.8, 101.1])
         told = [(5, 7), (5, 6), (4, 9), (4, 9), (5, 7)]
 
         async def call(address, message, *, within, still=lambda: True):
-            answer = (await Script.call(script, address, message, within=within)).unwrap()
+            answer = (await ScriptedRuntime.call(script, address, message, within=within)).unwrap()
             epoch, revision = told.pop(0)
             return Success(answer._replace(epoch=epoch, revision=revision))
 
         script.call = call
 
         async def scenario() -> SidecarNode:
-            node = SidecarNode(params=PARAMS, runtime=script, serve=None)
+            node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
             said = [
                 await node._poll_once(address, within=node.poll_span)
                 for address in (FIRST, SECOND, SECOND, SECOND, FIRST)
@@ -98,7 +98,7 @@
         self.assertThat(node.counters.read()["counts"]["news.older_refused"], Equals(3))
         refused = [
             each["detail"]
-            for each in node.counters.happenings(after=0)["happenings"]
+            for each in node.counters.events(after=0)["happenings"]
             if each["kind"] == "older news refused"
         ]
         self.assertThat(
@@ -111,7 +111,7 @@
     """On a link where packets wait longer than a poll's span, an answer that comes late still counts."""
 
     def test_the_next_parent_is_asked_and_the_late_answer_is_taken(self) -> None:
-        script = Script([])
+        script = ScriptedRuntime([])
         slow = asyncio.Event()
         told: list[str] = []
 
@@ -124,7 +124,7 @@
             return Success(PollAnswer("", "m", 7, timedelta(seconds=0.2)))
 
         script.call = call
-        node = SidecarNode(params=PARAMS, runtime=script, serve=None)
+        node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
         node.poll_span = timedelta(milliseconds=1)
 
         async def scenario() -> None:
@@ -137,7 +137,7 @@
         asyncio.run(scenario())
 
     def test_few_answers_are_waited_for_at_once(self) -> None:
-        script = Script([])
+        script = ScriptedRuntime([])
         spans: list[timedelta] = []
 
         async def call(address: str, message: PollCall, *, within: timedelta, still: object = None) -> Result:
@@ -147,7 +147,7 @@
             return Failure(silent_at(address))
 
         script.call = call
-        node = SidecarNode(params=PARAMS, runtime=script, serve=None)
+        node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
         node.poll_span = timedelta(milliseconds=1)
 
         async def scenario() -> None:
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -14,12 +14,18 @@
 from hoistsaddle.raft.events import Capture, DropCheckpoints, StoreChunk, Write
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.testbed.modelcheck import faults
-from hoistsaddle.testbed.modelcheck.check import SETTLE, told_spans
-from hoistsaddle.testbed.modelcheck.cluster import MESH, Cluster, Twist
+from hoistsaddle.testbed.modelcheck.check import SETTLE_TIMEOUT, format_durations
+from hoistsaddle.testbed.modelcheck.cluster import MESH, Cluster, InjectedFault
 from hoistsaddle.testbed.modelcheck.exhaustive import SPACES, explore
+from hoistsaddle.testbed.modelcheck.loss_sequences import (
+    Loss,
+    LossKind,
+    LossSequence,
+    draw_loss_sequences,
+    run_loss_sequence,
+)
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
-from hoistsaddle.testbed.modelcheck.steps import Kind, Step, Walk
-from hoistsaddle.testbed.modelcheck.turns import Loss, Turns, Way, lose_in_turn, losses_in_turn
+from hoistsaddle.testbed.modelcheck.steps import Step, StepKind, Walk
 from hoistsaddle.testbed.modelcheck.walks import Script, broken_by, make_smaller, play, walk_randomly
 
 SEED = 630
@@ -29,45 +35,45 @@
 FAULT_WALKS = 150
 FAULT_SIZES = (3,)
 
-STALLING = (Kind.RUN, Kind.PROPOSE, Kind.STALL)
-HARM = (Kind.RUN, Kind.PROPOSE, Kind.BATCH, Kind.CRASH, Kind.START, Kind.CUT_OFF, Kind.HEAL)
+STALLING = (StepKind.RUN, StepKind.PROPOSE, StepKind.STALL_DISK)
+HARM = (StepKind.RUN, StepKind.PROPOSE, StepKind.BATCH, StepKind.CRASH, StepKind.START, StepKind.CUT_OFF, StepKind.HEAL)
 
 
 # What must be so at the end of a walk: which of the three a fault spoils first hangs on the walk.
 AT_THE_END = "a healed cluster serves|losses settle|everybody catches up"
 
 
-class Injected(NamedTuple):
+class FaultCase(NamedTuple):
     """A fault, the rule (or one of several) it must break, and where: on walks of some kinds, or in a space."""
 
-    fault: type[Twist]
+    fault: type[InjectedFault]
     rule: str
-    kinds: tuple[Kind, ...] = tuple(Kind)
+    kinds: tuple[StepKind, ...] = tuple(StepKind)
     space: str = ""
 
 
 INJECTED = (
-    Injected(faults.CountsOneSetOnly, "commits by majorities that meet"),
-    Injected(faults.CountsOneSetOnly, "commits by majorities that meet", space="open change of voters"),
-    Injected(faults.VoteUnsynced, "a vote leaves only once it is synced"),
-    Injected(faults.ForgetsItsVoteOnSync, "a vote leaves only once it is synced"),
-    Injected(faults.FetchUnsynced, "a fetch claims only what is synced"),
-    Injected(faults.SyncsAreLies, "a vote leaves only once it is synced"),
-    Injected(faults.CountsWhatItPulls, "a fetch claims only what is synced"),
-    Injected(faults.AppendUnsynced, "commits by majorities that meet", STALLING),
-    Injected(faults.AppendUnsynced, "commits by majorities that meet", space="order unsynced"),
-    Injected(faults.CommitsOldEpoch, "only a record of the leader's epoch commits by counting"),
-    Injected(faults.ReadWithoutRound, "confirmed reads are linear", space="reads at two leaders"),
-    Injected(faults.VotesForAnybody, "a leader holds all that is committed", HARM),
-    Injected(faults.VotesTwice, "one leader an epoch"),
-    Injected(faults.VotesTwice, "one leader an epoch", space="two candidates"),
-    Injected(faults.TruncatesCommitted, "committed records are never truncated"),
-    Injected(faults.BlankDiskVotes, "commits by majorities that meet", space="a lost disk"),
-    Injected(faults.AcknowledgesAtOnce, "acknowledged records are committed"),
-    Injected(faults.CapturesTooMuch, "checkpoints hold committed state"),
-    Injected(faults.BelievesTheAnswer, "logs are equal up to the high-watermark"),
-    Injected(faults.LosesRecords, "logs are equal up to the high-watermark"),
-    Injected(faults.DropsNewestCheckpoint, AT_THE_END),
+    FaultCase(faults.CountsOneSetOnly, "commits by majorities that meet"),
+    FaultCase(faults.CountsOneSetOnly, "commits by majorities that meet", space="open change of voters"),
+    FaultCase(faults.VoteUnsynced, "a vote leaves only once it is synced"),
+    FaultCase(faults.ForgetsItsVoteOnSync, "a vote leaves only once it is synced"),
+    FaultCase(faults.FetchUnsynced, "a fetch claims only what is synced"),
+    FaultCase(faults.SyncsAreLies, "a vote leaves only once it is synced"),
+    FaultCase(faults.CountsWhatItPulls, "a fetch claims only what is synced"),
+    FaultCase(faults.AppendUnsynced, "commits by majorities that meet", STALLING),
+    FaultCase(faults.AppendUnsynced, "commits by majorities that meet", space="order unsynced"),
+    FaultCase(faults.CommitsOldEpoch, "only a record of the leader's epoch commits by counting"),
+    FaultCase(faults.ReadWithoutRound, "confirmed reads are linear", space="reads at two leaders"),
+    FaultCase(faults.VotesForAnybody, "a leader holds all that is committed", HARM),
+    FaultCase(faults.VotesTwice, "one leader an epoch"),
+    FaultCase(faults.VotesTwice, "one leader an epoch", space="two candidates"),
+    FaultCase(faults.TruncatesCommitted, "committed records are never truncated"),
+    FaultCase(faults.BlankDiskVotes, "commits by majorities that meet", space="a lost disk"),
+    FaultCase(faults.AcknowledgesAtOnce, "acknowledged records are committed"),
+    FaultCase(faults.CapturesTooMuch, "checkpoints hold committed state"),
+    FaultCase(faults.BelievesTheAnswer, "logs are equal up to the high-watermark"),
+    FaultCase(faults.LosesRecords, "logs are equal up to the high-watermark"),
+    FaultCase(faults.DropsNewestCheckpoint, AT_THE_END),
 )
 
 
@@ -83,19 +89,23 @@
         self.assertThat(total.losses_settled, GreaterThan(WALKS // 4))
 
     def test_a_walk_done_again_goes_the_same_way(self) -> None:
-        script = Script(3, 7, (Step(Kind.BATCH, 0, 3), Step(Kind.WIPE, 1), Step(Kind.RUN, 30), Step(Kind.READ, 0, 1)))
+        script = Script(
+            3,
+            7,
+            (Step(StepKind.BATCH, 0, 3), Step(StepKind.WIPE, 1), Step(StepKind.RUN, 30), Step(StepKind.READ, 0, 1)),
+        )
         first, again = play(script), play(script)
         for walk in (first, again):
-            self.assertThat(walk.cluster.checks.committed, Equals(first.cluster.checks.committed))
+            self.assertThat(walk.cluster.invariants.committed, Equals(first.cluster.invariants.committed))
         self.assertThat(again.cluster.events, Equals(first.cluster.events))
 
     def test_losses_beyond_the_tolerance_are_passed_over(self) -> None:
         walk = Walk(Cluster(size=3, seed=1))
-        walk.take(Step(Kind.RUN, 39))
-        self.assertThat([walk.take(Step(Kind.WIPE, place)) for place in (0, 1)], Equals([True, False]))
+        walk.take(Step(StepKind.RUN, 39))
+        self.assertThat([walk.take(Step(StepKind.WIPE, place)) for place in (0, 1)], Equals([True, False]))
         # Once the first has its vote back, the second may go.
         walk.cluster.run(timedelta(seconds=60), until=walk.is_settled)
-        self.assertThat(walk.take(Step(Kind.WIPE, 1)), Equals(True))
+        self.assertThat(walk.take(Step(StepKind.WIPE, 1)), Equals(True))
 
 
 class Found(TestCase):
@@ -108,21 +118,21 @@
                 5,
                 496,
                 (
-                    Step(Kind.CRASH, 34),
-                    Step(Kind.CUT_ONE_WAY, 0, 14),
-                    Step(Kind.ALL_LOSE_POWER),
-                    Step(Kind.RUN, 27),
-                    Step(Kind.READ),
-                    Step(Kind.DELIVER, 2),
-                    Step(Kind.DELIVER, 35),
-                    Step(Kind.PROPOSE),
-                    Step(Kind.DROP),
-                    Step(Kind.REPLACE, 21),
-                    Step(Kind.RUN, 24),
-                    Step(Kind.CRASH, 19),
-                    Step(Kind.TEAR, 3),
-                    Step(Kind.RUN, 15),
-                    Step(Kind.BATCH),
+                    Step(StepKind.CRASH, 34),
+                    Step(StepKind.CUT_ONE_WAY, 0, 14),
+                    Step(StepKind.ALL_LOSE_POWER),
+                    Step(StepKind.RUN, 27),
+                    Step(StepKind.READ),
+                    Step(StepKind.DELIVER, 2),
+                    Step(StepKind.DELIVER, 35),
+                    Step(StepKind.PROPOSE),
+                    Step(StepKind.DROP),
+                    Step(StepKind.REPLACE, 21),
+                    Step(StepKind.RUN, 24),
+                    Step(StepKind.CRASH, 19),
+                    Step(StepKind.TEAR, 3),
+                    Step(StepKind.RUN, 15),
+                    Step(StepKind.BATCH),
                 ),
             )
         )
@@ -130,19 +140,19 @@
     def test_a_committed_change_of_voters_is_known_after_a_loss_of_power(self) -> None:
         """Known in memory alone, it was forgotten, and elections asked the set before it, whose disks were gone."""
         steps = (
-            Step(Kind.WIPE),
-            Step(Kind.RUN, 31),
-            Step(Kind.WIPE, 39),
-            Step(Kind.ALL_LOSE_POWER),
-            Step(Kind.FREEZE, 19),
-            Step(Kind.WIPE, 39),
+            Step(StepKind.WIPE),
+            Step(StepKind.RUN, 31),
+            Step(StepKind.WIPE, 39),
+            Step(StepKind.ALL_LOSE_POWER),
+            Step(StepKind.FREEZE, 19),
+            Step(StepKind.WIPE, 39),
         )
         self.hold(Script(5, 4014, steps))
 
     def test_a_log_that_parts_below_the_leaders_begin_catches_up(self) -> None:
         """The leader named a place that both couldn't share, and the follower asked again without end."""
-        losses = (Loss(Way.WIPED, 4, 7, 15), Loss(Way.CUT_OFF, 0, 25, 4))
-        lose_in_turn(Turns(3, 9999, SETTLE, losses))
+        losses = (Loss(LossKind.WIPED, 4, 7, 15), Loss(LossKind.CUT_OFF, 0, 25, 4))
+        run_loss_sequence(LossSequence(3, 9999, SETTLE_TIMEOUT, losses))
 
     def hold(self, script: Script) -> None:
         self.assertThat(broken_by(script), Is(None), str(script))
@@ -151,8 +161,8 @@
 class LossesInTurn(TestCase):
     def test_each_loss_settles_within_its_span(self) -> None:
         """The shortest span the platform gives; whoever is lost next may be anybody, the leader too."""
-        spans, found = losses_in_turn(seed=SEED, runs=TURNS, settle=SETTLE)
-        print(f"seed {SEED}, losses settled: {told_spans(spans)}")
+        spans, found = draw_loss_sequences(seed=SEED, runs=TURNS, settle=SETTLE_TIMEOUT)
+        print(f"seed {SEED}, losses settled: {format_durations(spans)}")
         self.assertThat(found, Is(None), str(found))
         self.assertThat(len(spans), GreaterThan(TURNS))
 
@@ -166,23 +176,23 @@
             rules = injected.rule.split("|")
             self.assertThat(told, MatchesAny(*(Contains(f"{rule}: ") for rule in rules)), injected.fault.__name__)
 
-    def found(self, injected: Injected) -> str:
+    def found(self, injected: FaultCase) -> str:
         if injected.space:
             space = next(space for space in SPACES if space.name == injected.space)
-            return str(explore(space, twist=injected.fault))
+            return str(explore(space, fault=injected.fault))
         total, found = walk_randomly(
-            seed=SEED, walks=FAULT_WALKS, sizes=FAULT_SIZES, kinds=injected.kinds, twist=injected.fault
+            seed=SEED, walks=FAULT_WALKS, sizes=FAULT_SIZES, kinds=injected.kinds, fault=injected.fault
         )
-        return f"seed {SEED}, {total.walks} walks, {found.told if found else 'nothing found'}"
+        return f"seed {SEED}, {total.walks} walks, {found.description if found else 'nothing found'}"
 
     def test_a_break_is_made_smaller_and_still_breaks(self) -> None:
         _, found = walk_randomly(
-            seed=SEED, walks=FAULT_WALKS, sizes=FAULT_SIZES, kinds=STALLING, twist=faults.AppendUnsynced
+            seed=SEED, walks=FAULT_WALKS, sizes=FAULT_SIZES, kinds=STALLING, fault=faults.AppendUnsynced
         )
-        smaller = make_smaller(found, twist=faults.AppendUnsynced, most_tries=60)
+        smaller = make_smaller(found, fault=faults.AppendUnsynced, max_attempts=60)
         print(f"seed {SEED}: {smaller.script}")
         self.assertThat(len(found.script.steps), GreaterThan(len(smaller.script.steps)))
-        self.assertThat(broken_by(smaller.script, twist=faults.AppendUnsynced()).rule, Equals(found.rule))
+        self.assertThat(broken_by(smaller.script, fault=faults.AppendUnsynced()).rule, Equals(found.rule))
         self.assertThat(broken_by(smaller.script), Is(None))
 
 
@@ -217,16 +227,16 @@
             3,
             SEED,
             (
-                *(Step(Kind.BATCH, 0, 3),) * 3,
-                Step(Kind.WIPE, 1),
-                Step(Kind.BATCH, 0, 3),
-                Step(Kind.CRASH, 0, 1),
-                Step(Kind.RUN, 39),
-                *(Step(Kind.BATCH, 0, 3),) * 2,
-                Step(Kind.START, 0),
-                Step(Kind.REPLACE, 2),
-                Step(Kind.RUN, 39),
-                Step(Kind.ALL_LOSE_POWER, 0, 2),
+                *(Step(StepKind.BATCH, 0, 3),) * 3,
+                Step(StepKind.WIPE, 1),
+                Step(StepKind.BATCH, 0, 3),
+                Step(StepKind.CRASH, 0, 1),
+                Step(StepKind.RUN, 39),
+                *(Step(StepKind.BATCH, 0, 3),) * 2,
+                Step(StepKind.START, 0),
+                Step(StepKind.REPLACE, 2),
+                Step(StepKind.RUN, 39),
+                Step(StepKind.ALL_LOSE_POWER, 0, 2),
             ),
         )
         walk, done = self.jobs_of(script)
@@ -248,10 +258,10 @@
             match job:
                 case Write():
                     disk.write([job])
-                case Capture(mark=mark, state=state):
-                    disk.store_checkpoint(mark=mark, state=state)
-                case StoreChunk(mark=mark, position=position, data=data, last=last):
-                    disk.store_chunk(mark=mark, position=position, data=data, last=last)
+                case Capture(checkpoint_id=checkpoint_id, state=state):
+                    disk.store_checkpoint(checkpoint_id=checkpoint_id, state=state)
+                case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
+                    disk.store_chunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last)
                 case DropCheckpoints(below=below):
                     disk.drop_checkpoints(below=below)
         disk.close()
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -12,15 +12,15 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 
+from controller_deployment import Deployment, until
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 from hoistsaddle.testbed.fleet import AUTHOR, SIGNER, Fleet
-from markets import Deployment, until
 
 ROOT = Path(__file__).parent.parent
 THIMBLE = DEPLOYMENTS["thimble"]
 PAGES = ("bundles", "draining", "planning", "people", "watching", "replacing-core-machines", "releases")
-# Run against markets, which found themselves.
-MARKET_PAGES = ("items", "market")
+# Run against controllers, which found themselves.
+CONTROLLER_PAGES = ("items", "market")
 # One that goes on until it is interrupted, as a person would.
 ENDLESS = re.compile(r"hoistsaddle watch(?!.*--seconds)")
 DAEMON = re.compile(r"(?:\S+=\S+ )?hoistsaddle (fleet|store|registry|proxy|controller|sidecar) ")
@@ -36,10 +36,10 @@
 class Shell:
     """One shell for a whole page, so that what a line sets the next ones find."""
 
-    def __init__(self, *, folder: Path, doors: Sequence[str], stalls: Sequence[str]) -> None:
+    def __init__(self, *, folder: Path, doors: Sequence[str], proxies: Sequence[str]) -> None:
         self.folder = folder
         self.doors = doors
-        self.stalls = stalls
+        self.proxies = proxies
         self.failed: list[str] = []
         self.ran = 0
 
@@ -55,7 +55,7 @@
             **os.environ,
             "PATH": f"{Path(sys.executable).parent}:{os.environ['PATH']}",
             "HOISTSADDLE_DOORS": " ".join(self.doors),
-            "HOISTSADDLE_STALLS": " ".join(self.stalls),
+            "HOISTSADDLE_STALLS": " ".join(self.proxies),
             "ADA": AUTHOR[1],
             "BEN": SIGNER[1],
             "EVE": "token-of-eve",
@@ -84,7 +84,7 @@
     def test_every_command_of_every_page_runs(self) -> None:
         async def run(folder: Path) -> tuple[list[str], int]:
             async with Fleet(deployment=THIMBLE, folder=folder, seed=2) as fleet:
-                shell = Shell(folder=fleet.folder, doors=fleet.doors, stalls=fleet.visitor_doors())
+                shell = Shell(folder=fleet.folder, doors=fleet.doors, proxies=fleet.client_addresses())
                 await asyncio.gather(*(fleet.launch(name) for name in fleet.kinds))
 
                 async def up() -> bool:
@@ -103,8 +103,8 @@
 
                 await fleet.until(ready, seconds=20, what="every core machine is ready")
                 await shell.run(founding[2:])
-                for name, stall in fleet.stalls.items():
-                    await fleet.start_server(name, stall["service"])
+                for name, proxy in fleet.proxies.items():
+                    await fleet.start_server(name, proxy["service"])
                 await fleet.until(fleet._servers_noted, seconds=20, what="servers are noted")
                 (folder / "one.toml").write_text(THIMBLE.first_bundle())
                 (folder / "two.toml").write_text(THIMBLE.next_bundle(number=2, based_on=1))
@@ -119,30 +119,30 @@
         self.assertThat(ran, GreaterThan(35))
         there = {path.stem for path in (ROOT / "docs" / "operators").glob("*.md")}
         # The list of calls has no commands; tests/test_fleet_hardships.py sends each of its calls.
-        self.assertThat(there - set(PAGES) - {"founding", "api", "platform"}, Equals(set(MARKET_PAGES)))
+        self.assertThat(there - set(PAGES) - {"founding", "api", "platform"}, Equals(set(CONTROLLER_PAGES)))
         # What that page tells runs under the platform alone, so it may hold no commands that nobody tries.
         self.assertThat(commands_of(ROOT / "docs" / "operators" / "platform.md"), Equals([]))
 
-    def test_every_command_of_the_pages_on_markets_runs(self) -> None:
+    def test_every_command_of_the_pages_on_controllers_runs(self) -> None:
         async def run(folder: Path) -> tuple[list[str], int]:
-            markets = Deployment(folder)
+            controllers = Deployment(folder)
             try:
                 for place in range(3):
-                    await markets.market(place, cold=True)
+                    await controllers.start_controller(place, cold=True)
 
                 async def ready() -> bool:
-                    return (await markets.command("ready"))[0] == 0
+                    return (await controllers.command("ready"))[0] == 0
 
                 await until(ready)
-                shell = Shell(folder=folder, doors=markets.doors(), stalls=[])
-                for page in MARKET_PAGES:
+                shell = Shell(folder=folder, doors=controllers.doors(), proxies=[])
+                for page in CONTROLLER_PAGES:
                     path = ROOT / "docs" / "operators" / f"{page}.md"
                     # The first patch stands on the page as the file it would be in git.
                     if (text := re.search(r"<<'TOML'\n(.*?)\n    TOML\n", path.read_text(), re.DOTALL)) is not None:
                         (folder / "items.toml").write_text(textwrap.dedent(text[1]))
                     await shell.run(commands_of(path))
             finally:
-                await markets.stop()
+                await controllers.stop()
             return shell.failed, shell.ran
 
         with tempfile.TemporaryDirectory() as folder:
@@ -155,7 +155,7 @@
             async with Fleet(deployment=THIMBLE, folder=folder, seed=2) as fleet:
                 await fleet.start()
                 lines = commands_of(ROOT / "README.md")
-                shell = Shell(folder=fleet.folder, doors=fleet.doors, stalls=fleet.visitor_doors())
+                shell = Shell(folder=fleet.folder, doors=fleet.doors, proxies=fleet.client_addresses())
                 # The walk names the bundle by its place in the repository.
                 await shell.run([line.replace(" packages/", f" {ROOT}/packages/") for line in lines])
             return shell.failed, shell.ran
