--- a/tests/test_stall.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The stall's core on a bench: what it answers, and when."""
+"""The proxy's core on a bench: what it answers, and when."""
 
 import random
 from datetime import timedelta
@@ -6,34 +6,34 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import read_bundle
 from hoistsaddle.proxy.core import ProxyCore
-from hoistsaddle.proxy.entry import KEY_PATIENCE
+from hoistsaddle.proxy.core_state import GAP, CoreSettings, digest_of_body
+from hoistsaddle.proxy.ingress import MAX_KEY_WAIT
 from hoistsaddle.proxy.messages import (
-    AnswerPass,
-    AnswerVisitor,
-    AskHold,
+    AnswerClient,
+    AnswerForward,
+    ConfigurationChanged,
+    ForwardAnswered,
+    ForwardArrived,
+    ForwardFailed,
+    ForwardRequest,
+    ForwardWithheld,
+    HealthReported,
     HoldAnswered,
     LeaseRenewed,
-    PassAnswered,
-    PassArrived,
-    PassHeld,
-    PassMissed,
-    PassOn,
     RequestArrived,
-    RunServer,
+    RunOnServer,
     ServerAnswered,
-    ServerMissed,
-    SetupChanged,
-    StopAsked,
+    ServerFailed,
+    StopRequested,
+    SubmitHold,
     Ticked,
-    VitalsArrived,
 )
-from hoistsaddle.proxy.standing import GAP, ProxyParamsView, digest_of_body
-from hoistsaddle.rpc.messages import PassAnswer, PassCall
+from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
 from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold, SettleHold
-from hoistsaddle.statemachine.state import NodeEntry, ServerEntry
+from hoistsaddle.statemachine.state import NodeRecord, ServerRecord
 from hoistsaddle.statemachine.view import View
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
@@ -43,11 +43,11 @@
 
 def setup(**drained: str) -> View:
     nodes = {
-        f"stall-{place}": NodeEntry(f"stall-{place}", "stall", f"at-{place}", "a", "life", "alive", 1)
+        f"stall-{place}": NodeRecord(f"stall-{place}", "stall", f"at-{place}", "a", "life", "alive", 1)
         for place in range(1, 7)
     }
     servers = {
-        name: ServerEntry(
+        name: ServerRecord(
             name,
             SERVICES[place],
             f"i-{place + 1}",
@@ -66,38 +66,38 @@
 
 class Bench:
     def __init__(self, *, name: str = "stall-1", fresh: bool = True, backlog: int = 5, outstanding: int = 50) -> None:
-        self.moment = timedelta(seconds=50)
+        self.timestamp = timedelta(seconds=50)
         self.core = ProxyCore(
-            params=ProxyParamsView(
+            settings=CoreSettings(
                 name, "a", "life", timedelta(seconds=1.5), timedelta(seconds=1.5), backlog, outstanding
             ),
             seed=random.Random(1),
-            now=self.moment,
+            now=self.timestamp,
         )
         self.out: list[tuple] = []
-        self.feed(SetupChanged(setup()))
+        self.feed(ConfigurationChanged(setup()))
         # Room for further sends is its own only after a lease span.
-        self.feed(SetupChanged(setup()), later=1.6)
+        self.feed(ConfigurationChanged(setup()), later=1.6)
         place = int(name[-1])
-        self.feed(VitalsArrived(SERVICES[place - 1], f"i-{place}", "address", "ready"))
+        self.feed(HealthReported(SERVICES[place - 1], f"i-{place}", "address", "ready"))
         if fresh:
             self.renew()
         self.tickets = 0
 
     def renew(self) -> None:
-        self.feed(LeaseRenewed(self.moment))
+        self.feed(LeaseRenewed(self.timestamp))
 
     def feed(self, event: tuple, *, later: float = 0.0) -> list[tuple]:
-        self.moment += timedelta(seconds=later)
-        out = self.core.handle(event, now=self.moment)
+        self.timestamp += timedelta(seconds=later)
+        out = self.core.handle(event, now=self.timestamp)
         self.out += out
         return out
 
     def ask(
-        self, method: str = "GET", path: str = "/readings", *, key: str = "", body: bytes = b"", visitor: str = ""
+        self, method: str = "GET", path: str = "/readings", *, key: str = "", body: bytes = b"", client: str = ""
     ) -> int:
         self.tickets += 1
-        named = visitor or f"visitor-{self.tickets}"
+        named = client or f"visitor-{self.tickets}"
         self.feed(RequestArrived(self.tickets, "", named, method, path, "", {"Authorization": named}, body, key))
         return self.tickets
 
@@ -107,17 +107,19 @@
     def count(self, kind: type) -> int:
         return sum(isinstance(command, kind) for command in self.out)
 
-    def answer(self, ticket: int) -> AnswerVisitor | None:
+    def answer(self, ticket: int) -> AnswerClient | None:
         return next(
-            (command for command in self.out if isinstance(command, AnswerVisitor) and command.ticket == ticket), None
+            (command for command in self.out if isinstance(command, AnswerClient) and command.ticket == ticket), None
         )
 
     def refuse_pass(self) -> None:
-        sent = self.newest(PassOn)
-        self.feed(PassAnswered(sent.number, PassAnswer(sent.call.send, "not-run", "winding-down", "it leaves")))
+        sent = self.newest(ForwardRequest)
+        self.feed(
+            ForwardAnswered(sent.number, BundleForwardAnswer(sent.call.send, "not-run", "winding-down", "it leaves"))
+        )
 
-    def call(self, send: str = "s1", *, budget: float = 4.0, **changes) -> PassCall:
-        whole = PassCall(
+    def call(self, send: str = "s1", *, budget: float = 4.0, **changes) -> BundleForwardCall:
+        complete = BundleForwardCall(
             send,
             "visitors",
             "visitor",
@@ -134,26 +136,26 @@
             "",
             1024,
         )
-        return whole._replace(**changes)
+        return complete._replace(**changes)
 
 
-class Entry(TestCase):
-    def test_the_backlog_is_bounded_and_overflow_is_told_at_once(self) -> None:
+class Ingress(TestCase):
+    def test_the_queue_is_bounded_and_overflow_is_told_at_once(self) -> None:
         bench = Bench(fresh=False, backlog=5)
         tickets = [bench.ask() for _ in range(8)]
         answers = [bench.answer(ticket) for ticket in tickets]
         self.assertThat([answer is None for answer in answers], Equals([True] * 5 + [False] * 3))
         self.assertThat(
-            (answers[5].outcome, answers[5].mishap.kind, answers[5].retry_after),
+            (answers[5].outcome, answers[5].error.kind, answers[5].retry_after),
             Equals(("not-run", "backlog-full", timedelta(seconds=1))),
         )
         bench.renew()
-        self.assertThat(bench.count(PassOn), Equals(5))
+        self.assertThat(bench.count(ForwardRequest), Equals(5))
 
     def test_one_crowd_does_not_shut_out_the_rest(self) -> None:
         bench = Bench(fresh=False, backlog=40)
-        crowd = [bench.ask(visitor="crowd") for _ in range(60)]
-        others = [bench.ask(visitor=f"other-{number}") for number in range(20)]
+        crowd = [bench.ask(client="crowd") for _ in range(60)]
+        others = [bench.ask(client=f"other-{number}") for number in range(20)]
         self.assertThat(sum(bench.answer(ticket) is None for ticket in crowd), Equals(20))
         self.assertThat([bench.answer(ticket) for ticket in others], Equals([None] * 20))
 
@@ -161,15 +163,18 @@
         bench = Bench(backlog=30, outstanding=4)
         tickets = [bench.ask() for _ in range(20)]
         # Two meters, four sends to each; the rest waits for room.
-        self.assertThat((bench.count(PassOn), [bench.answer(ticket) for ticket in tickets]), Equals((8, [None] * 20)))
-        sent = bench.newest(PassOn)
+        self.assertThat(
+            (bench.count(ForwardRequest), [bench.answer(ticket) for ticket in tickets]), Equals((8, [None] * 20))
+        )
+        sent = bench.newest(ForwardRequest)
         bench.feed(
-            PassAnswered(
-                sent.number, PassAnswer(sent.call.send, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}"))
+            ForwardAnswered(
+                sent.number,
+                BundleForwardAnswer(sent.call.send, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}")),
             )
         )
         bench.feed(Ticked())
-        self.assertThat(bench.count(PassOn), Equals(9))
+        self.assertThat(bench.count(ForwardRequest), Equals(9))
 
     def test_given_up_means_answered_at_once(self) -> None:
         bench = Bench()
@@ -177,37 +182,41 @@
         # Tokens for a further send are earned by first ones.
         for _ in range(10):
             bench.ask()
-        first = next(command for command in bench.out if isinstance(command, PassOn))
-        bench.feed(PassAnswered(first.number, PassAnswer(first.call.send, "not-run", "winding-down", "it leaves")))
+        first = next(command for command in bench.out if isinstance(command, ForwardRequest))
+        bench.feed(
+            ForwardAnswered(first.number, BundleForwardAnswer(first.call.send, "not-run", "winding-down", "it leaves"))
+        )
         self.assertThat(bench.answer(ticket), Equals(None))
         bench.refuse_pass()
         answer = bench.answer(ticket)
         self.assertThat((answer.outcome, answer.status, answer.retry_after is not None), Equals(("not-run", 503, True)))
 
     def judged(self, bench: Bench) -> int:
-        """A request that every open server's stall refused, as a newer bundle is in force there."""
+        """A request that every open server's proxy refused, as a newer bundle is in force there."""
         ticket = bench.ask()
-        sent = bench.newest(PassOn)
+        sent = bench.newest(ForwardRequest)
         # Tokens for further sends are earned by first ones.
         for _ in range(20):
             bench.ask()
         for _ in range(2):
-            bench.feed(PassAnswered(sent.number, PassAnswer(sent.call.send, "not-run", "no-entry", "not here")))
-            sent = bench.newest(PassOn)
+            bench.feed(
+                ForwardAnswered(sent.number, BundleForwardAnswer(sent.call.send, "not-run", "no-entry", "not here"))
+            )
+            sent = bench.newest(ForwardRequest)
         return ticket
 
     def test_a_bundle_that_is_on_its_way_is_waited_for(self) -> None:
-        """Thimble, rules_change, seed 1: a target that had the next bundle refused, and the visitor was told so."""
+        """Thimble, rules_change, seed 1: a target that had the next bundle refused, and the client was told so."""
         bench = Bench(backlog=50)
         ticket = self.judged(bench)
-        before = bench.count(PassOn)
+        before = bench.count(ForwardRequest)
         bench.feed(Ticked(), later=0.1)
-        self.assertThat((bench.answer(ticket), bench.count(PassOn)), Equals((None, before)))
+        self.assertThat((bench.answer(ticket), bench.count(ForwardRequest)), Equals((None, before)))
         for _ in range(10):
             bench.ask()
-        before = bench.count(PassOn)
-        bench.feed(SetupChanged(setup()._replace(revision=6)))
-        self.assertThat((bench.answer(ticket), bench.count(PassOn)), Equals((None, before + 1)))
+        before = bench.count(ForwardRequest)
+        bench.feed(ConfigurationChanged(setup()._replace(revision=6)))
+        self.assertThat((bench.answer(ticket), bench.count(ForwardRequest)), Equals((None, before + 1)))
 
     def test_a_bundle_that_does_not_come_is_not_waited_for_any_longer_than_a_gap(self) -> None:
         bench = Bench(backlog=50)
@@ -217,7 +226,7 @@
             bench.renew()
             bench.feed(Ticked(), later=GAP.total_seconds() / 2)
         answer = bench.answer(ticket)
-        self.assertThat((answer.outcome, answer.mishap.kind), Equals(("not-run", "no-entry")))
+        self.assertThat((answer.outcome, answer.error.kind), Equals(("not-run", "no-entry")))
 
     def test_waiting_ends_with_the_budget_and_nothing_is_sent_after(self) -> None:
         bench = Bench(fresh=False)
@@ -225,89 +234,91 @@
         bench.feed(Ticked(), later=5.1)
         self.assertThat(bench.answer(ticket).outcome, Equals("not-run"))
         bench.renew()
-        self.assertThat(bench.count(PassOn), Equals(0))
+        self.assertThat(bench.count(ForwardRequest), Equals(0))
 
     def test_silence_is_unknown_and_only_safe_methods_go_further(self) -> None:
         bench = Bench()
         for _ in range(10):
             bench.ask()
-        bench.feed(PassMissed(bench.newest(PassOn).number, False))
-        self.assertThat(bench.newest(PassOn).call.ordinal, Equals(2))
-        bench.feed(PassMissed(bench.newest(PassOn).number, False))
+        bench.feed(ForwardFailed(bench.newest(ForwardRequest).number, False))
+        self.assertThat(bench.newest(ForwardRequest).call.ordinal, Equals(2))
+        bench.feed(ForwardFailed(bench.newest(ForwardRequest).number, False))
         self.assertThat(bench.answer(10).outcome, Equals("unknown"))
         ticket = bench.ask("POST", "/payments", key="k")
-        bench.feed(HoldAnswered(bench.newest(AskHold).number, Outcome(detail={"phase": "granted"})))
-        bench.feed(PassMissed(bench.newest(PassOn).number, False))
+        bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})))
+        bench.feed(ForwardFailed(bench.newest(ForwardRequest).number, False))
         self.assertThat((bench.answer(ticket).outcome, bench.answer(ticket).status), Equals(("unknown", 504)))
         # It may have run, so its key stays held.
-        self.assertThat(isinstance(bench.newest(AskHold).command, ClaimHold), Equals(True))
+        self.assertThat(isinstance(bench.newest(SubmitHold).command, ClaimHold), Equals(True))
 
     def test_nothing_is_sent_before_the_claim_is_committed(self) -> None:
         bench = Bench()
         bench.ask("POST", "/payments", key="k")
-        self.assertThat(bench.count(PassOn), Equals(0))
-        bench.feed(HoldAnswered(bench.newest(AskHold).number, Outcome(detail={"phase": "granted"})))
-        self.assertThat(bench.count(PassOn), Equals(1))
+        self.assertThat(bench.count(ForwardRequest), Equals(0))
+        bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})))
+        self.assertThat(bench.count(ForwardRequest), Equals(1))
 
     def test_a_claim_that_is_missed_again_and_again_is_given_up(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
         for turn in range(3):
             bench.renew()
-            bench.feed(HoldAnswered(bench.newest(AskHold).number, None), later=0.8)
+            bench.feed(HoldAnswered(bench.newest(SubmitHold).number, None), later=0.8)
             # Others get their answers all the while, so the core isn't silent.
             other = bench.ask("POST", "/payments", key=f"other-{turn}")
-            bench.feed(HoldAnswered(bench.newest(AskHold).number, Outcome(detail={"phase": "granted"})))
+            bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})))
             self.assertThat(bench.answer(other), Equals(None))
             bench.renew()
             bench.feed(Ticked(), later=0.05)
         answer = bench.answer(ticket)
         self.assertThat(
-            (answer.outcome, answer.mishap.kind, answer.retry_after is not None), Equals(("not-run", "no-leader", True))
+            (answer.outcome, answer.error.kind, answer.retry_after is not None), Equals(("not-run", "no-leader", True))
         )
 
     def test_a_claim_that_is_still_under_way_after_its_patience_is_given_up(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
-        claim = bench.newest(AskHold)
+        claim = bench.newest(SubmitHold)
         bench.renew()
-        bench.feed(Ticked(), later=KEY_PATIENCE.total_seconds() - 0.1)
+        bench.feed(Ticked(), later=MAX_KEY_WAIT.total_seconds() - 0.1)
         self.assertThat(bench.answer(ticket), Equals(None))
         bench.renew()
         bench.feed(Ticked(), later=0.1)
         answer = bench.answer(ticket)
         self.assertThat(
-            (answer.outcome, answer.mishap.kind, answer.retry_after is not None), Equals(("not-run", "no-leader", True))
+            (answer.outcome, answer.error.kind, answer.retry_after is not None), Equals(("not-run", "no-leader", True))
         )
         # A grant that comes after the answer is given back, and nothing is sent under it.
         bench.feed(HoldAnswered(claim.number, Outcome(detail={"phase": "granted"})))
-        self.assertThat((type(bench.newest(AskHold).command), bench.count(PassOn)), Equals((ReleaseHold, 0)))
+        self.assertThat((type(bench.newest(SubmitHold).command), bench.count(ForwardRequest)), Equals((ReleaseHold, 0)))
 
     def test_a_claim_granted_too_late_is_given_back(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
-        claim = bench.newest(AskHold)
+        claim = bench.newest(SubmitHold)
         bench.renew()
         bench.feed(Ticked(), later=5.1)
         self.assertThat(bench.answer(ticket).outcome, Equals("not-run"))
-        before = bench.count(AskHold)
+        before = bench.count(SubmitHold)
         bench.feed(HoldAnswered(claim.number, Outcome(detail={"phase": "granted"})))
-        released = bench.newest(AskHold).command
+        released = bench.newest(SubmitHold).command
         self.assertThat(
-            (bench.count(AskHold) - before, type(released), released.claim),
+            (bench.count(SubmitHold) - before, type(released), released.claim),
             Equals((1, ReleaseHold, claim.command.claim)),
         )
-        self.assertThat(bench.count(PassOn), Equals(0))
+        self.assertThat(bench.count(ForwardRequest), Equals(0))
 
     def test_an_answer_altered_or_not_to_this_send_is_nobodys(self) -> None:
         for spoil in (lambda answer: answer._replace(body=b"{}x"), lambda answer: answer._replace(send="another")):
             bench = Bench()
             ticket = bench.ask()
-            sent = bench.newest(PassOn)
+            sent = bench.newest(ForwardRequest)
             bench.feed(
-                PassAnswered(
+                ForwardAnswered(
                     sent.number,
-                    spoil(PassAnswer(sent.call.send, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}"))),
+                    spoil(
+                        BundleForwardAnswer(sent.call.send, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}"))
+                    ),
                 )
             )
             self.assertThat((bench.answer(ticket).outcome, bench.answer(ticket).body), Equals(("unknown", b"")))
@@ -315,31 +326,31 @@
     def test_a_send_held_back_here_costs_nothing_and_goes_out_when_fresh(self) -> None:
         bench = Bench()
         ticket = bench.ask()
-        bench.feed(PassHeld(bench.newest(PassOn).number))
+        bench.feed(ForwardWithheld(bench.newest(ForwardRequest).number))
         self.assertThat(bench.answer(ticket), Equals(None))
         bench.feed(Ticked(), later=0.05)
-        self.assertThat((bench.count(PassOn), bench.newest(PassOn).call.ordinal), Equals((2, 1)))
+        self.assertThat((bench.count(ForwardRequest), bench.newest(ForwardRequest).call.ordinal), Equals((2, 1)))
 
     def test_after_a_freeze_nothing_goes_out_on_the_old_lease(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
-        bench.feed(HoldAnswered(bench.newest(AskHold).number, Outcome(detail={"phase": "granted"})), later=2.0)
-        self.assertThat((bench.count(PassOn), bench.answer(ticket)), Equals((0, None)))
+        bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})), later=2.0)
+        self.assertThat((bench.count(ForwardRequest), bench.answer(ticket)), Equals((0, None)))
 
 
 class Target(TestCase):
     def test_a_send_runs_once_however_often_it_comes(self) -> None:
         bench = Bench(name="stall-3")
         for ticket in (1, 2):
-            bench.feed(PassArrived(ticket, bench.call(), False))
-        self.assertThat((bench.count(RunServer), bench.newest(AnswerPass).answer.outcome), Equals((1, "unknown")))
+            bench.feed(ForwardArrived(ticket, bench.call(), False))
+        self.assertThat((bench.count(RunOnServer), bench.newest(AnswerForward).answer.outcome), Equals((1, "unknown")))
 
     def test_what_was_refused_never_runs_later(self) -> None:
         bench = Bench(name="stall-3")
-        bench.feed(PassArrived(1, bench.call(instance="another"), False))
-        self.assertThat(bench.newest(AnswerPass).answer.outcome, Equals("not-run"))
-        bench.feed(PassArrived(2, bench.call(), False))
-        self.assertThat((bench.count(RunServer), bench.newest(AnswerPass).answer.outcome), Equals((0, "unknown")))
+        bench.feed(ForwardArrived(1, bench.call(instance="another"), False))
+        self.assertThat(bench.newest(AnswerForward).answer.outcome, Equals("not-run"))
+        bench.feed(ForwardArrived(2, bench.call(), False))
+        self.assertThat((bench.count(RunOnServer), bench.newest(AnswerForward).answer.outcome), Equals((0, "unknown")))
 
     def test_each_gate_refuses(self) -> None:
         cases = {
@@ -353,61 +364,63 @@
         }
         for kind, (changes, frozen) in cases.items():
             bench = Bench(name="stall-3")
-            bench.feed(PassArrived(1, bench.call(**changes), frozen))
-            answer = bench.newest(AnswerPass).answer
-            self.assertThat((answer.outcome, answer.mishap, bench.count(RunServer)), Equals(("not-run", kind, 0)))
+            bench.feed(ForwardArrived(1, bench.call(**changes), frozen))
+            answer = bench.newest(AnswerForward).answer
+            self.assertThat((answer.outcome, answer.error, bench.count(RunOnServer)), Equals(("not-run", kind, 0)))
 
     def test_leaving_is_known_here_before_any_news_of_it(self) -> None:
         leave = {
-            "told": lambda bench: bench.feed(VitalsArrived("meter", "i-3", "address", "winding down")),
-            "stopping": lambda bench: bench.feed(StopAsked()),
+            "told": lambda bench: bench.feed(HealthReported("meter", "i-3", "address", "winding down")),
+            "stopping": lambda bench: bench.feed(StopRequested()),
             "silent": lambda bench: (bench.feed(Ticked(), later=1.0), bench.renew(), bench.feed(Ticked(), later=0.6)),
-            "drained": lambda bench: bench.feed(SetupChanged(setup(stall_3="ada"))),
-            "replaced": lambda bench: bench.feed(VitalsArrived("ledger", "i-9", "address", "ready")),
+            "drained": lambda bench: bench.feed(ConfigurationChanged(setup(stall_3="ada"))),
+            "replaced": lambda bench: bench.feed(HealthReported("ledger", "i-9", "address", "ready")),
         }
         for way, do in leave.items():
             bench = Bench(name="stall-3")
             do(bench)
-            bench.feed(PassArrived(1, bench.call(), False))
+            bench.feed(ForwardArrived(1, bench.call(), False))
             self.assertThat(
-                (bench.newest(AnswerPass).answer.outcome, bench.count(RunServer)), Equals(("not-run", 0)), way
+                (bench.newest(AnswerForward).answer.outcome, bench.count(RunOnServer)), Equals(("not-run", 0)), way
             )
 
     def test_a_short_gap_is_waited_out_for_half_the_budget(self) -> None:
         bench = Bench(name="stall-3", fresh=False)
-        bench.feed(PassArrived(1, bench.call(), False))
-        self.assertThat((bench.count(RunServer), bench.count(AnswerPass)), Equals((0, 0)))
-        bench.moment += timedelta(seconds=1)
-        bench.feed(VitalsArrived("meter", "i-3", "address", "ready"))
+        bench.feed(ForwardArrived(1, bench.call(), False))
+        self.assertThat((bench.count(RunOnServer), bench.count(AnswerForward)), Equals((0, 0)))
+        bench.timestamp += timedelta(seconds=1)
+        bench.feed(HealthReported("meter", "i-3", "address", "ready"))
         bench.renew()
-        self.assertThat((bench.count(RunServer), bench.newest(RunServer).within), Equals((1, timedelta(seconds=3))))
+        self.assertThat((bench.count(RunOnServer), bench.newest(RunOnServer).within), Equals((1, timedelta(seconds=3))))
         never = Bench(name="stall-3", fresh=False)
-        never.feed(PassArrived(1, never.call(), False))
+        never.feed(ForwardArrived(1, never.call(), False))
         never.feed(Ticked(), later=2.1)
-        self.assertThat(never.newest(AnswerPass).answer.mishap, Equals("lease-lapsed"))
-        never.feed(VitalsArrived("meter", "i-3", "address", "ready"))
+        self.assertThat(never.newest(AnswerForward).answer.error, Equals("lease-lapsed"))
+        never.feed(HealthReported("meter", "i-3", "address", "ready"))
         never.renew()
-        self.assertThat(never.count(RunServer), Equals(0))
+        self.assertThat(never.count(RunOnServer), Equals(0))
 
     def test_the_answer_is_settled_before_it_is_given(self) -> None:
         bench = Bench(name="stall-3")
         bench.feed(
-            PassArrived(1, bench.call(entry="uploads", path="/uploads", method="POST", hold="scope claim"), False)
+            ForwardArrived(1, bench.call(entry="uploads", path="/uploads", method="POST", hold="scope claim"), False)
         )
-        bench.feed(ServerAnswered(bench.newest(RunServer).number, 200, {}, b"{}"))
+        bench.feed(ServerAnswered(bench.newest(RunOnServer).number, 200, {}, b"{}"))
         self.assertThat(
-            (bench.count(AnswerPass), bench.newest(AskHold).command),
+            (bench.count(AnswerForward), bench.newest(SubmitHold).command),
             Equals((0, SettleHold("scope", "claim", 200, {}, b"{}", True))),
         )
-        bench.feed(HoldAnswered(bench.newest(AskHold).number, Outcome(detail={"phase": "settled"})))
-        self.assertThat(bench.newest(AnswerPass).answer.outcome, Equals("answered"))
+        bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "settled"})))
+        self.assertThat(bench.newest(AnswerForward).answer.outcome, Equals("answered"))
 
     def test_a_server_that_took_no_connection_did_not_run_it_and_counts_as_gone(self) -> None:
         bench = Bench(name="stall-3")
-        bench.feed(PassArrived(1, bench.call(), False))
+        bench.feed(ForwardArrived(1, bench.call(), False))
         bench.feed(
-            ServerMissed(bench.newest(RunServer).number, True, Mishap(MishapKind.UNREACHABLE, "no connection", "none"))
+            ServerFailed(
+                bench.newest(RunOnServer).number, True, MeshError(ErrorKind.UNREACHABLE, "no connection", "none")
+            )
         )
         self.assertThat(
-            (bench.newest(AnswerPass).answer.outcome, bench.core.server_state()), Equals(("not-run", "gone"))
+            (bench.newest(AnswerForward).answer.outcome, bench.core.server_state()), Equals(("not-run", "gone"))
         )
--- a/tests/test_catch_up.py
+++ b/tests/test_raft_catch_up.py
@@ -12,7 +12,7 @@
     CheckpointLoaded,
     CheckpointStored,
     DropCheckpoints,
-    Mark,
+    OffsetAndEpoch,
     Send,
     StoreChunk,
     Ticked,
@@ -20,18 +20,18 @@
 from hoistsaddle.raft.replica import LEADER, SNAPSHOT_NOT_FOUND
 from hoistsaddle.rpc.messages import (
     UNSET,
-    BallotAnswer,
-    BallotCall,
+    BeginEpochCall,
+    EndEpochCall,
     FetchAnswer,
     FetchCall,
-    LeadCall,
-    PullAnswer,
-    PullCall,
+    FetchSnapshotAnswer,
+    FetchSnapshotCall,
     Record,
-    ResignCall,
+    VoteAnswer,
+    VoteCall,
 )
-from hoistsaddle.statemachine.state import State, found_state
-from test_kip_630 import PACE, VOTERS, Bench, claim
+from hoistsaddle.statemachine.state import State, initial_state
+from test_kip_630 import TIMINGS, VOTERS, Bench, claim
 
 
 def records(first: int, last: int, *, epoch: int) -> tuple[Record, ...]:
@@ -46,7 +46,7 @@
     """Replica 2 with nine records of epoch 1, three of them agreed, sent to the checkpoint of a leader of epoch 3."""
 
     def __init__(self) -> None:
-        state = found_state(mesh="m", voters=VOTERS, operators={})
+        state = initial_state(mesh="m", voters=VOTERS, operators={})
         super().__init__(
             replica=2,
             boot=Boot(
@@ -56,13 +56,13 @@
                 voters=tuple(VOTERS.items()),
                 mesh="m",
                 records=records(1, 9, epoch=1),
-                checkpoint=Mark(0, 0),
+                checkpoint=OffsetAndEpoch(0, 0),
                 state=state,
             ),
         )
-        self.call(LeadCall("m", 1, 1))
+        self.call(BeginEpochCall("m", 1, 1))
         self.answer(FetchAnswer("", 1, 1, 3, 1))
-        self.call(LeadCall("m", 3, 3))
+        self.call(BeginEpochCall("m", 3, 3))
         self.sent_to(40)
 
     def answer(self, answer: FetchAnswer, *, leader: int = 0) -> None:
@@ -74,30 +74,34 @@
         self.answer(FetchAnswer("", self.core.epoch, self.core.leader, end, offset + 1, **checkpoint))
 
     def piece(self, data: bytes = b"abc", *, continues: bool = False) -> None:
-        pull = self.sent(PullCall)[-1].message
-        answer = PullAnswer("", 3, pull.checkpoint_offset, pull.checkpoint_epoch, pull.position, data, continues)
-        self.feed(AnswerArrived(self.core.pull_number, self.core.leader, answer))
+        pull = self.sent(FetchSnapshotCall)[-1].message
+        answer = FetchSnapshotAnswer(
+            "", 3, pull.checkpoint_offset, pull.checkpoint_epoch, pull.position, data, continues
+        )
+        self.feed(AnswerArrived(self.core.snapshot_fetch_number, self.core.leader, answer))
 
     def fetched_from(self) -> tuple[int, int, bool]:
         call = self.sent(FetchCall)[-1].message
-        return call.fetch_offset, call.fetch_epoch, call.whole
+        return call.fetch_offset, call.fetch_epoch, call.complete
 
 
 class WhileItPulls(TestCase):
     def test_it_stays_whole_with_all_that_it_acknowledged(self) -> None:
         bench = Behind()
         bench.piece(continues=True)
-        self.assertThat((bench.core.whole, bench.core.state.offset, bench.core.last), Equals((True, 3, Mark(9, 1))))
+        self.assertThat(
+            (bench.core.complete, bench.core.state.offset, bench.core.last), Equals((True, 3, OffsetAndEpoch(9, 1)))
+        )
         # It votes as the log that it holds asks for: not for one that knows less.
         bench.feed(Ticked(), later=timedelta(seconds=3))
-        self.assertThat(bench.call(BallotCall("m", 9, 1, "one", 8, 1, False)).granted, Equals(False))
-        self.assertThat(bench.call(BallotCall("m", 10, 1, "one", 9, 1, False)).granted, Equals(True))
+        self.assertThat(bench.call(VoteCall("m", 9, 1, "one", 8, 1, False)).granted, Equals(False))
+        self.assertThat(bench.call(VoteCall("m", 10, 1, "one", 9, 1, False)).granted, Equals(True))
 
     def test_a_new_leader_that_still_has_the_log_after_its_own_needs_no_checkpoint(self) -> None:
         bench = Behind()
         bench.piece(continues=True)
-        bench.call(LeadCall("m", 4, 1))
-        self.assertThat((bench.core.pulling, bench.fetched_from()), Equals((None, (10, 1, True))))
+        bench.call(BeginEpochCall("m", 4, 1))
+        self.assertThat((bench.core.fetching_snapshot, bench.fetched_from()), Equals((None, (10, 1, True))))
         bench.answer(FetchAnswer("", 4, 1, 11, 1, records(10, 11, epoch=4)))
         self.assertThat(bench.core.state.offset, Equals(11))
 
@@ -106,8 +110,8 @@
         bench.answer(FetchAnswer("", 3, 3, 42, 41, records(41, 42, epoch=3)))
         self.assertThat(bench.fetched_from(), Equals((43, 3, False)))
         bench.piece()
-        bench.feed(CheckpointLoaded(Mark(40, 3), state_at(40, 3)))
-        self.assertThat((bench.core.begin, bench.core.last), Equals((Mark(40, 3), Mark(42, 3))))
+        bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 3), state_at(40, 3)))
+        self.assertThat((bench.core.begin, bench.core.last), Equals((OffsetAndEpoch(40, 3), OffsetAndEpoch(42, 3))))
         bench.answer(FetchAnswer("", 3, 3, 42, 41))
         self.assertThat((bench.core.state.offset, bench.fetched_from()), Equals((42, (43, 3, True))))
 
@@ -115,17 +119,21 @@
         for state in (state_at(2, 1), state_at(40, 3, mesh="other")):
             bench = Behind()
             bench.piece()
-            bench.feed(CheckpointLoaded(Mark(40, 3), state))
-            self.assertThat((bench.core.state.offset, bench.core.last, bench.core.mesh), Equals((3, Mark(9, 1), "m")))
+            bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 3), state))
+            self.assertThat(
+                (bench.core.state.offset, bench.core.last, bench.core.mesh), Equals((3, OffsetAndEpoch(9, 1), "m"))
+            )
             self.assertThat(bench.fetched_from()[:2], Equals((41, 3)))
-            bench.feed(Ticked(), later=PACE.fetch_retry + timedelta(milliseconds=15))
+            bench.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
             self.assertThat(bench.fetched_from(), Equals((0, 0, False)))
 
     def test_the_same_checkpoint_named_again_goes_on_where_it_was(self) -> None:
         bench = Behind()
         bench.piece(continues=True)
         bench.answer(FetchAnswer("", 3, 3, 50, 41))
-        self.assertThat((bench.core.pull_position, bench.core.pulling), Equals((3, Mark(40, 3))))
+        self.assertThat(
+            (bench.core.snapshot_position, bench.core.fetching_snapshot), Equals((3, OffsetAndEpoch(40, 3)))
+        )
 
     def test_only_a_silence_of_its_own_makes_it_start_over(self) -> None:
         bench = Behind()
@@ -133,9 +141,11 @@
         # The leader trims its log twice meanwhile; the fetches beside the pull keep up, so nothing is lost.
         for end in (60, 80):
             bench.answer(FetchAnswer("", 3, 3, end, end - 4, records(bench.fetched_from()[0], end, epoch=3)))
-        self.assertThat((bench.core.pulling, bench.core.pull_position), Equals((Mark(40, 3), 3)))
+        self.assertThat(
+            (bench.core.fetching_snapshot, bench.core.snapshot_position), Equals((OffsetAndEpoch(40, 3), 3))
+        )
         bench.piece()
-        bench.feed(CheckpointLoaded(Mark(40, 3), state_at(40, 3)))
+        bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 3), state_at(40, 3)))
         bench.answer(FetchAnswer("", 3, 3, 80, 77))
         self.assertThat(bench.core.state.offset, Equals(80))
         # Frozen for long, by contrast, it meets a log that begins above what it staged.
@@ -143,32 +153,35 @@
         frozen.piece(continues=True)
         frozen.sent_to(90)
         self.assertThat(
-            (frozen.core.pulling, frozen.core.pull_position, frozen.fetched_from()),
-            Equals((Mark(90, 3), 0, (91, 3, False))),
+            (frozen.core.fetching_snapshot, frozen.core.snapshot_position, frozen.fetched_from()),
+            Equals((OffsetAndEpoch(90, 3), 0, (91, 3, False))),
         )
-        self.assertThat([chunk.mark for chunk in frozen.of(StoreChunk)], Equals([Mark(40, 3)]))
+        self.assertThat([chunk.checkpoint_id for chunk in frozen.of(StoreChunk)], Equals([OffsetAndEpoch(40, 3)]))
 
     def test_while_nobody_leads_no_piece_is_asked_for(self) -> None:
         bench = Behind()
-        bench.call(ResignCall(3, 3))
-        pulls = len(bench.sent(PullCall))
+        bench.call(EndEpochCall(3, 3))
+        snapshot_fetches = len(bench.sent(FetchSnapshotCall))
         bench.piece(continues=True)
-        self.assertThat((bench.core.leader, len(bench.sent(PullCall))), Equals((UNSET, pulls)))
+        self.assertThat((bench.core.leader, len(bench.sent(FetchSnapshotCall))), Equals((UNSET, snapshot_fetches)))
         self.assertThat([send.replica for send in bench.of(Send) if send.replica == UNSET], Equals([]))
 
     def test_one_that_is_elected_meanwhile_keeps_its_own_log(self) -> None:
         bench = Behind()
         bench.piece()
-        bench.call(ResignCall(3, 3))
+        bench.call(EndEpochCall(3, 3))
         bench.feed(Ticked(), later=timedelta(seconds=2))
-        for trial in (True, False):
-            epoch = bench.core.epoch + trial
-            answer = BallotAnswer(bench.core.epoch, 1, "one", True, trial, epoch)
-            bench.feed(AnswerArrived(bench.sent(BallotCall)[-1].number, 1, answer))
+        for pre_vote in (True, False):
+            epoch = bench.core.epoch + pre_vote
+            answer = VoteAnswer(bench.core.epoch, 1, "one", True, pre_vote, epoch)
+            bench.feed(AnswerArrived(bench.sent(VoteCall)[-1].number, 1, answer))
         last = bench.core.last
-        self.assertThat(bench.core.standing, Equals(LEADER))
-        bench.feed(CheckpointLoaded(Mark(40, 3), state_at(40, 3)))
-        self.assertThat((bench.core.last, bench.core.pulling, bench.core.begin), Equals((last, None, Mark(0, 0))))
+        self.assertThat(bench.core.role, Equals(LEADER))
+        bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 3), state_at(40, 3)))
+        self.assertThat(
+            (bench.core.last, bench.core.fetching_snapshot, bench.core.begin),
+            Equals((last, None, OffsetAndEpoch(0, 0))),
+        )
 
 
 class PartedLogs(TestCase):
@@ -177,7 +190,7 @@
         bench = Bench().lead()
         bench.write(8)
         bench.commit()
-        bench.feed(CheckpointStored(Mark(7, 1), 100))
+        bench.feed(CheckpointStored(OffsetAndEpoch(7, 1), 100))
         self.assertThat(bench.core.begin.offset, Equals(7))
         answer = bench.fetch(3, 20, 0)
         self.assertThat((answer.checkpoint_offset, answer.diverging_offset), Equals((7, -1)))
@@ -186,40 +199,40 @@
         leading = Bench().lead()
         leading.write(8)
         leading.commit()
-        leading.feed(CheckpointStored(Mark(7, 1), 100))
-        state = found_state(mesh="m", voters=VOTERS, operators={})
+        leading.feed(CheckpointStored(OffsetAndEpoch(7, 1), 100))
+        state = initial_state(mesh="m", voters=VOTERS, operators={})
         boot = Boot(
             replica=3,
             incarnation="three",
             voters=tuple(VOTERS.items()),
             mesh="m",
             records=records(1, 19, epoch=0),
-            checkpoint=Mark(0, 0),
+            checkpoint=OffsetAndEpoch(0, 0),
             state=state,
         )
         parted = Bench(boot=boot)
-        parted.call(LeadCall("m", 1, 1))
+        parted.call(BeginEpochCall("m", 1, 1))
         for calls in range(1, 6):
             call = parted.sent(FetchCall)[-1].message
             answer = leading.call(call)
             if answer is None:
                 break
             parted.feed(AnswerArrived(parted.core.fetch_number, 1, answer))
-        self.assertThat((calls <= 3, parted.core.pulling), Equals((True, Mark(7, 1))))
+        self.assertThat((calls <= 3, parted.core.fetching_snapshot), Equals((True, OffsetAndEpoch(7, 1))))
 
     def test_an_answer_that_cuts_nothing_is_not_followed_by_the_same_fetch_at_once(self) -> None:
         """As a leader of the former release gives it."""
-        state = found_state(mesh="m", voters=VOTERS, operators={})
+        state = initial_state(mesh="m", voters=VOTERS, operators={})
         voters = tuple(VOTERS.items())
         log = records(1, 7, epoch=0)
-        boot = Boot(3, "three", voters=voters, mesh="m", records=log, checkpoint=Mark(0, 0), state=state)
+        boot = Boot(3, "three", voters=voters, mesh="m", records=log, checkpoint=OffsetAndEpoch(0, 0), state=state)
         parted = Bench(boot=boot)
-        parted.call(LeadCall("m", 1, 1))
+        parted.call(BeginEpochCall("m", 1, 1))
         fetches = len(parted.sent(FetchCall))
         answer = FetchAnswer("", 1, 1, 9, 8, diverging_offset=7, diverging_epoch=1)
         parted.feed(AnswerArrived(parted.core.fetch_number, 1, answer))
         self.assertThat(len(parted.sent(FetchCall)), Equals(fetches))
-        parted.feed(Ticked(), later=PACE.fetch_retry + timedelta(milliseconds=15))
+        parted.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
         self.assertThat(len(parted.sent(FetchCall)), Equals(fetches + 1))
 
 
@@ -228,42 +241,44 @@
         bench = Bench().lead()
         bench.write(6)
         bench.commit()
-        bench.feed(CheckpointStored(Mark(6, 1), 100))
+        bench.feed(CheckpointStored(OffsetAndEpoch(6, 1), 100))
         self.assertThat(bench.core.begin.offset, Equals(6))
         bench.fetch(3, 1, 0)
-        bench.call(PullCall(3, 1, 6, 1, 0, 100))
+        bench.call(FetchSnapshotCall(3, 1, 6, 1, 0, 100))
         return bench
 
-    def trim_again(self, bench: Bench) -> Mark:
+    def trim_again(self, bench: Bench) -> OffsetAndEpoch:
         bench.write(6)
         bench.commit()
-        mark = Mark(bench.core.state.offset, 1)
-        bench.feed(CheckpointStored(mark, 100))
-        for _ in range(int(PACE.lag_wait / timedelta(milliseconds=500)) + 1):
+        checkpoint_id = OffsetAndEpoch(bench.core.state.offset, 1)
+        bench.feed(CheckpointStored(checkpoint_id, 100))
+        for _ in range(int(TIMINGS.lag_wait / timedelta(milliseconds=500)) + 1):
             bench.fetch(2, bench.core.last.offset + 1, 1, later=timedelta(milliseconds=250))
-            bench.fetch(3, bench.core.last.offset + 1, 1, whole=False, later=timedelta(milliseconds=250))
-            bench.call(PullCall(3, 1, 6, 1, 50, 100))
+            bench.fetch(3, bench.core.last.offset + 1, 1, complete=False, later=timedelta(milliseconds=250))
+            bench.call(FetchSnapshotCall(3, 1, 6, 1, 50, 100))
             bench.feed(Ticked())
-        self.assertThat(bench.core.begin, Equals(mark))
-        return mark
+        self.assertThat(bench.core.begin, Equals(checkpoint_id))
+        return checkpoint_id
 
     def test_a_checkpoint_that_is_being_pulled_outlives_the_next(self) -> None:
         bench = self.pulled_from()
-        mark = self.trim_again(bench)
-        self.assertThat(bench.of(DropCheckpoints)[-1], Equals(DropCheckpoints(mark.offset, (Mark(6, 1),))))
+        checkpoint_id = self.trim_again(bench)
+        self.assertThat(
+            bench.of(DropCheckpoints)[-1], Equals(DropCheckpoints(checkpoint_id.offset, (OffsetAndEpoch(6, 1),)))
+        )
 
     def test_it_goes_when_the_pull_is_done_or_its_puller_is_silent(self) -> None:
         for done in (True, False):
             bench = self.pulled_from()
-            mark = self.trim_again(bench)
+            checkpoint_id = self.trim_again(bench)
             if done:
                 bench.fetch(3, bench.core.last.offset + 1, 1)
                 bench.feed(Ticked())
             else:
-                for _ in range(int(PACE.alive_span / timedelta(milliseconds=500)) + 2):
+                for _ in range(int(TIMINGS.liveness_timeout / timedelta(milliseconds=500)) + 2):
                     bench.fetch(2, bench.core.last.offset + 1, 1, later=timedelta(milliseconds=500))
                     bench.feed(Ticked())
-            self.assertThat(bench.of(DropCheckpoints)[-1], Equals(DropCheckpoints(mark.offset)), str(done))
+            self.assertThat(bench.of(DropCheckpoints)[-1], Equals(DropCheckpoints(checkpoint_id.offset)), str(done))
             drops = len(bench.of(DropCheckpoints))
             bench.feed(Ticked())
             self.assertThat(len(bench.of(DropCheckpoints)), Equals(drops))
@@ -272,30 +287,32 @@
 class SlowLinks(TestCase):
     def test_records_that_came_later_than_a_fetch_waits_still_count(self) -> None:
         bench = Bench(replica=2)
-        bench.call(LeadCall("m", 1, 1))
+        bench.call(BeginEpochCall("m", 1, 1))
         first = bench.core.fetch_number
-        bench.feed(Ticked(), later=PACE.fetch_retry + timedelta(milliseconds=15))
+        bench.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
         self.assertThat(bench.core.fetch_number != first, Equals(True))
         bench.feed(AnswerArrived(first, 1, FetchAnswer("", 1, 1, 2, 1, records(1, 2, epoch=1))))
         self.assertThat(bench.core.state.offset, Equals(2))
         # The answer to the second fetch brings the same records once more.
         bench.feed(AnswerArrived(first + 1, 1, FetchAnswer("", 1, 1, 2, 1, records(1, 2, epoch=1))))
-        self.assertThat(bench.core.last, Equals(Mark(2, 1)))
+        self.assertThat(bench.core.last, Equals(OffsetAndEpoch(2, 1)))
 
     def test_late_records_never_go_on_a_log_other_than_the_one_they_were_asked_for(self) -> None:
         bench = Behind()
         bench.piece(continues=True)
         asked = bench.core.fetch_number
-        bench.call(LeadCall("m", 4, 3))
-        self.assertThat(bench.core.pulling, Equals(None))
+        bench.call(BeginEpochCall("m", 4, 3))
+        self.assertThat(bench.core.fetching_snapshot, Equals(None))
         bench.feed(AnswerArrived(asked, 3, FetchAnswer("", 3, 3, 50, 41, records(41, 42, epoch=3))))
         bench.feed(AnswerArrived(asked, 3, FetchAnswer("", 4, 3, 50, 41, records(41, 42, epoch=3))))
-        self.assertThat(bench.core.last, Equals(Mark(9, 1)))
+        self.assertThat(bench.core.last, Equals(OffsetAndEpoch(9, 1)))
 
     def test_a_failed_pull_asks_anew_where_to_begin(self) -> None:
         bench = Behind()
-        bench.feed(AnswerArrived(bench.core.pull_number, 3, PullAnswer(SNAPSHOT_NOT_FOUND, 3, 40, 3)))
-        bench.feed(Ticked(), later=PACE.fetch_retry + timedelta(milliseconds=15))
+        bench.feed(
+            AnswerArrived(bench.core.snapshot_fetch_number, 3, FetchSnapshotAnswer(SNAPSHOT_NOT_FOUND, 3, 40, 3))
+        )
+        bench.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
         self.assertThat(bench.fetched_from(), Equals((0, 0, False)))
         bench.sent_to(60)
-        self.assertThat((bench.core.pulling, bench.core.whole), Equals((Mark(60, 3), True)))
+        self.assertThat((bench.core.fetching_snapshot, bench.core.complete), Equals((OffsetAndEpoch(60, 3), True)))
--- a/tests/test_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -10,13 +10,13 @@
 from testtools.matchers import Contains, Equals, GreaterThan
 
 from hoistsaddle.raft import disk
-from hoistsaddle.raft.events import Boot, Mark
+from hoistsaddle.raft.events import Boot, OffsetAndEpoch
 from hoistsaddle.raft.files import Files
-from hoistsaddle.testbed.diskmodel.check import Findings, Player, check, mixes_of, record
-from hoistsaddle.testbed.diskmodel.lives import LIVES, Writer, going_on, records, state_at
+from hoistsaddle.testbed.diskmodel.check import Findings, RecordedDisk, check, folder_states_of, record
 from hoistsaddle.testbed.diskmodel.model import FolderModel
 from hoistsaddle.testbed.diskmodel.operations import Created, FileSynced, FolderSynced, Renamed, Written
 from hoistsaddle.testbed.diskmodel.recorder import Recorder
+from hoistsaddle.testbed.diskmodel.scenarios import SCENARIOS, Writer, going_on, records, state_at
 
 SEED = 1
 
@@ -27,31 +27,33 @@
         self.addCleanup(place.cleanup)
         return Path(place.name)
 
-    def play(self, life, *, enough: int = 0, **how) -> Findings:
+    def play(self, scenario, *, max_broken: int = 0, **how) -> Findings:
         folder = self.folder()
-        return check(record(life, folder=folder / "life", seed=SEED, **how), folder=folder, seed=SEED, enough=enough)
+        return check(
+            record(scenario, folder=folder / "life", seed=SEED, **how), folder=folder, seed=SEED, max_broken=max_broken
+        )
 
 
 class TornAndMixedDisks(_Case):
     def test_every_mix_boots_into_what_was_synced(self) -> None:
-        for name, life in LIVES.items():
-            findings = self.play(life)
-            print(name, f"seed {SEED}: {findings.moments} moments, {findings.mixes} mixes")
-            self.assertThat(findings.mixes, GreaterThan(500))
+        for name, scenario in SCENARIOS.items():
+            findings = self.play(scenario)
+            print(name, f"seed {SEED}: {findings.crash_points} moments, {findings.folder_states} mixes")
+            self.assertThat(findings.folder_states, GreaterThan(500))
             self.assertThat([*findings.broken[:3]], Equals([]), name)
 
     def test_a_second_loss_during_the_start_after_the_first(self) -> None:
-        mixes = 0
-        for name, life in LIVES.items():
-            operations = record(life, folder=self.folder() / "life", seed=SEED)
+        folder_states = 0
+        for name, scenario in SCENARIOS.items():
+            operations = record(scenario, folder=self.folder() / "life", seed=SEED)
             # A drawn mix of every sixth moment, and a part of the mixes that the start after it may leave.
-            for number, start in enumerate(itertools.islice(mixes_of(operations, seed=SEED), 0, None, 6)):
+            for number, start in enumerate(itertools.islice(folder_states_of(operations, seed=SEED), 0, None, 6)):
                 folder = self.folder()
                 again = record(going_on, folder=folder / "life", seed=SEED, start=start)
                 findings = check(again, folder=folder, seed=SEED, start=start, most=4)
-                mixes += findings.mixes
+                folder_states += findings.folder_states
                 self.assertThat([*findings.broken[:3]], Equals([]), f"{name} {number}")
-        print(f"seed {SEED}: {mixes} mixes after a second loss")
+        print(f"seed {SEED}: {folder_states} mixes after a second loss")
 
 
 class _NoFileSync(Recorder):
@@ -65,15 +67,15 @@
             super().sync_folder(folder)
 
 
-def _drops_too_soon(player: Player) -> None:
+def _drops_too_soon(player: RecordedDisk) -> None:
     boot = player.do("boot")
     player.do("found", mesh="m", voters={1: boot.incarnation, 2: "two", 3: "three"}, operators={})
     writer = Writer(player=player, boot=player.do("boot"))
     writer.write(records(1, 6, epoch=1))
-    writer.begin = Mark(5, 1)
+    writer.begin = OffsetAndEpoch(5, 1)
     # Wrong: the begin offset lasts before the checkpoint that it rests on.
     writer.write()
-    player.do("store_checkpoint", mark=Mark(5, 1), state=state_at(Mark(5, 1)))
+    player.do("store_checkpoint", checkpoint_id=OffsetAndEpoch(5, 1), state=state_at(OffsetAndEpoch(5, 1)))
     player.do("drop_checkpoints", below=5)
 
 
@@ -89,27 +91,27 @@
 
     def test_a_checkpoint_that_is_not_synced_before_its_name(self) -> None:
         self.assertThat(
-            self.found(self.play(LIVES["trimming"], enough=FEW, make_recorder=_NoFileSync)), Contains("blank")
+            self.found(self.play(SCENARIOS["trimming"], max_broken=FEW, make_recorder=_NoFileSync)), Contains("blank")
         )
 
     def test_a_checkpoint_whose_name_does_not_last(self) -> None:
         self.assertThat(
-            self.found(self.play(LIVES["trimming"], enough=FEW, make_recorder=_NoFolderSync)), Contains("blank")
+            self.found(self.play(SCENARIOS["trimming"], max_broken=FEW, make_recorder=_NoFolderSync)), Contains("blank")
         )
 
     def test_a_log_that_is_not_synced_when_the_write_returns(self) -> None:
-        findings = self.play(LIVES["trimming"], synchronous="NORMAL")
+        findings = self.play(SCENARIOS["trimming"], synchronous="NORMAL")
         self.assertThat(self.found(findings), Contains("a state that never was"))
 
     def test_a_begin_offset_that_lasts_before_its_checkpoint(self) -> None:
-        self.assertThat(self.found(self.play(_drops_too_soon, enough=FEW)), Contains("blank"))
+        self.assertThat(self.found(self.play(_drops_too_soon, max_broken=FEW)), Contains("blank"))
 
     def test_a_start_that_takes_a_log_beside_a_checkpoint_it_parts_from(self) -> None:
-        def former_rule(*, begin, records, mark) -> bool:
-            return mark.offset <= (records[-1].offset if records else begin.offset)
+        def former_rule(*, begin, records, checkpoint_id) -> bool:
+            return checkpoint_id.offset <= (records[-1].offset if records else begin.offset)
 
         with mock.patch.object(disk, "_holds", former_rule):
-            findings = self.play(LIVES["catching up"], enough=FEW)
+            findings = self.play(SCENARIOS["catching up"], max_broken=FEW)
         self.assertThat(self.found(findings), Contains("a log that parts from its checkpoint"))
 
 
@@ -120,7 +122,7 @@
         model = FolderModel(files={"old": b"was"})
         for operation in operations:
             model.do(operation)
-        return {tuple(mix.items()) for mix in model.mixes(seed=None)}
+        return {tuple(folder_state.items()) for folder_state in model.folder_states(seed=None)}
 
     def test_a_write_is_there_missing_or_torn_until_the_sync(self) -> None:
         written = Written("old", 0, b"NEWS")
@@ -156,7 +158,7 @@
         _, boot = self.boot("whole")
         self.assertThat(
             (boot.incarnation, boot.mesh, boot.epoch, boot.vote, boot.begin, boot.checkpoint, boot.committed),
-            Equals(("0123456789abcdef", "former", 3, (3, "three"), Mark(2, 2), Mark(2, 2), 3)),
+            Equals(("0123456789abcdef", "former", 3, (3, "three"), OffsetAndEpoch(2, 2), OffsetAndEpoch(2, 2), 3)),
         )
         self.assertThat([record.offset for record in boot.records], Equals([3, 4]))
         self.assertThat(sorted(boot.state.holds), Equals(["scope-1", "scope-2"]))
@@ -189,7 +191,7 @@
         former = disk.Disk(folder=folder, replica=1)
         boot = former.boot()
         former.found(mesh="m", voters={1: boot.incarnation}, operators={})
-        former.store_checkpoint(mark=Mark(50, 2), state=state_at(Mark(50, 2)))
+        former.store_checkpoint(checkpoint_id=OffsetAndEpoch(50, 2), state=state_at(OffsetAndEpoch(50, 2)))
         former.close()
         for path in folder.glob("ledger.sqlite3*"):
             path.unlink()
@@ -198,7 +200,7 @@
         blank.found(mesh="m", voters={1: boot.incarnation}, operators={})
         founded = blank.boot()
         blank.close()
-        self.assertThat((founded.checkpoint, founded.incarnation), Equals((Mark(0, 0), boot.incarnation)))
+        self.assertThat((founded.checkpoint, founded.incarnation), Equals((OffsetAndEpoch(0, 0), boot.incarnation)))
 
     def test_damaged_files_and_half_made_ones_stay_bounded(self) -> None:
         folder = self.folder() / "data"
--- a/tests/test_losses.py
+++ b/tests/test_raft_losses.py
@@ -12,12 +12,20 @@
 from coremesh import SETTLE, CoreMesh, Node
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.raft.core import CANDIDATE
-from hoistsaddle.raft.events import AnswerArrived, Boot, Mark, StopAsked, Synced, Ticked, replace_span_of
-from hoistsaddle.rpc.messages import BallotCall, FetchAnswer, LeadCall
+from hoistsaddle.raft.events import (
+    AnswerArrived,
+    Boot,
+    OffsetAndEpoch,
+    StopRequested,
+    Synced,
+    Ticked,
+    replacement_timeout_for,
+)
+from hoistsaddle.rpc.messages import BeginEpochCall, FetchAnswer, VoteCall
 from hoistsaddle.statemachine.commands import LEVEL, LEVEL_OF, ReplaceVoter
-from hoistsaddle.statemachine.state import found_state
-from test_kip_630 import PACE
-from test_voters import TWO, Growing
+from hoistsaddle.statemachine.state import initial_state
+from test_kip_630 import TIMINGS
+from test_raft_voters import TWO, Growing
 
 SECOND = timedelta(seconds=1)
 SEEDS = range(1, 13)
@@ -38,13 +46,13 @@
 def ready(mesh: CoreMesh, replica: int) -> bool:
     """Whether this machine holds all that is committed, by its own word."""
     node, leader = mesh.nodes[replica], mesh.leader()
-    return node.up and node.core.whole and leader and node.core.last.offset >= leader.core.high_watermark
+    return node.up and node.core.complete and leader and node.core.last.offset >= leader.core.high_watermark
 
 
 class Spans(TestCase):
     def test_the_span_follows_from_the_settings(self) -> None:
         for settle, losses, milliseconds_given in ((4, 1, 1000), (6, 1, 1500), (6, 2, 1000), (4, 2, 700), (1, 1, 700)):
-            span = replace_span_of(settle=timedelta(seconds=settle), losses=losses)
+            span = replacement_timeout_for(settle=timedelta(seconds=settle), losses=losses)
             self.assertThat(span, Equals(milliseconds(milliseconds_given)), f"{settle} s, {losses}")
 
 
@@ -116,9 +124,9 @@
 
     def test_two_of_five_lost_at_once_are_both_replaced_in_time(self) -> None:
         for seed in SEEDS:
-            span = replace_span_of(settle=SETTLE, losses=2)
-            pace = CoreMesh(seed=0).pace._replace(replace_span=span)
-            mesh = begun(seed, machines=5, voters=5, pace=pace, **SLOW)
+            span = replacement_timeout_for(settle=SETTLE, losses=2)
+            timings = CoreMesh(seed=0).timings._replace(replacement_timeout=span)
+            mesh = begun(seed, machines=5, voters=5, timings=timings, **SLOW)
             for gone in [1, 2, 3, 4, 5][seed % 4 : seed % 4 + 2]:
                 mesh.remove(gone)
             mesh.add(6)
@@ -160,34 +168,34 @@
 
     def test_a_machine_that_came_back_blank_keeps_no_vote_alive_while_it_still_pulls(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3, level=LEVEL_OF[ReplaceVoter]).lead()
-        until = bench.moment + PACE.replace_span + SECOND
-        while bench.moment < until:
+        until = bench.timestamp + TIMINGS.replacement_timeout + SECOND
+        while bench.timestamp < until:
             bench.fetch_from(2)
-            bench.fetch_from(3, incarnation="three-again", whole=False)
+            bench.fetch_from(3, incarnation="three-again", complete=False)
             bench.fetch_from(4)
             bench.feed(Ticked(), later=milliseconds(200))
         self.assertThat(bench.voters(), Equals({1: "one", 2: "two", 4: "four"}))
 
     def test_the_one_silent_for_longest_goes_first(self) -> None:
         bench = Growing({**TWO, 3: "three", 4: "four", 5: "five"}, wanted=5, level=LEVEL)
-        bench.core.standing = CANDIDATE
-        bench.core.trial, bench.core.granted = False, {(1, "one"), (2, "two"), (4, "four")}
-        bench.core._count_ballots()
+        bench.core.role = CANDIDATE
+        bench.core.pre_vote, bench.core.granted = False, {(1, "one"), (2, "two"), (4, "four")}
+        bench.core._count_votes()
         bench.feed(Synced(bench.core.sequence))
         bench.go_on(2, 3, 4, 5, span=2 * SECOND)
         bench.go_on(2, 3, 4, span=SECOND / 2)
-        bench.go_on(2, 4, span=PACE.replace_span * 2)
+        bench.go_on(2, 4, span=TIMINGS.replacement_timeout * 2)
         bench.go_on(2, 4, 9, span=SECOND / 2)
         self.assertThat([each["voter"] for each in bench.told("voter replaced")], Equals([5]))
 
     def test_a_whole_replica_votes_though_its_log_does_not_show_it_as_a_voter_yet(self) -> None:
         """The record that made it one may be on the candidates alone, and a majority of that set may need its vote."""
-        state = found_state(mesh="m", voters=TWO, operators={}, level=LEVEL)
-        for whole in (True, False):
-            boot = Boot(4, "four", voters=tuple(TWO.items()), mesh="m", checkpoint=Mark(0, 0), state=state)
-            bench = Growing(boot=boot if whole else Boot(4, "four", mesh="m"))
-            ballot = BallotCall("m", 2, 2, "two", 9, 1, False, LEVEL)
-            self.assertThat((bench.core.is_voter(), bench.call(ballot).granted), Equals((False, whole)))
+        state = initial_state(mesh="m", voters=TWO, operators={}, level=LEVEL)
+        for complete in (True, False):
+            boot = Boot(4, "four", voters=tuple(TWO.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
+            bench = Growing(boot=boot if complete else Boot(4, "four", mesh="m"))
+            vote = VoteCall("m", 2, 2, "two", 9, 1, False, LEVEL)
+            self.assertThat((bench.core.is_voter(), bench.call(vote).granted), Equals((False, complete)))
 
     def test_a_change_that_is_committed_is_known_so_on_each_disk_without_a_further_record(self) -> None:
         """Replaced, settled, then a disk lost and all power with it: nobody may ask the set of before."""
@@ -207,13 +215,13 @@
 
 
 class PlannedLeaves(TestCase):
-    def test_a_ballot_that_the_leader_asked_for_is_granted_although_it_was_heard_just_now(self) -> None:
+    def test_a_vote_that_the_leader_asked_for_is_granted_although_it_was_heard_just_now(self) -> None:
         for handed in (False, True):
             bench = Growing({**TWO, 3: "three"}, replica=3)
-            bench.call(LeadCall("m", 1, 1))
+            bench.call(BeginEpochCall("m", 1, 1))
             bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1)))
-            ballot = BallotCall("m", 2, 2, "two", 0, 0, False, LEVEL, handed)
-            self.assertThat(bench.call(ballot, later=milliseconds(50)).granted, Equals(handed))
+            vote = VoteCall("m", 2, 2, "two", 0, 0, False, LEVEL, handed)
+            self.assertThat(bench.call(vote, later=milliseconds(50)).granted, Equals(handed))
 
     def test_a_plain_restart_stays_quick(self) -> None:
         for seed in SEEDS:
@@ -228,7 +236,7 @@
         for seed in SEEDS:
             mesh = begun(seed)
             old = mesh.leader().replica
-            mesh.nodes[old].feed(StopAsked(3 * SECOND))
+            mesh.nodes[old].feed(StopRequested(3 * SECOND))
             mesh.until(lambda: mesh.nodes[old].ended != "", most=SECOND)
             # It leads once more than it did, and by the call: no election's span went by.
             self.assertThat([kind for _, kind, _ in mesh.told], Contains("called to stand"))
@@ -283,7 +291,7 @@
         for seed in SEEDS:
             mesh = begun(seed)
             for node in mesh.nodes.values():
-                node.feed(StopAsked(3 * SECOND))
+                node.feed(StopRequested(3 * SECOND))
             span = mesh.until(lambda: all(node.ended for node in mesh.nodes.values()), most=3 * SECOND)
             self.assertThat(span, LessThan(timedelta(seconds=2)), f"seed {seed}")
 
@@ -305,7 +313,7 @@
             self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
 
 
-class WholeDays(TestCase):
+class CompleteDays(TestCase):
     """The two days of the review after which nobody led any more (finding 13), by the losses in them."""
 
     def replaced(self, mesh: CoreMesh, fresh: int, *, planned: bool, leader: bool) -> None:
--- a/tests/test_market_news.py
+++ b/tests/test_raft_state_age.py
@@ -1,4 +1,4 @@
-"""The market: how old its replica's state may be said to be."""
+"""The controller: how old its replica's state may be said to be."""
 
 import random
 from datetime import timedelta
@@ -8,11 +8,11 @@
 from testtools.matchers import Equals, Is, LessThan
 
 from hoistsaddle.raft.core import LEADER, RaftCore
-from hoistsaddle.raft.events import AnswerArrived, Boot, CallArrived, Mark, Pace, Synced, Ticked
+from hoistsaddle.raft.events import AnswerArrived, Boot, CallArrived, OffsetAndEpoch, RaftTimings, Synced, Ticked
 from hoistsaddle.registry.controller import ControllerRegistry
-from hoistsaddle.rpc.messages import UNSAID, FetchAnswer, FetchCall, LeadCall, Record
+from hoistsaddle.rpc.messages import UNKNOWN_AGE, BeginEpochCall, FetchAnswer, FetchCall, Record
 from hoistsaddle.statemachine.commands import LEVEL, LeaderNote, pack_command
-from hoistsaddle.statemachine.state import found_state
+from hoistsaddle.statemachine.state import initial_state
 
 VOTERS = {1: "a", 2: "b", 3: "c"}
 
@@ -22,21 +22,21 @@
 
 
 def replica(number: int) -> RaftCore:
-    state = found_state(mesh="m", voters=VOTERS, operators={}, level=LEVEL)
+    state = initial_state(mesh="m", voters=VOTERS, operators={}, level=LEVEL)
     return RaftCore(
         boot=Boot(
-            number, VOTERS[number], 4, None, tuple(VOTERS.items()), "m", checkpoint=Mark(0, 0), state=state
+            number, VOTERS[number], 4, None, tuple(VOTERS.items()), "m", checkpoint=OffsetAndEpoch(0, 0), state=state
         ),
         replicas=(1, 2, 3),
-        pace=Pace(),
+        timings=RaftTimings(),
         seed=random.Random(1),
         now=seconds(0),
     )  # fmt: skip
 
 
 def heard(core: RaftCore) -> timedelta | None:
-    return ControllerRegistry._heard_leader(
-        SimpleNamespace(warehouse=SimpleNamespace(shell=SimpleNamespace(core=core)))
+    return ControllerRegistry._confirmed_current_at(
+        SimpleNamespace(store=SimpleNamespace(runner=SimpleNamespace(core=core)))
     )
 
 
@@ -45,11 +45,11 @@
 
     def leader(self) -> RaftCore:
         core = replica(1)
-        core.standing, core.leader = LEADER, 1
+        core.role, core.leader = LEADER, 1
         core.epoch = 5
         core.granted = {(1, "a"), (2, "b")}
-        core.trial = False
-        core._count_ballots()
+        core.pre_vote = False
+        core._count_votes()
         return core
 
     def fetch(self, core: RaftCore, *, now: float, offset: int, epoch: int, round_seen: int) -> None:
@@ -78,7 +78,7 @@
         # Sent before the freeze, read twenty seconds later.
         self.fetch(core, now=20.0, offset=2, epoch=5, round_seen=core.round)
         core.handle(Ticked(), now=seconds(20.01))
-        self.assertThat(core.standing, Equals(LEADER))
+        self.assertThat(core.role, Equals(LEADER))
         self.assertThat(before, LessThan(seconds(0.2)))
         self.assertThat(heard(core), LessThan(seconds(0.25)))
 
@@ -86,7 +86,7 @@
 class Following(TestCase):
     def follower(self) -> RaftCore:
         core = replica(2)
-        core.handle(CallArrived(1, LeadCall("m", 5, 1)), now=seconds(1))
+        core.handle(CallArrived(1, BeginEpochCall("m", 5, 1)), now=seconds(1))
         return core
 
     def told(self, core: RaftCore, *, now: float, mark: int, records: int, age: timedelta) -> None:
@@ -105,8 +105,8 @@
     def test_a_leaders_answer_without_contact_with_a_majority_makes_it_no_younger(self) -> None:
         core = self.follower()
         self.told(core, now=1.1, mark=1, records=1, age=seconds(0.1))
-        for moment in (2.0, 3.0, 4.0):
-            self.told(core, now=moment, mark=1, records=0, age=seconds(moment - 1.0))
+        for timestamp in (2.0, 3.0, 4.0):
+            self.told(core, now=timestamp, mark=1, records=0, age=seconds(timestamp - 1.0))
         self.assertThat(heard(core), LessThan(seconds(1.2)))
 
     def test_it_is_not_fresh_while_it_lacks_what_its_leader_has_committed(self) -> None:
@@ -125,8 +125,8 @@
 
     def test_a_former_releases_leader_is_dated_by_when_it_would_have_stepped_down(self) -> None:
         core = self.follower()
-        self.told(core, now=1.1, mark=1, records=1, age=UNSAID)
-        self.assertThat(heard(core), Equals(seconds(1) - core.pace.quorum_silence))
+        self.told(core, now=1.1, mark=1, records=1, age=UNKNOWN_AGE)
+        self.assertThat(heard(core), Equals(seconds(1) - core.timings.quorum_timeout))
 
     def test_a_state_grows_no_younger_while_a_checkpoint_is_pulled(self) -> None:
         """The old state is kept until the pulled one is loaded, and so is its date, whatever the leader says."""
@@ -140,7 +140,7 @@
             ),
             now=seconds(1.2),
         )
-        self.assertThat((core.pulling is None, heard(core)), Equals((False, before)))
+        self.assertThat((core.fetching_snapshot is None, heard(core)), Equals((False, before)))
         answer = FetchAnswer("", 5, 1, 1, 1, (), contact_age=seconds(0))
         core.handle(AnswerArrived(core.fetch_number, 1, answer), now=seconds(2.0))
         self.assertThat(heard(core), Equals(before))
--- a/tests/test_voter_changes.py
+++ b/tests/test_raft_voter_changes.py
@@ -10,17 +10,17 @@
 
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.raft.events import Boot, Mark, Pace, Write
+from hoistsaddle.raft.events import Boot, OffsetAndEpoch, RaftTimings, Write
 from hoistsaddle.rpc.messages import Record
 from hoistsaddle.statemachine.commands import LEVEL, AddVoter, SwapVoter, pack_command
-from hoistsaddle.statemachine.state import found_state
+from hoistsaddle.statemachine.state import initial_state
 
 FOUNDERS = {1: "one", 2: "two", 3: "three"}
 GROWN = (pack_command(AddVoter(4, "four")), pack_command(AddVoter(5, "five")))
 
 
 def started(*payloads: bytes, committed: int = 0) -> RaftCore:
-    state = found_state(mesh="m", voters=FOUNDERS, operators={}, level=LEVEL)
+    state = initial_state(mesh="m", voters=FOUNDERS, operators={}, level=LEVEL)
     records = tuple(Record(place, 1, timedelta(), payload) for place, payload in enumerate(payloads, start=1))
     boot = Boot(
         1,
@@ -28,12 +28,14 @@
         epoch=1,
         voters=tuple(FOUNDERS.items()),
         mesh="m",
-        checkpoint=Mark(0, 0),
+        checkpoint=OffsetAndEpoch(0, 0),
         state=state,
         records=records,
         committed=committed,
     )
-    return RaftCore(boot=boot, replicas=(1, 2, 3), pace=Pace(), seed=random.Random(1), now=timedelta(seconds=100))
+    return RaftCore(
+        boot=boot, replicas=(1, 2, 3), timings=RaftTimings(), seed=random.Random(1), now=timedelta(seconds=100)
+    )
 
 
 class VotersAfterAStart(TestCase):
@@ -67,7 +69,7 @@
             disk = Disk(folder=Path(folder), replica=1)
             disk.boot()
             disk.found(mesh="m", voters=FOUNDERS, operators={}, level=LEVEL)
-            disk.write([Write(1, 4, None, (), "m", Mark(0, 0), False, False, -1, (), 7)])
+            disk.write([Write(1, 4, None, (), "m", OffsetAndEpoch(0, 0), False, False, -1, (), 7)])
             disk.close()
             again = Disk(folder=Path(folder), replica=1)
             self.assertThat(again.boot().committed, Equals(7))
--- a/tests/test_voters.py
+++ b/tests/test_raft_voters.py
@@ -6,14 +6,14 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.raft.core import CANDIDATE, FOLLOWER, LEADER, NOT_LEADER_FOR_PARTITION, RaftCore
-from hoistsaddle.raft.events import Announce, Answer, AnswerArrived, Boot, Mark, ProposalArrived, Ticked
-from hoistsaddle.rpc.messages import BallotCall, FetchAnswer, FetchCall, LeadCall, Record
+from hoistsaddle.raft.events import Announce, Answer, AnswerArrived, Boot, OffsetAndEpoch, ProposalArrived, Ticked
+from hoistsaddle.rpc.messages import BeginEpochCall, FetchAnswer, FetchCall, Record, VoteCall
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import LEVEL, AddVoter, DropVoter, pack_command
-from hoistsaddle.statemachine.state import State, found_state
-from test_kip_630 import PACE, Bench, claim
+from hoistsaddle.statemachine.state import State, initial_state
+from test_kip_630 import TIMINGS, Bench, claim
 
 STEP = timedelta(milliseconds=200)
 TWO = {1: "one", 2: "two"}
@@ -36,23 +36,23 @@
         seeds: tuple[int, ...] = (1, 2, 3),
         boot: Boot | None = None,
     ) -> None:
-        state = found_state(mesh="m", voters=voters, operators={}, level=level)
+        state = initial_state(mesh="m", voters=voters, operators={}, level=level)
         boot = boot or Boot(
             replica=replica,
             incarnation=voters[replica],
             voters=tuple(voters.items()),
             mesh="m",
-            checkpoint=Mark(0, 0),
+            checkpoint=OffsetAndEpoch(0, 0),
             state=state,
         )
-        self.moment = timedelta(seconds=100)
+        self.timestamp = timedelta(seconds=100)
         self.core = RaftCore(
-            boot=boot, replicas=seeds, pace=PACE, seed=random.Random(1), now=self.moment, wanted_voters=wanted
+            boot=boot, replicas=seeds, timings=TIMINGS, seed=random.Random(1), now=self.timestamp, wanted_voters=wanted
         )
         self.commands = []
         self.tickets = 0
 
-    def fetch_from(self, replica: int, *, incarnation: str = "", whole: bool = True) -> FetchAnswer | None:
+    def fetch_from(self, replica: int, *, incarnation: str = "", complete: bool = True) -> FetchAnswer | None:
         """What this replica says when it has all there is."""
         last = self.core.last
         return self.call(
@@ -64,17 +64,17 @@
                 last.offset + 1,
                 last.epoch,
                 self.core.round,
-                whole,
+                complete,
                 LEVEL,
             )
         )
 
-    def go_on(self, *replicas: int, span: timedelta, whole: bool = True) -> None:
+    def go_on(self, *replicas: int, span: timedelta, complete: bool = True) -> None:
         """These fetch on and on for the span, the newest always synced; the others say nothing."""
-        until = self.moment + span
-        while self.moment < until:
+        until = self.timestamp + span
+        while self.timestamp < until:
             for replica in replicas:
-                self.fetch_from(replica, whole=whole)
+                self.fetch_from(replica, complete=complete)
             self.feed(Ticked(), later=STEP)
 
     def voters(self) -> dict[int, str]:
@@ -97,12 +97,12 @@
         bench = Growing().lead()
         bench.write(3)
         bench.go_on(2, span=timedelta(seconds=1))
-        until = bench.moment + timedelta(seconds=6)
-        while bench.moment < until:
+        until = bench.timestamp + timedelta(seconds=6)
+        while bench.timestamp < until:
             bench.fetch_from(2)
             # Behind the high-watermark, and whole only in its own words.
             bench.call(FetchCall("m", 3, "three", bench.core.epoch, 2, bench.core.epoch, 0, True, 3))
-            bench.fetch_from(4, whole=False)
+            bench.fetch_from(4, complete=False)
             bench.feed(Ticked(), later=STEP)
         self.assertThat(bench.voters(), Equals(TWO))
 
@@ -121,7 +121,7 @@
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
         bench.go_on(2, 3, 4, span=timedelta(seconds=5))
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
-        bench.go_on(2, 4, span=PACE.replace_span / 2)
+        bench.go_on(2, 4, span=TIMINGS.replacement_timeout / 2)
         # Not for a while's silence: a machine that restarts comes back.
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
         bench.go_on(2, 4, span=timedelta(seconds=5))
@@ -131,12 +131,12 @@
 
     def test_a_silent_voter_stays_while_nobody_could_take_its_place(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, span=PACE.replace_span * 2)
+        bench.go_on(2, span=TIMINGS.replacement_timeout * 2)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
 
     def test_a_new_leader_waits_its_own_span_before_it_calls_anyone_silent(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, 4, span=PACE.replace_span - STEP)
+        bench.go_on(2, 4, span=TIMINGS.replacement_timeout - STEP)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
         bench.go_on(2, 4, span=STEP * 4)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 4]))
@@ -163,9 +163,9 @@
 
     def test_a_drop_too_needs_the_voters_of_old(self) -> None:
         bench = Growing({**TWO, 3: "three", 4: "four"}, wanted=4)
-        bench.core.standing = CANDIDATE
-        bench.core.trial, bench.core.granted = False, {(1, "one"), (2, "two"), (3, "three")}
-        bench.core._count_ballots()
+        bench.core.role = CANDIDATE
+        bench.core.pre_vote, bench.core.granted = False, {(1, "one"), (2, "two"), (3, "three")}
+        bench.core._count_votes()
         bench.feed(ProposalArrived(77, (pack_command(DropVoter(4, "four")),)))
         # Two of the three that are left, but only half of the four.
         bench.fetch_from(2)
@@ -185,11 +185,11 @@
             bench.fetch_from(4)
             bench.fetch_from(5)
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
-        self.assertThat(len(bench.core.swaps), Equals(1))
+        self.assertThat(len(bench.core.pending_voter_changes), Equals(1))
 
     def test_a_change_that_never_committed_goes_with_its_record(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
-        bench.call(LeadCall("m", 1, 1))
+        bench.call(BeginEpochCall("m", 1, 1))
         records = (
             Record(1, 1, timedelta(seconds=1), claim(1)),
             Record(2, 1, timedelta(seconds=2), pack_command(AddVoter(4, "four"))),
@@ -197,7 +197,7 @@
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 1, 1, records)))
         self.assertThat(bench.core.voter_sets()[-1], Contains(4))
         # The next leader never had it.
-        bench.call(LeadCall("m", 2, 3))
+        bench.call(BeginEpochCall("m", 2, 3))
         bench.feed(
             AnswerArrived(
                 bench.core.fetch_number, 3, FetchAnswer("", 2, 3, 1, 1, diverging_offset=1, diverging_epoch=1)
@@ -205,30 +205,30 @@
         )
         self.assertThat((bench.core.last.offset, len(bench.core.voter_sets())), Equals((1, 1)))
 
-    def test_a_ballot_needs_a_majority_of_every_set(self) -> None:
+    def test_a_vote_needs_a_majority_of_every_set(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=5)
-        bench.call(LeadCall("m", 1, 2))
+        bench.call(BeginEpochCall("m", 1, 2))
         added = Record(1, 1, timedelta(seconds=1), pack_command(AddVoter(4, "four")))
         bench.feed(AnswerArrived(bench.core.fetch_number, 2, FetchAnswer("", 1, 2, 0, 1, (added,))))
         bench.feed(Ticked(), later=timedelta(seconds=2))
-        self.assertThat(bench.core.standing, Equals(CANDIDATE))
+        self.assertThat(bench.core.role, Equals(CANDIDATE))
         # All three others are asked, the one that isn't committed yet too.
-        self.assertThat(sorted(each.replica for each in bench.sent(BallotCall)), Equals([2, 3, 4]))
+        self.assertThat(sorted(each.replica for each in bench.sent(VoteCall)), Equals([2, 3, 4]))
         bench.core.granted = {(1, "one"), (4, "four")}
-        bench.core._count_ballots()
-        self.assertThat(bench.core.trial, Equals(True))
+        bench.core._count_votes()
+        self.assertThat(bench.core.pre_vote, Equals(True))
         bench.core.granted = {(1, "one"), (2, "two")}
-        bench.core._count_ballots()
-        self.assertThat(bench.core.trial, Equals(True))
+        bench.core._count_votes()
+        self.assertThat(bench.core.pre_vote, Equals(True))
         bench.core.granted = {(1, "one"), (2, "two"), (4, "four")}
-        bench.core._count_ballots()
-        self.assertThat(bench.core.trial, Equals(False))
+        bench.core._count_votes()
+        self.assertThat(bench.core.pre_vote, Equals(False))
 
     def test_a_replica_added_by_a_record_it_has_itself_votes(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
         bench.core.incarnation, bench.core.replica = "four", 4
         self.assertThat(bench.core.is_voter(), Equals(False))
-        bench.call(LeadCall("m", 1, 1))
+        bench.call(BeginEpochCall("m", 1, 1))
         added = Record(1, 1, timedelta(seconds=1), pack_command(AddVoter(4, "four")))
         bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1, (added,))))
         self.assertThat(bench.core.is_voter(), Equals(True))
@@ -241,13 +241,13 @@
     def test_a_blank_disk_asks_each_it_may_turn_to_who_leads(self) -> None:
         bench = self.blank()
         for _ in range(7):
-            bench.feed(Ticked(), later=PACE.seek_every)
+            bench.feed(Ticked(), later=TIMINGS.leader_discovery_interval)
         self.assertThat({each.replica for each in bench.sent(FetchCall)}, Equals({1, 2, 3}))
-        self.assertThat(bench.sent(BallotCall), Equals([]))
+        self.assertThat(bench.sent(VoteCall), Equals([]))
 
     def test_it_follows_the_one_it_is_sent_to(self) -> None:
         bench = self.blank()
-        bench.feed(Ticked(), later=PACE.seek_every)
+        bench.feed(Ticked(), later=TIMINGS.leader_discovery_interval)
         asked = bench.sent(FetchCall)[-1]
         bench.feed(AnswerArrived(asked.number, asked.replica, FetchAnswer(NOT_LEADER_FOR_PARTITION, 4, 2)))
         fetch = bench.sent(FetchCall)[-1]
@@ -255,7 +255,7 @@
 
     def test_it_follows_the_one_it_asked_if_that_one_leads(self) -> None:
         bench = self.blank()
-        bench.feed(Ticked(), later=PACE.seek_every)
+        bench.feed(Ticked(), later=TIMINGS.leader_discovery_interval)
         asked = bench.sent(FetchCall)[-1]
         bench.feed(AnswerArrived(asked.number, asked.replica, FetchAnswer("", 0, asked.replica, 0, 1)))
         self.assertThat((bench.core.leader, bench.sent(FetchCall)[-1].replica), Equals((asked.replica, asked.replica)))
@@ -263,8 +263,8 @@
     def test_a_wiped_replica_finds_the_leader_and_is_swapped_for_its_former_life(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
         bench.go_on(2, span=timedelta(seconds=5))
-        until = bench.moment + timedelta(seconds=2)
-        while bench.moment < until:
+        until = bench.timestamp + timedelta(seconds=2)
+        while bench.timestamp < until:
             bench.fetch_from(2)
             bench.fetch_from(3, incarnation="three-again")
             bench.feed(Ticked(), later=STEP)
@@ -276,7 +276,7 @@
         bench.fetch_from(3, incarnation="three-again")
         self.assertThat(bench.core.high_watermark, Equals(0))
         blank = self.blank(3)
-        self.assertThat(blank.call(BallotCall("m", 5, 2, "two", 9, 4, False, 3)).granted, Equals(False))
+        self.assertThat(blank.call(VoteCall("m", 5, 2, "two", 9, 4, False, 3)).granted, Equals(False))
 
     def test_a_voter_dropped_while_it_was_away_finds_the_leader_again(self) -> None:
         # Nobody calls it any more, and its own log still names it a voter.
@@ -286,7 +286,7 @@
         sought = bench.sent(FetchCall)
         self.assertThat({each.replica for each in sought}, Equals({1, 2, 3}))
         bench.feed(AnswerArrived(sought[-1].number, sought[-1].replica, FetchAnswer(NOT_LEADER_FOR_PARTITION, 4, 3)))
-        self.assertThat((bench.core.leader, bench.core.standing), Equals((3, FOLLOWER)))
+        self.assertThat((bench.core.leader, bench.core.role), Equals((3, FOLLOWER)))
 
     def test_a_voter_that_merely_waits_for_an_election_asks_nobody(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=3)
@@ -298,7 +298,7 @@
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
         answer = bench.call(FetchCall("", 9, "blank", 0, 0, 0, 0, False, 3))
         self.assertThat((answer.leader, answer.epoch, bench.core.high_watermark), Equals((1, 1, 0)))
-        self.assertThat(bench.core.standing, Equals(LEADER))
+        self.assertThat(bench.core.role, Equals(LEADER))
 
 
 class Records(TestCase):
@@ -310,19 +310,19 @@
             stamp=timedelta(),
             payload=pack_command(command),
         )
-        return after, outcome.mishap
+        return after, outcome.error
 
     def test_adding_and_dropping_say_exactly_who(self) -> None:
-        state = found_state(mesh="m", voters=TWO, operators={}, level=3)
-        unsure = str(MishapKind.UNSURE)
+        state = initial_state(mesh="m", voters=TWO, operators={}, level=3)
+        unsure = str(ErrorKind.UNSURE)
         self.assertThat(self.apply(state, AddVoter(2, "other"))[1], Equals(unsure))
         self.assertThat(self.apply(state, DropVoter(2, "other"))[1], Equals(unsure))
         self.assertThat(self.apply(state, DropVoter(7, "seven"))[1], Equals(unsure))
-        state, mishap = self.apply(state, AddVoter(3, "three"))
-        self.assertThat((mishap, sorted(state.voters), state.news), Equals(("", [1, 2, 3], state.offset)))
+        state, error = self.apply(state, AddVoter(3, "three"))
+        self.assertThat((error, sorted(state.voters), state.news), Equals(("", [1, 2, 3], state.offset)))
         for replica in (1, 2):
-            state, mishap = self.apply(state, DropVoter(replica, life_of(replica)))
-            self.assertThat((mishap, replica in state.voters), Equals(("", False)))
+            state, error = self.apply(state, DropVoter(replica, life_of(replica)))
+            self.assertThat((error, replica in state.voters), Equals(("", False)))
         # The last one stays.
         self.assertThat(self.apply(state, DropVoter(3, "three"))[1], Equals(unsure))
 
@@ -354,20 +354,20 @@
         bench = self.waiting(2, 9)
         bench.feed(ProposalArrived(0, (claim(1),)))
         self.assertThat((self.told(bench, 2), self.told(bench, 9)), Equals((bench.core.last.offset, 0)))
-        bench.feed(Ticked(), later=PACE.observer_wait / 2)
+        bench.feed(Ticked(), later=TIMINGS.observer_batch_delay / 2)
         self.assertThat(self.told(bench, 9), Equals(0))
-        bench.feed(Ticked(), later=PACE.observer_wait / 2)
+        bench.feed(Ticked(), later=TIMINGS.observer_batch_delay / 2)
         self.assertThat(self.told(bench, 9), Equals(bench.core.last.offset))
 
     def test_an_observer_far_behind_does_not_wait(self) -> None:
         bench = self.waiting(9)
-        bench.feed(ProposalArrived(0, tuple(claim(number) for number in range(PACE.fetch_records))))
+        bench.feed(ProposalArrived(0, tuple(claim(number) for number in range(TIMINGS.fetch_records))))
         self.assertThat(self.told(bench, 9), Equals(bench.core.last.offset))
 
     def test_an_observer_that_is_about_to_vote_is_sent_records_at_once(self) -> None:
         bench = Growing(wanted=3).lead()
         bench.go_on(2, 3, span=timedelta(milliseconds=200))
-        while not bench.core.swaps:
+        while not bench.core.pending_voter_changes:
             bench.fetch_from(2)
             bench.fetch_from(3)
             bench.feed(Ticked(), later=timedelta(milliseconds=15))
@@ -383,7 +383,7 @@
     def test_records_that_follow_soon_wait_for_each_other(self) -> None:
         gap = timedelta(milliseconds=10)
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.core.pace = PACE._replace(voter_gap=gap)
+        bench.core.timings = TIMINGS._replace(voter_batch_interval=gap)
         bench.go_on(2, 3, span=timedelta(seconds=1))
         bench.feed(Ticked(), later=gap)
         self.assertThat(bench.fetch_from(2), Equals(None))
--- a/tests/test_founding.py
+++ b/tests/test_registry_bootstrap.py
@@ -5,19 +5,25 @@
 from testtools import TestCase
 from testtools.matchers import Equals, Is
 
-from hoistsaddle.registry.founding import ASK_EVERY, WAIT_FOR_ALL, Found, Founding, Look
-from hoistsaddle.rpc.messages import FoundCall, LookAnswer
+from hoistsaddle.registry.bootstrap import (
+    INSPECT_INTERVAL,
+    MAX_WAIT_FOR_SEEDS,
+    Bootstrap,
+    FoundReplicas,
+    InspectReplicas,
+)
+from hoistsaddle.rpc.messages import BootstrapCall, StatusAnswer
 from hoistsaddle.statemachine.commands import LEVEL
 
 SEEDS = (11, 12, 13)
 
 
-def blank(replica: int) -> LookAnswer:
+def blank(replica: int) -> StatusAnswer:
     return founded(replica, mesh="")
 
 
-def founded(replica: int, *, mesh: str = "other") -> LookAnswer:
-    return LookAnswer(mesh, replica, f"life-{replica}", 0, 0, "follower", 0, 0, 1, b"", b"")
+def founded(replica: int, *, mesh: str = "other") -> StatusAnswer:
+    return StatusAnswer(mesh, replica, f"life-{replica}", 0, 0, "follower", 0, 0, 1, b"", b"")
 
 
 class Bench:
@@ -30,45 +36,51 @@
         seeds: tuple[int, ...] = SEEDS,
         cold: bool = True,
         losses: int = 1,
-        disks: dict[int, LookAnswer] | None = None,
-        begun: FoundCall | None = None,
+        disks: dict[int, StatusAnswer] | None = None,
+        recorded_call: BootstrapCall | None = None,
     ) -> None:
-        self.moment = timedelta(seconds=5)
-        self.duty = Founding(
-            replica=replica, seeds=seeds, may_found=cold, losses=losses, mesh="mesh", now=self.moment, begun=begun
+        self.timestamp = timedelta(seconds=5)
+        self.duty = Bootstrap(
+            replica=replica,
+            seeds=seeds,
+            may_found=cold,
+            losses=losses,
+            mesh="mesh",
+            now=self.timestamp,
+            recorded_call=recorded_call,
         )
         self.disks = {seed: blank(seed) for seed in seeds} if disks is None else disks
         self.commands: list[tuple] = []
         # Those that hear what they are told, and what they were told.
         self.hears = set(seeds)
-        self.calls: dict[int, FoundCall] = {}
+        self.calls: dict[int, BootstrapCall] = {}
 
     def go_on(self, *, span: float, own: bool = True) -> "Bench":
-        until = self.moment + timedelta(seconds=span)
-        while self.moment < until:
-            self.moment += timedelta(milliseconds=50)
-            for command in self.duty.handle(founded=own and self.duty.replica in self.calls, now=self.moment):
+        until = self.timestamp + timedelta(seconds=span)
+        while self.timestamp < until:
+            self.timestamp += timedelta(milliseconds=50)
+            for command in self.duty.handle(founded=own and self.duty.replica in self.calls, now=self.timestamp):
                 self.commands.append(command)
                 match command:
-                    case Look(replicas=replicas):
+                    case InspectReplicas(replicas=replicas):
                         for replica in replicas:
                             if replica in self.disks:
-                                self.duty.looked(self.disks[replica])
-                    case Found(replicas=replicas, call=call):
+                                self.duty.inspected(self.disks[replica])
+                    case FoundReplicas(replicas=replicas, call=call):
                         for replica in replicas:
                             if replica in self.hears:
                                 self.calls[replica] = call
-                                self.duty.told.add(replica)
+                                self.duty.acknowledged.add(replica)
         return self
 
-    def founds(self) -> list[Found]:
-        return [command for command in self.commands if isinstance(command, Found)]
+    def founds(self) -> list[FoundReplicas]:
+        return [command for command in self.commands if isinstance(command, FoundReplicas)]
 
 
 class WhoMayFound(TestCase):
     def test_the_first_seed_of_a_cold_start_does(self) -> None:
         bench = Bench().go_on(span=2)
-        call = FoundCall("mesh", {seed: f"life-{seed}" for seed in SEEDS}, {}, LEVEL)
+        call = BootstrapCall("mesh", {seed: f"life-{seed}" for seed in SEEDS}, {}, LEVEL)
         self.assertThat(bench.calls, Equals(dict.fromkeys(SEEDS, call)))
         self.assertThat((len(bench.founds()), bench.duty.duty), Equals((1, False)))
 
@@ -90,7 +102,7 @@
 
     def test_a_founded_disk_of_ones_own_ends_the_duty(self) -> None:
         bench = Bench()
-        self.assertThat(bench.duty.handle(founded=True, now=bench.moment), Equals([]))
+        self.assertThat(bench.duty.handle(founded=True, now=bench.timestamp), Equals([]))
         self.assertThat(bench.duty.duty, Is(False))
 
 
@@ -104,10 +116,10 @@
 
     def test_a_seed_that_is_down_is_waited_for_and_then_left_out(self) -> None:
         bench = Bench(disks={11: blank(11), 13: blank(13)})
-        bench.go_on(span=WAIT_FOR_ALL.total_seconds() - 0.1)
+        bench.go_on(span=MAX_WAIT_FOR_SEEDS.total_seconds() - 0.1)
         self.assertThat(bench.founds(), Equals([]))
         # Only the silent one is asked again.
-        self.assertThat(bench.commands[-1], Equals(Look((12,))))
+        self.assertThat(bench.commands[-1], Equals(InspectReplicas((12,))))
         bench.go_on(span=1)
         self.assertThat(bench.founds()[0].call.voters, Equals({11: "life-11", 13: "life-13"}))
 
@@ -117,7 +129,7 @@
 
     def test_others_are_asked_no_more_often_than_that(self) -> None:
         bench = Bench(disks={}).go_on(span=3)
-        self.assertThat(len(bench.commands) <= timedelta(seconds=3) / ASK_EVERY, Equals(True))
+        self.assertThat(len(bench.commands) <= timedelta(seconds=3) / INSPECT_INTERVAL, Equals(True))
 
     def test_whoever_did_not_hear_is_told_again_and_the_same(self) -> None:
         bench = Bench()
@@ -134,16 +146,16 @@
     def test_one_that_never_hears_is_left_to_the_leader(self) -> None:
         bench = Bench()
         bench.hears = {11, 13}
-        bench.go_on(span=WAIT_FOR_ALL.total_seconds() * 3 + 1)
+        bench.go_on(span=MAX_WAIT_FOR_SEEDS.total_seconds() * 3 + 1)
         self.assertThat(bench.duty.duty, Is(False))
 
     def test_an_answer_of_its_own_founding_does_not_end_the_telling(self) -> None:
         bench = Bench()
         bench.hears = {11}
         bench.go_on(span=1)
-        bench.duty.looked(founded(11, mesh="mesh"))
+        bench.duty.inspected(founded(11, mesh="mesh"))
         self.assertThat(bench.duty.duty, Is(True))
-        bench.duty.looked(founded(12, mesh="other"))
+        bench.duty.inspected(founded(12, mesh="other"))
         self.assertThat(bench.duty.duty, Is(False))
 
 
@@ -162,7 +174,7 @@
         disks = {11: founded(11, mesh="mesh"), 12: blank(12), 13: blank(13)}
         for cold in (True, False):
             again = Bench(cold=cold, disks=disks)
-            again.duty.handle(founded=True, now=again.moment)
+            again.duty.handle(founded=True, now=again.timestamp)
             again.go_on(span=10)
             self.assertThat(again.founds(), Equals([]))
 
@@ -172,7 +184,7 @@
         first.hears = {11}
         first.go_on(span=0.5)
         # Whatever its seeds are by now, and though nobody tells it of a cold start any more.
-        again = Bench(cold=False, seeds=(12, 13, 14), begun=first.calls[11]).go_on(span=1)
+        again = Bench(cold=False, seeds=(12, 13, 14), recorded_call=first.calls[11]).go_on(span=1)
         self.assertThat(again.calls, Equals(dict.fromkeys((12, 13), first.calls[11])))
         self.assertThat(again.duty.duty, Is(False))
 
--- a/tests/test_market.py
+++ b/tests/test_registry_controller.py
@@ -14,15 +14,15 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, IsInstance
 
+from controller_deployment import Deployment, until
 from hoistsaddle.cli.commands import main
-from hoistsaddle.cli.watch import line_of
+from hoistsaddle.cli.watch import format_event
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.settings import ControllerParams, SidecarParams, read_params
-from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, Dropping, Patch, Setting
-from hoistsaddle.config.itemtext import read_text
+from hoistsaddle.common.settings import ControllerSettings, SidecarSettings, read_settings_file
+from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, ItemUpsert, Patch
+from hoistsaddle.config.patch_text import read_text
+from hoistsaddle.registry.addresses import host_of_number
 from hoistsaddle.registry.controller import Controller
-from hoistsaddle.registry.places import host_of_number
-from markets import Deployment, until
 
 FIRST = """
 [service.ledger]
@@ -78,7 +78,7 @@
                 [(SERVICE, "ledger", 1), (ENTRY, "read", 1), (ENTRY, "pay", 1), (ENTRY, "more", 2), (LIMITS, LIMITS, 1)]
             ),
         )
-        self.assertThat(patch.drops, Equals([Dropping(ENTRY, 2, "read")]))
+        self.assertThat(patch.drops, Equals([ItemDeletion(ENTRY, 2, "read")]))
 
     def test_json_says_the_same_with_the_same_tables(self) -> None:
         told = {"service": {"ledger": {"revision": 1, "connections": 50}}, "drop": []}
@@ -106,20 +106,20 @@
         ):
             told = read_text(text)
             self.assertThat(told, IsInstance(Failure), text)
-            mishap = told.failure()
-            self.assertThat((mishap.field, mishap.remedy != ""), Equals((field, True)), text)
+            error = told.failure()
+            self.assertThat((error.field, error.remedy != ""), Equals((field, True)), text)
         for text in ("{", "[]", '{"entry": 1}', "[" * 100000):
             self.assertThat(read_text(text, json=True), IsInstance(Failure))
 
 
-MARKET: dict[str, Any] = {
+CONTROLLER: dict[str, Any] = {
     "host": "127.0.0.1",
     "zone": "a",
     "data_folder": "/tmp/x",
     "seeds": ["127.0.0.1"],
     "cold_start": True,
 }
-BROKER: dict[str, Any] = {
+SIDECAR: dict[str, Any] = {
     "name": "stall-1",
     "zone": "a",
     "listen": "127.0.0.1:7200",
@@ -134,14 +134,14 @@
 
 class Settings(TestCase):
     def refused(self, kind: type, values: dict[str, Any]) -> str:
-        told = read_params(kind=kind, path=None, flags=values)
+        told = read_settings_file(kind=kind, path=None, flags=values)
         self.assertThat(told, IsInstance(Failure), str(values))
         self.assertThat(told.failure().remedy != "", Equals(True))
         return told.failure().field
 
     def test_whole_ones_are_taken(self) -> None:
-        self.assertThat(read_params(kind=ControllerParams, path=None, flags=MARKET), IsInstance(Success))
-        self.assertThat(read_params(kind=SidecarParams, path=None, flags=BROKER), IsInstance(Success))
+        self.assertThat(read_settings_file(kind=ControllerSettings, path=None, flags=CONTROLLER), IsInstance(Success))
+        self.assertThat(read_settings_file(kind=SidecarSettings, path=None, flags=SIDECAR), IsInstance(Success))
 
     def test_each_field_has_its_range(self) -> None:
         for field, value in (
@@ -162,12 +162,12 @@
             ("checkpoint_records", 0),
             ("lease_seconds", 0.0),
         ):
-            told = self.refused(ControllerParams, {**MARKET, field: value})
+            told = self.refused(ControllerSettings, {**CONTROLLER, field: value})
             self.assertThat(
                 told.partition("[")[0], Equals("bourse_port" if value == 7100 else field), f"{field} {value}"
             )
-        self.assertThat(self.refused(ControllerParams, {**MARKET, "seeds": ["127.0.0.1"] * 4}), Equals("seeds"))
-        self.assertThat(self.refused(ControllerParams, {**MARKET, "colour": 1}), Equals("colour"))
+        self.assertThat(self.refused(ControllerSettings, {**CONTROLLER, "seeds": ["127.0.0.1"] * 4}), Equals("seeds"))
+        self.assertThat(self.refused(ControllerSettings, {**CONTROLLER, "colour": 1}), Equals("colour"))
         for field, value in (
             ("name", "a b"),
             ("service", "a/b"),
@@ -183,7 +183,7 @@
             ("drain_seconds", 0.0),
             ("backlog", 0),
         ):
-            told = self.refused(SidecarParams, {**BROKER, field: value})
+            told = self.refused(SidecarSettings, {**SIDECAR, field: value})
             self.assertThat(told.partition("[")[0], Equals(field), f"{field} {value}")
 
     def test_daemons_refuse_before_they_start(self) -> None:
@@ -218,8 +218,8 @@
         for changes, field in (({"rank": 10**30}, "rank"), ({"hold_seconds": 0}, "hold_seconds")):
             item = {**read_text(SECOND).unwrap().sets[0].item, **changes}
             counters = Counters(owner="market")
-            desk = SimpleNamespace(bourse=SimpleNamespace(counters=counters))
-            told = asyncio.run(Controller.patch(desk, Patch([Setting(ENTRY, 1, item)])))
+            desk = SimpleNamespace(registry=SimpleNamespace(counters=counters))
+            told = asyncio.run(Controller.patch(desk, Patch([ItemUpsert(ENTRY, 1, item)])))
             self.assertThat(told, IsInstance(Failure))
             self.assertThat(told.failure().field, Equals(f"sets[0].{field}"))
             self.assertThat(counters.read()["counts"]["happening.patch refused"], Equals(1))
@@ -236,7 +236,7 @@
             ("founded", {"mesh": "abc"}, "founded as mesh abc"),
         ):
             happening = {"moment": "2026-12-02T03:00:00.000+00:00", "owner": "x", "kind": kind, "detail": detail}
-            self.assertThat(line_of(happening), Contains(words))
+            self.assertThat(format_event(happening), Contains(words))
 
 
 class Processes(TestCase):
@@ -249,7 +249,7 @@
         runners = []
         try:
             for place in range(3):
-                await fleet.market(place, cold=True)
+                await fleet.start_controller(place, cold=True)
 
             async def ready() -> bool:
                 return (await fleet.command("ready"))[0] == 0
@@ -262,20 +262,20 @@
             # The same again changes nothing.
             code, said = await fleet.command("items", "submit", str(folder / "first.toml"))
             self.assertThat((code, json.loads(said)["changed"]), Equals((0, [])), said)
-            stalls = [await fleet.broker(number) for number in (1, 2)]
+            proxies = [await fleet.start_sidecar(number) for number in (1, 2)]
             async with aiohttp.ClientSession() as session:
 
                 async def heard() -> bool:
                     try:
-                        for number, (_, side, server) in enumerate(stalls, start=1):
-                            vitals = {
+                        for number, (_, side, server) in enumerate(proxies, start=1):
+                            health = {
                                 "service": "ledger",
                                 "instance": f"i-{number}",
                                 "address": server,
                                 "state": "ready",
                                 "room": 4,
                             }
-                            async with session.post(f"http://{side}/hoistsaddle/vitals", json=vitals) as told:
+                            async with session.post(f"http://{side}/hoistsaddle/vitals", json=health) as told:
                                 if told.status != 200:
                                     return False
                             async with session.get(f"http://{side}/hoistsaddle/ready") as told:
@@ -289,30 +289,30 @@
                     headers = {"Host": "shop.example", "X-Hoistsaddle-Send": "try"}
                     if key:
                         headers["Idempotency-Key"] = key
-                    # As a visitor would: 503 says that nothing ran, and when to come back.
+                    # As a client would: 503 says that nothing ran, and when to come back.
                     for _ in range(20):
                         async with session.post(f"http://{door}{path}", headers=headers, data=b"body") as told:
                             if told.status != 503:
                                 return told.status, await told.text()
                             await asyncio.sleep(float(told.headers["Retry-After"]))
-                        # As a server would: on a busy machine its vitals may have grown old since the last ones.
+                        # As a server would: on a busy machine its health reports may have grown old.
                         await heard()
                     return told.status, ""
 
-                for _, _, server in stalls:
+                for _, _, server in proxies:
                     runners.append(await fleet.serve(server))
                 await until(heard)
 
                 async def served() -> bool:
-                    return (await ask(stalls[0][0], "/read/x"))[0] == 200
+                    return (await ask(proxies[0][0], "/read/x"))[0] == 200
 
                 await until(served)
-                first = await ask(stalls[0][0], "/pay/x", key="k1")
+                first = await ask(proxies[0][0], "/pay/x", key="k1")
                 count = len(fleet.runs)
                 self.assertThat(first[0], Equals(200), str(first))
-                self.assertThat([await ask(door, "/pay/x", key="k1") for door, _, _ in stalls], Equals([first] * 2))
+                self.assertThat([await ask(door, "/pay/x", key="k1") for door, _, _ in proxies], Equals([first] * 2))
                 self.assertThat(len(fleet.runs), Equals(count))
-                self.assertThat((await ask(stalls[0][0], "/nothing/"))[0], Equals(404))
+                self.assertThat((await ask(proxies[0][0], "/nothing/"))[0], Equals(404))
                 # One core machine dies at once, with the founder's disk; the other two go on.
                 fleet.processes["market-0"].kill()
                 await fleet.processes["market-0"].wait()
@@ -324,7 +324,7 @@
 
                 async def moved() -> bool:
                     await heard()
-                    return [(await ask(stalls[1][0], path))[0] for path in ("/read/x", "/more/x")] == [404, 200]
+                    return [(await ask(proxies[1][0], path))[0] for path in ("/read/x", "/more/x")] == [404, 200]
 
                 await until(moved)
                 code, said = await fleet.command("items", "list")
@@ -345,12 +345,12 @@
                 code, said = await fleet.command("core")
                 self.assertThat((code, "leader" in said), Equals((0, True)), said)
                 # Its disk is kept, and it comes back: nobody founds beside the mesh.
-                await fleet.market(0, cold=False)
+                await fleet.start_controller(0, cold=False)
                 await until(ready)
                 for place in ("holds", "counters", "happenings?after=0"):
-                    async with session.get(f"http://{stalls[0][1]}/hoistsaddle/{place}") as answer:
+                    async with session.get(f"http://{proxies[0][1]}/hoistsaddle/{place}") as answer:
                         self.assertThat((answer.status, len(await answer.json()) > 0), Equals((200, True)))
-                async with session.post(f"http://{stalls[0][1]}/hoistsaddle/vitals", json={"service": "x"}) as answer:
+                async with session.post(f"http://{proxies[0][1]}/hoistsaddle/vitals", json={"service": "x"}) as answer:
                     self.assertThat(answer.status, Equals(400))
         finally:
             codes = await fleet.stop()
@@ -376,7 +376,7 @@
 
         try:
             for place in (0, 1):
-                await fleet.market(place, cold=True)
+                await fleet.start_controller(place, cold=True)
 
             async def led() -> bool:
                 return "leader" in (await standings()).values()
@@ -384,12 +384,12 @@
             await until(led)
             self.assertThat((await standings()).get(fleet.hosts[2], "unreachable"), Equals("unreachable"))
             # It is told of a cold start as well, but the mesh is there: it joins.
-            await fleet.market(2, cold=True)
+            await fleet.start_controller(2, cold=True)
             await until(all_vote)
             fleet.processes["market-2"].kill()
             await fleet.processes["market-2"].wait()
             shutil.rmtree(folder / "data-2")
-            await fleet.market(2, cold=False)
+            await fleet.start_controller(2, cold=False)
             await until(all_vote)
             log = (folder / "market-0.log").read_text() + (folder / "market-1.log").read_text()
             for words in ("voter added", "voter swapped"):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -6,23 +6,23 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.statemachine import view
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
-from hoistsaddle.testbed.simulation.clockwork import NODE
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment, simulate
+from hoistsaddle.testbed.simulation.event_loop import CURRENT_PROCESS
 from hoistsaddle.testbed.simulation.scenarios import next_bundle
 
 OLD_RELEASE = "stall-05"
 
 
 def read_as_an_old_release(text: str):
-    """One stall runs a release that can't read the new bundle; everybody else can."""
-    life = NODE.get()
+    """One proxy runs a release that can't read the new bundle; everybody else can."""
+    life = CURRENT_PROCESS.get()
     if life is not None and life.name == OLD_RELEASE and 'note = "newer"' in text:
         return Failure(
-            Mishap(
-                MishapKind.BUNDLE_BROKEN,
+            MeshError(
+                ErrorKind.BUNDLE_BROKEN,
                 "It has a field this release doesn't know.",
                 "Install the newer release.",
                 "entries[0].newer",
@@ -38,34 +38,36 @@
     def test_a_machine_that_refuses_is_named_stays_as_it_is_and_the_rollout_can_be_taken_back(self) -> None:
         told: dict = {}
 
-        def bundles(whole: SimulatedDeployment) -> dict[str, int]:
-            return {name: whole.nodes[name].core.view.bundle_number for name in whole.stalls}
+        def bundles(complete: SimulatedDeployment) -> dict[str, int]:
+            return {name: complete.nodes[name].core.view.bundle_number for name in complete.proxies}
 
-        async def scenario(whole: SimulatedDeployment) -> None:
-            await whole.start()
-            text = next_bundle(whole, number=2, based_on=1, note="newer")
-            submitted = (await whole.submit(text)).unwrap()["submitted"]
-            one = (await whole.sign(2, submitted["digest"])).unwrap()
-            two = (await whole.advance(2, 1)).unwrap()
+        async def scenario(complete: SimulatedDeployment) -> None:
+            await complete.start()
+            text = next_bundle(complete, number=2, based_on=1, note="newer")
+            submitted = (await complete.submit(text)).unwrap()["submitted"]
+            one = (await complete.sign(2, submitted["digest"])).unwrap()
+            two = (await complete.advance(2, 1)).unwrap()
             told["answers"] = (one["accepted"], two["accepted"], two["refused"]["message"], two["refused"]["kind"])
             told["refusal"] = two["machines"][OLD_RELEASE]
-            told["bundles"] = bundles(whole)
+            told["bundles"] = bundles(complete)
             # It refuses, and goes on serving under what it has.
-            told["ready"] = whole.nodes[OLD_RELEASE].core.ready()
+            told["ready"] = complete.nodes[OLD_RELEASE].core.ready()
             # The next bundle, which it can read, brings it along.
-            await whole.roll_out(next_bundle(whole, number=3, based_on=2))
-            told["later"] = bundles(whole)
-            third = (await whole.submit(next_bundle(whole, number=4, based_on=3, note="regretted"))).unwrap()[
+            await complete.roll_out(next_bundle(complete, number=3, based_on=2))
+            told["later"] = bundles(complete)
+            third = (await complete.submit(next_bundle(complete, number=4, based_on=3, note="regretted"))).unwrap()[
                 "submitted"
             ]
-            assert isinstance(await whole.sign(4, third["digest"]), Success)
-            told["rolling"] = sorted(set(bundles(whole).values()))
-            aborted = await whole.at_desk(lambda desk, request: desk.abort(operator="ada", number=4, request=request))
-            told["aborted"] = (aborted.unwrap()["accepted"], sorted(set(bundles(whole).values())))
+            assert isinstance(await complete.sign(4, third["digest"]), Success)
+            told["rolling"] = sorted(set(bundles(complete).values()))
+            aborted = await complete.as_operator(
+                lambda actions, request: actions.abort(operator="ada", number=4, request=request)
+            )
+            told["aborted"] = (aborted.unwrap()["accepted"], sorted(set(bundles(complete).values())))
             # The signature was taken before the abort: it is confirmed again and moves nothing; nobody else can sign.
-            again = (await whole.sign(4, third["digest"])).unwrap()
-            other = await whole.sign(4, third["digest"], signer="ada")
-            told["again"] = (again["phase"], sorted(set(bundles(whole).values())), other.failure().kind)
+            again = (await complete.sign(4, third["digest"])).unwrap()
+            other = await complete.sign(4, third["digest"], signer="ada")
+            told["again"] = (again["phase"], sorted(set(bundles(complete).values())), other.failure().kind)
 
         with mock.patch.object(view, "read_bundle", read_as_an_old_release):
             simulate(deployment=DEPLOYMENTS["thimble"], seed=6, scenario=scenario)
--- a/tests/test_lines.py
+++ b/tests/test_rpc_connections.py
@@ -14,43 +14,43 @@
 from testtools import TestCase
 from testtools.matchers import Equals, IsInstance
 
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.rpc.connection import OUT, Lines, LineServer, Pulse, Traffic, _Connection
-from hoistsaddle.rpc.messages import ProbeAnswer, ProbeCall, PulseAnswer, PulseCall, pack, unpack
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.rpc.connection import OUT, KeepAlive, RpcClient, RpcServer, Traffic, _Connection
+from hoistsaddle.rpc.messages import PingAnswer, PingCall, ProbeAnswer, ProbeCall, pack, unpack
 from hoistsaddle.rpc.runtime import RealRuntime
-from stepped import Noted, run_stepped, step
+from stepped_clock import EventCounter, run_stepped, step
 
-PULSE = Pulse(every=timedelta(seconds=1), span=timedelta(seconds=3))
+KEEP_ALIVE = KeepAlive(every=timedelta(seconds=1), span=timedelta(seconds=3))
 CALL = ProbeCall("asker", ())
 ANSWER = ProbeAnswer("answerer", ())
 
 
-class Heard(Traffic):
+class CountedTraffic(Traffic):
     """A line's counts, and a way to wait for them."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.frames_out = Noted()
-        self.pulses_in = Noted()
+        self.frames_sent = EventCounter()
+        self.pings_answered = EventCounter()
 
     def count(self, way: str, message: tuple | None, size: int) -> None:
         super().count(way, message, size)
         if way == OUT:
-            self.frames_out.note()
-        elif isinstance(message, PulseAnswer):
-            self.pulses_in.note()
+            self.frames_sent.count_event()
+        elif isinstance(message, PingAnswer):
+            self.pings_answered.count_event()
 
 
-class Raw:
+class RawPeer:
     """A peer that reads whole frames and answers as the test says."""
 
     def __init__(self, behave: Callable[[int, Any, asyncio.StreamWriter], Awaitable[None]]) -> None:
         self.behave = behave
-        self.heard: list[tuple[int, Any]] = []
-        self.frames = Noted()
+        self.received: list[tuple[int, Any]] = []
+        self.frames = EventCounter()
         self.connections = 0
 
-    async def __aenter__(self) -> "Raw":
+    async def __aenter__(self) -> "RawPeer":
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
@@ -64,14 +64,14 @@
             while True:
                 (length,) = struct.unpack("!I", await reader.readexactly(4))
                 number, _, message = unpack(await reader.readexactly(length))
-                self.heard.append((number, message))
-                self.frames.note()
+                self.received.append((number, message))
+                self.frames.count_event()
                 await self.behave(number, message, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             writer.close()
 
-    def pulses(self) -> int:
-        return sum(isinstance(message, PulseCall) for _, message in self.heard)
+    def pings(self) -> int:
+        return sum(isinstance(message, PingCall) for _, message in self.received)
 
 
 def say(writer: asyncio.StreamWriter, number: int, message: tuple) -> None:
@@ -83,36 +83,36 @@
     pass
 
 
-class Pulses(TestCase):
-    def call(self, lines: Lines, address: str, *, within: float = 3000.0) -> asyncio.Future:
-        return asyncio.ensure_future(lines.call(address, CALL, within=timedelta(seconds=within)))
+class KeepAlives(TestCase):
+    def call(self, rpc_client: RpcClient, address: str, *, within: float = 3000.0) -> asyncio.Future:
+        return asyncio.ensure_future(rpc_client.call(address, CALL, within=timedelta(seconds=within)))
 
     def assertSilent(self, told: Any) -> None:
         self.assertThat(told, IsInstance(Failure), str(told))
-        self.assertThat(told.failure().kind, Equals(MishapKind.SILENT))
+        self.assertThat(told.failure().kind, Equals(ErrorKind.SILENT))
 
     def test_a_peer_that_says_nothing_is_given_up_long_before_the_budget(self) -> None:
         async def work() -> None:
-            lines = Lines(pulse=PULSE)
-            async with Raw(nothing) as raw:
-                call = self.call(lines, raw.address)
+            rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
+            async with RawPeer(nothing) as raw:
+                call = self.call(rpc_client, raw.address)
                 await raw.frames.reach(1)
                 for second in (1, 2):
                     await step(1)
                     await raw.frames.reach(1 + second)
-                    self.assertThat((raw.pulses(), call.done()), Equals((second, False)))
+                    self.assertThat((raw.pings(), call.done()), Equals((second, False)))
                 await step(1)
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
-            lines.close()
+            rpc_client.close()
 
         run_stepped(work())
 
     def test_without_pulses_the_whole_budget_is_waited_out(self) -> None:
         async def work() -> None:
-            lines = Lines()
-            async with Raw(nothing) as raw:
-                call = self.call(lines, raw.address, within=300)
+            rpc_client = RpcClient()
+            async with RawPeer(nothing) as raw:
+                call = self.call(rpc_client, raw.address, within=300)
                 await raw.frames.reach(1)
                 for _ in range(299):
                     await step(1)
@@ -121,11 +121,11 @@
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
                 # A line is in order: whatever was written before it would be heard before this call.
-                last = self.call(lines, raw.address)
+                last = self.call(rpc_client, raw.address)
                 await raw.frames.reach(2)
-                self.assertThat([message for _, message in raw.heard], Equals([CALL, CALL]))
+                self.assertThat([message for _, message in raw.received], Equals([CALL, CALL]))
                 last.cancel()
-            lines.close()
+            rpc_client.close()
 
         run_stepped(work())
 
@@ -137,21 +137,21 @@
             return ANSWER
 
         async def work() -> None:
-            lines, traffic = Lines(pulse=PULSE), Heard()
-            lines.traffic = traffic
-            server = LineServer(address="127.0.0.1:0", handler=handler)
+            rpc_client, traffic = RpcClient(keep_alive=KEEP_ALIVE), CountedTraffic()
+            rpc_client.traffic = traffic
+            server = RpcServer(address="127.0.0.1:0", handler=handler)
             await server.start()
             port = server._server.sockets[0].getsockname()[1]
-            call = self.call(lines, f"127.0.0.1:{port}")
-            await traffic.frames_out.reach(1)
+            call = self.call(rpc_client, f"127.0.0.1:{port}")
+            await traffic.frames_sent.reach(1)
             # Far longer than a pulse's span.
             for second in range(1, 21):
                 await step(1)
-                await traffic.pulses_in.reach(second)
-            self.assertThat((call.done(), traffic.pulses_in.count), Equals((False, 20)))
+                await traffic.pings_answered.reach(second)
+            self.assertThat((call.done(), traffic.pings_answered.count), Equals((False, 20)))
             go.set()
             self.assertThat(await call, Equals(Success(ANSWER)))
-            lines.close()
+            rpc_client.close()
             await server.stop()
 
         run_stepped(work())
@@ -161,31 +161,31 @@
             say(writer, number, ANSWER)
 
         async def work() -> None:
-            lines = Lines(pulse=PULSE)
-            async with Raw(answering) as raw:
+            rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
+            async with RawPeer(answering) as raw:
                 for _ in range(3):
-                    self.assertThat(await self.call(lines, raw.address), Equals(Success(ANSWER)))
+                    self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
                 for _ in range(20):
                     await step(1)
                 # It is as good as new afterwards, and in order: a pulse written before would be heard before.
-                self.assertThat(await self.call(lines, raw.address), Equals(Success(ANSWER)))
-                self.assertThat([message for _, message in raw.heard], Equals([CALL] * 4))
+                self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
+                self.assertThat([message for _, message in raw.received], Equals([CALL] * 4))
                 self.assertThat(raw.connections, Equals(1))
-            lines.close()
+            rpc_client.close()
 
         run_stepped(work())
 
     def test_all_calls_of_a_dead_line_end_and_the_next_one_opens_anew(self) -> None:
         async def work() -> None:
-            lines = Lines(pulse=PULSE)
+            rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
             silent = True
 
             async def behave(number: int, message: Any, writer: asyncio.StreamWriter) -> None:
-                if not silent and not isinstance(message, PulseCall):
+                if not silent and not isinstance(message, PingCall):
                     say(writer, number, ANSWER)
 
-            async with Raw(behave) as raw:
-                calls = [self.call(lines, raw.address) for _ in range(5)]
+            async with RawPeer(behave) as raw:
+                calls = [self.call(rpc_client, raw.address) for _ in range(5)]
                 await raw.frames.reach(5)
                 for _ in range(3):
                     self.assertThat([each.done() for each in calls], Equals([False] * 5))
@@ -194,9 +194,9 @@
                 for each in calls:
                     self.assertSilent(await each)
                 silent = False
-                self.assertThat(await self.call(lines, raw.address), Equals(Success(ANSWER)))
+                self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
                 self.assertThat(raw.connections, Equals(2))
-            lines.close()
+            rpc_client.close()
 
         run_stepped(work())
 
@@ -208,83 +208,83 @@
             return ANSWER
 
         async def work() -> None:
-            lines, traffic = Lines(pulse=PULSE), Heard()
-            lines.traffic = traffic
-            server = LineServer(address="127.0.0.1:0", handler=handler)
+            rpc_client, traffic = RpcClient(keep_alive=KEEP_ALIVE), CountedTraffic()
+            rpc_client.traffic = traffic
+            server = RpcServer(address="127.0.0.1:0", handler=handler)
             await server.start()
             port = server._server.sockets[0].getsockname()[1]
-            call = self.call(lines, f"127.0.0.1:{port}")
-            await traffic.frames_out.reach(1)
+            call = self.call(rpc_client, f"127.0.0.1:{port}")
+            await traffic.frames_sent.reach(1)
             # As after a freeze of this process: nothing was read for far longer than a pulse's span.
             await step(5)
-            self.assertThat(next(iter(lines._connections.values())).closed, Equals(False))
-            await traffic.pulses_in.reach(1)
+            self.assertThat(next(iter(rpc_client._connections.values())).closed, Equals(False))
+            await traffic.pings_answered.reach(1)
             for second in range(2, 6):
                 await step(1)
-                await traffic.pulses_in.reach(second)
+                await traffic.pings_answered.reach(second)
             go.set()
             self.assertThat(await call, Equals(Success(ANSWER)))
-            lines.close()
+            rpc_client.close()
             await server.stop()
 
         run_stepped(work())
 
     def test_a_freeze_of_ones_own_spares_a_dead_peer_for_one_pulse_only(self) -> None:
         async def work() -> None:
-            lines = Lines(pulse=PULSE)
-            async with Raw(nothing) as raw:
-                call = self.call(lines, raw.address)
+            rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
+            async with RawPeer(nothing) as raw:
+                call = self.call(rpc_client, raw.address)
                 await raw.frames.reach(1)
                 await step(50)
                 await raw.frames.reach(2)
-                self.assertThat((raw.pulses(), call.done()), Equals((1, False)))
+                self.assertThat((raw.pings(), call.done()), Equals((1, False)))
                 await step(1)
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
-            lines.close()
+            rpc_client.close()
 
         run_stepped(work())
 
 
-class Home(TestCase):
+class LocalCalls(TestCase):
     def test_a_call_to_an_address_of_ones_own_never_touches_the_network(self) -> None:
         async def work() -> None:
-            lines = Lines()
+            rpc_client = RpcClient()
 
             async def handler(message: tuple) -> tuple:
                 return ANSWER if message == CALL else None
 
             # Nobody listens there.
-            lines.home["127.0.0.1:1"] = handler
-            told = await lines.call("127.0.0.1:1", CALL, within=timedelta(seconds=1))
+            rpc_client.home["127.0.0.1:1"] = handler
+            told = await rpc_client.call("127.0.0.1:1", CALL, within=timedelta(seconds=1))
             self.assertThat(told, Equals(Success(ANSWER)))
-            self.assertThat(lines._connections, Equals({}))
+            self.assertThat(rpc_client._connections, Equals({}))
             # "No answer" at home is silence, as on a line.
-            silent = await lines.call("127.0.0.1:1", ProbeCall("other", ()), within=timedelta(seconds=1))
-            self.assertThat(silent.failure().kind, Equals(MishapKind.SILENT))
+            silent = await rpc_client.call("127.0.0.1:1", ProbeCall("other", ()), within=timedelta(seconds=1))
+            self.assertThat(silent.failure().kind, Equals(ErrorKind.SILENT))
 
         run_stepped(work())
 
     def test_whoever_stops_waiting_does_not_stop_the_work(self) -> None:
         async def work() -> None:
-            lines = Lines()
-            began, go, done = Noted(), asyncio.Event(), Noted()
+            rpc_client = RpcClient()
+            began, go, done = EventCounter(), asyncio.Event(), EventCounter()
 
             async def handler(message: tuple) -> tuple:
-                began.note()
+                began.count_event()
                 await go.wait()
                 self.assertThat(message, Equals(CALL))
-                done.note()
+                done.count_event()
                 return ANSWER
 
-            lines.home["home"] = handler
-            call = asyncio.ensure_future(lines.call("home", CALL, within=timedelta(seconds=2)))
+            rpc_client.home["home"] = handler
+            call = asyncio.ensure_future(rpc_client.call("home", CALL, within=timedelta(seconds=2)))
             await began.reach(1)
             await step(1)
             self.assertThat(call.done(), Equals(False))
             await step(1)
             self.assertThat((call.done(), done.count), Equals((True, 0)))
-            self.assertThat((await call).failure().kind, Equals(MishapKind.SILENT))
+            self.assertThat((await call).failure().kind, Equals(ErrorKind.SILENT))
             go.set()
             await done.reach(1)
 
@@ -292,16 +292,16 @@
 
     def test_what_is_no_longer_wanted_is_not_called(self) -> None:
         async def work() -> None:
-            lines = Lines()
+            rpc_client = RpcClient()
             called = []
 
             async def handler(message: tuple) -> tuple:
                 called.append(message)
                 return ANSWER
 
-            lines.home["home"] = handler
-            told = await lines.call("home", CALL, within=timedelta(seconds=1), still=lambda: False)
-            self.assertThat((told.failure().kind, called), Equals((MishapKind.UNREACHABLE, [])))
+            rpc_client.home["home"] = handler
+            told = await rpc_client.call("home", CALL, within=timedelta(seconds=1), still=lambda: False)
+            self.assertThat((told.failure().kind, called), Equals((ErrorKind.UNREACHABLE, [])))
 
         run_stepped(work())
 
@@ -313,7 +313,7 @@
             for home in (True, False):
                 runtime = RealRuntime(home=home)
                 server = await runtime.serve("127.0.0.1:0", handler)
-                self.assertThat("127.0.0.1:0" in runtime.lines.home, Equals(home))
+                self.assertThat("127.0.0.1:0" in runtime.rpc_client.home, Equals(home))
                 await server.stop()
 
         run_stepped(work())
@@ -335,7 +335,7 @@
         )
 
         async def work() -> list[bool]:
-            line = _Connection(reader=asyncio.StreamReader(), writer=writer, traffic=Traffic(), pulse=PULSE)
+            line = _Connection(reader=asyncio.StreamReader(), writer=writer, traffic=Traffic(), keep_alive=KEEP_ALIVE)
             line.pending[1] = asyncio.get_running_loop().create_future()
             line.write(number=1, message=CALL)
             line.feel()
@@ -362,16 +362,16 @@
             say(writer, number, ANSWER)
 
         async def work() -> None:
-            lines = Lines(connect_span=timedelta(seconds=1))
-            async with Raw(answering) as raw:
-                first = asyncio.ensure_future(lines.call(raw.address, CALL, within=timedelta(seconds=30)))
+            rpc_client = RpcClient(connect_timeout=timedelta(seconds=1))
+            async with RawPeer(answering) as raw:
+                first = asyncio.ensure_future(rpc_client.call(raw.address, CALL, within=timedelta(seconds=30)))
                 await asyncio.sleep(0)
                 await step(1)
-                self.assertThat((await first).failure().kind, Equals(MishapKind.UNREACHABLE))
+                self.assertThat((await first).failure().kind, Equals(ErrorKind.UNREACHABLE))
                 go.set()
-                second = await lines.call(raw.address, CALL, within=timedelta(seconds=30))
-                self.assertThat((second, len(opened), len(raw.heard)), Equals((Success(ANSWER), 1, 1)))
-            lines.close()
+                second = await rpc_client.call(raw.address, CALL, within=timedelta(seconds=30))
+                self.assertThat((second, len(opened), len(raw.received)), Equals((Success(ANSWER), 1, 1)))
+            rpc_client.close()
 
         self.patch(asyncio, "open_connection", slowly)
         run_stepped(work())
@@ -385,13 +385,13 @@
             raise AssertionError
 
         async def work() -> None:
-            lines = Lines(connect_span=timedelta(seconds=1))
+            rpc_client = RpcClient(connect_timeout=timedelta(seconds=1))
             for _ in range(5):
-                call = asyncio.ensure_future(lines.call("127.0.0.1:9", CALL, within=timedelta(seconds=30)))
+                call = asyncio.ensure_future(rpc_client.call("127.0.0.1:9", CALL, within=timedelta(seconds=30)))
                 await asyncio.sleep(0)
                 await step(1)
-                self.assertThat((await call).failure().kind, Equals(MishapKind.UNREACHABLE))
-            lines.close()
+                self.assertThat((await call).failure().kind, Equals(ErrorKind.UNREACHABLE))
+            rpc_client.close()
 
         self.patch(asyncio, "open_connection", never)
         run_stepped(work())
--- a/tests/test_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -7,12 +7,12 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brokers import Brokers
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.proxy.messages import NOT_RUN
 from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
-from hoistsaddle.rpc.ages import OFFSET_SPAN, Ages, CallAge
-from hoistsaddle.sidecar.messages import Asked, DealArrived, DealOn, Serve
+from hoistsaddle.rpc.frame_ages import OFFSET_SPAN, Ages, CallAge
+from hoistsaddle.sidecar.messages import ForwardArrived, ForwardRequest, RequestArrived, RunOnServer
+from sidecar_bench import SidecarBench
 
 
 def seconds(amount: float) -> timedelta:
@@ -26,8 +26,8 @@
         # The sender's clock is far from the own one.
         self.offset = 5000.0
 
-    def connect(self, moment: float) -> None:
-        self.ages = Ages(accepted=moment)
+    def connect(self, timestamp: float) -> None:
+        self.ages = Ages(accepted=timestamp)
 
     def age(self, *, sent: float, way: float) -> float:
         return round(self.ages.age(sent=sent + self.offset, now=sent + way).age, 6)
@@ -62,19 +62,19 @@
         """Whatever the ways are like: a call counts as younger than it is, never as older, but for the first."""
         for seed in range(20):
             dice = random.Random(seed)
-            moment = 0.0
-            self.connect(moment)
-            self.age(sent=moment, way=0.01)
+            timestamp = 0.0
+            self.connect(timestamp)
+            self.age(sent=timestamp, way=0.01)
             for _ in range(200):
-                moment += dice.choice((0.01, 0.5, 8.0))
+                timestamp += dice.choice((0.01, 0.5, 8.0))
                 way = dice.choice((0.001, 0.05, 2.0))
-                self.assertThat(self.age(sent=moment, way=way) <= way, Equals(True), f"seed {seed}")
+                self.assertThat(self.age(sent=timestamp, way=way) <= way, Equals(True), f"seed {seed}")
 
 
 class AtTheTarget(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fleet = Brokers("s-1", "s-2")
+        self.fleet = SidecarBench("s-1", "s-2")
         servers = {name: each for name, each in self.fleet.view.servers.items() if name == "s-2"}
         self.fleet.show(self.fleet.view._replace(servers=servers))
 
@@ -83,32 +83,34 @@
         self.fleet.silent = {"s-2"}
         self.fleet.ask("/pack/x", **needs)
         self.fleet.silent = set()
-        return self.fleet.sent(DealOn)[-1].call
+        return self.fleet.sent(ForwardRequest)[-1].call
 
     def arrive(self, call: Any, *, age: float) -> int:
         self.fleet.tickets += 1
-        self.fleet.feed("s-2", DealArrived(self.fleet.tickets, call, seconds(age)))
+        self.fleet.feed("s-2", ForwardArrived(self.fleet.tickets, call, seconds(age)))
         return self.fleet.tickets
 
     def test_a_call_whose_time_was_over_on_the_way_is_refused_and_not_run(self) -> None:
         answer = self.fleet.answers[self.arrive(self.held(budget=2.0), age=2.5)]
-        self.assertThat((answer.outcome, answer.mishap), Equals((NOT_RUN, MishapKind.BUDGET_SPENT)))
-        self.assertThat(self.fleet.sent(Serve), Equals([]))
+        self.assertThat((answer.outcome, answer.error), Equals((NOT_RUN, ErrorKind.BUDGET_SPENT)))
+        self.assertThat(self.fleet.sent(RunOnServer), Equals([]))
 
     def test_a_server_is_told_what_is_really_left(self) -> None:
         for age in (0.02, 1.0):
             self.arrive(self.held(budget=3.0), age=age)
-            self.assertThat(self.fleet.sent(Serve)[-1].within, Equals(seconds(3 - age)))
+            self.assertThat(self.fleet.sent(RunOnServer)[-1].within, Equals(seconds(3 - age)))
 
     def test_an_ordinary_way_changes_nothing_in_when_it_is_due(self) -> None:
         call = self.held(budget=3.0)
         for age, aim in ((0.1, 1.0), (0.7, 0.3), (1.5, 0.0)):
-            self.assertThat(self.fleet.cores["s-2"]._aged(DealArrived(1, call, seconds(age))).aim, Equals(seconds(aim)))
+            self.assertThat(
+                self.fleet.cores["s-2"]._aged(ForwardArrived(1, call, seconds(age))).aim, Equals(seconds(aim))
+            )
 
     def test_what_waits_is_given_up_in_time_for_its_clients_sidecar_to_hear_of_it(self) -> None:
         """Called unknown there, it would be answered 504, though it ran nowhere and never will."""
         for seed in range(5):
-            fleet = Brokers("s-1", "s-2", room=1, seed=seed)
+            fleet = SidecarBench("s-1", "s-2", room=1, seed=seed)
             fleet.show(fleet.view._replace(servers={"s-2": fleet.view.servers["s-2"]}))
             fleet.ask("/pack/x", budget=3.0)
             fleet.finish()
@@ -120,28 +122,28 @@
 
 class AtTheHandler(TestCase):
     def test_what_lay_unread_has_less_left_than_it_says(self) -> None:
-        fleet = Brokers()
+        fleet = SidecarBench()
         for ticket, (unread, status) in enumerate(((0.0, None), (1.0, None), (3.5, 503)), start=100):
-            asked = Asked(
+            asked = RequestArrived(
                 ticket, "POST", "shop.example", "/pack/x", b"", 100, b"", seconds(3), "", "t", seconds(unread)
             )
             fleet.feed("s-1", asked)
             reply = fleet.replies.get(ticket)
             self.assertThat(reply and reply.status, Equals(status))
-        self.assertThat([each.call.budget for each in fleet.sent(DealOn)], Equals([seconds(3), seconds(2)]))
+        self.assertThat([each.call.budget for each in fleet.sent(ForwardRequest)], Equals([seconds(3), seconds(2)]))
 
 
 class Standstill(TestCase):
     class Clock:
-        moment = seconds(100)
+        timestamp = seconds(100)
 
         def now(self) -> timedelta:
-            return self.moment
+            return self.timestamp
 
     def unread(self, *, ticked: float, thawed: float, stood: float, now: float) -> float:
         node: Any = ProxyNode.__new__(ProxyNode)
         node.runtime = self.Clock()
-        node.runtime.moment = seconds(now)
+        node.runtime.timestamp = seconds(now)
         node.ticked_at, node.thawed_at, node.stood = seconds(ticked), seconds(thawed), seconds(stood)
         return node.unread().total_seconds()
 
--- a/tests/test_parcels.py
+++ b/tests/test_rpc_messages.py
@@ -7,21 +7,21 @@
 from thriftpy2.protocol import TCyBinaryProtocolFactory
 from thriftpy2.utils import serialize
 
-from hoistsaddle.rpc.messages import MESSAGES, FetchAnswer, PassCall, Record, mesh_thrift, pack, tag_of, unpack
+from hoistsaddle.rpc.messages import MESSAGES, BundleForwardCall, FetchAnswer, Record, mesh_thrift, pack, tag_of, unpack
 
 
-class Parcels(TestCase):
+class ThriftMessages(TestCase):
     def test_tuples_match_the_thrift_file(self) -> None:
         for name, kind in MESSAGES.items():
             fields = [entry[1] for _, entry in sorted(getattr(mesh_thrift, name).thrift_spec.items())]
             self.assertThat(fields, Equals(list(kind._fields)), name)
-        tags = {entry[1] for entry in mesh_thrift.Parcel.thrift_spec.values()}
+        tags = {entry[1] for entry in mesh_thrift.Message.thrift_spec.values()}
         self.assertThat(tags <= {tag_of(kind) for kind in MESSAGES.values()}, Equals(True))
 
     def test_a_newer_releases_message_is_passed_over(self) -> None:
         number, answer, message = unpack(
             serialize(
-                mesh_thrift.Frame(number=4, answer=False, parcel=mesh_thrift.Parcel()), TCyBinaryProtocolFactory()
+                mesh_thrift.Frame(number=4, answer=False, message=mesh_thrift.Message()), TCyBinaryProtocolFactory()
             )
         )
         self.assertThat((number, answer, message), Equals((4, False, None)))
@@ -29,7 +29,7 @@
     def test_messages_come_through_unchanged(self) -> None:
         for message in (
             FetchAnswer("", 3, 1, 7, 2, (Record(8, 3, timedelta(seconds=1.5), b"\x00\xff"),), round=4),
-            PassCall(
+            BundleForwardCall(
                 "s",
                 "visitors",
                 "v",
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale command, small: hollow stalls beside a real core, the cores' slopes, and what they are counted by.
+"""The scale command, small: hollow proxies beside a real core, the cores' slopes, and what they are counted by.
 
 Nothing here holds a time against a limit: how long it took is what the command measures.
 """
@@ -16,9 +16,9 @@
 from testtools.matchers import Contains, Equals
 
 from hoistsaddle.cli.fleet_commands import fleet
-from hoistsaddle.rpc.connection import Lines, LineServer
+from hoistsaddle.rpc.connection import RpcClient, RpcServer
 from hoistsaddle.rpc.messages import ProbeAnswer, ProbeCall
-from hoistsaddle.statemachine.state import news_of, pack_state, unpack_state
+from hoistsaddle.statemachine.state import data_plane_items, pack_state, unpack_state
 from hoistsaddle.testbed.scale.clock import make_loop
 from hoistsaddle.testbed.scale.report import fit_of
 from hoistsaddle.testbed.scale.run import Plan, ScaleFleet, run_fleet
@@ -42,11 +42,11 @@
         found = {row["what"]: float(row["value"]) for row in rows if row["slope"] == "fleet of nodes"}
         # Every stall, hollow or whole, took up the changes, and knew the loss from the log.
         self.assertThat(found["a change: stalls that never had it"], Equals(0))
-        self.assertThat(found["1 lost at once: stalls that never knew from the log"], Equals(0))
-        self.assertThat(found["leader killed: stalls that never had it"], Equals(0))
-        # Hollow stalls speak the whole protocol: polls, vitals, probes, calls and claims passed the lines.
-        for kind in ("out PollCall", "out VitalsCall", "out ProbeCall"):
-            self.assertThat(found[f"quiet: bytes of a stall: {kind}"] > 0, Equals(True), kind)
+        self.assertThat(found["1 lost at once: proxies that never knew from the log"], Equals(0))
+        self.assertThat(found["leader killed: proxies that never had it"], Equals(0))
+        # Hollow proxies speak the whole protocol: polls, health reports, probes, calls and claims passed the lines.
+        for kind in ("out PollCall", "out HealthCall", "out ProbeCall"):
+            self.assertThat(found[f"quiet: bytes of a proxy: {kind}"] > 0, Equals(True), kind)
         self.assertThat(found["load: answered keyed 200"] > 0, Equals(True))
         self.assertThat(found["load: answered plain 200"] > 0, Equals(True))
         self.assertThat(found["load: answered whole 200"] > 0, Equals(True))
@@ -61,20 +61,20 @@
     def test_a_run_over_its_time_says_at_what_size_and_keeps_its_figures(self) -> None:
         told: list[str] = []
         plan = Plan(nodes=2, core=1, whole=0, together=2, most_seconds=0.0)
-        rows = asyncio.run(run_fleet(plan, say=told.append))
+        rows = asyncio.run(run_fleet(plan, write_line=told.append))
         self.assertThat([row.nodes for row in rows if row.what.startswith("BROKE")], Equals([2]))
         self.assertThat(told[-1], Contains("2 nodes BROKE: not done within 0 s"))
 
     def test_more_processes_than_allowed_are_not_started(self) -> None:
         told: list[str] = []
-        rows = asyncio.run(run_fleet(Plan(nodes=40, whole=0, together=1), say=told.append))
+        rows = asyncio.run(run_fleet(Plan(nodes=40, whole=0, together=1), write_line=told.append))
         self.assertThat([row.what for row in rows], Equals([told[-1].removeprefix("40 nodes ")]))
         self.assertThat(told[-1], Contains("43 processes, 30 are allowed"))
 
     def test_two_fleets_laid_out_together_share_no_address(self) -> None:
         plan = Plan(nodes=2, core=1, whole=0, together=2)
         with tempfile.TemporaryDirectory() as folder:
-            one, two = (ScaleFleet(plan=plan, folder=Path(folder), say=str) for _ in range(2))
+            one, two = (ScaleFleet(plan=plan, folder=Path(folder), write_line=str) for _ in range(2))
             self.addCleanup(one.holder.close)
             self.addCleanup(two.holder.close)
         self.assertThat(one.core[0].job.block == two.core[0].job.block, Equals(False))
@@ -89,7 +89,7 @@
             # Times differ, and memory hangs on what the interpreter shares already; the rest are counts.
             [
                 each
-                for each in take(names, small=True, rounds=1, say=str)
+                for each in take(names, small=True, rounds=1, write_line=str)
                 if each.unit != "ms" and "memory" not in each.what
             ]
             for _ in range(2)
@@ -106,10 +106,10 @@
         self.assertThat(fit_of(bent).worst > 0.1, Equals(True))
         self.assertThat(fit_of(points[:2]), Equals(None))
 
-    def test_a_setup_of_the_size_we_head_for(self) -> None:
+    def test_a_configuration_of_the_size_we_head_for(self) -> None:
         self.assertThat(sized(760), Equals(GOAL))
         state = make_state(GOAL._replace(holds=50))
-        self.assertThat(len(news_of(state)), Equals(2 * 760 + 150 + 300 + 1 + 1))
+        self.assertThat(len(data_plane_items(state)), Equals(2 * 760 + 150 + 300 + 1 + 1))
         self.assertThat(unpack_state(pack_state(state)), Equals(state))
         depths = tree_of(GOAL, roots=7)
         self.assertThat((len(depths), min(depths.values()), max(depths.values())), Equals((760, 1, 3)))
@@ -122,14 +122,14 @@
             async def answer(message):
                 return ProbeAnswer("there", ())
 
-            server = LineServer(address="127.19.250.1:7100", handler=answer)
+            server = RpcServer(address="127.19.250.1:7100", handler=answer)
             await server.start()
-            lines = Lines()
+            rpc_client = RpcClient()
             for _ in range(3):
-                await lines.call(server.address, ProbeCall("here", ()), within=timedelta(seconds=20))
-            lines.close()
+                await rpc_client.call(server.address, ProbeCall("here", ()), within=timedelta(seconds=20))
+            rpc_client.close()
             await server.stop()
-            return lines.traffic, server.traffic
+            return rpc_client.traffic, server.traffic
 
         here, there = asyncio.run(scenario())
         self.assertThat(dict(here.frames), Equals({("out", "ProbeCall"): 3, ("in", "ProbeAnswer"): 3}))
--- a/tests/test_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -13,19 +13,19 @@
 from testtools.matchers import Contains, Equals
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import Mishap, MishapKind
-from hoistsaddle.sidecar.entry import EntrySide
-from hoistsaddle.sidecar.keyside import KeySide
-from hoistsaddle.sidecar.serverconnection import ServerLine
-from hoistsaddle.sidecar.taken import TakenAttempts
-from stacks import BUDGET, Ask, History, Machine, Plant, Stack, Wire, judge
-from stepped import run_stepped
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.sidecar.ingress import IngressCore
+from hoistsaddle.sidecar.key_claims import KeyClaims
+from hoistsaddle.sidecar.received_attempts import ReceivedAttempts
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool
+from sidecar_stack import BUDGET, ClientRequest, ControlledLink, History, LocalServer, Machine, SidecarStack, judge
+from stepped_clock import run_stepped
 
 LINKS = ("client", "sidecar", "server")
 FAULTS = ("silence", "reset", "close", "freeze", "new life", "address reused", "surplus")
 KINDS = ("read", "pay", "pack")
 # While the request is on its way over the link, and while its answer is.
-MOMENTS = ("asked", "answered")
+TIMESTAMPS = ("asked", "answered")
 # Longer than any request is held, and than a pulse's span.
 LONG = BUDGET + 1.5
 SEED = 7
@@ -34,11 +34,11 @@
 class Case:
     """One fault on one link while one request of one kind passes it."""
 
-    def __init__(self, *, link: str, fault: str, kind: str, moment: str, seed: int = SEED) -> None:
-        self.link, self.fault, self.kind, self.moment = link, fault, kind, moment
-        self.stack = Stack(seed=seed)
+    def __init__(self, *, link: str, fault: str, kind: str, timestamp: str, seed: int = SEED) -> None:
+        self.link, self.fault, self.kind, self.timestamp = link, fault, kind, timestamp
+        self.stack = SidecarStack(seed=seed)
 
-    def wires(self) -> list[Wire]:
+    def wires(self) -> list[ControlledLink]:
         machines = self.stack.machines
         if self.link == "client":
             return [machines["s-1"].to_handler]
@@ -56,13 +56,13 @@
 
     async def until_there(self) -> int:
         """The request, or its answer, is on the link: on which of the wires."""
-        wires, plants = self.wires(), [self.stack.machines[name].plant for name in ("s-2", "s-3")]
+        wires, local_servers = self.wires(), [self.stack.machines[name].local_server for name in ("s-2", "s-3")]
         for wire in wires:
-            wire.hold("up" if self.moment == "asked" else "down")
-        if self.moment == "answered":
-            at = await self.first([plant.begun for plant in plants])
-            plants[at].go.set()
-        way = "up" if self.moment == "asked" else "down"
+            wire.hold("up" if self.timestamp == "asked" else "down")
+        if self.timestamp == "answered":
+            at = await self.first([local_server.begun for local_server in local_servers])
+            local_servers[at].go.set()
+        way = "up" if self.timestamp == "asked" else "down"
         return await self.first([wire.held[way] for wire in wires])
 
     async def strike(self, place: int) -> None:
@@ -87,19 +87,19 @@
             case "surplus":
                 wire.doubled = self.link == "sidecar"
                 for each in stack.machines.values():
-                    each.plant.surplus = True
+                    each.local_server.surplus = True
                 await stack.pass_time(LONG if self.link == "sidecar" else 0.5)
                 wire.release()
 
-    async def replace(self, machine: Machine, wire: Wire, *, other: bool) -> None:
+    async def replace(self, machine: Machine, wire: ControlledLink, *, other: bool) -> None:
         """The far end of the link ends, and another life of it, or somebody else, comes to its address."""
         if self.link == "server":
-            before = machine.plant
+            before = machine.local_server
             before.stop()
             service = "portal" if other else before.service
-            machine.plant = Plant(service=service, instance="i-next", history=self.stack.history)
-            machine.plant.go.set()
-            await machine.plant.start(before.port)
+            machine.local_server = LocalServer(service=service, instance="i-next", history=self.stack.history)
+            machine.local_server.go.set()
+            await machine.local_server.start(before.port)
             # What was held for the former one reaches the next one.
             wire.reset()
             if not other:
@@ -108,7 +108,7 @@
         await machine.die()
         if other:
             machine.service = "portal"
-            machine.plant.service = "portal"
+            machine.local_server.service = "portal"
         await machine.boot(name="s-9" if other else machine.name)
         wire.reset()
         machine.tell()
@@ -120,7 +120,7 @@
             place = await self.until_there()
             await self.strike(place)
             for machine in stack.machines.values():
-                machine.plant.go.set()
+                machine.local_server.go.set()
             for wire in self.wires():
                 wire.release()
             # Others come over the same connections right after it.
@@ -140,9 +140,9 @@
 
 class EveryPair(TestCase):
     def play_all(self, link: str) -> None:
-        for fault, kind, moment in itertools.product(FAULTS, KINDS, MOMENTS):
-            told = f"{link}, {fault}, {kind}, {moment}, seed {SEED}"
-            history = play(link=link, fault=fault, kind=kind, moment=moment)
+        for fault, kind, timestamp in itertools.product(FAULTS, KINDS, TIMESTAMPS):
+            told = f"{link}, {fault}, {kind}, {timestamp}, seed {SEED}"
+            history = play(link=link, fault=fault, kind=kind, timestamp=timestamp)
             self.assertThat(judge(history), Equals([]), told)
             # Whoever came after it was served: the fault is over, and nothing of it is left.
             later = [attempt for attempt, ask in history.asked.items() if ask.kind in ("read", "pack")]
@@ -162,7 +162,7 @@
 class StaleRequests(TestCase):
     def runs(self, link: str, fault: str) -> int:
         """How often the first request ran that lay in a socket until its time was over."""
-        history = play(link=link, fault=fault, kind="pack", moment="asked")
+        history = play(link=link, fault=fault, kind="pack", timestamp="asked")
         return [attempt for attempt, _ in history.runs].count("try-1")
 
     def test_what_lay_in_a_frozen_sidecars_sockets_is_not_run_after_its_time(self) -> None:
@@ -175,32 +175,32 @@
 class Followed(TestCase):
     def test_what_ran_when_its_connection_broke_is_answered_all_the_same(self) -> None:
         for fault, kind in itertools.product(("reset", "close"), ("pay", "pack")):
-            history = play(link="sidecar", fault=fault, kind=kind, moment="answered")
+            history = play(link="sidecar", fault=fault, kind=kind, timestamp="answered")
             self.assertThat(history.told["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
 
     def test_what_never_came_goes_to_another_server_in_the_same_try(self) -> None:
         for fault, kind in itertools.product(("reset", "close"), ("pay", "pack")):
-            history = play(link="sidecar", fault=fault, kind=kind, moment="asked")
+            history = play(link="sidecar", fault=fault, kind=kind, timestamp="asked")
             self.assertThat(history.told["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
 
     def test_a_target_that_forgot_what_came_is_found(self) -> None:
         """Planted: it says of any attempt that it never came."""
-        plant = mock.patch.object(TakenAttempts, "answer_of", lambda self, send: None)
-        forgotten = mock.patch.object(TakenAttempts, "shut_out", lambda self, send, **needs: True)
-        with plant, forgotten:
-            found = " ".join(judge(play(link="sidecar", fault="reset", kind="pack", moment="answered")))
+        local_server = mock.patch.object(ReceivedAttempts, "answer_of", lambda self, send: None)
+        forgotten = mock.patch.object(ReceivedAttempts, "shut_out", lambda self, send, **needs: True)
+        with local_server, forgotten:
+            found = " ".join(judge(play(link="sidecar", fault="reset", kind="pack", timestamp="answered")))
         self.assertThat(found, Contains("TWICE"))
 
 
 class Checkers(TestCase):
-    def history(self, asked: dict[str, Ask], runs: list[str], told: dict[str, tuple[int, bytes]]) -> History:
+    def history(self, asked: dict[str, ClientRequest], runs: list[str], told: dict[str, tuple[int, bytes]]) -> History:
         history = History()
         history.asked, history.told = asked, told
         history.runs = [(attempt, "i-1") for attempt in runs]
         return history
 
     def test_each_kind_of_break_is_named(self) -> None:
-        post, keyed = Ask("pack", ""), Ask("pay", "k")
+        post, keyed = ClientRequest("pack", ""), ClientRequest("pay", "k")
         for told, history in (
             ("TWICE a", self.history({"a": post}, ["a", "a"], {})),
             ("TWICE key k", self.history({"a": keyed, "b": keyed}, ["a", "b"], {})),
@@ -213,47 +213,47 @@
         repeat = self.history({"a": keyed, "b": keyed}, ["a"], {"a": (504, b""), "b": (200, b"run of a")})
         self.assertThat(judge(repeat), Equals([]))
 
-    def found(self, plant: Any, **needs: str) -> set[str]:
-        with plant:
+    def found(self, local_server: Any, **needs: str) -> set[str]:
+        with local_server:
             return {line.split()[0] for line in judge(play(**needs))}
 
     def test_an_uncertain_attempt_that_is_dealt_again_is_found(self) -> None:
-        def again(self: EntrySide, ticket: int, deal: Any, mishap: Mishap) -> None:
-            deal.avoid.add(deal.target.stall)
-            deal.sends = 0
+        def again(self: IngressCore, ticket: int, pending: Any, error: MeshError) -> None:
+            pending.avoid.add(pending.target.proxy)
+            pending.sends = 0
             self._place(ticket)
 
-        plant = mock.patch.object(EntrySide, "_uncertain", again)
-        found = self.found(plant, link="server", fault="reset", kind="pack", moment="answered")
+        local_server = mock.patch.object(IngressCore, "_uncertain", again)
+        found = self.found(local_server, link="server", fault="reset", kind="pack", timestamp="answered")
         self.assertThat(found, Contains("TWICE"))
 
     def test_an_unknown_end_that_is_called_a_refusal_is_found(self) -> None:
-        def unknown(self: EntrySide, ticket: int) -> None:
-            mishap = Mishap(MishapKind.SILENT, "planted", "planted")
-            self._reply(ticket, 503, mishap=mishap, retry_after=milliseconds(50))
+        def unknown(self: IngressCore, ticket: int) -> None:
+            error = MeshError(ErrorKind.SILENT, "planted", "planted")
+            self._reply(ticket, 503, error=error, retry_after=milliseconds(50))
 
-        plant = mock.patch.object(EntrySide, "_unknown", unknown)
-        found = self.found(plant, link="server", fault="reset", kind="pack", moment="answered")
+        local_server = mock.patch.object(IngressCore, "_unknown", unknown)
+        found = self.found(local_server, link="server", fault="reset", kind="pack", timestamp="answered")
         self.assertThat(found, Contains("REFUSED"))
 
     def test_an_answer_that_counts_whatever_its_id_is_found(self) -> None:
-        plain = ServerLine._answer
+        plain = ServerConnectionPool._answer
 
-        async def anyones(self: ServerLine, connection: Any, send_id: str) -> Any:
+        async def anyones(self: ServerConnectionPool, connection: Any, client_attempt_id: str) -> Any:
             message, payload = await connection.next_message()
             return message, await payload.read()
 
         self.assertThat(plain is anyones, Equals(False))
-        plant = mock.patch.object(ServerLine, "_answer", anyones)
-        found = self.found(plant, link="server", fault="surplus", kind="pack", moment="asked")
+        local_server = mock.patch.object(ServerConnectionPool, "_answer", anyones)
+        found = self.found(local_server, link="server", fault="surplus", kind="pack", timestamp="asked")
         self.assertThat(found, Contains("WRONG"))
 
     def test_a_key_that_is_free_whatever_became_of_it_is_found(self) -> None:
-        plain: Callable = KeySide._standing_of
+        plain: Callable = KeyClaims._standing_of
 
-        def free(self: KeySide, claim: str) -> Any:
+        def free(self: KeyClaims, claim: str) -> Any:
             return plain(self, claim)._replace(standing="free")
 
-        plant = mock.patch.object(KeySide, "_standing_of", free)
-        found = self.found(plant, link="sidecar", fault="reset", kind="pay", moment="answered")
+        local_server = mock.patch.object(KeyClaims, "_standing_of", free)
+        found = self.found(local_server, link="sidecar", fault="reset", kind="pay", timestamp="answered")
         self.assertThat(found, Contains("TWICE"))
--- a/tests/test_following.py
+++ b/tests/test_sidecar_attempt_follower.py
@@ -7,13 +7,21 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brokers import Brokers
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, UNKNOWN
-from hoistsaddle.rpc.messages import DealAnswer, DealCall, FollowCall
-from hoistsaddle.sidecar import taken as modules
-from hoistsaddle.sidecar.messages import DealAnswered, DealMissed, DealOn, Follow, FollowArrived, Followed, Serve
-from hoistsaddle.sidecar.taken import ANSWER_SPAN, TakenAttempts
+from hoistsaddle.rpc.messages import FollowCall, ForwardAnswer, ForwardCall
+from hoistsaddle.sidecar import received_attempts as modules
+from hoistsaddle.sidecar.messages import (
+    Follow,
+    FollowArrived,
+    Followed,
+    ForwardAnswered,
+    ForwardFailed,
+    ForwardRequest,
+    RunOnServer,
+)
+from hoistsaddle.sidecar.received_attempts import ANSWER_SPAN, ReceivedAttempts
+from sidecar_bench import SidecarBench
 
 SECOND = timedelta(seconds=1)
 
@@ -23,31 +31,31 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.fleet = Brokers("s-1", "s-2", "s-3")
+        self.fleet = SidecarBench("s-1", "s-2", "s-3")
         self.target = self.fleet.cores["s-2"]
         servers = {name: each for name, each in self.fleet.view.servers.items() if name == "s-2"}
-        life = self.target.params.incarnation
+        life = self.target.settings.incarnation
         nodes = {name: each._replace(incarnation=life) for name, each in self.fleet.view.nodes.items()}
         self.both = {name: each for name, each in self.fleet.view.servers.items() if name != "s-1"}
         self.fleet.show(self.fleet.view._replace(servers=servers, nodes=nodes))
 
-    def broken(self, path: str = "/pack/x", **needs: Any) -> tuple[int, DealOn, Follow]:
+    def broken(self, path: str = "/pack/x", **needs: Any) -> tuple[int, ForwardRequest, Follow]:
         """A request whose connection broke before anything came back."""
         self.fleet.silent = {"s-2"}
         ticket = self.fleet.ask(path, **needs)
         self.fleet.silent = set()
-        sent = self.fleet.sent(DealOn)[-1]
-        self.fleet.feed("s-1", DealMissed(sent.number, False))
+        sent = self.fleet.sent(ForwardRequest)[-1]
+        self.fleet.feed("s-1", ForwardFailed(sent.number, False))
         return ticket, sent, self.fleet.sent(Follow)[-1]
 
-    def arrive(self, call: DealCall | FollowCall) -> int:
-        if isinstance(call, DealCall):
+    def arrive(self, call: ForwardCall | FollowCall) -> int:
+        if isinstance(call, ForwardCall):
             return self.fleet.arrive("s-2", call)
         self.fleet.tickets += 1
         self.fleet.feed("s-2", FollowArrived(self.fleet.tickets, call))
         return self.fleet.tickets
 
-    def answer(self, ticket: int) -> DealAnswer | None:
+    def answer(self, ticket: int) -> ForwardAnswer | None:
         return self.fleet.answers.get(ticket)
 
     def outcome(self, ticket: int) -> str:
@@ -62,10 +70,10 @@
         self.assertThat((self.answer(first), self.answer(asked)), Equals((None, None)))
         self.fleet.finish(body=b"done")
         self.assertThat(self.answer(asked), Equals(self.answer(first)))
-        self.assertThat((self.outcome(asked), len(self.fleet.sent(Serve))), Equals((ANSWERED, 1)))
+        self.assertThat((self.outcome(asked), len(self.fleet.sent(RunOnServer))), Equals((ANSWERED, 1)))
 
     def test_one_that_waits_in_its_line_is_waited_for(self) -> None:
-        self.fleet.vitals("s-2", room=1)
+        self.fleet.health("s-2", room=1)
         self.arrive(self.broken()[1].call)
         _, sent, follow = self.broken()
         self.arrive(sent.call)
@@ -90,7 +98,7 @@
         _, sent, follow = self.broken()
         self.assertThat(self.outcome(self.arrive(follow.call)), Equals(NOT_RUN))
         self.assertThat(self.outcome(self.arrive(sent.call)), Equals(NOT_RUN))
-        self.assertThat((self.fleet.sent(Serve), self.outcome(self.arrive(follow.call))), Equals(([], NOT_RUN)))
+        self.assertThat((self.fleet.sent(RunOnServer), self.outcome(self.arrive(follow.call))), Equals(([], NOT_RUN)))
 
     def test_another_life_cannot_know(self) -> None:
         _, _, follow = self.broken()
@@ -102,10 +110,10 @@
         self.fleet.finish()
         third = self.arrive(sent.call)
         self.assertThat([self.outcome(each) for each in (first, second, third)], Equals([ANSWERED] * 3))
-        self.assertThat(len(self.fleet.sent(Serve)), Equals(1))
+        self.assertThat(len(self.fleet.sent(RunOnServer)), Equals(1))
 
     def test_one_that_was_turned_away_is_told_so_again(self) -> None:
-        self.fleet.vitals("s-2", state="gone")
+        self.fleet.health("s-2", state="gone")
         _, sent, follow = self.broken()
         self.arrive(sent.call)
         self.assertThat(self.outcome(self.arrive(follow.call)), Equals(NOT_RUN))
@@ -115,23 +123,23 @@
     def test_only_what_may_not_be_repeated_is_followed(self) -> None:
         self.fleet.silent = {"s-2"}
         self.fleet.ask("/read/x")
-        self.fleet.feed("s-1", DealMissed(self.fleet.sent(DealOn)[-1].number, False))
+        self.fleet.feed("s-1", ForwardFailed(self.fleet.sent(ForwardRequest)[-1].number, False))
         self.assertThat(self.fleet.sent(Follow), Equals([]))
 
     def test_its_answer_is_the_requests(self) -> None:
         ticket, sent, follow = self.broken()
-        answer = DealAnswer(sent.call.send, ANSWERED, "", 200, b"", b"done")
+        answer = ForwardAnswer(sent.call.send, ANSWERED, "", 200, b"", b"done")
         self.fleet.feed("s-1", Followed(follow.number, answer))
         self.assertThat(self.fleet.replies[ticket].body, Equals(b"done"))
 
     def test_an_answer_to_another_attempt_is_no_answer(self) -> None:
         ticket, _, follow = self.broken()
-        self.fleet.feed("s-1", Followed(follow.number, DealAnswer("another", ANSWERED, "", 200, b"", b"not mine")))
+        self.fleet.feed("s-1", Followed(follow.number, ForwardAnswer("another", ANSWERED, "", 200, b"", b"not mine")))
         self.assertThat(self.fleet.replies[ticket].status, Equals(502))
 
     def test_what_surely_ran_nowhere_goes_on_and_else_is_refused_with_when_to_come_back(self) -> None:
         ticket, sent, follow = self.broken()
-        not_run = DealAnswer(sent.call.send, NOT_RUN, str(MishapKind.UNREACHABLE))
+        not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
         self.fleet.feed("s-1", Followed(follow.number, not_run))
         reply = self.fleet.replies[ticket]
         self.assertThat((reply.status, reply.retry_after is None), Equals((503, False)))
@@ -142,13 +150,15 @@
         self.assertThat(self.fleet.replies[ticket].status, Equals(200))
 
     def test_what_nobody_knows_is_unknown_and_never_sent_again(self) -> None:
-        for answer, refused in ((DealAnswer("", UNKNOWN, str(MishapKind.SILENT)), False), (None, True)):
+        for answer, refused in ((ForwardAnswer("", UNKNOWN, str(ErrorKind.SILENT)), False), (None, True)):
             ticket, sent, follow = self.broken()
-            count = len(self.fleet.sent(DealOn))
+            count = len(self.fleet.sent(ForwardRequest))
             if answer is not None:
                 answer = answer._replace(send=sent.call.send)
             self.fleet.feed("s-1", Followed(follow.number, answer, refused))
-            self.assertThat((self.fleet.replies[ticket].status, len(self.fleet.sent(DealOn))), Equals((502, count)))
+            self.assertThat(
+                (self.fleet.replies[ticket].status, len(self.fleet.sent(ForwardRequest))), Equals((502, count))
+            )
 
     def test_silence_is_asked_again_until_the_time_is_over(self) -> None:
         ticket, _, follow = self.broken(budget=1.0)
@@ -162,8 +172,8 @@
     def test_a_keys_end_that_is_told_late_is_kept_for_its_repeats(self) -> None:
         for number, (answer, status) in enumerate(
             (
-                (DealAnswer("", ANSWERED, "", 200, b"", b"paid"), 200),
-                (DealAnswer("", UNKNOWN, str(MishapKind.SILENT)), 503),
+                (ForwardAnswer("", ANSWERED, "", 200, b"", b"paid"), 200),
+                (ForwardAnswer("", UNKNOWN, str(ErrorKind.SILENT)), 503),
                 (None, 503),
             )
         ):
@@ -182,24 +192,24 @@
         self.fleet.silent = {"s-2"}
         ticket = self.fleet.ask("/pay/x", key="k", budget=0.5)
         self.fleet.silent = set()
-        sent = self.fleet.sent(DealOn)[-1]
+        sent = self.fleet.sent(ForwardRequest)[-1]
         self.fleet.pass_time(0.6)
         self.assertThat(self.fleet.replies[ticket].status, Equals(504))
-        not_run = DealAnswer(sent.call.send, NOT_RUN, str(MishapKind.UNREACHABLE))
-        self.fleet.feed("s-1", DealAnswered(sent.number, not_run))
+        not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
+        self.fleet.feed("s-1", ForwardAnswered(sent.number, not_run))
         again = self.fleet.ask("/pay/x", key="k", door="s-3")
         self.fleet.finish(body=b"paid")
-        self.assertThat((self.fleet.replies[again].body, len(self.fleet.sent(Serve))), Equals((b"paid", 1)))
+        self.assertThat((self.fleet.replies[again].body, len(self.fleet.sent(RunOnServer))), Equals((b"paid", 1)))
 
     def test_that_it_never_came_counts_only_within_its_time(self) -> None:
         """Past it the target has forgotten what came."""
         ticket, sent, follow = self.broken("/pay/x", key="k", budget=0.5)
-        count = len(self.fleet.sent(DealOn))
-        not_run = DealAnswer(sent.call.send, NOT_RUN, str(MishapKind.UNREACHABLE))
+        count = len(self.fleet.sent(ForwardRequest))
+        not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
         # No tick came since: this process stood still.
-        self.fleet.moment += SECOND
+        self.fleet.timestamp += SECOND
         self.fleet.feed("s-1", Followed(follow.number, not_run))
-        self.assertThat((self.fleet.replies[ticket].status, len(self.fleet.sent(DealOn))), Equals((504, count)))
+        self.assertThat((self.fleet.replies[ticket].status, len(self.fleet.sent(ForwardRequest))), Equals((504, count)))
         again = self.fleet.ask("/pay/x", key="k", door="s-3")
         self.assertThat(self.fleet.replies[again].status, Equals(503))
         ticket, sent, follow = self.broken("/pay/x", key="other", budget=0.5)
@@ -211,14 +221,14 @@
 
 class Memory(TestCase):
     def test_what_is_long_over_is_forgotten(self) -> None:
-        taken = TakenAttempts()
+        taken = ReceivedAttempts()
         for number in range(100):
             self.assertThat(taken.take(f"a.b.{number}", ends=SECOND * (number + 1), now=SECOND * number), Equals(True))
         self.assertThat(len(taken.attempts) <= 4, Equals(True))
 
     def test_beyond_its_bound_it_knows_that_it_does_not_know(self) -> None:
         self.patch(modules, "MOST_TAKEN", 3)
-        taken = TakenAttempts()
+        taken = ReceivedAttempts()
         for number in range(4):
             taken.take(f"a.b.{number}", ends=SECOND * 5, now=SECOND)
         self.assertThat(taken.shut_out("a.b.0", now=SECOND * 2), Equals(False))
@@ -227,7 +237,7 @@
 
     def test_it_promises_no_more_than_it_can_keep(self) -> None:
         self.patch(modules, "MOST_TAKEN", 3)
-        taken = TakenAttempts()
+        taken = ReceivedAttempts()
         told = [taken.shut_out(f"a.b.{number}", now=SECOND) for number in range(4)]
         self.assertThat(told, Equals([True, True, True, False]))
         for number in range(3):
@@ -235,9 +245,9 @@
 
     def test_kept_answers_are_bounded_by_their_bytes(self) -> None:
         self.patch(modules, "MOST_BYTES", 100)
-        taken = TakenAttempts()
+        taken = ReceivedAttempts()
         for number in range(5):
-            taken.answered(DealAnswer(f"a.b.{number}", ANSWERED, "", 200, b"", b"x" * 40), now=SECOND)
+            taken.answered(ForwardAnswer(f"a.b.{number}", ANSWERED, "", 200, b"", b"x" * 40), now=SECOND)
         self.assertThat((len(taken.answers), taken.octets), Equals((2, 80)))
 
     def test_in_any_order_an_attempt_is_let_in_or_shut_out_and_never_both(self) -> None:
@@ -245,26 +255,26 @@
         for seed in range(30):
             dice = random.Random(seed)
             self.patch(modules, "MOST_TAKEN", 20)
-            taken, moment = TakenAttempts(), timedelta()
+            taken, timestamp = ReceivedAttempts(), timedelta()
             ends: dict[str, timedelta] = {}
             unread: set[str] = set()
             ran: set[str] = set()
             refused: set[str] = set()
             for number in range(600):
-                moment += timedelta(seconds=dice.choice((0.0, 0.02, 0.2)))
+                timestamp += timedelta(seconds=dice.choice((0.0, 0.02, 0.2)))
                 match dice.choice(("written", "read", "asked")):
                     case "written":
-                        ends[f"a.b.{number}"] = moment + SECOND * dice.choice((0.3, 1, 3))
+                        ends[f"a.b.{number}"] = timestamp + SECOND * dice.choice((0.3, 1, 3))
                         unread.add(f"a.b.{number}")
                     case "read" if unread:
                         send = dice.choice(sorted(unread))
                         unread.discard(send)
                         # Its own words still say what it had as it was written.
-                        if taken.take(send, ends=moment + SECOND * 3, now=moment):
+                        if taken.take(send, ends=timestamp + SECOND * 3, now=timestamp):
                             ran.add(send)
-                    case "asked" if alive := [send for send, end in ends.items() if moment < end]:
+                    case "asked" if alive := [send for send, end in ends.items() if timestamp < end]:
                         send = dice.choice(alive)
-                        if taken.shut_out(send, now=moment):
+                        if taken.shut_out(send, now=timestamp):
                             refused.add(send)
                 self.assertThat(ran & refused, Equals(set()), f"seed {seed}")
             self.assertThat((len(ran) > 50, len(refused) > 5), Equals((True, True)), f"{len(ran)} {len(refused)}")
--- a/tests/test_client_gone.py
+++ b/tests/test_sidecar_client_gone.py
@@ -3,13 +3,13 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brokers import Brokers
-from hoistsaddle.sidecar.messages import Abandon, DealOn, Serve
+from hoistsaddle.sidecar.messages import Abandon, ForwardRequest, RunOnServer
+from sidecar_bench import SidecarBench
 
 
 class ClientGone(TestCase):
     def test_a_repeatable_run_is_broken_off_and_the_next_one_starts(self) -> None:
-        fleet = Brokers("s-1", room=1)
+        fleet = SidecarBench("s-1", room=1)
         first = fleet.ask("/read/x")
         second = fleet.ask("/read/y")
         self.assertThat(len(fleet.serves), Equals(1))
@@ -20,38 +20,40 @@
         self.assertThat((first in fleet.replies, fleet.replies[second].status), Equals((False, 200)))
 
     def test_what_waits_for_a_server_never_reaches_it(self) -> None:
-        fleet = Brokers("s-1", room=1)
+        fleet = SidecarBench("s-1", room=1)
         fleet.ask("/read/x")
         waiting = fleet.ask("/read/y")
         fleet.leave(waiting)
         fleet.finish()
-        self.assertThat(([each.call.path for each in fleet.sent(Serve)], fleet.aborted), Equals(([b"/read/x"], [])))
+        self.assertThat(
+            ([each.call.path for each in fleet.sent(RunOnServer)], fleet.aborted), Equals(([b"/read/x"], []))
+        )
 
     def test_what_may_not_be_repeated_goes_on(self) -> None:
         for path in ("/post/x", "/pack/x"):
-            fleet = Brokers("s-1")
+            fleet = SidecarBench("s-1")
             fleet.leave(fleet.ask(path))
             self.assertThat((fleet.sent(Abandon), fleet.aborted, len(fleet.serves)), Equals(([], [], 1)), path)
 
     def test_work_under_a_key_goes_on_and_its_repeat_gets_the_answer(self) -> None:
-        fleet = Brokers("s-1", "s-2")
+        fleet = SidecarBench("s-1", "s-2")
         fleet.leave(fleet.ask("/pay/x", key="k"))
         fleet.finish(body=b"paid")
         again = fleet.ask("/pay/x", key="k", door="s-2")
         self.assertThat((fleet.replies[again].status, fleet.replies[again].body), Equals((200, b"paid")))
-        self.assertThat(len(fleet.sent(Serve)), Equals(1))
+        self.assertThat(len(fleet.sent(RunOnServer)), Equals(1))
 
     def test_an_attempt_whose_sidecar_does_not_hear_of_it_is_not_sent_again(self) -> None:
-        fleet = Brokers("s-1", "s-2")
+        fleet = SidecarBench("s-1", "s-2")
         ticket = fleet.ask("/read/x")
         (name, _), *_ = fleet.serves
         fleet.silent.add(name)
         fleet.leave(ticket)
         fleet.finish()
-        self.assertThat((len(fleet.sent(DealOn)), fleet.cores["s-1"].deals), Equals((1, {})))
+        self.assertThat((len(fleet.sent(ForwardRequest)), fleet.cores["s-1"].pending_requests), Equals((1, {})))
 
     def test_a_client_that_left_long_ago_changes_nothing(self) -> None:
-        fleet = Brokers("s-1")
+        fleet = SidecarBench("s-1")
         ticket = fleet.ask("/read/x")
         fleet.finish()
         fleet.leave(ticket)
--- a/tests/test_key_answers.py
+++ b/tests/test_sidecar_key_answers.py
@@ -5,17 +5,17 @@
 from testtools import TestCase
 from testtools.matchers import Equals, Is, Not
 
-from brokers import Brokers
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.proxy.messages import AskHold, HoldAnswered
-from hoistsaddle.rpc.messages import RecallAnswer
-from hoistsaddle.sidecar.messages import DealOn, Recall, RecallAnswered, Reply, Serve
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.proxy.messages import HoldAnswered, SubmitHold
+from hoistsaddle.rpc.messages import ClaimQueryAnswer
+from hoistsaddle.sidecar.messages import ClaimQueryAnswered, ForwardRequest, QueryClaim, Reply, RunOnServer
+from sidecar_bench import SidecarBench
 
 
 class Case(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fleet = Brokers()
+        self.fleet = SidecarBench()
 
     def pay(self, door: str = "s-1", *, key: str = "k", **changes: Any) -> int:
         return self.fleet.ask("/pay/x", door=door, key=key, **changes)
@@ -25,15 +25,15 @@
         return self.fleet.replies[ticket]
 
     def runs(self) -> int:
-        return len(self.fleet.sent(Serve))
+        return len(self.fleet.sent(RunOnServer))
 
-    def hold_claims(self) -> list[tuple[str, AskHold]]:
+    def hold_claims(self) -> list[tuple[str, SubmitHold]]:
         """From now on what is asked of the log is answered by the test."""
-        asks: list[tuple[str, AskHold]] = []
+        asks: list[tuple[str, SubmitHold]] = []
         plain = self.fleet._carry_out
 
         def carry_out(name: str, command: tuple) -> None:
-            if isinstance(command, AskHold):
+            if isinstance(command, SubmitHold):
                 asks.append((name, command))
             else:
                 plain(name, command)
@@ -46,7 +46,7 @@
         self.fleet.pass_time(1.0)
         self.fleet.cores[name] = self.fleet.make(name, margin=0, seed=2)
         self.fleet.show(self.fleet.view)
-        self.fleet.vitals(name)
+        self.fleet.health(name)
 
 
 class TheHolder(Case):
@@ -66,9 +66,9 @@
         ask = asks[0][1]
         granted = self.fleet.write(ask.command)
         # Frozen meanwhile: no tick comes, and the grant lies in its socket.
-        self.fleet.moment += self.fleet.cores["s-1"].key_span
+        self.fleet.timestamp += self.fleet.cores["s-1"].key_span
         self.fleet.feed("s-1", HoldAnswered(ask.number, granted))
-        self.assertThat((self.told(first).status, self.fleet.sent(DealOn)), Equals((503, [])))
+        self.assertThat((self.told(first).status, self.fleet.sent(ForwardRequest)), Equals((503, [])))
 
     def test_without_power_or_restarted_the_claims_end_is_unknown_until_its_time_is_over(self) -> None:
         self.pay()
@@ -76,7 +76,7 @@
         self.restart("s-1")
         for door in ("s-2", "s-1"):
             reply = self.told(self.pay(door))
-            self.assertThat((reply.status, reply.mishap.kind, self.runs()), Equals((503, MishapKind.SILENT, 1)))
+            self.assertThat((reply.status, reply.error.kind, self.runs()), Equals((503, ErrorKind.SILENT, 1)))
 
     def test_restarted_before_it_sent_anything_its_claim_still_holds(self) -> None:
         """The new life can't know that nothing was sent."""
@@ -91,7 +91,7 @@
         self.fleet.finish(body=b"paid")
         write = self.fleet.write
         cut = {"s-1"}
-        self.fleet.write = lambda record: None if getattr(record, "stall", "") in cut else write(record)  # type: ignore
+        self.fleet.write = lambda record: None if getattr(record, "proxy", "") in cut else write(record)  # type: ignore
         self.assertThat(self.told(self.pay("s-2")).body, Equals(b"paid"))
         late = self.pay("s-1")
         self.fleet.pass_time(0.5)
@@ -104,7 +104,7 @@
         write, waiting = self.fleet.write, []
 
         def cut(record: Any) -> Any:
-            if getattr(record, "stall", "") != "s-1":
+            if getattr(record, "proxy", "") != "s-1":
                 return write(record)
             waiting.append(record)
             return None
@@ -176,7 +176,7 @@
         self.fleet.finish(body=b"paid")
         self.fleet.silent = {"s-1"}
         repeat = self.pay("s-2")
-        recall = self.fleet.sent(Recall)[-1]
+        recall = self.fleet.sent(QueryClaim)[-1]
         # The bench refuses a second final answer.
-        self.fleet.feed("s-2", RecallAnswered(recall.number, RecallAnswer("kept", 200, b"", b"paid")))
+        self.fleet.feed("s-2", ClaimQueryAnswered(recall.number, ClaimQueryAnswer("kept", 200, b"", b"paid")))
         self.assertThat((self.told(repeat).status, self.runs()), Equals((503, 1)))
--- a/tests/test_door.py
+++ b/tests/test_sidecar_listener.py
@@ -1,4 +1,4 @@
-"""The door of a stall that serves items, against a raw visitor."""
+"""The door of a proxy that serves items, against a raw client."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -12,32 +12,32 @@
 from testtools.matchers import Contains, Equals
 
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import Mishap, MishapKind
+from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.items import LimitsItem
-from hoistsaddle.sidecar.door import Door, close_door, open_door
-from hoistsaddle.sidecar.messages import Asked, Reply
-from hoistsaddle.sidecar.serverconnection import pack_pairs, unpack_pairs
-from hoistsaddle.sidecar.wording import Wording
-from stepped import Noted, run_stepped, step
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.listener import IngressHandler, close_listener, open_listener
+from hoistsaddle.sidecar.messages import Reply, RequestArrived
+from hoistsaddle.sidecar.server_connections import pack_pairs, unpack_pairs
+from stepped_clock import EventCounter, run_stepped, step
 
 
 class Node:
     """Answers as the test says, and keeps what was asked."""
 
     def __init__(self) -> None:
-        self.asked: list[Asked] = []
+        self.asked: list[RequestArrived] = []
         self.asked_at = timedelta()
         self.counters = Counters(owner="test")
         items = SimpleNamespace(limits=LimitsItem(idle_seconds=30.0))
         self.core = SimpleNamespace(view=SimpleNamespace(items=items), stopping=False)
         self.answer = Reply(0, 200, pack_pairs([(b"X-Seal", b"a"), (b"X-Seal", b"b")]), b"body", None, None)
 
-    async def request_items(self, make: Callable[[int], Asked]) -> Reply:
+    async def handle_request(self, make: Callable[[int], RequestArrived]) -> Reply:
         self.asked.append(make(len(self.asked) + 1))
         return self.answer
 
 
-def whole_answers(told: bytes) -> int:
+def complete_answers(told: bytes) -> int:
     """How many answers are complete; an interim one is none."""
     count = 0
     while True:
@@ -54,14 +54,16 @@
         count, told = count + 1, told[length:]
 
 
-class AtTheDoor(TestCase):
+class AtTheListener(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.node = Node()
 
-    def with_door(self, work: Callable[[int], Coroutine[Any, Any, Any]]) -> Any:
+    def with_listener(self, work: Callable[[int], Coroutine[Any, Any, Any]]) -> Any:
         async def run() -> Any:
-            runner = await open_door(address="127.0.0.1:0", handler=Door(node=self.node, wording=Wording()).handle)
+            runner = await open_listener(
+                address="127.0.0.1:0", handler=IngressHandler(node=self.node, header_names=HeaderNames()).handle
+            )
             try:
                 return await work(runner.addresses[0][1])
             finally:
@@ -71,7 +73,7 @@
         return run_stepped(run())
 
     def say(self, *parts: bytes, answers: int = 1) -> bytes:
-        """What a visitor gets that sends this: so many whole answers, or all until the door closes."""
+        """What a client gets that sends this: so many whole answers, or all until the door closes."""
 
         async def work(port: int) -> bytes:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -80,17 +82,17 @@
                 writer.write(part)
                 await writer.drain()
             try:
-                while whole_answers(told) < answers and (data := await reader.read(65536)):
+                while complete_answers(told) < answers and (data := await reader.read(65536)):
                     told += data
             except ConnectionError:
                 pass
             writer.close()
             return told
 
-        return self.with_door(work)
+        return self.with_listener(work)
 
     def cut(self, *parts: bytes) -> None:
-        """A visitor that breaks off after this; the door has noticed once it has let go of the connection."""
+        """A client that breaks off after this; the door has noticed once it has let go of the connection."""
 
         async def work(port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -104,7 +106,7 @@
                 pass
             writer.close()
 
-        self.with_door(work)
+        self.with_listener(work)
 
     def test_a_request_is_told_as_it_came(self) -> None:
         self.say(
@@ -114,7 +116,7 @@
         )
         asked = self.node.asked[0]
         self.assertThat(
-            (asked.method, asked.host, asked.path, asked.body, asked.key, asked.send_id, asked.budget),
+            (asked.method, asked.host, asked.path, asked.body, asked.key, asked.client_attempt_id, asked.budget),
             Equals(("POST", "shop.example", "/pay/x?a=%2F&b", b"body", "k1", "t1", timedelta(milliseconds=1500))),
         )
         pairs = unpack_pairs(asked.headers)
@@ -136,12 +138,14 @@
 
     def test_the_time_that_a_body_takes_to_come_is_part_of_its_requests_time(self) -> None:
         async def run() -> None:
-            runner = await open_door(address="127.0.0.1:0", handler=Door(node=self.node, wording=Wording()).handle)
-            begun = Noted()
+            runner = await open_listener(
+                address="127.0.0.1:0", handler=IngressHandler(node=self.node, header_names=HeaderNames()).handle
+            )
+            begun = EventCounter()
             plain = BaseRequest.read
 
             async def read(request: BaseRequest) -> bytes:
-                begun.note()
+                begun.count_event()
                 return await plain(request)
 
             self.patch(BaseRequest, "read", read)
@@ -192,19 +196,19 @@
         self.assertThat([asked.path for asked in self.node.asked], Equals(["/1", "/2", "/3"]))
 
     def test_a_refusal_says_why_and_when_to_come_back(self) -> None:
-        mishap = Mishap(MishapKind.NO_SERVER, "None takes work.", "Come back.")
-        self.node.answer = Reply(0, 503, b"", b"", mishap, timedelta(milliseconds=250))
+        error = MeshError(ErrorKind.NO_SERVER, "None takes work.", "Come back.")
+        self.node.answer = Reply(0, 503, b"", b"", error, timedelta(milliseconds=250))
         told = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         for part in (b"503 Service Unavailable", b"Retry-After: 0.250", b"no-server"):
             self.assertThat(told, Contains(part))
 
-    def test_a_stopping_stall_keeps_no_connection(self) -> None:
+    def test_a_stopping_proxy_keeps_no_connection(self) -> None:
         self.node.core.stopping = True
         told = self.say(b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
         self.assertThat(told.lower(), Contains(b"connection: close"))
 
     def test_a_door_closes_though_something_still_runs_on_it(self) -> None:
-        """A stall that waited for it would be killed at the end of its grace, with all that it holds."""
+        """A proxy that waited for it would be killed at the end of its grace, with all that it holds."""
 
         async def run() -> str:
             begun = asyncio.Event()
@@ -220,13 +224,13 @@
                     raise
                 return web.Response()
 
-            runner = await open_door(address="127.0.0.1:0", handler=stuck)
+            runner = await open_listener(address="127.0.0.1:0", handler=stuck)
             reader, writer = await asyncio.open_connection("127.0.0.1", runner.addresses[0][1])
             writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             await begun.wait()
             # Only a door that hangs takes this long; the library's own default is a minute.
             async with asyncio.timeout(30):
-                await close_door(runner, wait=timedelta())
+                await close_listener(runner, wait=timedelta())
                 await reader.read()
             writer.close()
             return ended
