--- a/tests/test_serverline.py
+++ b/tests/test_sidecar_server_connections.py
@@ -13,13 +13,13 @@
 from testtools.matchers import Contains, Equals, IsInstance
 
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.rpc.messages import DealCall
-from hoistsaddle.sidecar import serverconnection
-from hoistsaddle.sidecar.messages import Serve, Served, ServeMissed
-from hoistsaddle.sidecar.serverconnection import ServerLine, pack_pairs, unpack_pairs
-from hoistsaddle.sidecar.wording import Wording
-from stepped import Noted, run_stepped, step
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.rpc.messages import ForwardCall
+from hoistsaddle.sidecar import server_connections
+from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool, pack_pairs, unpack_pairs
+from stepped_clock import EventCounter, run_stepped, step
 
 ID = "X-Hoistsaddle-Send"
 
@@ -31,17 +31,17 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-class Raw:
+class RawServer:
     """A TCP server that reads whole requests and does with each connection as the test says."""
 
-    def __init__(self, behave: Callable[["Asked"], Awaitable[None]]) -> None:
+    def __init__(self, behave: Callable[["ServerRequest"], Awaitable[None]]) -> None:
         self.behave = behave
-        self.asked: list[Asked] = []
+        self.asked: list[ServerRequest] = []
         self.connections = 0
-        self.requests = Noted()
-        self.ends = Noted()
+        self.requests = EventCounter()
+        self.ends = EventCounter()
 
-    async def __aenter__(self) -> "Raw":
+    async def __aenter__(self) -> "RawServer":
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -57,10 +57,10 @@
                 lines = head.decode().split("\r\n")
                 headers = dict(line.split(": ", 1) for line in lines[1:] if line)
                 body = await reader.readexactly(int(headers.get("Content-Length", 0)))
-                asked = Asked(connection, lines[0], headers, body, writer)
+                asked = ServerRequest(connection, lines[0], headers, body, writer)
                 asked.names = [line.split(": ", 1)[0] for line in lines[1:] if line]
                 self.asked.append(asked)
-                self.requests.note()
+                self.requests.count_event()
                 await self.behave(asked)
         except (OSError, asyncio.IncompleteReadError):
             pass
@@ -69,10 +69,10 @@
             pass
         finally:
             writer.close()
-            self.ends.note()
+            self.ends.count_event()
 
 
-class Asked:
+class ServerRequest:
     def __init__(
         self, connection: int, line: str, headers: dict[str, str], body: bytes, writer: asyncio.StreamWriter
     ) -> None:
@@ -91,25 +91,27 @@
         self.writer.transport.abort()
 
 
-async def until_left(raw: Raw, number: int) -> None:
+async def until_left(raw: RawServer, number: int) -> None:
     """Each connection carries one request here, and is over before the next one: its other side has left it."""
     await raw.ends.reach(number + 1)
 
 
-async def plain(asked: Asked) -> None:
+async def plain(asked: ServerRequest) -> None:
     asked.say(answer(asked.send, f"to {asked.send}".encode()))
 
 
 class Case(TestCase):
-    def line(self) -> ServerLine:
-        return ServerLine(wording=Wording(), counters=Counters(owner="test"))
+    def line(self) -> ServerConnectionPool:
+        return ServerConnectionPool(header_names=HeaderNames(), counters=Counters(owner="test"))
 
     def run_with(
-        self, behave: Callable[[Asked], Awaitable[None]], work: Callable[[ServerLine, Raw], Coroutine[Any, Any, None]]
-    ) -> Raw:
-        async def run() -> Raw:
+        self,
+        behave: Callable[[ServerRequest], Awaitable[None]],
+        work: Callable[[ServerConnectionPool, RawServer], Coroutine[Any, Any, None]],
+    ) -> RawServer:
+        async def run() -> RawServer:
             line = self.line()
-            async with Raw(behave) as raw:
+            async with RawServer(behave) as raw:
                 try:
                     await work(line, raw)
                 finally:
@@ -118,8 +120,10 @@
 
         return run_stepped(run())
 
-    async def send(self, line: ServerLine, raw: Raw, send: str = "s1", *, within: float = 2.0, **changes: Any) -> tuple:
-        call = DealCall(
+    async def send(
+        self, line: ServerConnectionPool, raw: RawServer, send: str = "s1", *, within: float = 2.0, **changes: Any
+    ) -> tuple:
+        call = ForwardCall(
             send="mesh-send",
             service_name="ledger",
             target="s-1",
@@ -133,38 +137,38 @@
             headers=b"",
             body=b"",
             caller="portal",
-            send_id=send,
+            client_attempt_id=send,
         )
-        serve = Serve(7, f"127.0.0.1:{raw.port}", call._replace(**changes), timedelta(seconds=within))
+        serve = RunOnServer(7, f"127.0.0.1:{raw.port}", call._replace(**changes), timedelta(seconds=within))
         return await line.serve(serve)
 
     def bodies(
         self,
-        behave: Callable[[Asked], Awaitable[None]],
+        behave: Callable[[ServerRequest], Awaitable[None]],
         count: int = 3,
         *,
-        after: Callable[[Raw, int], Awaitable[None]] | None = None,
+        after: Callable[[RawServer, int], Awaitable[None]] | None = None,
         **changes: Any,
-    ) -> tuple[Raw, list]:
+    ) -> tuple[RawServer, list]:
         """What count requests one after the other gave. After each, the test may wait for something of the server's."""
         told: list[tuple] = []
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             for number in range(count):
                 told.append(await self.send(line, raw, f"s{number}", **changes))
                 if after is not None:
                     await after(raw, number)
 
         raw = self.run_with(behave, work)
-        return raw, [each.body if isinstance(each, Served) else each.mishap.kind for each in told]
+        return raw, [each.body if isinstance(each, ServerAnswered) else each.error.kind for each in told]
 
     def assertServed(self, told: tuple, body: bytes, *, status: int = 200) -> None:
-        self.assertThat(told, IsInstance(Served), str(told))
+        self.assertThat(told, IsInstance(ServerAnswered), str(told))
         self.assertThat((told.status, told.body, told.number), Equals((status, body, 7)))
 
-    def assertMissed(self, told: tuple, kind: MishapKind, *, unsent: bool = False) -> None:
-        self.assertThat(told, IsInstance(ServeMissed), str(told))
-        self.assertThat((told.mishap.kind, told.unsent), Equals((kind, unsent)))
+    def assertMissed(self, told: tuple, kind: ErrorKind, *, unsent: bool = False) -> None:
+        self.assertThat(told, IsInstance(ServerFailed), str(told))
+        self.assertThat((told.error.kind, told.unsent), Equals((kind, unsent)))
 
 
 class Requests(Case):
@@ -180,7 +184,7 @@
             (b"Expect", b"100-continue"),
         ]
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             told = await self.send(line, raw, method="POST", body=b"the body", headers=pack_pairs(pairs))
             self.assertServed(told, b"to s1")
             await self.send(line, raw, "s2")
@@ -207,24 +211,24 @@
         self.assertThat("Content-Length" in second.headers, Equals(False))
 
     def test_a_body_of_nothing_has_its_length_too(self) -> None:
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, method="POST")
 
         self.assertThat(self.run_with(plain, work).asked[0].headers["Content-Length"], Equals("0"))
 
 
 class Answers(Case):
-    def one(self, behave: Callable[[Asked], Awaitable[None]], **changes: Any) -> tuple:
+    def one(self, behave: Callable[[ServerRequest], Awaitable[None]], **changes: Any) -> tuple:
         told: list[tuple] = []
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             told.append(await self.send(line, raw, **changes))
 
         self.run_with(behave, work)
         return told[0]
 
-    def saying(self, *parts: bytes, cut: bool = False) -> Callable[[Asked], Awaitable[None]]:
-        async def behave(asked: Asked) -> None:
+    def saying(self, *parts: bytes, cut: bool = False) -> Callable[[ServerRequest], Awaitable[None]]:
+        async def behave(asked: ServerRequest) -> None:
             for part in parts:
                 asked.say(part)
                 await asked.writer.drain()
@@ -247,7 +251,7 @@
 
     def test_chunks_that_break_off_are_no_answer(self) -> None:
         head = answer("s1", b"", "Transfer-Encoding: chunked", length=False)
-        self.assertMissed(self.one(self.saying(head, b"3\r\nabc\r\n", cut=True)), MishapKind.ANSWER_BROKEN)
+        self.assertMissed(self.one(self.saying(head, b"3\r\nabc\r\n", cut=True)), ErrorKind.ANSWER_BROKEN)
 
     def test_a_head_only_answer_has_no_body(self) -> None:
         head = b"HTTP/1.1 200 OK\r\n" + f"{ID}: s1\r\nContent-Length: 900\r\n\r\n".encode()
@@ -261,47 +265,47 @@
     def test_words_before_the_answer_are_passed_over(self) -> None:
         hints = f"HTTP/1.1 103 Early Hints\r\n{ID}: s0\r\n\r\n".encode()
 
-        async def early(asked: Asked) -> None:
+        async def early(asked: ServerRequest) -> None:
             asked.say(b"HTTP/1.1 100 Continue\r\n\r\n" + hints + answer(asked.send, b"real"))
 
         raw, bodies = self.bodies(early, 2)
         self.assertThat((raw.connections, bodies), Equals((1, [b"real", b"real"])))
 
     def test_a_cut_answer_is_no_answer_wherever_it_is_cut(self) -> None:
-        whole = answer("s1", b"0123456789")
-        for length in (0, 5, 20, len(whole) - 12, len(whole) - 10, len(whole) - 1):
-            self.assertMissed(self.one(self.saying(whole[:length], cut=True)), MishapKind.ANSWER_BROKEN)
+        complete = answer("s1", b"0123456789")
+        for length in (0, 5, 20, len(complete) - 12, len(complete) - 10, len(complete) - 1):
+            self.assertMissed(self.one(self.saying(complete[:length], cut=True)), ErrorKind.ANSWER_BROKEN)
 
     def test_an_answer_that_ends_where_its_connection_ends_may_end_anywhere(self) -> None:
         head = answer("s1", b"", "Connection: close", length=False)
-        self.assertMissed(self.one(self.saying(head, b"some", cut=True)), MishapKind.ANSWER_BROKEN)
+        self.assertMissed(self.one(self.saying(head, b"some", cut=True)), ErrorKind.ANSWER_BROKEN)
 
     def test_garbage_is_no_answer(self) -> None:
         for garbage in (b"\x00\x01\x02\x03", b"HTTP/1.1 abc", b"SSH-2.0-x", b"HTTP/1.1 200 OK\r\n:"):
             told = self.one(self.saying(garbage + b"\r\n\r\n", cut=True))
-            self.assertMissed(told, MishapKind.ANSWER_BROKEN)
+            self.assertMissed(told, ErrorKind.ANSWER_BROKEN)
 
     def test_an_encoded_answer_is_not_the_servers_body(self) -> None:
         told = self.one(self.saying(answer("s1", b"\x1f\x8b\x08", "Content-Encoding: gzip")))
-        self.assertMissed(told, MishapKind.ANSWER_BROKEN)
+        self.assertMissed(told, ErrorKind.ANSWER_BROKEN)
 
     def test_an_answer_without_the_id_or_with_two_is_nobodys(self) -> None:
         for head in ("X-Other: s1", f"{ID}: s2", f"{ID}: s1\r\n{ID}: s1"):
             data = f"HTTP/1.1 200 OK\r\n{head}\r\nContent-Length: 2\r\n\r\nno".encode()
-            self.assertMissed(self.one(self.saying(data, cut=True)), MishapKind.ANSWER_BROKEN)
+            self.assertMissed(self.one(self.saying(data, cut=True)), ErrorKind.ANSWER_BROKEN)
 
     def test_silence_ends_with_the_budget(self) -> None:
-        async def silent(asked: Asked) -> None:
+        async def silent(asked: ServerRequest) -> None:
             await asyncio.Event().wait()
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             waiting = asyncio.ensure_future(self.send(line, raw, within=2.0))
             await raw.requests.reach(1)
             await step(1.75)
             self.assertThat(waiting.done(), Equals(False))
             await step(0.25)
             self.assertThat(waiting.done(), Equals(True))
-            self.assertMissed(await waiting, MishapKind.BUDGET_SPENT)
+            self.assertMissed(await waiting, ErrorKind.BUDGET_SPENT)
 
         self.run_with(silent, work)
 
@@ -321,11 +325,11 @@
             # The port is taken, so that nobody else comes to listen there meanwhile.
             with socket.socket() as taken:
                 taken.bind(("127.0.0.1", 0))
-                raw = Raw(plain)
+                raw = RawServer(plain)
                 raw.port = taken.getsockname()[1]
                 return await self.send(self.line(), raw)
 
-        self.assertMissed(run_stepped(run()), MishapKind.UNREACHABLE, unsent=True)
+        self.assertMissed(run_stepped(run()), ErrorKind.UNREACHABLE, unsent=True)
 
 
 class Connections(Case):
@@ -334,37 +338,37 @@
         self.assertThat((raw.connections, bodies), Equals((1, [f"to s{number}".encode() for number in range(5)])))
 
     def test_two_at_a_time_take_two(self) -> None:
-        both = Noted()
+        both = EventCounter()
 
-        async def slow(asked: Asked) -> None:
-            both.note()
+        async def slow(asked: ServerRequest) -> None:
+            both.count_event()
             await both.reach(2)
             await plain(asked)
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             told = await asyncio.gather(*(self.send(line, raw, f"s{number}") for number in range(2)))
             self.assertThat([each.body for each in told], Equals([b"to s0", b"to s1"]))
 
         self.assertThat(self.run_with(slow, work).connections, Equals(2))
 
     def test_not_after_connection_close(self) -> None:
-        async def closing(asked: Asked) -> None:
+        async def closing(asked: ServerRequest) -> None:
             asked.say(answer(asked.send, b"ok", "Connection: close"))
 
         raw, bodies = self.bodies(closing)
         self.assertThat((raw.connections, bodies), Equals((3, [b"ok"] * 3)))
 
     def test_not_after_http_1_0(self) -> None:
-        async def old(asked: Asked) -> None:
+        async def old(asked: ServerRequest) -> None:
             asked.say(answer(asked.send).replace(b"HTTP/1.1", b"HTTP/1.0"))
 
         self.assertThat(self.bodies(old)[0].connections, Equals(3))
 
     def test_not_beyond_what_the_server_keeps_it(self) -> None:
-        async def brief(asked: Asked) -> None:
+        async def brief(asked: ServerRequest) -> None:
             asked.say(answer(asked.send, b"ok", "Keep-Alive: timeout=1, max=100"))
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
             kept = line.kept[0]
             self.assertThat(kept.keeps, Equals(0.6))
@@ -378,12 +382,12 @@
         self.run_with(brief, work)
 
     def test_not_beyond_the_houses_own_span_where_the_server_says_nothing(self) -> None:
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
-            await step(serverconnection.KEPT_SECONDS - 0.5)
+            await step(server_connections.KEPT_SECONDS - 0.5)
             await self.send(line, raw, "s2")
             self.assertThat(raw.connections, Equals(1))
-            await step(serverconnection.KEPT_SECONDS)
+            await step(server_connections.KEPT_SECONDS)
             await self.send(line, raw, "s3")
             self.assertThat(raw.connections, Equals(2))
 
@@ -392,14 +396,14 @@
     def test_surplus_after_a_whole_answer_is_nobodys(self) -> None:
         for surplus in (answer("s0", b"again"), answer("s1", b"early"), b"\x00garbage", b"HTTP/1.1 200"):
 
-            async def more(asked: Asked, surplus: bytes = surplus) -> None:
+            async def more(asked: ServerRequest, surplus: bytes = surplus) -> None:
                 asked.say(answer(asked.send, f"to {asked.send}".encode()) + surplus)
 
             raw, bodies = self.bodies(more, 3, after=until_left)
             self.assertThat((raw.connections, bodies), Equals((3, [b"to s0", b"to s1", b"to s2"])), repr(surplus))
 
     def test_surplus_that_comes_while_nobody_asks_is_nobodys(self) -> None:
-        async def later(raw: Raw, number: int) -> None:
+        async def later(raw: RawServer, number: int) -> None:
             raw.asked[number].say(answer(f"s{number + 1}", b"not yours"))
             await until_left(raw, number)
 
@@ -407,7 +411,7 @@
         self.assertThat((raw.connections, bodies), Equals((3, [b"to s0", b"to s1", b"to s2"])))
 
     def test_a_late_answer_in_the_place_of_the_next_is_passed_over_and_its_connection_left(self) -> None:
-        async def behind(asked: Asked) -> None:
+        async def behind(asked: ServerRequest) -> None:
             if asked.send == "s1":
                 asked.say(answer("s0", b"late"))
             await plain(asked)
@@ -419,16 +423,16 @@
     def test_one_given_up_never_answers_the_next(self) -> None:
         given_up = asyncio.Event()
 
-        async def slow(asked: Asked) -> None:
+        async def slow(asked: ServerRequest) -> None:
             if asked.send == "s0":
                 await given_up.wait()
             await plain(asked)
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             first = asyncio.ensure_future(self.send(line, raw, "s0", within=2.0))
             await raw.requests.reach(1)
             await step(2.0)
-            self.assertMissed(await first, MishapKind.BUDGET_SPENT)
+            self.assertMissed(await first, ErrorKind.BUDGET_SPENT)
             given_up.set()
             self.assertServed(await self.send(line, raw, "s1"), b"to s1")
             await raw.ends.reach(1)
@@ -436,7 +440,7 @@
         self.assertThat(self.run_with(slow, work).connections, Equals(2))
 
     def test_an_idle_connection_that_the_server_closed_is_seen_and_left(self) -> None:
-        async def closing(raw: Raw, number: int) -> None:
+        async def closing(raw: RawServer, number: int) -> None:
             # Only this side's end, so that the test sees the other one leave.
             raw.asked[number].writer.write_eof()
             await until_left(raw, number)
@@ -444,25 +448,25 @@
         raw, bodies = self.bodies(plain, after=closing)
         self.assertThat((raw.connections, bodies), Equals((3, [b"to s0", b"to s1", b"to s2"])))
 
-    def stale(self, **changes: Any) -> tuple[Raw, list]:
+    def stale(self, **changes: Any) -> tuple[RawServer, list]:
         """The server closes a kept connection the moment a second request comes on it."""
 
-        async def behave(asked: Asked) -> None:
+        async def behave(asked: ServerRequest) -> None:
             if sum(each.connection == asked.connection for each in raw_of[0].asked) > 1:
                 asked.cut()
             else:
                 await plain(asked)
 
-        raw_of: list[Raw] = []
+        raw_of: list[RawServer] = []
         told: list[tuple] = []
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             raw_of.append(raw)
             for number in range(2):
                 told.append(await self.send(line, raw, f"s{number}", **changes))
 
         raw = self.run_with(behave, work)
-        return raw, [each.body if isinstance(each, Served) else each.mishap.kind for each in told]
+        return raw, [each.body if isinstance(each, ServerAnswered) else each.error.kind for each in told]
 
     def test_a_repeatable_request_that_met_a_closing_connection_goes_once_more_on_a_new_one(self) -> None:
         raw, bodies = self.stale(repeatable=True)
@@ -472,29 +476,29 @@
         """A further attempt is the entry's to allow, within what all entries may send."""
         go = asyncio.Event()
 
-        async def cutting(asked: Asked) -> None:
+        async def cutting(asked: ServerRequest) -> None:
             if asked.send == "s0":
                 return await plain(asked)
             await go.wait()
             asked.cut()
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s0", repeatable=True)
             second = asyncio.ensure_future(self.send(line, raw, "s1", repeatable=True))
             await raw.requests.reach(2)
-            await step(serverconnection.STALE_SPAN * 2)
+            await step(server_connections.STALE_SPAN * 2)
             go.set()
-            self.assertMissed(await second, MishapKind.ANSWER_BROKEN)
+            self.assertMissed(await second, ErrorKind.ANSWER_BROKEN)
             self.assertThat([each.send for each in raw.asked], Equals(["s0", "s1"]))
 
         self.run_with(cutting, work)
 
     def test_what_has_no_time_left_is_not_written(self) -> None:
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s0")
             for within in (0.0, -3.0):
                 told = await self.send(line, raw, "s1", within=within)
-                self.assertMissed(told, MishapKind.BUDGET_SPENT, unsent=True)
+                self.assertMissed(told, ErrorKind.BUDGET_SPENT, unsent=True)
             self.assertServed(await self.send(line, raw, "s2"), b"to s2")
             self.assertThat([each.send for each in raw.asked], Equals(["s0", "s2"]))
 
@@ -503,17 +507,17 @@
     def test_a_begun_surplus_answer_ends_its_connection_wherever_the_real_one_ends(self) -> None:
         head = answer("s0", b"", "Transfer-Encoding: chunked", length=False)
         begun = b"HTTP/1.1 200 OK\r\n"
-        whole = answer("s0", b"ok")
-        cut = whole.index(b"\r\n\r\n") + 3
+        complete = answer("s0", b"ok")
+        cut = complete.index(b"\r\n\r\n") + 3
         for parts in (
             (head, b"2\r\nok\r\n0\r\n\r\n" + begun),
             (head + b"2\r\nok\r\n0\r\n\r\n" + begun,),
-            (whole + begun,),
+            (complete + begun,),
             # The head's end is in two pieces.
-            (whole[:cut], whole[cut:] + begun),
+            (complete[:cut], complete[cut:] + begun),
         ):
 
-            async def more(asked: Asked, parts: tuple[bytes, ...] = parts) -> None:
+            async def more(asked: ServerRequest, parts: tuple[bytes, ...] = parts) -> None:
                 if asked.send != "s0":
                     return await plain(asked)
                 for part in parts:
@@ -524,21 +528,21 @@
             self.assertThat((bodies, raw.connections), Equals(([b"ok", b"to s1"], 2)), repr(parts))
 
     def test_nor_one_whose_answer_had_begun(self) -> None:
-        async def short(asked: Asked) -> None:
+        async def short(asked: ServerRequest) -> None:
             asked.say(answer(asked.send, b"ok") if asked.send == "s0" else answer(asked.send, b"0123456789")[:-4])
             if asked.send != "s0":
                 await asked.writer.drain()
                 asked.cut()
 
         raw, bodies = self.bodies(short, 2, repeatable=True)
-        self.assertThat((bodies, len(raw.asked)), Equals(([b"ok", MishapKind.ANSWER_BROKEN], 2)))
+        self.assertThat((bodies, len(raw.asked)), Equals(([b"ok", ErrorKind.ANSWER_BROKEN], 2)))
 
     def test_any_other_is_never_written_twice(self) -> None:
         raw, bodies = self.stale()
-        self.assertThat((bodies, len(raw.asked)), Equals(([b"to s0", MishapKind.ANSWER_BROKEN], 2)))
+        self.assertThat((bodies, len(raw.asked)), Equals(([b"to s0", ErrorKind.ANSWER_BROKEN], 2)))
 
     def test_another_life_of_the_server_gets_connections_of_its_own(self) -> None:
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
             await self.send(line, raw, "s2", instance="i-2")
             self.assertThat([each.connection for each in raw.asked], Equals([1, 2]))
@@ -548,12 +552,12 @@
     def test_a_connection_to_a_former_life_that_answers_late_is_not_kept_for_the_next(self) -> None:
         go = asyncio.Event()
 
-        async def slow(asked: Asked) -> None:
+        async def slow(asked: ServerRequest) -> None:
             if asked.send == "s1":
                 await go.wait()
             await plain(asked)
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             first = asyncio.ensure_future(self.send(line, raw, "s1"))
             await raw.requests.reach(1)
             await self.send(line, raw, "s2", instance="i-2")
@@ -565,10 +569,10 @@
         self.run_with(slow, work)
 
     def test_what_happened_is_counted(self) -> None:
-        async def more(asked: Asked) -> None:
+        async def more(asked: ServerRequest) -> None:
             asked.say(answer("other", b"x") + answer(asked.send))
 
-        async def work(line: ServerLine, raw: Raw) -> None:
+        async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw)
             counted = line.counters.read()["counts"]
             self.assertThat(counted["server.strange_answers"], Equals(1))
--- /dev/null
+++ b/tests/test_sidecar_server_selection.py
@@ -0,0 +1,98 @@
+"""What an entry's core reads out of a view once: open servers by service, and its part of the further sends."""
+
+import random
+from datetime import timedelta
+
+from testtools import TestCase
+from testtools.matchers import Equals
+
+from hoistsaddle.proxy.core_state import CoreSettings
+from hoistsaddle.proxy.messages import ConfigurationChanged
+from hoistsaddle.proxy.retry_budget import retry_quota_of
+from hoistsaddle.sidecar import server_selection
+from hoistsaddle.sidecar.core import SidecarCore
+from hoistsaddle.sidecar.messages import ForwardRequest, RequestArrived
+from hoistsaddle.statemachine.state import GONE, WINDING_DOWN, State, data_plane_items
+from hoistsaddle.statemachine.view import View, read_view
+from hoistsaddle.testbed.scale.sizes import HOST, Size, make_state, prefix_of, proxy_name
+
+SIZE = Size(nodes=6, services=2, routes=2)
+
+
+def view_of(state: State) -> View:
+    return read_view(revision=1, items=data_plane_items(state), node=proxy_name(1), zone="zone-2", before=View())
+
+
+def core_with(view: View) -> SidecarCore:
+    server = view.servers[proxy_name(1)]
+    core = SidecarCore(
+        settings=CoreSettings(
+            server.proxy, server.zone, server.incarnation, timedelta(seconds=1.5), timedelta(seconds=5), 400, 400
+        ),
+        seed=random.Random(1),
+        now=timedelta(),
+        server=server.address,
+        drain_span=timedelta(seconds=2),
+        further_percent=20,
+        further_margin=10,
+        key_span=timedelta(seconds=75),
+        service=server.service,
+    )
+    core.handle(ConfigurationChanged(view), now=timedelta())
+    return core
+
+
+def asked(core: SidecarCore, count: int) -> set[str]:
+    """Which proxies so many requests for the first service went to."""
+    found = set()
+    for _ in range(count):
+        core.tickets = getattr(core, "tickets", 0) + 1
+        event = RequestArrived(
+            core.tickets, "GET", HOST, f"{prefix_of(0)}x", b"\x90", 80, b"", None, "", f"send-{core.tickets}"
+        )
+        found |= {each.call.target for each in core.handle(event, now=timedelta()) if isinstance(each, ForwardRequest)}
+    return found
+
+
+class Selecting(TestCase):
+    def test_a_new_view_counts_with_the_next_request(self) -> None:
+        state = make_state(SIZE)
+        core = core_with(view_of(state))
+        self.assertThat(asked(core, 60), Equals({proxy_name(0), proxy_name(2), proxy_name(4)}))
+        servers = state.servers
+        for proxy, change in ((0, {"state": WINDING_DOWN}), (2, {"drained_by": "ada"})):
+            servers = servers.set(proxy_name(proxy), servers[proxy_name(proxy)]._replace(**change))
+            state = state._replace(servers=servers)
+            core.handle(ConfigurationChanged(view_of(state)), now=timedelta())
+            self.assertThat(proxy_name(proxy) in asked(core, 30), Equals(False))
+        self.assertThat(asked(core, 30), Equals({proxy_name(4)}))
+        gone = state.nodes.set(proxy_name(4), state.nodes[proxy_name(4)]._replace(state=GONE))
+        core.handle(ConfigurationChanged(view_of(state._replace(nodes=gone))), now=timedelta())
+        self.assertThat(asked(core, 5), Equals(set()))
+        core.handle(ConfigurationChanged(view_of(make_state(SIZE))), now=timedelta())
+        # The one that had all requests meanwhile has the most under way: the others come first now.
+        self.assertThat(asked(core, 60), Equals({proxy_name(0), proxy_name(2)}))
+
+    def test_the_part_of_further_sends_is_worked_out_once_a_view_and_anew_with_the_next(self) -> None:
+        worked_out = []
+
+        def counted(**needs):
+            worked_out.append(len(needs["proxies"]))
+            return retry_quota_of(**needs)
+
+        self.patch(server_selection, "retry_quota_of", counted)
+        state = make_state(SIZE)
+        core = core_with(view_of(state))
+        asked(core, 20)
+        self.assertThat(worked_out, Equals([6]))
+        gone = state.nodes.set(proxy_name(5), state.nodes[proxy_name(5)]._replace(state=GONE))
+        core.handle(ConfigurationChanged(view_of(state._replace(nodes=gone))), now=timedelta())
+        asked(core, 20)
+        self.assertThat(worked_out, Equals([6, 5]))
+        left = [proxy_name(number) for number in range(5)]
+        self.assertThat(
+            core.parts,
+            Equals(
+                {"service-000": retry_quota_of(service="service-000", proxy=proxy_name(1), proxies=left, margin=10)}
+            ),
+        )
--- a/tests/test_broker_counter.py
+++ b/tests/test_sidecar_upstream.py
@@ -1,4 +1,4 @@
-"""The counter's side of a stall: what its server works on, what waits, and what is refused at once."""
+"""The counter's side of a proxy: what its server works on, what waits, and what is refused at once."""
 
 import random
 from datetime import timedelta
@@ -7,27 +7,27 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 
-from brokers import Brokers, pace_of
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, UNKNOWN, StopAsked
-from hoistsaddle.rpc.messages import DealAnswer, DealCall
-from hoistsaddle.sidecar.messages import AnswerDeal, Serve
-from hoistsaddle.sidecar.serverside import Pace
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, UNKNOWN, StopRequested
+from hoistsaddle.rpc.messages import ForwardAnswer, ForwardCall
+from hoistsaddle.sidecar.messages import AnswerForward, RunOnServer
+from hoistsaddle.sidecar.upstream import LatencyEstimate
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
+from sidecar_bench import SidecarBench, pace_of
 
 NAME = "s-1"
 
 
-class Counter(TestCase):
+class Upstream(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fleet = Brokers(NAME, room=2)
+        self.fleet = SidecarBench(NAME, room=2)
         self.core = self.fleet.cores[NAME]
         self.count = 0
 
-    def deal(self, *, budget: float = 3.0, aim: float = 3.0, rank: int = 1, **changes: Any) -> int:
+    def pending(self, *, budget: float = 3.0, aim: float = 3.0, rank: int = 1, **changes: Any) -> int:
         self.count += 1
-        call = DealCall(
+        call = ForwardCall(
             send=f"send-{self.count}",
             service_name="ledger",
             target=NAME,
@@ -41,33 +41,33 @@
             headers=b"",
             body=b"",
             caller="ledger",
-            send_id="try",
+            client_attempt_id="try",
         )
         return self.fleet.arrive(NAME, call._replace(**changes))
 
-    def told(self, ticket: int) -> DealAnswer | None:
+    def told(self, ticket: int) -> ForwardAnswer | None:
         return self.fleet.answers.get(ticket)
 
     def refused(self, ticket: int) -> str:
         answer = self.told(ticket)
         self.assertThat((answer is not None, answer and answer.outcome), Equals((True, NOT_RUN)))
-        return answer.mishap
+        return answer.error
 
     def learn(self, seconds: float) -> None:
         """Runs of the entry take this long here."""
         for _ in range(3):
-            self.deal()
+            self.pending()
             self.fleet.pass_time(seconds)
             self.fleet.finish()
-        self.core.paces["read"] = pace_of(seconds)
+        self.core.latencies["read"] = pace_of(seconds)
         self.fleet.commands.clear()
 
     def started(self) -> list[str]:
-        return [serve.call.send for serve in self.fleet.sent(Serve)]
+        return [serve.call.send for serve in self.fleet.sent(RunOnServer)]
 
     def test_the_server_works_on_so_many_at_a_time(self) -> None:
-        self.core.paces["read"] = pace_of(0.05)
-        tickets = [self.deal() for _ in range(5)]
+        self.core.latencies["read"] = pace_of(0.05)
+        tickets = [self.pending() for _ in range(5)]
         self.assertThat(len(self.fleet.serves), Equals(2))
         for left in (2, 2, 2, 1, 0):
             self.fleet.finish()
@@ -76,92 +76,92 @@
 
     def test_more_room_is_used_as_soon_as_the_server_tells_of_it(self) -> None:
         for _ in range(5):
-            self.deal()
-        self.fleet.vitals(NAME, room=4)
+            self.pending()
+        self.fleet.health(NAME, room=4)
         self.assertThat(len(self.fleet.serves), Equals(4))
         # Less room stops nothing that runs, and starts nothing.
-        self.fleet.vitals(NAME, room=1)
+        self.fleet.health(NAME, room=1)
         self.fleet.finish()
         self.assertThat(len(self.fleet.serves), Equals(3))
 
     def test_what_waits_goes_by_rank_and_then_by_when_it_is_due(self) -> None:
-        self.core.paces["read"] = pace_of(0.05)
-        self.deal()
-        self.deal()
+        self.core.latencies["read"] = pace_of(0.05)
+        self.pending()
+        self.pending()
         for rank, aim in ((2, 2.0), (0, 3.0), (1, 1.5), (0, 2.5), (1, 1.0)):
-            self.deal(rank=rank, aim=aim)
+            self.pending(rank=rank, aim=aim)
         for _ in range(7):
             self.fleet.finish()
         self.assertThat(self.started(), Equals([f"send-{number}" for number in (1, 2, 6, 4, 7, 5, 3)]))
 
     def test_what_cannot_be_done_in_time_is_refused_at_once(self) -> None:
         self.learn(0.4)
-        self.deal()
-        self.deal()
+        self.pending()
+        self.pending()
         # Starts in some 0.4 s and takes 0.4 s.
-        early = self.deal(aim=0.5)
-        self.assertThat(self.refused(early), Equals(MishapKind.BACKLOG_FULL))
-        self.assertThat(self.told(self.deal(aim=1.0)), Equals(None))
-        self.assertThat(self.told(self.deal(aim=1.0)), Equals(None))
+        early = self.pending(aim=0.5)
+        self.assertThat(self.refused(early), Equals(ErrorKind.QUEUE_FULL))
+        self.assertThat(self.told(self.pending(aim=1.0)), Equals(None))
+        self.assertThat(self.told(self.pending(aim=1.0)), Equals(None))
         # One of a higher rank passes those that wait, and only runs are before it.
-        self.assertThat(self.refused(self.deal(aim=1.0)), Equals(MishapKind.BACKLOG_FULL))
-        self.assertThat(self.told(self.deal(aim=0.9, rank=0)), Equals(None))
+        self.assertThat(self.refused(self.pending(aim=1.0)), Equals(ErrorKind.QUEUE_FULL))
+        self.assertThat(self.told(self.pending(aim=0.9, rank=0)), Equals(None))
 
     def test_a_free_server_is_tried_even_if_it_is_usually_late(self) -> None:
         self.learn(2.0)
-        self.assertThat(self.told(self.deal(aim=0.2, budget=3.0)), Equals(None))
+        self.assertThat(self.told(self.pending(aim=0.2, budget=3.0)), Equals(None))
         self.assertThat(len(self.fleet.serves), Equals(1))
 
     def test_what_waited_in_vain_is_told_so_while_it_waits(self) -> None:
         self.learn(0.4)
-        self.deal(budget=9)
-        self.deal(budget=9)
-        waiting = self.deal(budget=1.2)
+        self.pending(budget=9)
+        self.pending(budget=9)
+        waiting = self.pending(budget=1.2)
         # The runs take far longer than usual: half a usual run before its deadline it is too late.
         self.fleet.pass_time(0.9)
         self.assertThat(self.told(waiting), Equals(None))
         self.fleet.pass_time(0.15)
-        self.assertThat(self.refused(waiting), Equals(MishapKind.BUDGET_SPENT))
+        self.assertThat(self.refused(waiting), Equals(ErrorKind.BUDGET_SPENT))
         self.fleet.finish()
         self.assertThat(len(self.started()), Equals(2))
 
     def test_what_most_runs_keep_within_must_fit(self) -> None:
         """Admitted by the mean alone, half of a full line would be late."""
-        self.core.paces["read"] = pace_of(0.4, deviation=0.15)
-        self.deal()
-        self.deal()
+        self.core.latencies["read"] = pace_of(0.4, deviation=0.15)
+        self.pending()
+        self.pending()
         # Starts in 0.4 s and is mostly done within 0.15 s more than the usual 0.4.
-        self.assertThat(self.refused(self.deal(aim=0.9)), Equals(MishapKind.BACKLOG_FULL))
-        self.assertThat(self.told(self.deal(aim=1.0)), Equals(None))
+        self.assertThat(self.refused(self.pending(aim=0.9)), Equals(ErrorKind.QUEUE_FULL))
+        self.assertThat(self.told(self.pending(aim=1.0)), Equals(None))
 
     def test_a_short_wait_turns_nobody_away(self) -> None:
         """A slow server takes one that will probably be late rather than stand idle between two arrivals."""
-        self.core.paces["read"] = pace_of(0.4, deviation=0.2)
-        self.deal()
-        self.deal()
+        self.core.latencies["read"] = pace_of(0.4, deviation=0.2)
+        self.pending()
+        self.pending()
         self.fleet.pass_time(0.25)
-        self.assertThat(self.refused(self.deal(aim=0.5)), Equals(MishapKind.BACKLOG_FULL))
+        self.assertThat(self.refused(self.pending(aim=0.5)), Equals(ErrorKind.QUEUE_FULL))
         self.fleet.pass_time(0.1)
-        self.assertThat(self.told(self.deal(aim=0.5)), Equals(None))
+        self.assertThat(self.told(self.pending(aim=0.5)), Equals(None))
 
     def test_a_run_far_shorter_than_usual_may_use_its_budget(self) -> None:
         """It is another server's call: turned away, it costs that server's whole run."""
-        self.core.paces["read"] = pace_of(0.4)
-        self.core.paces["peek"] = pace_of(0.04)
+        self.core.latencies["read"] = pace_of(0.4)
+        self.core.latencies["peek"] = pace_of(0.04)
         self.core.usual.mean = timedelta(seconds=0.3)
-        self.deal()
-        self.deal()
-        self.assertThat(self.told(self.deal(entry="peek", aim=0.1, budget=0.6)), Equals(None))
-        self.assertThat(self.refused(self.deal(entry="peek", aim=0.1, budget=0.5)), Equals(MishapKind.BACKLOG_FULL))
-        self.assertThat(self.refused(self.deal(aim=0.6, budget=9)), Equals(MishapKind.BACKLOG_FULL))
+        self.pending()
+        self.pending()
+        self.assertThat(self.told(self.pending(entry="peek", aim=0.1, budget=0.6)), Equals(None))
+        self.assertThat(self.refused(self.pending(entry="peek", aim=0.1, budget=0.5)), Equals(ErrorKind.QUEUE_FULL))
+        self.assertThat(self.refused(self.pending(aim=0.6, budget=9)), Equals(ErrorKind.QUEUE_FULL))
 
     def test_an_unknown_pace_is_taken_from_the_aim(self) -> None:
-        self.assertThat([self.told(self.deal(aim=1.0)) for _ in range(4)], Equals([None] * 4))
-        self.assertThat(self.refused(self.deal(aim=1.0)), Equals(MishapKind.BACKLOG_FULL))
-        self.assertThat(self.told(self.deal(aim=2.0)), Equals(None))
+        self.assertThat([self.told(self.pending(aim=1.0)) for _ in range(4)], Equals([None] * 4))
+        self.assertThat(self.refused(self.pending(aim=1.0)), Equals(ErrorKind.QUEUE_FULL))
+        self.assertThat(self.told(self.pending(aim=2.0)), Equals(None))
 
     def test_a_pace_is_learnt_from_few_runs_and_then_slowly(self) -> None:
-        pace = Pace()
+        pace = LatencyEstimate()
         for seconds in (0.1, 0.3):
             pace.learn(timedelta(seconds=seconds))
         self.assertThat(pace.mean, Equals(timedelta(seconds=0.2)))
@@ -171,102 +171,102 @@
         self.assertThat(pace.mean, Equals(timedelta(seconds=0.3)))
 
     def test_the_line_is_bounded(self) -> None:
-        self.core.paces["read"] = pace_of(0.05)
-        tickets = [self.deal(budget=900, aim=900) for _ in range(60)]
+        self.core.latencies["read"] = pace_of(0.05)
+        tickets = [self.pending(budget=900, aim=900) for _ in range(60)]
         self.assertThat(self.core.load(), Equals(52))
-        self.assertThat(self.refused(tickets[-1]), Equals(MishapKind.BACKLOG_FULL))
+        self.assertThat(self.refused(tickets[-1]), Equals(ErrorKind.QUEUE_FULL))
 
     def test_only_its_own_server_gets_work_and_only_under_its_newest_life(self) -> None:
         for changes, kind in (
-            ({"instance": "i-former"}, MishapKind.WRONG_INSTANCE),
-            ({"service_name": "portal"}, MishapKind.WRONG_INSTANCE),
-            ({"target": "s-9"}, MishapKind.WRONG_INSTANCE),
-            ({"budget": 0.0}, MishapKind.BUDGET_SPENT),
+            ({"instance": "i-former"}, ErrorKind.WRONG_INSTANCE),
+            ({"service_name": "portal"}, ErrorKind.WRONG_INSTANCE),
+            ({"target": "s-9"}, ErrorKind.WRONG_INSTANCE),
+            ({"budget": 0.0}, ErrorKind.BUDGET_SPENT),
         ):
-            self.assertThat(self.refused(self.deal(**changes)), Equals(kind))
-        self.assertThat(self.fleet.sent(Serve), Equals([]))
+            self.assertThat(self.refused(self.pending(**changes)), Equals(kind))
+        self.assertThat(self.fleet.sent(RunOnServer), Equals([]))
 
     def test_a_silent_servers_work_is_refused(self) -> None:
         self.fleet.pass_time(5.5, beats=False)
-        self.assertThat(self.refused(self.deal()), Equals(MishapKind.NO_SERVER))
-        self.fleet.vitals(NAME)
-        self.assertThat(self.told(self.deal()), Equals(None))
+        self.assertThat(self.refused(self.pending()), Equals(ErrorKind.NO_SERVER))
+        self.fleet.health(NAME)
+        self.assertThat(self.told(self.pending()), Equals(None))
 
     def test_what_waits_for_a_former_life_is_not_given_to_the_next(self) -> None:
-        self.deal()
-        self.deal()
-        waiting = self.deal()
-        self.fleet.vitals(NAME, instance="i-next")
-        self.assertThat(self.refused(waiting), Equals(MishapKind.WINDING_DOWN))
+        self.pending()
+        self.pending()
+        waiting = self.pending()
+        self.fleet.health(NAME, instance="i-next")
+        self.assertThat(self.refused(waiting), Equals(ErrorKind.WINDING_DOWN))
         self.fleet.lose()
         self.fleet.lose()
         self.assertThat(len(self.started()), Equals(2))
 
     def test_a_server_that_leaves_gets_nothing_new_and_nothing_after_its_span(self) -> None:
-        self.deal(budget=9, aim=9)
-        self.deal(budget=9, aim=9)
-        soon, late = self.deal(budget=9, aim=9), self.deal(budget=9, aim=9)
-        self.fleet.vitals(NAME, state=WINDING_DOWN)
-        self.assertThat(self.refused(self.deal()), Equals(MishapKind.WINDING_DOWN))
+        self.pending(budget=9, aim=9)
+        self.pending(budget=9, aim=9)
+        soon, late = self.pending(budget=9, aim=9), self.pending(budget=9, aim=9)
+        self.fleet.health(NAME, state=WINDING_DOWN)
+        self.assertThat(self.refused(self.pending()), Equals(ErrorKind.WINDING_DOWN))
         self.fleet.pass_time(1.0)
-        self.fleet.vitals(NAME, state=WINDING_DOWN)
+        self.fleet.health(NAME, state=WINDING_DOWN)
         self.fleet.finish()
         # What it had promised goes on while it serves.
         self.assertThat((len(self.started()), self.told(soon)), Equals((3, None)))
         self.fleet.pass_time(0.6)
-        self.fleet.vitals(NAME, state=WINDING_DOWN)
+        self.fleet.health(NAME, state=WINDING_DOWN)
         self.fleet.finish()
-        self.assertThat(self.refused(late), Equals(MishapKind.WINDING_DOWN))
+        self.assertThat(self.refused(late), Equals(ErrorKind.WINDING_DOWN))
         self.fleet.pass_time(2.0)
         self.assertThat(len(self.started()), Equals(3))
 
     def test_a_server_that_has_left_gets_nothing_at_all(self) -> None:
-        self.deal()
-        self.deal()
-        waiting = self.deal()
-        self.fleet.vitals(NAME, state=GONE)
+        self.pending()
+        self.pending()
+        waiting = self.pending()
+        self.fleet.health(NAME, state=GONE)
         self.fleet.pass_time(0.1)
-        self.assertThat(self.refused(waiting), Equals(MishapKind.WINDING_DOWN))
-        self.assertThat(self.refused(self.deal()), Equals(MishapKind.NO_SERVER))
+        self.assertThat(self.refused(waiting), Equals(ErrorKind.WINDING_DOWN))
+        self.assertThat(self.refused(self.pending()), Equals(ErrorKind.NO_SERVER))
 
-    def test_a_stopping_stall_still_ends_what_it_took(self) -> None:
-        self.fleet.feed(NAME, StopAsked())
+    def test_a_stopping_proxy_still_ends_what_it_took(self) -> None:
+        self.fleet.feed(NAME, StopRequested())
         self.assertThat(self.core.idle(), Equals(True))
-        ticket = self.deal()
+        ticket = self.pending()
         self.assertThat(self.core.idle(), Equals(False))
         self.fleet.finish()
         self.assertThat((self.told(ticket).outcome, self.core.idle()), Equals((ANSWERED, True)))
 
     def test_how_it_ended_is_told_for_what_it_is(self) -> None:
-        full = self.deal()
+        full = self.pending()
         self.fleet.finish(status=503, not_run=True)
-        self.assertThat(self.refused(full), Equals(MishapKind.SERVER_FULL))
-        failed = self.deal()
+        self.assertThat(self.refused(full), Equals(ErrorKind.SERVER_FULL))
+        failed = self.pending()
         self.fleet.finish(status=500, body=b"sorry")
         self.assertThat(self.told(failed)[1:6], Equals((ANSWERED, "", 500, b"", b"sorry")))
-        lost = self.deal()
+        lost = self.pending()
         self.fleet.lose()
-        self.assertThat((self.told(lost).outcome, self.told(lost).mishap), Equals((UNKNOWN, MishapKind.SILENT)))
+        self.assertThat((self.told(lost).outcome, self.told(lost).error), Equals((UNKNOWN, ErrorKind.SILENT)))
 
     def test_a_server_that_takes_no_connection_ran_nothing_and_counts_as_gone(self) -> None:
-        ticket = self.deal()
+        ticket = self.pending()
         self.fleet.lose(unsent=True)
-        self.assertThat(self.refused(ticket), Equals(MishapKind.NO_SERVER))
+        self.assertThat(self.refused(ticket), Equals(ErrorKind.NO_SERVER))
         self.assertThat(self.core.server_state(), Equals(GONE))
-        self.assertThat(self.refused(self.deal()), Equals(MishapKind.NO_SERVER))
+        self.assertThat(self.refused(self.pending()), Equals(ErrorKind.NO_SERVER))
 
     def test_a_failed_connection_to_a_former_life_says_nothing_of_the_next(self) -> None:
-        self.deal()
-        self.fleet.vitals(NAME, instance="i-next")
+        self.pending()
+        self.fleet.health(NAME, instance="i-next")
         self.fleet.lose(unsent=True)
         self.assertThat(self.core.server_state(), Equals(READY))
 
     def test_each_answer_says_how_much_is_there(self) -> None:
-        self.deal()
-        self.deal()
-        waiting = self.deal(budget=9, aim=9)
+        self.pending()
+        self.pending()
+        waiting = self.pending(budget=9, aim=9)
         self.fleet.finish()
-        first = self.fleet.sent(AnswerDeal)[0].answer
+        first = self.fleet.sent(AnswerForward)[0].answer
         self.assertThat((first.load, first.room), Equals((2, 2)))
         self.fleet.pass_time(0.1)
         self.fleet.finish()
@@ -276,15 +276,15 @@
     def test_own_failures_and_refusals_teach_nothing_of_its_pace(self) -> None:
         self.learn(0.4)
         for status, not_run in ((500, False), (503, True)):
-            self.deal()
+            self.pending()
             self.fleet.finish(status=status, not_run=not_run)
-        self.assertThat(self.core.paces["read"].mean, Equals(timedelta(seconds=0.4)))
+        self.assertThat(self.core.latencies["read"].mean, Equals(timedelta(seconds=0.4)))
 
     def test_any_history_keeps_the_promises(self) -> None:
         """Whatever comes, in whatever order: capacity, one answer each, and nothing run after "not run"."""
         for seed in range(25):
             dice = random.Random(seed)
-            self.fleet = Brokers(NAME, room=3, seed=seed)
+            self.fleet = SidecarBench(NAME, room=3, seed=seed)
             self.core, room = self.fleet.cores[NAME], 3
             tickets = []
             for _ in range(400):
@@ -294,7 +294,7 @@
                 ]:
                     case "deal":
                         budget = dice.choice((0.0, 0.05, 0.3, 1.0, 3.0))
-                        tickets.append(self.deal(budget=budget, aim=budget / 2, rank=dice.randrange(3)))
+                        tickets.append(self.pending(budget=budget, aim=budget / 2, rank=dice.randrange(3)))
                     case "finish" if self.fleet.serves:
                         self.fleet.finish(not_run=dice.random() < 0.1)
                     case "lose" if self.fleet.serves:
@@ -304,11 +304,11 @@
                     case "room":
                         room = dice.randint(1, 4)
                         most = max(room, len(self.fleet.serves))
-                        self.fleet.vitals(NAME, room=room)
+                        self.fleet.health(NAME, room=room)
                     case "leave":
-                        self.fleet.vitals(NAME, state=WINDING_DOWN, room=room)
+                        self.fleet.health(NAME, state=WINDING_DOWN, room=room)
                         self.fleet.pass_time(0.1)
-                        self.fleet.vitals(NAME, room=room)
+                        self.fleet.health(NAME, room=room)
                 self.assertThat(len(self.fleet.serves) <= most, Equals(True), str(seed))
             while self.fleet.serves:
                 self.fleet.finish()
@@ -320,8 +320,8 @@
             place = {}
             for number, (_, command) in enumerate(self.fleet.commands):
                 match command:
-                    case Serve(call=call):
+                    case RunOnServer(call=call):
                         self.assertThat(call.send in place, Equals(False), f"{call.send} ran after its answer")
-                    case AnswerDeal(answer=answer):
+                    case AnswerForward(answer=answer):
                         place[answer.send] = number
             self.assertThat(len(place), GreaterThan(100))
--- a/tests/test_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -1,4 +1,4 @@
-"""A stall that stops: it serves until its door is quiet, and keeps time to finish what it took if it never is."""
+"""A proxy that stops: it serves until its door is quiet, and keeps time to finish what it took if it never is."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -7,50 +7,50 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from brokers import Brokers
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.proxy.messages import StopAsked
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.proxy.messages import StopRequested
 from hoistsaddle.sidecar import node as nodes
-from hoistsaddle.sidecar.messages import CloseAsked, GraceSpent
+from hoistsaddle.sidecar.messages import CloseRequested, GraceExpired
 from hoistsaddle.sidecar.node import OPEN_SHARE, SidecarNode
+from sidecar_bench import SidecarBench
 
 MOST = timedelta(seconds=5)
 QUIET = timedelta(seconds=0.5)
 
 
-class Stopping:
+class WindDownBench:
     """wind_down on a clock that its own waits move."""
 
     def __init__(self, *, busy: bool, works: timedelta) -> None:
-        self.moment = timedelta(seconds=100)
-        self.began = self.moment
+        self.timestamp = timedelta(seconds=100)
+        self.began = self.timestamp
         self.busy = busy
         self.works = works
         self.told: list[tuple[str, timedelta]] = []
         self.closed: timedelta | None = None
-        core = SimpleNamespace(deals={1: "a request"} if busy else {}, idle=self.idle)
+        core = SimpleNamespace(pending_requests={1: "a request"} if busy else {}, idle=self.idle)
         self.node = SimpleNamespace(
-            runtime=SimpleNamespace(now=lambda: self.moment),
+            runtime=SimpleNamespace(now=lambda: self.timestamp),
             core=core,
             feed=self.feed,
-            asked_at=self.moment,
+            asked_at=self.timestamp,
             counters=Counters(owner="s-1"),
             tick=SidecarNode.tick,
         )
 
     def feed(self, event: tuple) -> None:
-        self.told.append((type(event).__name__, self.moment - self.began))
-        if isinstance(event, CloseAsked):
-            self.closed = self.moment
+        self.told.append((type(event).__name__, self.timestamp - self.began))
+        if isinstance(event, CloseRequested):
+            self.closed = self.timestamp
 
     def idle(self) -> bool:
-        return self.closed is not None and self.moment - self.closed >= self.works
+        return self.closed is not None and self.timestamp - self.closed >= self.works
 
     async def sleep(self, seconds: float) -> None:
-        self.moment += timedelta(seconds=seconds)
+        self.timestamp += timedelta(seconds=seconds)
         if self.busy:
-            self.node.asked_at = self.moment
+            self.node.asked_at = self.timestamp
 
     def run(self) -> timedelta:
         with mock.patch.object(nodes.asyncio, "sleep", self.sleep):
@@ -59,31 +59,31 @@
                 work.send(None)
             except StopIteration:
                 pass
-        return self.moment - self.began
+        return self.timestamp - self.began
 
 
 class WindDown(TestCase):
     def test_a_quiet_door_ends_it_soon(self) -> None:
-        stopping = Stopping(busy=False, works=timedelta(seconds=0.3))
+        stopping = WindDownBench(busy=False, works=timedelta(seconds=0.3))
         took = stopping.run()
-        self.assertThat([name for name, _ in stopping.told], Equals([StopAsked.__name__, CloseAsked.__name__]))
+        self.assertThat([name for name, _ in stopping.told], Equals([StopRequested.__name__, CloseRequested.__name__]))
         self.assertThat(QUIET <= took <= timedelta(seconds=0.9), Equals(True), str(took))
 
     def test_a_door_that_never_falls_quiet_leaves_time_for_what_was_taken(self) -> None:
-        """Visitors came to the end, and the last of them were cut off while servers worked for them."""
-        stopping = Stopping(busy=True, works=timedelta(seconds=1.5))
+        """Clients came to the end, and the last of them were cut off while servers worked for them."""
+        stopping = WindDownBench(busy=True, works=timedelta(seconds=1.5))
         took = stopping.run()
         closed = stopping.told[1][1]
         self.assertThat(closed <= MOST * OPEN_SHARE + SidecarNode.tick, Equals(True), str(closed))
         self.assertThat(took < MOST, Equals(True), str(took))
 
-    def test_a_closing_stall_turns_new_ones_back_and_ends_what_it_took(self) -> None:
-        fleet = Brokers("s-1", "s-2")
+    def test_a_closing_proxy_turns_new_ones_back_and_ends_what_it_took(self) -> None:
+        fleet = SidecarBench("s-1", "s-2")
         before = fleet.ask(door="s-1", budget=3.0)
-        fleet.cores["s-1"].handle(CloseAsked(), now=fleet.moment)
+        fleet.cores["s-1"].handle(CloseRequested(), now=fleet.timestamp)
         after = fleet.ask(door="s-1", budget=3.0)
         reply = fleet.replies[after]
-        self.assertThat((reply.status, reply.mishap.kind), Equals((503, MishapKind.WINDING_DOWN)))
+        self.assertThat((reply.status, reply.error.kind), Equals((503, ErrorKind.WINDING_DOWN)))
         self.assertThat(before in fleet.replies, Equals(False))
         while fleet.serves:
             fleet.finish()
@@ -91,22 +91,22 @@
 
     def test_requests_left_at_the_end_of_the_grace_are_ended_just_before_it(self) -> None:
         """Uploads on a thin link outlasted the grace: their connections closed with no answer."""
-        stopping = Stopping(busy=True, works=timedelta(seconds=60))
+        stopping = WindDownBench(busy=True, works=timedelta(seconds=60))
         took = stopping.run()
         self.assertThat(
             [name for name, _ in stopping.told],
-            Equals([StopAsked.__name__, CloseAsked.__name__, GraceSpent.__name__]),
+            Equals([StopRequested.__name__, CloseRequested.__name__, GraceExpired.__name__]),
         )
         self.assertThat(MOST <= took <= MOST + SidecarNode.tick, Equals(True), str(took))
 
     def test_each_request_left_is_told_what_is_known_of_it(self) -> None:
-        fleet = Brokers("s-1", "s-2")
+        fleet = SidecarBench("s-1", "s-2")
         sent = fleet.ask("/pack/x", budget=30.0)
         fleet.core_up = False
         claiming = fleet.ask("/pay/x", key="k", budget=30.0)
         self.assertThat(fleet.replies, Equals({}))
-        fleet.feed("s-1", GraceSpent())
+        fleet.feed("s-1", GraceExpired())
         # A server may still work on the one; the other waited for its key, so it ran nowhere and never will.
         self.assertThat([fleet.replies[each].status for each in (sent, claiming)], Equals([502, 503]))
         self.assertThat(fleet.replies[claiming].retry_after is not None, Equals(True))
-        self.assertThat(fleet.cores["s-1"].deals, Equals({}))
+        self.assertThat(fleet.cores["s-1"].pending_requests, Equals({}))
--- a/tests/test_shelf.py
+++ b/tests/test_statemachine.py
@@ -22,16 +22,16 @@
     TakeDuty,
     pack_command,
 )
-from hoistsaddle.statemachine.state import BUNDLES_KEPT, State, found_state, pack_state, unpack_state
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state, pack_state, unpack_state
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
 TEXT = DEPLOYMENTS["thimble"].first_bundle()
 
 
-class Shelf(TestCase):
+class StateMachine(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.state: State = found_state(mesh="m", voters={1: "one"}, operators={})
+        self.state: State = initial_state(mesh="m", voters={1: "one"}, operators={})
         self.seconds = 0.0
 
     def apply(self, command: Command, *, later: float = 0.0) -> Outcome:
@@ -71,10 +71,10 @@
 
     def test_a_lower_duty_epoch_is_refused(self) -> None:
         self.apply(TakeDuty("warden", "bourse-1", 1))
-        self.assertThat(self.apply(TakeDuty("warden", "bourse-2", 1)).mishap, Equals("duty-epoch-old"))
+        self.assertThat(self.apply(TakeDuty("warden", "bourse-2", 1)).error, Equals("duty-epoch-old"))
         self.apply(TakeDuty("warden", "bourse-2", 2))
         self.server()
-        self.assertThat(self.server(state="gone", duty_epoch=1).mishap, Equals("duty-epoch-old"))
+        self.assertThat(self.server(state="gone", duty_epoch=1).error, Equals("duty-epoch-old"))
         self.assertThat(self.state.servers["stall-1"].state, Equals("ready"))
 
     def test_a_drain_mark_belongs_to_the_instance(self) -> None:
@@ -90,7 +90,7 @@
         self.assertThat(self.apply(claim).detail["phase"], Equals("granted"))
         self.assertThat(self.apply(claim).detail["phase"], Equals("granted"))
         self.assertThat(self.apply(claim._replace(claim="claim-2")).detail["phase"], Equals("claimed"))
-        self.assertThat(self.apply(claim._replace(body_digest="other")).mishap, Equals("key-other-body"))
+        self.assertThat(self.apply(claim._replace(body_digest="other")).error, Equals("key-other-body"))
         self.assertThat(self.apply(ReleaseHold("scope", "claim-2")).detail["phase"], Equals("kept"))
         self.apply(SettleHold("scope", "claim-1", 200, {}, b"{}", True))
         self.assertThat(self.apply(ReleaseHold("scope", "claim-1")).detail["phase"], Equals("kept"))
@@ -113,7 +113,7 @@
         before = self.state
         # A command nobody here knows isn't passed over: replicas that did would differ from those that don't.
         unknown = record(msgspec.msgpack.encode(["PaintServer", {"colour": "blue"}]))
-        self.assertThat((unknown.mishap, self.state), Equals(("other-release", before)))
+        self.assertThat((unknown.error, self.state), Equals(("other-release", before)))
         # What an older release packed lacks the newest fields; they take their defaults.
         older = msgspec.msgpack.decode(pack_state(self.state))
         older["colours"] = [["a", "b"]]
@@ -123,7 +123,7 @@
     def test_a_repeated_call_gets_the_first_outcome(self) -> None:
         first = self.apply(SubmitBundle("r1", "ada", TEXT))
         self.assertThat(self.apply(SubmitBundle("r1", "ada", TEXT)), Equals(first))
-        self.assertThat(self.apply(SubmitBundle("r2", "ada", TEXT)).mishap, Equals("bundle-duplicate"))
+        self.assertThat(self.apply(SubmitBundle("r2", "ada", TEXT)).error, Equals("bundle-duplicate"))
         signed = self.apply(SignBundle("r3", "ben", 1, first.detail["digest"]))
         self.assertThat(self.apply(SignBundle("r3", "ben", 1, first.detail["digest"])), Equals(signed))
         advanced = self.apply(AdvanceBundle("r4", "ben", 1, 1))
@@ -132,7 +132,7 @@
 
     def test_the_state_survives_its_packing_and_keeps_a_bounded_history(self) -> None:
         number = 0
-        for number in range(1, BUNDLES_KEPT + 20):
+        for number in range(1, MAX_BUNDLES + 20):
             text = TEXT.partition("[[stages]]")[0].replace(
                 "number = 1\nbased_on = 0", f"number = {number}\nbased_on = {number - 1}"
             )
@@ -140,7 +140,7 @@
             self.apply(SignBundle(f"g{number}", "ben", number, digest))
         self.server()
         self.apply(ClaimHold("scope", "claim", "stall-1", "digest"))
-        self.assertThat((self.state.in_force, len(self.state.bundles)), Equals((number, BUNDLES_KEPT)))
+        self.assertThat((self.state.in_force, len(self.state.bundles)), Equals((number, MAX_BUNDLES)))
         again = unpack_state(pack_state(self.state))
         self.assertThat(pack_state(again), Equals(pack_state(self.state)))
         self.assertThat(again, Equals(self.state))
--- a/tests/test_items.py
+++ b/tests/test_statemachine_items.py
@@ -8,33 +8,33 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, Is
 
-from hoistsaddle.common.errors import MishapKind
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.items import (
     ENTRY,
-    LARGEST_REVISION,
     LIMITS,
+    MAX_REVISION,
     SERVICE,
-    Dropping,
-    EntryItem,
-    ItemSetup,
+    ItemConfiguration,
+    ItemDeletion,
+    ItemUpsert,
     LimitsItem,
     Part,
     Patch,
+    RouteItem,
     ServiceItem,
-    Setting,
-    aim_of,
     check_patch,
-    hold_of,
+    hold_timeout,
+    latency_target,
     pack_patch,
     read_patch,
 )
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import ClaimHold, Outcome, PatchItems, RaiseLevel, pack_command
-from hoistsaddle.statemachine.state import BUNDLES_KEPT, State, found_state, news_of, pack_state, unpack_state
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, data_plane_items, initial_state, pack_state, unpack_state
 from hoistsaddle.statemachine.view import View, read_view
 
 
-def entry(name: str = "pay", *, revision: int = 1, **changes: Any) -> Setting:
+def entry(name: str = "pay", *, revision: int = 1, **changes: Any) -> ItemUpsert:
     item: dict[str, Any] = {
         "name": name,
         "host": "shop.example",
@@ -47,31 +47,31 @@
         "most_sends": 2,
     }
     item.update(changes)
-    return Setting(ENTRY, revision, item, f"{name} as said at {revision}".encode())
+    return ItemUpsert(ENTRY, revision, item, f"{name} as said at {revision}".encode())
 
 
-def service(name: str = "ledger", *, revision: int = 1, **changes: Any) -> Setting:
-    return Setting(SERVICE, revision, {"name": name, **changes}, f"{name} as said at {revision}".encode())
+def service(name: str = "ledger", *, revision: int = 1, **changes: Any) -> ItemUpsert:
+    return ItemUpsert(SERVICE, revision, {"name": name, **changes}, f"{name} as said at {revision}".encode())
 
 
-def limits(*, revision: int = 1, **changes: Any) -> Setting:
-    return Setting(LIMITS, revision, changes, b"limits as said")
+def limits(*, revision: int = 1, **changes: Any) -> ItemUpsert:
+    return ItemUpsert(LIMITS, revision, changes, b"limits as said")
 
 
 class Checks(TestCase):
     def refusal(self, patch: Patch) -> tuple[str, str]:
         match check_patch(patch):
-            case Failure(mishap):
-                self.assertThat((mishap.kind, mishap.remedy != ""), Equals((MishapKind.ITEM_BROKEN, True)))
-                return mishap.field, mishap.remedy
+            case Failure(error):
+                self.assertThat((error.kind, error.remedy != ""), Equals((ErrorKind.ITEM_BROKEN, True)))
+                return error.field, error.remedy
             case Success(_):
                 self.fail(f"taken: {patch}")
 
     def test_a_whole_patch_is_taken(self) -> None:
-        patch = Patch([service(), entry(), limits(body_bytes=5)], [Dropping(ENTRY, 4, "old")])
+        patch = Patch([service(), entry(), limits(body_bytes=5)], [ItemDeletion(ENTRY, 4, "old")])
         checked = check_patch(patch).unwrap()
-        self.assertThat([type(item) for _, item in checked.sets], Equals([ServiceItem, EntryItem, LimitsItem]))
-        self.assertThat(checked.drops, Equals([Dropping(ENTRY, 4, "old")]))
+        self.assertThat([type(item) for _, item in checked.sets], Equals([ServiceItem, RouteItem, LimitsItem]))
+        self.assertThat(checked.drops, Equals([ItemDeletion(ENTRY, 4, "old")]))
         self.assertThat(read_patch(pack_patch(patch)).unwrap(), Equals(checked))
 
     def test_each_refusal_names_the_field_and_a_remedy(self) -> None:
@@ -108,20 +108,20 @@
     def test_a_hold_of_any_length_can_be_counted_with(self) -> None:
         for seconds in (1e300, float("inf")):
             _, item = check_patch(Patch([entry(hold_seconds=seconds, aim_seconds=1e200)])).unwrap().sets[0]
-            self.assertThat((hold_of(item), aim_of(item)), Equals((timedelta(days=1),) * 2))
+            self.assertThat((hold_timeout(item), latency_target(item)), Equals((timedelta(days=1),) * 2))
 
     def test_names_revisions_limits_and_drops_are_checked_too(self) -> None:
         for patch, field in (
             (Patch([entry(name="", prefix="/x/")]), "sets[0].name"),
             (Patch([service(name="")]), "sets[0].name"),
             (Patch([service(revision=-1)]), "sets[0].revision"),
-            (Patch([service(revision=LARGEST_REVISION + 1)]), "sets[0].revision"),
+            (Patch([service(revision=MAX_REVISION + 1)]), "sets[0].revision"),
             (Patch([limits(header_bytes=0)]), "sets[0].body_bytes"),
             (Patch([limits(body_bytes=-5)]), "sets[0].body_bytes"),
             (Patch([limits(idle_seconds=-1.0)]), "sets[0].idle_seconds"),
             (Patch([limits(header_seconds=float("nan"))]), "sets[0].idle_seconds"),
-            (Patch(drops=[Dropping(ENTRY, 1, "")]), "drops[0]"),
-            (Patch(drops=[Dropping(ENTRY, 1, "fine"), Dropping(SERVICE, -1, "old")]), "drops[1]"),
+            (Patch(drops=[ItemDeletion(ENTRY, 1, "")]), "drops[0]"),
+            (Patch(drops=[ItemDeletion(ENTRY, 1, "fine"), ItemDeletion(SERVICE, -1, "old")]), "drops[1]"),
         ):
             self.assertThat(self.refusal(patch)[0], Equals(field), str(patch))
 
@@ -131,13 +131,13 @@
 
 
 class LookUps(TestCase):
-    def setup_of(self, *entries: EntryItem) -> ItemSetup:
-        return ItemSetup(items={f"entry:{each.name}": each for each in entries})
+    def configuration_of(self, *entries: RouteItem) -> ItemConfiguration:
+        return ItemConfiguration(items={f"entry:{each.name}": each for each in entries})
 
-    def item(self, name: str, *, host: str = "a.example", prefix: str = "/") -> EntryItem:
-        return EntryItem(name, host, prefix, "repeatable", [Part("ledger")], 1.0, 0.5)
+    def item(self, name: str, *, host: str = "a.example", prefix: str = "/") -> RouteItem:
+        return RouteItem(name, host, prefix, "repeatable", [Part("ledger")], 1.0, 0.5)
 
-    def name_at(self, setup: ItemSetup, path: str, *, host: str = "a.example") -> str | None:
+    def name_at(self, setup: ItemConfiguration, path: str, *, host: str = "a.example") -> str | None:
         found = setup.select_entry(host=host, path=path)
         return found.name if found else None
 
@@ -145,12 +145,12 @@
         named = [self.item("all"), self.item("deep", prefix="/a/b/"), self.item("mid", prefix="/a/")]
         for shuffle in range(6):
             random.Random(shuffle).shuffle(named)
-            setup = self.setup_of(*named, self.item("other", host="b.example", prefix="/a/b/c/"))
+            setup = self.configuration_of(*named, self.item("other", host="b.example", prefix="/a/b/c/"))
             for path, name in (("/a/b/c/d", "deep"), ("/a/b", "mid"), ("/a", "all"), ("/", "all"), ("/ab/", "all")):
                 self.assertThat(self.name_at(setup, path), Equals(name), path)
 
     def test_another_hosts_entries_and_unknown_hosts_are_not_taken(self) -> None:
-        setup = self.setup_of(self.item("a", prefix="/a/"), self.item("b", host="b.example"))
+        setup = self.configuration_of(self.item("a", prefix="/a/"), self.item("b", host="b.example"))
         self.assertThat(self.name_at(setup, "/a/x", host="c.example"), Is(None))
         self.assertThat(self.name_at(setup, "/a/x", host="b.example"), Equals("b"))
         self.assertThat(self.name_at(setup, "/b/x"), Is(None))
@@ -159,7 +159,8 @@
     def test_names_settle_ties_the_same_everywhere(self) -> None:
         one, two = self.item("one", prefix="/a/"), self.item("two", prefix="/a/")
         self.assertThat(
-            [self.name_at(self.setup_of(*order), "/a/") for order in ((one, two), (two, one))], Equals(["one"] * 2)
+            [self.name_at(self.configuration_of(*order), "/a/") for order in ((one, two), (two, one))],
+            Equals(["one"] * 2),
         )
 
 
@@ -168,7 +169,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.state: State = found_state(mesh="m", voters={1: "one"}, operators={}, level=self.level)
+        self.state: State = initial_state(mesh="m", voters={1: "one"}, operators={}, level=self.level)
         self.requests = 0
 
     def apply(self, command: Any) -> Outcome:
@@ -178,7 +179,7 @@
         )
         return outcome
 
-    def patch(self, *sets: Setting, drops: tuple[Dropping, ...] = (), desk: str = "desk-1") -> Outcome:
+    def patch(self, *sets: ItemUpsert, drops: tuple[ItemDeletion, ...] = (), desk: str = "desk-1") -> Outcome:
         self.requests += 1
         patch = pack_patch(Patch(list(sets), list(drops)))
         return self.apply(PatchItems(f"request-{self.requests}", desk, "standing", patch))
@@ -191,7 +192,7 @@
         self.assertThat(outcome.detail["changed"], Equals(["entry:pay", "service:ledger"]))
         self.patch(entry(revision=9, hold_seconds=3.0))
         self.assertThat(self.stands(), Equals({"service:ledger": 1, "entry:pay": 9}))
-        self.patch(drops=(Dropping(ENTRY, 12, "pay"),))
+        self.patch(drops=(ItemDeletion(ENTRY, 12, "pay"),))
         self.assertThat(self.stands(), Equals({"service:ledger": 1}))
         self.patch(entry(revision=13))
         self.assertThat(self.stands()["entry:pay"], Equals(13))
@@ -202,11 +203,11 @@
         for outcome in (
             self.patch(entry(revision=5, hold_seconds=9.0)),
             self.patch(entry(revision=4, hold_seconds=9.0)),
-            self.patch(drops=(Dropping(ENTRY, 5, "pay"),)),
-            self.patch(drops=(Dropping(ENTRY, 2, "pay"),)),
+            self.patch(drops=(ItemDeletion(ENTRY, 5, "pay"),)),
+            self.patch(drops=(ItemDeletion(ENTRY, 2, "pay"),)),
         ):
             self.assertThat(
-                (outcome.mishap, outcome.detail),
+                (outcome.error, outcome.detail),
                 Equals(("", {"number": 0, "changed": [], "offset": before.news})),
             )
         self.assertThat(
@@ -216,7 +217,7 @@
 
     def test_a_dropped_name_keeps_its_revision(self) -> None:
         self.patch(service(), entry(revision=5))
-        self.patch(drops=(Dropping(ENTRY, 8, "pay"), Dropping(ENTRY, 30, "never-there")))
+        self.patch(drops=(ItemDeletion(ENTRY, 8, "pay"), ItemDeletion(ENTRY, 30, "never-there")))
         self.patch(entry(revision=7), entry("never-there", revision=29))
         self.assertThat(self.stands(), Equals({"service:ledger": 1}))
         self.assertThat(self.state.items["entry:pay"][:3], Equals((8, 2, True)))
@@ -224,9 +225,9 @@
     def test_within_one_patch_the_highest_prevails_too(self) -> None:
         self.patch(service(), entry(revision=3, rank=3), entry(revision=7, rank=7), entry(revision=5, rank=5))
         self.assertThat(self.view().items.select_entry(host="shop.example", path="/pay/").rank, Equals(7))
-        self.patch(entry(revision=9), drops=(Dropping(ENTRY, 8, "pay"),))
+        self.patch(entry(revision=9), drops=(ItemDeletion(ENTRY, 8, "pay"),))
         self.assertThat(self.stands()["entry:pay"], Equals(9))
-        self.patch(entry(revision=10), drops=(Dropping(ENTRY, 11, "pay"),))
+        self.patch(entry(revision=10), drops=(ItemDeletion(ENTRY, 11, "pay"),))
         self.assertThat(self.stands(), Equals({"service:ledger": 1}))
 
     def test_no_part_of_a_broken_patch_counts(self) -> None:
@@ -235,35 +236,35 @@
         broken = (
             ((entry(revision=5, rank=9), entry("other", hold_seconds=0)), ()),
             ((service("new"), entry("other", kind="sometimes")), ()),
-            ((entry(revision=5),), (Dropping(ENTRY, -1, "pay"),)),
-            ((service("new"), entry("other", parts=[{"service": "nobody"}])), (Dropping(ENTRY, 6, "pay"),)),
+            ((entry(revision=5),), (ItemDeletion(ENTRY, -1, "pay"),)),
+            ((service("new"), entry("other", parts=[{"service": "nobody"}])), (ItemDeletion(ENTRY, 6, "pay"),)),
         )
         for sets, drops in broken:
             outcome = self.patch(*sets, drops=drops)
-            self.assertThat((outcome.mishap, outcome.remedy != ""), Equals((str(MishapKind.ITEM_BROKEN), True)))
+            self.assertThat((outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ITEM_BROKEN), True)))
             # From level 4 on the log remembers that it refused it.
             after = self.state._replace(offset=0, stamp=timedelta(), swept=before.swept, refusals=before.refusals)
             self.assertThat(after, Equals(before))
 
     def test_an_unknown_service_is_refused_against_the_result(self) -> None:
         outcome = self.patch(entry())
-        self.assertThat((outcome.mishap, outcome.field), Equals((str(MishapKind.ITEM_BROKEN), "sets[0].parts")))
-        self.patch(service(), service("second"), drops=(Dropping(SERVICE, 3, "gone"),))
+        self.assertThat((outcome.error, outcome.field), Equals((str(ErrorKind.ITEM_BROKEN), "sets[0].parts")))
+        self.patch(service(), service("second"), drops=(ItemDeletion(SERVICE, 3, "gone"),))
         # With its service in the same patch, in any order; and beside one that stands.
         self.assertThat(
-            self.patch(entry(parts=[{"service": "third"}, {"service": "ledger"}]), service("third")).mishap, Equals("")
+            self.patch(entry(parts=[{"service": "third"}, {"service": "ledger"}]), service("third")).error, Equals("")
         )
         # A dropped one is no declared one.
         self.assertThat(self.patch(entry(revision=2, parts=[{"service": "gone"}])).field, Equals("sets[0].parts"))
         # An entry that an older revision of its own overtakes changes nothing, so its service doesn't matter.
-        self.assertThat(self.patch(entry(revision=0, parts=[{"service": "nobody"}])).mishap, Equals(""))
+        self.assertThat(self.patch(entry(revision=0, parts=[{"service": "nobody"}])).error, Equals(""))
 
     def test_two_desks_racing_end_alike_in_either_order(self) -> None:
         ours = (entry(revision=7, rank=7), entry("ours", revision=7))
         theirs = (entry(revision=9, rank=9), entry("theirs", revision=9))
         ends = []
         for order in ((ours, theirs), (theirs, ours)):
-            self.state = found_state(mesh="m", voters={1: "one"}, operators={}, level=self.level)
+            self.state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=self.level)
             self.patch(service())
             for place, sets in enumerate(order):
                 self.patch(*sets, desk=f"desk-{place}")
@@ -300,16 +301,16 @@
 
     def test_only_the_newest_bundles_are_kept_and_numbers_go_on(self) -> None:
         self.patch(service())
-        for revision in range(1, BUNDLES_KEPT + 5):
+        for revision in range(1, MAX_BUNDLES + 5):
             self.patch(entry(revision=revision))
         self.assertThat(
             (min(self.state.patches), max(self.state.patches), len(self.state.patches)),
-            Equals((6, BUNDLES_KEPT + 5, BUNDLES_KEPT)),
+            Equals((6, MAX_BUNDLES + 5, MAX_BUNDLES)),
         )
 
     def test_state_packs_to_equal_bytes_and_comes_back(self) -> None:
         self.patch(service(), entry(), limits())
-        self.patch(entry("more"), drops=(Dropping(ENTRY, 4, "pay"),))
+        self.patch(entry("more"), drops=(ItemDeletion(ENTRY, 4, "pay"),))
         packed = pack_state(self.state)
         back = unpack_state(packed)
         self.assertThat(back, Equals(self.state))
@@ -319,24 +320,24 @@
         self.assertThat(pack_state(shuffled), Equals(packed))
 
     def view(self) -> View:
-        items = news_of(self.state)
+        items = data_plane_items(self.state)
         return read_view(revision=self.state.news, items=items, node="stall-1", zone="a", before=View())
 
     def test_the_news_holds_what_stands_and_no_word_of_what_was_dropped(self) -> None:
         self.patch(service(), entry(), entry("more"))
-        self.patch(drops=(Dropping(ENTRY, 4, "pay"),))
+        self.patch(drops=(ItemDeletion(ENTRY, 4, "pay"),))
         view = self.view()
-        self.assertThat(view.item_marks, Equals({"service:ledger": 1, "entry:more": 1}))
+        self.assertThat(view.item_revisions, Equals({"service:ledger": 1, "entry:more": 1}))
         self.assertThat(view.items.select_entry(host="shop.example", path="/pay/x"), Is(None))
         self.assertThat(view.items.select_entry(host="shop.example", path="/more/x").name, Equals("more"))
         self.assertThat(view.items.limits, Equals(LimitsItem()))
 
     def test_below_level_3_nothing_of_it_exists(self) -> None:
         for level in (1, 2):
-            self.state = found_state(mesh="m", voters={1: "one"}, operators={}, level=level)
+            self.state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=level)
             empty = pack_state(self.state)
             outcome = self.patch(service(), entry())
-            self.assertThat(outcome.mishap, Equals(str(MishapKind.RELEASE_LEVEL)))
+            self.assertThat(outcome.error, Equals(str(ErrorKind.RELEASE_LEVEL)))
             self.assertThat((len(self.state.items), len(self.state.patches), self.state.news), Equals((0, 0, 0)))
             for part in (b"items", b"patches"):
                 self.assertThat(part in empty, Equals(False))
@@ -372,18 +373,18 @@
         for outcome in (
             self.patch(entry(revision=5)),
             self.patch(entry(revision=4, hold_seconds=9.0)),
-            self.patch(drops=(Dropping(ENTRY, 2, "pay"),)),
+            self.patch(drops=(ItemDeletion(ENTRY, 2, "pay"),)),
         ):
             self.assertThat(
-                (outcome.mishap, outcome.detail),
+                (outcome.error, outcome.detail),
                 Equals(("", {"number": 0, "changed": [], "offset": before.news})),
             )
         for outcome in (
             self.patch(entry(revision=5, hold_seconds=9.0)),
             self.patch(entry(revision=4, hold_seconds=8.0)),
-            self.patch(drops=(Dropping(ENTRY, 5, "pay"),)),
+            self.patch(drops=(ItemDeletion(ENTRY, 5, "pay"),)),
         ):
-            self.assertThat(outcome.mishap, Equals(str(MishapKind.ITEM_CONFLICT)))
+            self.assertThat(outcome.error, Equals(str(ErrorKind.ITEM_CONFLICT)))
         self.assertThat(
             (self.state.items, self.state.patches, self.state.news),
             Equals((before.items, before.patches, before.news)),
--- a/tests/test_orders.py
+++ b/tests/test_statemachine_patches.py
@@ -9,12 +9,12 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
-from hoistsaddle.common.errors import MishapKind
-from hoistsaddle.config.items import ENTRY, SERVICE, Dropping, Patch, Setting, content_digest, pack_patch
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.config.items import ENTRY, SERVICE, ItemDeletion, ItemUpsert, Patch, content_digest, pack_patch
 from hoistsaddle.raft.core import LEADER
-from hoistsaddle.raft.events import Boot, Concluded, Mark, ProposalArrived, Ticked
+from hoistsaddle.raft.events import Boot, OffsetAndEpoch, ProposalArrived, ProposalResult, Ticked
 from hoistsaddle.rpc.messages import FetchCall
-from hoistsaddle.statemachine import items, orders
+from hoistsaddle.statemachine import deduplication, items
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import (
     AbortBundle,
@@ -27,20 +27,20 @@
     Tick,
     pack_command,
 )
-from hoistsaddle.statemachine.itemmemory import MOST_REVISIONS, ItemMemory, Meeting, meet
-from hoistsaddle.statemachine.orders import MOST_REFUSALS
-from hoistsaddle.statemachine.state import BUNDLES_KEPT, State, found_state, pack_state, unpack_state
+from hoistsaddle.statemachine.deduplication import MAX_REJECTED_PATCHES
+from hoistsaddle.statemachine.revision_history import MAX_REVISIONS, RevisionHistory, RevisionStatus, meet
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state, pack_state, unpack_state
 from orders_model import CHECKS, ORDERS, WAIT, ModelOrder, explore
 from test_kip_630 import VOTERS, Bench
 
 SPAN = 60
 
 
-def service(name: str = "ledger", *, revision: int = 1, said: bytes | None = None, **changes: Any) -> Setting:
-    return Setting(SERVICE, revision, {"name": name, **changes}, b"" if said is None else said)
+def service(name: str = "ledger", *, revision: int = 1, said: bytes | None = None, **changes: Any) -> ItemUpsert:
+    return ItemUpsert(SERVICE, revision, {"name": name, **changes}, b"" if said is None else said)
 
 
-def entry(name: str = "pay", *, revision: int = 1, **changes: Any) -> Setting:
+def entry(name: str = "pay", *, revision: int = 1, **changes: Any) -> ItemUpsert:
     item: dict[str, Any] = {
         "name": name,
         "host": "shop.example",
@@ -50,14 +50,14 @@
         "hold_seconds": 2.0,
         "aim_seconds": 0.5,
     }
-    return Setting(ENTRY, revision, {**item, **changes})
+    return ItemUpsert(ENTRY, revision, {**item, **changes})
 
 
 class Log:
     """A state and the records that come to it."""
 
     def __init__(self, *, level: int = 4, operators: dict[str, str] | None = None) -> None:
-        self.state: State = found_state(mesh="m", voters={1: "one"}, operators=operators or {}, level=level)
+        self.state: State = initial_state(mesh="m", voters={1: "one"}, operators=operators or {}, level=level)
 
     def take(self, command: Any, *, later: float = 1) -> Outcome:
         self.state, outcome = apply(
@@ -69,7 +69,7 @@
         )
         return outcome
 
-    def patch(self, *sets: Setting, drops: tuple[Dropping, ...] = (), seen: int | None = None) -> Outcome:
+    def patch(self, *sets: ItemUpsert, drops: tuple[ItemDeletion, ...] = (), seen: int | None = None) -> Outcome:
         patch = pack_patch(Patch(list(sets), list(drops)))
         seen = self.state.offset if seen is None else seen
         return self.take(PatchItems("request", "desk", "standing", patch, SPAN, seen))
@@ -87,11 +87,11 @@
         log.patch(service(), entry(revision=5))
         before = log.state.items, log.state.patches, log.state.news, log.state.memories
         outcome = log.patch(entry("other"), entry(revision=5, rank=9))
-        self.assertThat((outcome.mishap, outcome.field), Equals((str(MishapKind.ITEM_CONFLICT), "sets[1]")))
+        self.assertThat((outcome.error, outcome.field), Equals((str(ErrorKind.ITEM_CONFLICT), "sets[1]")))
         self.assertThat(outcome.message, Contains("Revision 5 of entry pay"))
         self.assertThat(outcome.remedy, Contains("higher revision"))
-        dropped = log.patch(service("new"), drops=(Dropping(ENTRY, 5, "pay"),))
-        self.assertThat((dropped.mishap, dropped.field), Equals((str(MishapKind.ITEM_CONFLICT), "drops[0]")))
+        dropped = log.patch(service("new"), drops=(ItemDeletion(ENTRY, 5, "pay"),))
+        self.assertThat((dropped.error, dropped.field), Equals((str(ErrorKind.ITEM_CONFLICT), "drops[0]")))
         self.assertThat((log.state.items, log.state.patches, log.state.news, log.state.memories), Equals(before))
         # Its own content is confirmed as often as it comes, beside something new too.
         self.assertThat(log.patch(service(), entry(revision=5)).detail["number"], Equals(0))
@@ -99,19 +99,19 @@
 
     def test_a_drop_is_a_content_too(self) -> None:
         log = Log()
-        log.patch(service(), drops=(Dropping(ENTRY, 3, "pay"),))
-        self.assertThat(log.patch(drops=(Dropping(ENTRY, 3, "pay"),)).mishap, Equals(""))
-        self.assertThat(log.patch(entry(revision=3)).mishap, Equals(str(MishapKind.ITEM_CONFLICT)))
+        log.patch(service(), drops=(ItemDeletion(ENTRY, 3, "pay"),))
+        self.assertThat(log.patch(drops=(ItemDeletion(ENTRY, 3, "pay"),)).error, Equals(""))
+        self.assertThat(log.patch(entry(revision=3)).error, Equals(str(ErrorKind.ITEM_CONFLICT)))
 
     def test_a_patch_that_contradicts_itself_is_refused(self) -> None:
         log = Log()
         log.patch(service())
         for sets, drops in (
             ((entry(revision=3, rank=1), entry(revision=3, rank=2)), ()),
-            ((entry(revision=3),), (Dropping(ENTRY, 3, "pay"),)),
+            ((entry(revision=3),), (ItemDeletion(ENTRY, 3, "pay"),)),
         ):
             outcome = log.patch(*sets, drops=drops)
-            self.assertThat((outcome.mishap, outcome.remedy != ""), Equals((str(MishapKind.ITEM_CONFLICT), True)))
+            self.assertThat((outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ITEM_CONFLICT), True)))
         self.assertThat(log.stands(), Equals({"service:ledger": 1}))
         self.assertThat(log.patch(entry(revision=3), entry(revision=3)).detail["changed"], Equals(["entry:pay"]))
 
@@ -126,9 +126,9 @@
         self.assertThat(len(digests), Equals(8))
         log = Log()
         log.patch(service(said=said))
-        self.assertThat(log.patch(service(said=same)).mishap, Equals(""))
+        self.assertThat(log.patch(service(said=same)).error, Equals(""))
         # A field that means nothing here is given back all the same, so it is content.
-        self.assertThat(log.patch(service(said=other)).mishap, Equals(str(MishapKind.ITEM_CONFLICT)))
+        self.assertThat(log.patch(service(said=other)).error, Equals(str(ErrorKind.ITEM_CONFLICT)))
 
     def test_the_loser_of_a_race_is_refused_when_both_are_overtaken_and_the_winner_is_confirmed(self) -> None:
         log = Log()
@@ -136,17 +136,17 @@
         log.patch(service(), winner)
         log.patch(loser)
         log.patch(entry(revision=6))
-        log.patch(drops=(Dropping(ENTRY, 9, "pay"),))
+        log.patch(drops=(ItemDeletion(ENTRY, 9, "pay"),))
         for _ in range(3):
-            self.assertThat(log.patch(winner).mishap, Equals(""))
-            self.assertThat(log.patch(loser).mishap, Equals(str(MishapKind.ITEM_CONFLICT)))
+            self.assertThat(log.patch(winner).error, Equals(""))
+            self.assertThat(log.patch(loser).error, Equals(str(ErrorKind.ITEM_CONFLICT)))
         self.assertThat(log.stands(), Equals({"service:ledger": 1}))
 
     def test_one_that_came_after_it_was_overtaken_is_taken_and_its_rival_is_not(self) -> None:
         log = Log()
         log.patch(service(), entry(revision=9))
         early, rival = entry(revision=7, rank=1), entry(revision=7, rank=2)
-        self.assertThat([log.patch(each).mishap for each in (early, rival, early)], Equals(["", "item-conflict", ""]))
+        self.assertThat([log.patch(each).error for each in (early, rival, early)], Equals(["", "item-conflict", ""]))
         self.assertThat(log.stands()["entry:pay"], Equals(9))
 
 
@@ -157,18 +157,18 @@
         log.patch(service(), winner)
         log.wait(10 * SPAN)
         # What prevails is known for ever.
-        self.assertThat([log.patch(each).mishap for each in (winner, loser)], Equals(["", "item-conflict"]))
+        self.assertThat([log.patch(each).error for each in (winner, loser)], Equals(["", "item-conflict"]))
         log.patch(entry(revision=6))
         # The span runs from the moment it was overtaken, and from each copy.
         log.wait(SPAN - 5)
-        self.assertThat([log.patch(each).mishap for each in (winner, loser)], Equals(["", "item-conflict"]))
+        self.assertThat([log.patch(each).error for each in (winner, loser)], Equals(["", "item-conflict"]))
         log.wait(SPAN - 5)
-        self.assertThat([log.patch(each).mishap for each in (winner, loser)], Equals(["", "item-conflict"]))
+        self.assertThat([log.patch(each).error for each in (winner, loser)], Equals(["", "item-conflict"]))
         log.wait(SPAN + 10)
         for order in (winner, loser, entry(revision=2)):
             outcome = log.patch(order)
             self.assertThat(
-                (outcome.mishap, outcome.remedy != ""), Equals((str(MishapKind.ORDER_UNSURE), True)), outcome.message
+                (outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ORDER_UNSURE), True)), outcome.message
             )
         self.assertThat(log.state.memories["entry:pay"].forgotten, Equals(5))
         self.assertThat(log.patch(entry(revision=7)).detail["changed"], Equals(["entry:pay"]))
@@ -176,14 +176,14 @@
     def test_the_memory_has_a_bound_and_what_it_cut_is_not_refused(self) -> None:
         log = Log()
         log.patch(service())
-        for revision in range(1, 2 * MOST_REVISIONS):
+        for revision in range(1, 2 * MAX_REVISIONS):
             log.patch(entry(revision=revision, rank=revision))
             log.state = log.state._replace(stamp=timedelta(seconds=5))
         memory = log.state.memories["entry:pay"]
-        self.assertThat((len(memory.taken), memory.forgotten), Equals((MOST_REVISIONS, MOST_REVISIONS - 1)))
-        for revision, answer in ((MOST_REVISIONS - 1, "order-unsure"), (MOST_REVISIONS, ""), (MOST_REVISIONS + 9, "")):
-            self.assertThat(log.patch(entry(revision=revision, rank=revision)).mishap, Equals(answer))
-        self.assertThat(log.patch(entry(revision=MOST_REVISIONS, rank=0)).mishap, Equals("item-conflict"))
+        self.assertThat((len(memory.taken), memory.forgotten), Equals((MAX_REVISIONS, MAX_REVISIONS - 1)))
+        for revision, answer in ((MAX_REVISIONS - 1, "order-unsure"), (MAX_REVISIONS, ""), (MAX_REVISIONS + 9, "")):
+            self.assertThat(log.patch(entry(revision=revision, rank=revision)).error, Equals(answer))
+        self.assertThat(log.patch(entry(revision=MAX_REVISIONS, rank=0)).error, Equals("item-conflict"))
 
     def test_a_sweep_forgets_what_nobody_asks_for(self) -> None:
         log = Log()
@@ -197,10 +197,10 @@
 
     def test_refusals_are_bounded(self) -> None:
         log = Log()
-        for number in range(MOST_REFUSALS + 7):
+        for number in range(MAX_REJECTED_PATCHES + 7):
             log.patch(entry(f"lost-{number}"))
             log.state = log.state._replace(stamp=timedelta(seconds=5))
-        self.assertThat(len(log.state.refusals), Equals(MOST_REFUSALS))
+        self.assertThat(len(log.state.refusals), Equals(MAX_REJECTED_PATCHES))
         self.assertThat(min(each.offset for each in log.state.refusals.values()), Equals(8))
 
 
@@ -209,51 +209,51 @@
         log = Log()
         log.patch(service("other"))
         early = log.state.offset
-        self.assertThat(log.patch(entry()).mishap, Equals(str(MishapKind.ITEM_BROKEN)))
+        self.assertThat(log.patch(entry()).error, Equals(str(ErrorKind.ITEM_BROKEN)))
         log.patch(service())
         late = log.patch(entry(), seen=early)
-        self.assertThat((late.mishap, log.stands().get("entry:pay")), Equals((str(MishapKind.ORDER_UNSURE), None)))
+        self.assertThat((late.error, log.stands().get("entry:pay")), Equals((str(ErrorKind.ORDER_UNSURE), None)))
         # Its sender read why, declared the service and sends it again.
         self.assertThat(log.patch(entry()).detail["changed"], Equals(["entry:pay"]))
         # From here on the same copy is one of an order that was taken.
-        self.assertThat(log.patch(entry(), seen=early).mishap, Equals(""))
+        self.assertThat(log.patch(entry(), seen=early).error, Equals(""))
 
     def test_a_copy_of_a_release_that_does_not_say_when_it_set_out_waits_for_the_span(self) -> None:
         log = Log()
         log.patch(entry())
         log.patch(service())
-        self.assertThat(log.patch(entry(), seen=-1).mishap, Equals(str(MishapKind.ORDER_UNSURE)))
+        self.assertThat(log.patch(entry(), seen=-1).error, Equals(str(ErrorKind.ORDER_UNSURE)))
         log.wait(2 * SPAN)
-        self.assertThat(log.patch(entry(), seen=-1).mishap, Equals(""))
+        self.assertThat(log.patch(entry(), seen=-1).error, Equals(""))
 
     def test_what_was_taken_is_confirmed_when_its_service_is_gone(self) -> None:
         log = Log()
         log.patch(service(), entry())
-        log.patch(drops=(Dropping(SERVICE, 2, "ledger"),))
-        self.assertThat(log.patch(service(), entry()).mishap, Equals(""))
-        self.assertThat(log.patch(entry("more")).mishap, Equals(str(MishapKind.ITEM_BROKEN)))
+        log.patch(drops=(ItemDeletion(SERVICE, 2, "ledger"),))
+        self.assertThat(log.patch(service(), entry()).error, Equals(""))
+        self.assertThat(log.patch(entry("more")).error, Equals(str(ErrorKind.ITEM_BROKEN)))
 
 
-def forgets_at_once(memory: ItemMemory, *, now: int) -> ItemMemory:
+def forgets_at_once(memory: RevisionHistory, *, now: int) -> RevisionHistory:
     if len(memory.taken) == 1:
         return memory
-    return ItemMemory(memory.taken[-1:], max(memory.forgotten, memory.taken[-2].revision))
+    return RevisionHistory(memory.taken[-1:], max(memory.forgotten, memory.taken[-2].revision))
 
 
-def confirms_the_forgotten(memory: ItemMemory | None, *, revision: int, digest: bytes) -> Meeting:
+def confirms_the_forgotten(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
     found = meet(memory, revision=revision, digest=digest)
-    return Meeting.OVERTAKEN if found is Meeting.FORGOTTEN else found
+    return RevisionStatus.OVERTAKEN if found is RevisionStatus.FORGOTTEN else found
 
 
-def refuses_the_forgotten(memory: ItemMemory | None, *, revision: int, digest: bytes) -> Meeting:
+def refuses_the_forgotten(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
     found = meet(memory, revision=revision, digest=digest)
-    return Meeting.OTHER if found is Meeting.FORGOTTEN else found
+    return RevisionStatus.OTHER if found is RevisionStatus.FORGOTTEN else found
 
 
-def knows_the_newest_alone(memory: ItemMemory | None, *, revision: int, digest: bytes) -> Meeting:
+def knows_the_newest_alone(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
     """Refuses an equal revision's other content, and confirms what is lower: the first thought of a mend."""
     found = meet(memory, revision=revision, digest=digest)
-    return found if memory is None or revision >= memory.taken[-1].revision else Meeting.OVERTAKEN
+    return found if memory is None or revision >= memory.taken[-1].revision else RevisionStatus.OVERTAKEN
 
 
 class Model(TestCase):
@@ -272,20 +272,20 @@
         self.assertThat(sorted(explore(orders=ORDERS[:3], depth=3, level=3).broken), Equals(["one_content"]))
         races = (*ORDERS[:3], WAIT)
         late = ORDERS[4:7]
-        plants: tuple[tuple[Any, str, Any, tuple[ModelOrder, ...], str], ...] = (
-            (orders, "meet", knows_the_newest_alone, races, "one_content"),
-            (orders, "meet", confirms_the_forgotten, races, "one_content"),
-            (orders, "meet", refuses_the_forgotten, races, "taken_never_refused"),
-            (orders, "forget", forgets_at_once, races, "taken_never_refused"),
+        injected_faults: tuple[tuple[Any, str, Any, tuple[ModelOrder, ...], str], ...] = (
+            (deduplication, "meet", knows_the_newest_alone, races, "one_content"),
+            (deduplication, "meet", confirms_the_forgotten, races, "one_content"),
+            (deduplication, "meet", refuses_the_forgotten, races, "accepted_never_refused"),
+            (deduplication, "forget", forgets_at_once, races, "accepted_never_refused"),
             (items, "remember_refusal", lambda state, command, offset: state, late, "refused_never_counts"),
-            (items, "remember_order", lambda state, command, check: state, races, "taken_never_refused"),
+            (items, "remember_order", lambda state, command, check: state, races, "accepted_never_refused"),
             (items, "_prevails", lambda state, key, revision: True, races, "highest_stands"),
         )
-        for module, name, planted, some, wanted in plants:
+        for module, name, planted, some, wanted in injected_faults:
             with ExitStack() as stack:
                 stack.enter_context(mock.patch.object(module, name, planted))
                 if name == "forget":
-                    stack.enter_context(mock.patch("hoistsaddle.statemachine.itemmemory.forget", planted))
+                    stack.enter_context(mock.patch("hoistsaddle.statemachine.revision_history.forget", planted))
                 found = explore(orders=some, depth=4, level=4).broken
             self.assertThat(sorted(found), Contains(wanted), f"{name}: {found}")
         self.assertThat(len(CHECKS), Equals(4))
@@ -295,7 +295,7 @@
     def test_below_level_4_a_state_is_the_former_releases(self) -> None:
         log = Log(level=3)
         log.patch(service(), entry(revision=5))
-        self.assertThat(log.patch(entry(revision=5, rank=9)).mishap, Equals(""))
+        self.assertThat(log.patch(entry(revision=5, rank=9)).error, Equals(""))
         log.patch(entry("lost", parts=[{"service": "nobody"}]))
         packed = pack_state(log.state)
         self.assertThat([part in packed for part in (b"memories", b"refusals")], Equals([False, False]))
@@ -305,11 +305,11 @@
         log = Log(level=3)
         first = (service(said=b'{"a": 1}'), entry(revision=5), entry("gone", revision=1))
         log.patch(*first)
-        log.patch(drops=(Dropping(ENTRY, 3, "gone"),))
+        log.patch(drops=(ItemDeletion(ENTRY, 3, "gone"),))
         log.state = unpack_state(pack_state(log.state))
         log.take(RaiseLevel(4))
-        self.assertThat(log.patch(service(said=b'{"a":1}'), entry(revision=5)).mishap, Equals(""))
-        self.assertThat(log.patch(drops=(Dropping(ENTRY, 3, "gone"),)).mishap, Equals(""))
+        self.assertThat(log.patch(service(said=b'{"a":1}'), entry(revision=5)).error, Equals(""))
+        self.assertThat(log.patch(drops=(ItemDeletion(ENTRY, 3, "gone"),)).error, Equals(""))
         for order, answer in (
             (entry(revision=5, rank=9), "item-conflict"),
             (entry("gone", revision=3), "item-conflict"),
@@ -317,8 +317,8 @@
             (entry("gone", revision=1), "order-unsure"),
             (entry(revision=6), ""),
         ):
-            self.assertThat(log.patch(order).mishap, Equals(answer), str(order))
-        self.assertThat(log.patch(entry(revision=5)).mishap, Equals(""))
+            self.assertThat(log.patch(order).error, Equals(answer), str(order))
+        self.assertThat(log.patch(entry(revision=5)).error, Equals(""))
         packed = pack_state(log.state)
         self.assertThat(unpack_state(packed), Equals(log.state))
         self.assertThat(pack_state(unpack_state(packed)), Equals(packed))
@@ -328,12 +328,14 @@
     """A core of three at level 4 to which orders come."""
 
     def __init__(self) -> None:
-        state = found_state(mesh="m", voters=VOTERS, operators={}, level=4)
+        state = initial_state(mesh="m", voters=VOTERS, operators={}, level=4)
         super().__init__(
-            boot=Boot(1, VOTERS[1], voters=tuple(VOTERS.items()), mesh="m", checkpoint=Mark(0, 0), state=state)
+            boot=Boot(
+                1, VOTERS[1], voters=tuple(VOTERS.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state
+            )
         )
 
-    def order(self, *sets: Setting) -> int:
+    def order(self, *sets: ItemUpsert) -> int:
         self.tickets += 1
         payload = pack_command(PatchItems("request", "desk", "standing", pack_patch(Patch(list(sets))), SPAN, 0))
         self.feed(ProposalArrived(self.tickets, (payload,)))
@@ -348,8 +350,8 @@
     def answers(self, ticket: int) -> list[str]:
         """What a call was told: kinds of refusals, of the log or of the leader; empty for yes."""
         return [
-            each.mishap or "".join(outcome.mishap for outcome in each.outcomes)
-            for each in self.of(Concluded)
+            each.error or "".join(outcome.error for outcome in each.outcomes)
+            for each in self.of(ProposalResult)
             if each.ticket == ticket
         ]
 
@@ -376,7 +378,7 @@
         tickets = [bench.order(service(connections=number)) for number in (1, 2)]
         for _ in range(100):
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
-        self.assertThat(bench.core.standing == LEADER, Equals(False))
+        self.assertThat(bench.core.role == LEADER, Equals(False))
         self.assertThat([bench.answers(each) for each in tickets], Equals([["unsure"], ["unsure"]]))
         late = bench.order(service(connections=2))
         self.assertThat(bench.answers(late), Equals(["not-leader"]))
@@ -445,7 +447,7 @@
 
     def test_a_submission_that_comes_again_is_confirmed_whatever_became_of_it(self) -> None:
         first = self.call(SubmitBundle, "ada", TEXT)
-        self.assertThat(first.mishap, Equals(""))
+        self.assertThat(first.error, Equals(""))
         phases = []
         digest = first.detail["digest"]
         for step in (
@@ -455,10 +457,10 @@
             (AdvanceBundle, "cleo", 1, 2),
         ):
             if step:
-                self.assertThat(self.call(*step).mishap, Equals(""), str(step))
+                self.assertThat(self.call(*step).error, Equals(""), str(step))
             state = self.log.state.bundles
             again = self.call(SubmitBundle, "ada", TEXT)
-            self.assertThat((again.mishap, again.detail["digest"], self.log.state.bundles), Equals(("", digest, state)))
+            self.assertThat((again.error, again.detail["digest"], self.log.state.bundles), Equals(("", digest, state)))
             phases.append(again.detail["phase"])
         self.assertThat(phases, Equals(["draft", "rolling", "rolling", "in force"]))
 
@@ -471,44 +473,44 @@
             ("ben", TEXT, "bundle-duplicate"),
         ):
             outcome = self.call(SubmitBundle, who, text)
-            self.assertThat((outcome.mishap, outcome.remedy != ""), Equals((answer, True)))
+            self.assertThat((outcome.error, outcome.remedy != ""), Equals((answer, True)))
         self.assertThat(self.log.state.bundles[1].text, Equals(TEXT))
 
     def test_a_signature_that_comes_again_is_confirmed_and_moves_nothing(self) -> None:
         digest = self.roll()
         before = self.log.state.bundles
         again = self.call(SignBundle, "ben", 1, digest)
-        self.assertThat((again.mishap, again.detail["stage"], again.detail["offset"]), Equals(("", 1, 2)))
-        self.assertThat(self.call(SignBundle, "cleo", 1, digest).mishap, Equals("bundle-wrong-phase"))
-        self.assertThat(self.call(SignBundle, "ben", 1, "0" * 64).mishap, Equals("bundle-conflict"))
+        self.assertThat((again.error, again.detail["stage"], again.detail["offset"]), Equals(("", 1, 2)))
+        self.assertThat(self.call(SignBundle, "cleo", 1, digest).error, Equals("bundle-wrong-phase"))
+        self.assertThat(self.call(SignBundle, "ben", 1, "0" * 64).error, Equals("bundle-conflict"))
         self.assertThat(self.log.state.bundles, Equals(before))
         self.call(AbortBundle, "cleo", 1)
         again = self.call(SignBundle, "ben", 1, digest)
-        self.assertThat((again.mishap, again.detail["phase"]), Equals(("", "aborted")))
+        self.assertThat((again.error, again.detail["phase"]), Equals(("", "aborted")))
 
     def test_an_advance_that_comes_again_is_confirmed_and_skips_no_stage(self) -> None:
         self.roll()
         self.assertThat(self.call(AdvanceBundle, "ben", 1, 1).detail["stage"], Equals(2))
         before = self.log.state.bundles
         again = self.call(AdvanceBundle, "ben", 1, 1)
-        self.assertThat((again.mishap, again.detail["stage"]), Equals(("", 2)))
+        self.assertThat((again.error, again.detail["stage"]), Equals(("", 2)))
         # Another person's is no repeat: it must not pass for a step.
-        self.assertThat(self.call(AdvanceBundle, "cleo", 1, 1).mishap, Equals("bundle-wrong-phase"))
-        self.assertThat(self.call(AdvanceBundle, "ben", 1, 3).mishap, Equals("bundle-wrong-phase"))
+        self.assertThat(self.call(AdvanceBundle, "cleo", 1, 1).error, Equals("bundle-wrong-phase"))
+        self.assertThat(self.call(AdvanceBundle, "ben", 1, 3).error, Equals("bundle-wrong-phase"))
         self.assertThat(self.log.state.bundles, Equals(before))
         self.call(AdvanceBundle, "cleo", 1, 2)
         self.log.state = unpack_state(pack_state(self.log.state))
         self.assertThat(
-            [self.call(AdvanceBundle, who, 1, stage).mishap for who, stage in (("ben", 1), ("cleo", 2))],
+            [self.call(AdvanceBundle, who, 1, stage).error for who, stage in (("ben", 1), ("cleo", 2))],
             Equals(["", ""]),
         )
-        self.assertThat(self.call(AdvanceBundle, "ben", 1, 2).mishap, Equals("bundle-wrong-phase"))
+        self.assertThat(self.call(AdvanceBundle, "ben", 1, 2).error, Equals("bundle-wrong-phase"))
 
     def test_an_abort_that_comes_again_is_confirmed(self) -> None:
         self.roll()
         first, again = self.call(AbortBundle, "cleo", 1), self.call(AbortBundle, "cleo", 1)
-        self.assertThat((again.mishap, again.detail), Equals(("", first.detail)))
-        self.assertThat(self.call(AbortBundle, "ben", 1).mishap, Equals("bundle-wrong-phase"))
+        self.assertThat((again.error, again.detail), Equals(("", first.detail)))
+        self.assertThat(self.call(AbortBundle, "ben", 1).error, Equals("bundle-wrong-phase"))
 
     def test_stages_passed_before_the_level_rose_are_nobodys(self) -> None:
         self.log = Log(level=3, operators={name: name[0] * 64 for name in ("ada", "ben")})
@@ -518,14 +520,14 @@
         self.assertThat(unpack_state(pack_state(self.log.state)), Equals(self.log.state))
         self.log.take(RaiseLevel(4))
         self.call(AdvanceBundle, "ben", 1, 2)
-        self.assertThat(self.call(AdvanceBundle, "ben", 1, 2).mishap, Equals(""))
-        self.assertThat(self.call(AdvanceBundle, "ben", 1, 1).mishap, Equals("bundle-wrong-phase"))
+        self.assertThat(self.call(AdvanceBundle, "ben", 1, 2).error, Equals(""))
+        self.assertThat(self.call(AdvanceBundle, "ben", 1, 1).error, Equals("bundle-wrong-phase"))
 
     def test_what_newer_bundles_pushed_out_is_neither_confirmed_nor_refused(self) -> None:
         def text(number: int) -> str:
             return TEXT.replace("number = 1", f"number = {number}").replace("based_on = 0", f"based_on = {number - 1}")
 
-        for number in range(1, BUNDLES_KEPT + 3):
+        for number in range(1, MAX_BUNDLES + 3):
             digest = self.call(SubmitBundle, "ada", text(number).partition("[[stages]]")[0]).detail["digest"]
             self.call(SignBundle, "ben", number, digest)
         oldest = min(self.log.state.bundles)
@@ -536,5 +538,5 @@
             self.call(AdvanceBundle, "ben", 1, 1),
             self.call(AbortBundle, "ben", 1),
         ):
-            self.assertThat(outcome.mishap, Equals(str(MishapKind.ORDER_UNSURE)))
-        self.assertThat(self.call(SubmitBundle, "ada", text(oldest).partition("[[stages]]")[0]).mishap, Equals(""))
+            self.assertThat(outcome.error, Equals(str(ErrorKind.ORDER_UNSURE)))
+        self.assertThat(self.call(SubmitBundle, "ada", text(oldest).partition("[[stages]]")[0]).error, Equals(""))
--- a/tests/test_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -1,4 +1,4 @@
-"""Release levels, what is forgotten, keys by visitor, operators: the log's newer rules, one record at a time."""
+"""Release levels, what is forgotten, keys by client, operators: the log's newer rules, one record at a time."""
 
 import random
 from datetime import timedelta
@@ -8,17 +8,17 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-from hoistsaddle.membership.membership import ALIVE, DEAD, FORGET, Membership, RumoursArrived, Ticked
+from hoistsaddle.membership.membership import ALIVE, DEAD, DEAD_RETENTION, GossipReceived, Membership, Ticked
 from hoistsaddle.membership.packing import pack_items, unpack_items
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.proxy.further import FurtherSends, part_of
-from hoistsaddle.proxy.visitors import KnownBy, known_by
+from hoistsaddle.proxy.client_identity import ClientIdentity, identify_client
+from hoistsaddle.proxy.retry_budget import RetryBudget, retry_quota_of
 from hoistsaddle.raft.checkpoint import pack_checkpoint, unpack_checkpoint
-from hoistsaddle.raft.events import Mark
-from hoistsaddle.rpc.messages import Rumour, Uptake
+from hoistsaddle.raft.events import OffsetAndEpoch
+from hoistsaddle.rpc.messages import AppliedVersion, MemberState
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import (
-    GONE_KEPT,
+    GONE_RETENTION,
     LEVEL,
     ChangeOperator,
     ClaimHold,
@@ -37,7 +37,7 @@
     pack_command,
 )
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import State, found_state, news_of, pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, data_plane_items, initial_state, pack_state, unpack_state
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
 TEXT = DEPLOYMENTS["thimble"].first_bundle()
@@ -46,7 +46,7 @@
 
 class Log:
     def __init__(self, *, level: int = LEVEL) -> None:
-        self.state: State = found_state(mesh="m", voters={1: "one"}, operators=PEOPLE, level=level)
+        self.state: State = initial_state(mesh="m", voters={1: "one"}, operators=PEOPLE, level=level)
         self.seconds = 0.0
 
     def take(self, command: Command, *, later: float = 0.0, supported: int = LEVEL) -> Outcome:
@@ -61,7 +61,7 @@
         )
         return outcome
 
-    def stall(
+    def proxy(
         self, name: str, life: str, *, state: str = "alive", seen: int | None = None, level: int = LEVEL
     ) -> Outcome:
         seen = self.state.news if seen is None else seen
@@ -82,23 +82,23 @@
         log = Log(level=1)
         for command in (Purge(0), ChangeOperator("r", "ada", "eve", "e" * 64)):
             before = log.state
-            self.assertThat(log.take(command).mishap, Equals("release-level"))
+            self.assertThat(log.take(command).error, Equals("release-level"))
             self.assertThat(log.state, Equals(before._replace(offset=before.offset + 1, epoch=1)))
         declared = TEXT.replace('note = "Opening day"', 'visitor = "header:X-Member"')
-        self.assertThat(log.take(SubmitBundle("r1", "ada", declared)).mishap, Equals("release-level"))
+        self.assertThat(log.take(SubmitBundle("r1", "ada", declared)).error, Equals("release-level"))
         log.take(RaiseLevel(2))
-        self.assertThat(log.take(SubmitBundle("r2", "ada", declared)).mishap, Equals(""))
+        self.assertThat(log.take(SubmitBundle("r2", "ada", declared)).error, Equals(""))
         self.assertThat(log.take(RaiseLevel(1)).detail["level"], Equals(2))
 
     def test_a_record_that_cant_be_applied_stops_the_replica(self) -> None:
         log = Log(level=1)
         before = log.state
-        self.assertThat(log.take(RaiseLevel(2), supported=1).mishap, Equals("other-release"))
+        self.assertThat(log.take(RaiseLevel(2), supported=1).error, Equals("other-release"))
         self.assertThat(log.state, Equals(before))
 
     def test_below_the_level_a_state_packs_as_the_former_release_packs_it(self) -> None:
         log = Log(level=1)
-        log.stall("stall-1", "life")
+        log.proxy("stall-1", "life")
         log.server("stall-1", "life")
         log.claim("c1", who="me")
         packed = msgspec.msgpack.decode(pack_state(log.state))
@@ -132,24 +132,27 @@
         self.assertThat(unpack_state(pack_state(log.state)), Equals(log.state))
         log.take(RaiseLevel(2))
         log.claim("c2", who="me")
-        mark = Mark(log.state.offset, 1)
+        checkpoint_id = OffsetAndEpoch(log.state.offset, 1)
         self.assertThat(
-            unpack_checkpoint(mark=mark, data=pack_checkpoint(mark=mark, state=log.state)), Equals(Success(log.state))
+            unpack_checkpoint(
+                checkpoint_id=checkpoint_id, data=pack_checkpoint(checkpoint_id=checkpoint_id, state=log.state)
+            ),
+            Equals(Success(log.state)),
         )
 
-    def test_a_former_releases_stall_is_not_noted(self) -> None:
+    def test_a_former_releases_proxy_is_not_noted(self) -> None:
         log = Log()
-        self.assertThat(log.stall("stall-1", "life", level=1).mishap, Equals("release-old"))
+        self.assertThat(log.proxy("stall-1", "life", level=1).error, Equals("release-old"))
         self.assertThat("stall-1" in log.state.nodes, Equals(False))
 
     def test_a_raise_forgets_nothing_sooner(self) -> None:
         log = Log(level=1)
         log.take(TakeDuty("warden", "bourse-1", 1))
-        log.stall("stall-1", "life")
+        log.proxy("stall-1", "life")
         log.take(NoteNode("stall-1", "stall", "at", "a", "life", "gone", 1), later=10)
-        log.take(RaiseLevel(2), later=GONE_KEPT.total_seconds() * 2)
+        log.take(RaiseLevel(2), later=GONE_RETENTION.total_seconds() * 2)
         self.assertThat(log.take(Purge(1)).detail, Equals({"servers": [], "nodes": []}))
-        self.assertThat(log.take(Purge(1), later=GONE_KEPT.total_seconds()).detail["nodes"], Equals(["stall-1"]))
+        self.assertThat(log.take(Purge(1), later=GONE_RETENTION.total_seconds()).detail["nodes"], Equals(["stall-1"]))
 
     def test_a_bundle_that_renames_waits_for_keys_held_by_name(self) -> None:
         log = Log(level=1)
@@ -160,12 +163,12 @@
         log.take(RaiseLevel(2))
         renamed = text.replace("number = 1\nbased_on = 0", "number = 2\nbased_on = 1").replace('"payments"', '"pay"', 1)
         digest = log.take(SubmitBundle("s2", "ada", renamed)).detail["digest"]
-        self.assertThat(log.take(SignBundle("g2", "ben", 2, digest)).mishap, Equals("release-level"))
-        self.assertThat(log.take(SignBundle("g3", "ben", 2, digest), later=606).mishap, Equals(""))
+        self.assertThat(log.take(SignBundle("g2", "ben", 2, digest)).error, Equals("release-level"))
+        self.assertThat(log.take(SignBundle("g3", "ben", 2, digest), later=606).error, Equals(""))
 
 
 class Keys(TestCase):
-    def test_the_same_visitor_meets_its_hold_and_nobody_else_does(self) -> None:
+    def test_the_same_client_meets_its_hold_and_nobody_else_does(self) -> None:
         log = Log()
         granted = log.claim("c1", who="me")
         self.assertThat(granted.detail["phase"], Equals("granted"))
@@ -173,13 +176,13 @@
         self.assertThat(log.claim("c2", who="me").detail["phase"], Equals("claimed"))
         log.take(SettleHold(scope, "c1", 200, {}, b"{}", True))
         self.assertThat(log.claim("c3", who="me").detail["body"], Equals(b"{}"))
-        self.assertThat(log.claim("c4", who="me", body="other").mishap, Equals("key-other-body"))
+        self.assertThat(log.claim("c4", who="me", body="other").error, Equals("key-other-body"))
         # Other credentials, another kind of mark: nobody can say, so neither runs nor hears anything.
-        self.assertThat(log.claim("c5", who="renewed").mishap, Equals("key-visitor-unsure"))
-        self.assertThat(log.claim("c6", who="one", by="header:x-member").mishap, Equals("key-visitor-unsure"))
+        self.assertThat(log.claim("c5", who="renewed").error, Equals("key-visitor-unsure"))
+        self.assertThat(log.claim("c6", who="one", by="header:x-member").error, Equals("key-visitor-unsure"))
         self.assertThat(log.claim("c7", who="renewed", bucket="another key").detail["phase"], Equals("granted"))
 
-    def test_two_declared_visitors_are_two_and_expire_apart(self) -> None:
+    def test_two_declared_clients_are_two_and_expire_apart(self) -> None:
         log = Log()
         one = log.claim("c1", who="one", by="header:x-member").detail
         log.take(SettleHold(one["scope"], "c1", 200, {}, b"1", True))
@@ -200,14 +203,14 @@
         self.assertThat(log.claim("c2", who="me").detail["phase"], Equals("claimed"))
         log.take(SettleHold("old-me", "c1", 200, {}, b"first", True))
         self.assertThat(log.claim("c3", who="me").detail["body"], Equals(b"first"))
-        # A former release's claim says nothing of its visitor, so it can't be compared and isn't granted.
-        self.assertThat(log.take(ClaimHold("x", "c4", "stall", "body")).mishap, Equals("release-old"))
+        # A former release's claim says nothing of its client, so it can't be compared and isn't granted.
+        self.assertThat(log.take(ClaimHold("x", "c4", "stall", "body")).error, Equals("release-old"))
 
-    def test_by_what_a_visitor_is_known(self) -> None:
+    def test_by_what_a_client_is_known(self) -> None:
         def of(declared: str = "", twice: tuple[str, ...] = (), **headers: str) -> str:
             sent = {name.replace("_", "-"): value for name, value in headers.items()}
-            known = known_by(caller="", declared=declared, headers=sent, twice=twice)
-            return known.by if isinstance(known, KnownBy) else str(known.kind)
+            known = identify_client(caller="", declared=declared, headers=sent, twice=twice)
+            return known.by if isinstance(known, ClientIdentity) else str(known.kind)
 
         self.assertThat(of(Authorization="Bearer x"), Equals("credentials"))
         self.assertThat(of(Cookie="lang=en"), Equals("visitor-missing"))
@@ -217,7 +220,8 @@
         self.assertThat(of("cookie:sid", Cookie="lang=en; sid=1"), Equals("cookie:sid"))
         self.assertThat(of("cookie:sid", Cookie="sid=1; sid=2"), Equals("visitor-missing"))
         same = [
-            known_by(caller="", declared="cookie:sid", headers={"Cookie": text}) for text in ("a=1; sid=9", "sid=9")
+            identify_client(caller="", declared="cookie:sid", headers={"Cookie": text})
+            for text in ("a=1; sid=9", "sid=9")
         ]
         self.assertThat(same[0], Equals(same[1]))
 
@@ -226,7 +230,7 @@
     def test_what_is_forgotten_stays_so_whatever_comes_late(self) -> None:
         log = Log()
         log.take(TakeDuty("warden", "bourse-1", 1))
-        log.stall("stall-1", "life")
+        log.proxy("stall-1", "life")
         log.server("stall-1", "life")
         seen = log.state.news
         log.take(NoteServer("stall-1", "ledger", "i-life", "at", "a", "gone", 1, "life", 1))
@@ -235,21 +239,21 @@
         told = log.take(Purge(1), later=10).detail
         self.assertThat(told, Equals({"servers": ["stall-1"], "nodes": ["stall-1"]}))
         before = (log.state.nodes, log.state.servers)
-        log.stall("stall-1", "life", seen=seen)
+        log.proxy("stall-1", "life", seen=seen)
         log.server("stall-1", "life", seen=seen)
-        log.stall("stall-1", "life", state="gone")
+        log.proxy("stall-1", "life", state="gone")
         self.assertThat((log.state.nodes, log.state.servers), Equals(before))
         # Having heard of the forgetting, the same machine is welcome again.
-        log.stall("stall-1", "life")
+        log.proxy("stall-1", "life")
         log.server("stall-1", "life", serial=7)
         self.assertThat((len(log.state.nodes), len(log.state.servers)), Equals((1, 1)))
 
     def test_a_former_lifes_late_word_does_not_undo_the_present_one(self) -> None:
         log = Log()
-        log.stall("stall-1", "first")
+        log.proxy("stall-1", "first")
         seen = log.state.news
-        log.stall("stall-1", "second")
-        log.stall("stall-1", "first", seen=seen)
+        log.proxy("stall-1", "second")
+        log.proxy("stall-1", "first", seen=seen)
         self.assertThat(log.state.nodes["stall-1"].incarnation, Equals("second"))
 
     def test_a_year_of_replaced_servers_leaves_nothing_behind(self) -> None:
@@ -259,7 +263,7 @@
         sizes, names = [], []
         for turn in range(365 * 48):
             name = f"stall-{turn}"
-            log.stall(name, f"life-{turn}")
+            log.proxy(name, f"life-{turn}")
             log.server(name, f"life-{turn}")
             names.append(name)
             if len(names) > 11:
@@ -269,25 +273,25 @@
                 log.take(NoteServer(gone, "ledger", server.instance, "at", "a", "gone", 1, server.incarnation, 1))
             log.take(Purge(1), later=1800)
             if turn % 4380 == 4379:
-                sizes.append((len(log.state.nodes), len(news_of(log.state)), len(pack_state(log.state))))
+                sizes.append((len(log.state.nodes), len(data_plane_items(log.state)), len(pack_state(log.state))))
         print("nodes, items of news, bytes of state after each quarter of a year:", sizes)
         self.assertThat(sizes[-1][:2], Equals(sizes[0][:2]))
         self.assertThat(sizes[-1][2], LessThan(sizes[0][2] * 1.1))
 
     def test_members_removed_for_long_are_forgotten(self) -> None:
-        me = Rumour("me", "stall", "at-me", "a", "life", 0, ALIVE)
+        me = MemberState("me", "stall", "at-me", "a", "life", 0, ALIVE)
         core = Membership(me=me, seed=random.Random(1), period=timedelta(0), suspicion=timedelta(seconds=1))
         now = timedelta(seconds=10)
-        core.handle(RumoursArrived((me._replace(node="other", state=ALIVE),)), now=now)
-        core.handle(RumoursArrived((me._replace(node="other", state=DEAD, count=1),)), now=now)
-        core.handle(Ticked(), now=now + FORGET / 2)
+        core.handle(GossipReceived((me._replace(node="other", state=ALIVE),)), now=now)
+        core.handle(GossipReceived((me._replace(node="other", state=DEAD, count=1),)), now=now)
+        core.handle(Ticked(), now=now + DEAD_RETENTION / 2)
         self.assertThat("other" in core.members, Equals(True))
-        core.handle(Ticked(), now=now + FORGET)
-        core.handle(RumoursArrived((me._replace(node="other", state=DEAD, count=1),)), now=now + FORGET)
-        self.assertThat((sorted(core.members), sorted(core.told)), Equals((["me"], ["me"])))
+        core.handle(Ticked(), now=now + DEAD_RETENTION)
+        core.handle(GossipReceived((me._replace(node="other", state=DEAD, count=1),)), now=now + DEAD_RETENTION)
+        self.assertThat((sorted(core.members), sorted(core.transmissions)), Equals((["me"], ["me"])))
 
 
-class People(TestCase):
+class OperatorChanges(TestCase):
     def test_nobody_changes_the_operators_alone_and_two_remain(self) -> None:
         log = Log()
 
@@ -295,11 +299,11 @@
             return log.take(ChangeOperator(f"p{log.state.offset}", operator, name, digest))
 
         def sign(signer: str, name: str, change: str) -> str:
-            return log.take(SignOperator(f"s{log.state.offset}", signer, name, change)).mishap
+            return log.take(SignOperator(f"s{log.state.offset}", signer, name, change)).error
 
-        self.assertThat(propose("ada", "ben", "").mishap, Equals("operator-last"))
-        self.assertThat(propose("ada", "eve", "a" * 64).mishap, Equals("operator-conflict"))
-        self.assertThat(propose("nobody", "eve", "e" * 64).mishap, Equals("operator-unknown"))
+        self.assertThat(propose("ada", "ben", "").error, Equals("operator-last"))
+        self.assertThat(propose("ada", "eve", "a" * 64).error, Equals("operator-conflict"))
+        self.assertThat(propose("nobody", "eve", "e" * 64).error, Equals("operator-unknown"))
         change = propose("ada", "eve", "e" * 64).detail["change"]
         self.assertThat(sign("ada", "eve", change), Equals("operator-self-signed"))
         self.assertThat(sign("ben", "eve", "another"), Equals("operator-conflict"))
@@ -311,32 +315,34 @@
         self.assertThat((sign("ben", "ada", first), sign("eve", "ben", second)), Equals(("", "operator-self-signed")))
         self.assertThat(sign("ben", "ben", second), Equals("operator-last"))
         # Whoever was removed has no say in what comes to the log later.
-        self.assertThat(propose("ada", "eve", "").mishap, Equals("operator-unknown"))
-        self.assertThat(log.take(SubmitBundle("late", "ada", TEXT)).mishap, Equals("operator-unknown"))
-        self.assertThat(log.take(DropOperator("d", "ben", "ben")).mishap, Equals(""))
+        self.assertThat(propose("ada", "eve", "").error, Equals("operator-unknown"))
+        self.assertThat(log.take(SubmitBundle("late", "ada", TEXT)).error, Equals("operator-unknown"))
+        self.assertThat(log.take(DropOperator("d", "ben", "ben")).error, Equals(""))
         self.assertThat(len(log.state.changes), Equals(0))
 
     def test_one_request_id_is_one_call(self) -> None:
         log = Log()
         first = log.take(ChangeOperator("r", "ada", "eve", "e" * 64))
         self.assertThat(log.take(ChangeOperator("r", "ada", "eve", "e" * 64)), Equals(first))
-        self.assertThat(log.take(ChangeOperator("r", "ben", "eve", "e" * 64)).mishap, Equals("request-reused"))
-        self.assertThat(log.take(ChangeOperator("r", "ada", "dan", "d" * 64)).mishap, Equals("request-reused"))
+        self.assertThat(log.take(ChangeOperator("r", "ben", "eve", "e" * 64)).error, Equals("request-reused"))
+        self.assertThat(log.take(ChangeOperator("r", "ada", "dan", "d" * 64)).error, Equals("request-reused"))
 
 
 class Copies(TestCase):
     def test_a_damaged_parent_teaches_nobody_and_a_damaged_root_mends(self) -> None:
         log = Log()
         for place in range(6):
-            log.stall(f"stall-{place}", "life")
-        items, revision = news_of(log.state), log.state.news
+            log.proxy(f"stall-{place}", "life")
+        items, revision = data_plane_items(log.state), log.state.news
         now, span = timedelta(seconds=1), timedelta(seconds=1.5)
-        own = Uptake("child", 0, 0, "", "life", 0)
+        own = AppliedVersion("child", 0, 0, "", "life", 0)
         root, child = (Relay(node=name, incarnation="life", lease_span=span) for name in ("root", "child"))
 
         def read(known: int) -> bool:
             said = items if known < revision else None
-            return root.confirmed(asked=now, mesh="m", revision=revision, items=said, vouched=digests_of(items))
+            return root.confirmed(
+                asked=now, mesh="m", revision=revision, items=said, expected_digests=digests_of(items)
+            )
 
         read(root.known_revision())
         child.polled(root.answer(child.poll(own=own, now=now), now=now), sent=now)
@@ -344,7 +350,7 @@
         key = "node:stall-3"
         root.copy.items = {**items, key: (items[key][0], b"damage")}
         answer = root.answer(child.poll(own=own, now=now), now=now)
-        self.assertThat((answer.mishap, child.polled(answer, sent=now)), Equals(("copy-damaged", False)))
+        self.assertThat((answer.error, child.polled(answer, sent=now)), Equals(("copy-damaged", False)))
         # The next read says that it holds nothing, and takes all of it anew.
         self.assertThat((root.known_revision(), read(revision)), Equals((-1, False)))
         self.assertThat((read(root.known_revision()), root.copy.items), Equals((True, items)))
@@ -368,13 +374,13 @@
     def test_parts_add_up_to_the_margin_exactly(self) -> None:
         for margin in range(30):
             for count in (1, 2, 7, 11, 13):
-                stalls = [f"stall-{place}" for place in range(count)]
-                parts = [part_of(service="s", stall=name, stalls=stalls, margin=margin) for name in stalls]
+                proxies = [f"stall-{place}" for place in range(count)]
+                parts = [retry_quota_of(service="s", proxy=name, proxies=proxies, margin=margin) for name in proxies]
                 self.assertThat((sum(parts), max(parts) - min(parts) <= 1), Equals((margin, True)))
 
     def test_parts_fall_at_once_and_rise_after_a_span(self) -> None:
         span = timedelta(seconds=1.5)
-        account = FurtherSends(wait=span)
+        account = RetryBudget(wait=span)
 
         def allot(part: int, seconds: float, percent: int = 20) -> float:
             now = timedelta(seconds=seconds)
--- a/tests/test_store_start.py
+++ b/tests/test_store_start.py
@@ -9,13 +9,13 @@
 
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.store.service import Store
-from hoistsaddle.testbed.simulation.clockwork import ClockworkLoop
+from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 
 class RefusedStarts(TestCase):
     def start(self, *problems: OSError) -> tuple[Counters, int, float]:
         """Counters, starts tried and seconds spent, on a disk that refuses with these and then lets go."""
-        loop = ClockworkLoop()
+        loop = SimulatedTimeLoop()
         counters = Counters(owner="store")
         left, tried = list(problems), []
 
@@ -25,11 +25,11 @@
                 raise left.pop(0)
 
         store = SimpleNamespace(
-            counters=counters, runtime=SimpleNamespace(now=loop.now), shell=SimpleNamespace(start=start)
+            counters=counters, runtime=SimpleNamespace(now=loop.now), runner=SimpleNamespace(start=start)
         )
         asyncio.set_event_loop(loop)
         try:
-            loop.run_until_complete(Store._start_shell(store))
+            loop.run_until_complete(Store._start_runner(store))
         finally:
             loop.close()
             asyncio.set_event_loop(None)
@@ -38,7 +38,7 @@
     def test_a_full_or_failing_disk_is_tried_again_and_told_once(self) -> None:
         full, failing = OSError(errno.ENOSPC, "no room"), OSError(errno.EIO, "the ledger can't be used now")
         counters, tried, spent = self.start(full, failing, full, full)
-        told = [each["kind"] for each in counters.happenings(after=0)["happenings"]]
+        told = [each["kind"] for each in counters.events(after=0)["happenings"]]
         self.assertThat((tried, told), Equals((5, ["disk refuses the start"])))
         # 0.1, 0.2, 0.4 and 0.8 s.
         self.assertThat(round(spent, 3), Equals(1.5))
@@ -50,31 +50,31 @@
 class OwnStanding(TestCase):
     """Two of three disks lost at once: a swap that was logged and can't commit gives nobody a vote."""
 
-    def standing(self, *, voters: dict[int, str], is_voter: bool = True) -> str:
+    def role(self, *, voters: dict[int, str], is_voter: bool = True) -> str:
         core = SimpleNamespace(
             mesh="m",
             replica=1,
             incarnation="new",
             epoch=1,
             leader=-1,
-            standing="candidate",
+            role="candidate",
             last=SimpleNamespace(offset=6),
             high_watermark=5,
             begin_offset=1,
             state=SimpleNamespace(voters=voters, holds={}),
             is_voter=lambda: is_voter,
-            whole=True,
+            complete=True,
             halted="",
             level=4,
             unsynced=[],
         )
-        return Store._look(SimpleNamespace(shell=SimpleNamespace(core=core), counters=Counters(owner="s")), 0).standing
+        return Store._status(SimpleNamespace(runner=SimpleNamespace(core=core), counters=Counters(owner="s")), 0).role
 
     def test_a_vote_that_only_an_open_change_gives_is_no_standing(self) -> None:
-        self.assertThat(self.standing(voters={1: "old", 2: "two", 3: "three"}), Equals("observer"))
+        self.assertThat(self.role(voters={1: "old", 2: "two", 3: "three"}), Equals("observer"))
 
     def test_a_committed_vote_is(self) -> None:
-        self.assertThat(self.standing(voters={1: "new", 2: "two", 3: "three"}), Equals("candidate"))
+        self.assertThat(self.role(voters={1: "new", 2: "two", 3: "three"}), Equals("candidate"))
 
     def test_no_vote_at_all_is_not(self) -> None:
-        self.assertThat(self.standing(voters={1: "new"}, is_voter=False), Equals("observer"))
+        self.assertThat(self.role(voters={1: "new"}, is_voter=False), Equals("observer"))
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: founding, a bundle signed by a second person, a visitor's request answered."""
+"""The whole path through real processes: founding, a bundle signed by a second person, a client's request answered."""
 
 import asyncio
 import random
@@ -12,35 +12,40 @@
 from hoistsaddle.testbed.checkers import check
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 from hoistsaddle.testbed.fleet import Fleet
-from hoistsaddle.testbed.history import Got, Ran
+from hoistsaddle.testbed.history import RequestResult, RunStarted
 from hoistsaddle.testbed.load import Load
 
 
 class ThinPath(TestCase):
-    def test_requests_pass_from_visitor_to_server_and_back(self) -> None:
+    def test_requests_pass_from_client_to_server_and_back(self) -> None:
         deployment = DEPLOYMENTS["thimble"]
 
         async def scenario(folder: Path):
             async with Fleet(deployment=deployment, folder=folder) as fleet:
                 await fleet.start()
                 async with Load(
-                    deployment=deployment, doors=fleet.visitor_doors(), history=fleet.history, seed=random.Random(7)
+                    deployment=deployment, doors=fleet.client_addresses(), history=fleet.history, seed=random.Random(7)
                 ) as load:
-                    for ask in deployment.asks:
-                        for door in fleet.visitor_doors():
-                            await load.insist(
-                                ask=ask, visitor="someone", key=f"{ask.path}-{door}" if ask.once else "", door=door
+                    for ask in deployment.request_kinds:
+                        for listener in fleet.client_addresses():
+                            await load.ask_until_run(
+                                ask=ask,
+                                client="someone",
+                                key=f"{ask.path}-{listener}" if ask.once else "",
+                                listener=listener,
                             )
             return fleet
 
         with tempfile.TemporaryDirectory() as folder:
             fleet = asyncio.run(scenario(Path(folder)))
         # On a busy machine some are told to come back first; then they are answered, and nothing runs twice.
-        outcomes = [got.outcome for got in fleet.history.of(Got) if not got.caller and got.outcome != "not-run"]
+        outcomes = [
+            got.outcome for got in fleet.history.of(RequestResult) if not got.caller and got.outcome != "not-run"
+        ]
         self.assertThat(outcomes, Equals(["answered"] * 18))
         # Six statements, six payments, six uploads; and the statements' two inner calls each, unless told to come back.
-        runs = Counter(ran.caller for ran in fleet.history.of(Ran))
-        inner = [got.outcome for got in fleet.history.of(Got) if got.caller]
+        runs = Counter(ran.caller for ran in fleet.history.of(RunStarted))
+        inner = [got.outcome for got in fleet.history.of(RequestResult) if got.caller]
         self.assertThat((runs["visitors"], len(inner)), Equals((18, 12)))
         self.assertThat(runs["portal"], Equals(inner.count("answered")))
         broken = {line: found for line, found in check(fleet.history, deployment, timed=False).items() if found}
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -11,7 +11,7 @@
 from testtools.matchers import Equals, IsInstance
 
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
-from hoistsaddle.testbed.history import Got
+from hoistsaddle.testbed.history import RequestResult
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment, simulate
 from hoistsaddle.usage.usage import SCHEMA, table_of, write_usage
 
@@ -20,11 +20,11 @@
     def test_files_add_up_to_what_was_asked(self) -> None:
         told: list[dict] = []
 
-        async def scenario(whole: SimulatedDeployment) -> None:
-            await whole.start()
-            await whole.load(seconds=5, rate=30)
-            for name in whole.stalls:
-                core = whole.nodes[name].core
+        async def scenario(complete: SimulatedDeployment) -> None:
+            await complete.start()
+            await complete.load(seconds=5, rate=30)
+            for name in complete.proxies:
+                core = complete.nodes[name].core
                 usage = [
                     dict(
                         zip(
@@ -44,9 +44,9 @@
                     )
                     for key, amounts in core.usage.items()
                 ]
-                told.append({"stall": name, "life": whole.nodes[name].incarnation, "usage": usage})
+                told.append({"stall": name, "life": complete.nodes[name].incarnation, "usage": usage})
 
-        whole = simulate(deployment=DEPLOYMENTS["thimble"], seed=2, scenario=scenario)
+        complete = simulate(deployment=DEPLOYMENTS["thimble"], seed=2, scenario=scenario)
         table = table_of(told, read_at=datetime(2026, 12, 1, tzinfo=UTC))
         with tempfile.TemporaryDirectory() as folder:
             for name, read in (("usage.parquet", parquet.read_table), ("usage.csv", csv.read_csv)):
@@ -58,7 +58,9 @@
                 for row in again.to_pylist():
                     if row["caller"] == "visitors":
                         asked[row["outcome"]] += row["requests"]
-                self.assertThat(asked, Equals(Counter(got.outcome for got in whole.history.of(Got) if not got.caller)))
+                self.assertThat(
+                    asked, Equals(Counter(got.outcome for got in complete.history.of(RequestResult) if not got.caller))
+                )
             self.assertThat(
                 parquet.read_schema(Path(folder) / "usage.parquet").equals(SCHEMA, check_metadata=True), Equals(True)
             )
