--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -48,7 +48,7 @@
         self.known: ClientIdentity | None = None
         self.claimed = False
         self.asked: int | None = None
-        self.send = ""
+        self.attempt_id = ""
         self.target: ServerRecord | None = None
         self.refused_by: set[str] = set()
         # The revision here, and when, as a target whose bundle is newer judged it otherwise; None while none did.
@@ -404,20 +404,20 @@
         request.sends += 1
         request.phase = "passing"
         request.target = target
-        request.send = f"{self.settings.name}.{self.settings.incarnation}.{self._number()}"
+        request.attempt_id = f"{self.settings.name}.{self.settings.incarnation}.{self._number()}"
         request.asked = self._number()
         self.by_number[request.asked] = ticket
         self.outstanding[target.proxy] = self.outstanding.get(target.proxy, 0) + 1
         budget = request.deadline - self.now
         call = BundleForwardCall(
-            send=request.send,
+            attempt_id=request.attempt_id,
             caller=event.caller or CLIENTS,
             client=event.client,
             service_name=target.service,
             target=target.proxy,
             instance=target.instance,
             bundle=self.view.bundle_number,
-            entry=entry.name,
+            route=entry.name,
             budget=budget,
             method=event.method,
             path=event.path + (f"?{event.query}" if event.query else ""),
@@ -444,7 +444,7 @@
             return None
         ticket, request = found
         # An answer that isn't to this very send, or that changed on its way, is nobody's answer.
-        broken = answer.send != request.send or (
+        broken = answer.attempt_id != request.attempt_id or (
             answer.outcome == ANSWERED and digest_of_body(answer.body) != answer.digest
         )
         if broken:
--- a/packages/proxy/src/hoistsaddle/proxy/service.py
+++ b/packages/proxy/src/hoistsaddle/proxy/service.py
@@ -275,7 +275,7 @@
             **call.headers,
             "X-Hoistsaddle-Caller": call.caller,
             "X-Hoistsaddle-Visitor": call.client,
-            "X-Hoistsaddle-Send": call.send,
+            "X-Hoistsaddle-Send": call.attempt_id,
             "X-Hoistsaddle-Service": call.service_name,
             "X-Hoistsaddle-Instance": call.instance,
             "X-Hoistsaddle-Ordinal": str(call.ordinal),
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -60,7 +60,7 @@
             self.parked[event.ticket] = (event, self.now, self.now + min(call.budget / 2, GAP))
             return
         if error is None:
-            self._remember(call.send)
+            self._remember(call.attempt_id)
             number = self._number()
             self.runs[number] = _Run(ticket=event.ticket, call=call, arrived=self.now)
             self._out.append(RunOnServer(number, self.server.address, call, call.budget))
@@ -68,13 +68,15 @@
         if error.kind == ErrorKind.ALREADY_SEEN:
             # It ran or was refused under this very id: nothing certain can be said to the second copy.
             self._out.append(
-                AnswerForward(event.ticket, BundleForwardAnswer(call.send, UNKNOWN, str(error.kind), error.message))
+                AnswerForward(
+                    event.ticket, BundleForwardAnswer(call.attempt_id, UNKNOWN, str(error.kind), error.message)
+                )
             )
             return
         # Refused for good: should a copy of this envelope turn up later, it won't run either.
-        self._remember(call.send)
+        self._remember(call.attempt_id)
         self._out.append(
-            AnswerForward(event.ticket, BundleForwardAnswer(call.send, NOT_RUN, str(error.kind), error.message))
+            AnswerForward(event.ticket, BundleForwardAnswer(call.attempt_id, NOT_RUN, str(error.kind), error.message))
         )
 
     def _retry_parked(self) -> None:
@@ -93,8 +95,9 @@
 
     def _gate(self, event: ForwardArrived) -> MeshError | None:
         call = event.call
-        if call.send in self.seen or any(
-            parked.ticket != event.ticket and parked.call.send == call.send for parked, _, _ in self.parked.values()
+        if call.attempt_id in self.seen or any(
+            parked.ticket != event.ticket and parked.call.attempt_id == call.attempt_id
+            for parked, _, _ in self.parked.values()
         ):
             return mesh_error(ErrorKind.ALREADY_SEEN, "This send was here before.", "Never send one id twice.")
         if event.frozen:
@@ -162,7 +165,7 @@
             return None
         call = run.call
         run.answer = BundleForwardAnswer(
-            call.send, ANSWERED, "", "", event.status, event.headers, event.body, digest_of_body(event.body)
+            call.attempt_id, ANSWERED, "", "", event.status, event.headers, event.body, digest_of_body(event.body)
         )
         if not call.hold:
             return self._answer_run(event.number, run)
@@ -188,7 +191,7 @@
             # Settling goes on past the answer: a repeat must find what the first one got.
             run.settle_at = self.now + SETTLE_AGAIN
             return
-        self._announce("key settled", scope=run.settle.scope[:12], entry=run.call.entry)
+        self._announce("key settled", scope=run.settle.scope[:12], entry=run.call.route)
         run.settle = None
         self._answer_run(number, run)
 
@@ -214,6 +217,7 @@
         outcome = NOT_RUN if event.unsent else UNKNOWN
         self._out.append(
             AnswerForward(
-                run.ticket, BundleForwardAnswer(run.call.send, outcome, str(event.error.kind), event.error.message)
+                run.ticket,
+                BundleForwardAnswer(run.call.attempt_id, outcome, str(event.error.kind), event.error.message),
             )
         )
--- a/packages/rpc/src/hoistsaddle/rpc/mesh.thrift
+++ b/packages/rpc/src/hoistsaddle/rpc/mesh.thrift
@@ -42,18 +42,18 @@
 struct IndirectProbeCall { 1: string asker, 2: string address }
 struct IndirectProbeAnswer { 1: bool alive, 2: list<MemberState> member_states }
 
-struct BundleForwardCall { 1: string send, 2: string caller, 3: string client, 4: string service_name, 5: string target, 6: string instance, 7: i64 bundle, 8: string entry, 9: i64 budget, 10: string method, 11: string path, 12: map<string, string> headers, 13: binary body, 14: string hold, 15: i64 answer_bytes, 16: i64 ordinal }
-struct BundleForwardAnswer { 1: string send, 2: string outcome, 3: string error, 4: string detail, 5: i64 status, 6: map<string, string> headers, 7: binary body, 8: string digest }
+struct BundleForwardCall { 1: string attempt_id, 2: string caller, 3: string client, 4: string service_name, 5: string target, 6: string instance, 7: i64 bundle, 8: string route, 9: i64 budget, 10: string method, 11: string path, 12: map<string, string> headers, 13: binary body, 14: string hold, 15: i64 answer_bytes, 16: i64 ordinal }
+struct BundleForwardAnswer { 1: string attempt_id, 2: string outcome, 3: string error, 4: string detail, 5: i64 status, 6: map<string, string> headers, 7: binary body, 8: string digest }
 
 // A request under items, on its way to the proxy beside the server that is to run it. Headers are packed name, value pairs.
-struct ForwardCall { 1: string send, 2: string service_name, 3: string target, 4: string instance, 5: i64 budget, 6: i64 aim, 7: i64 rank, 8: string entry, 9: string method, 10: binary path, 11: binary headers, 12: binary body, 13: string caller, 14: string client_attempt_id, 15: i64 ordinal, 16: bool repeatable }
-struct ForwardAnswer { 1: string send, 2: string outcome, 3: string error, 4: i64 status, 5: binary headers, 6: binary body, 7: i64 load, 8: i64 room, 9: i64 took }
-// What became of an attempt whose connection broke: send is its id, life the life of the sidecar that it went to.
-struct FollowCall { 1: string send, 2: string life, 3: i64 budget }
-struct AbandonCall { 1: string send }
+struct ForwardCall { 1: string attempt_id, 2: string service_name, 3: string target, 4: string instance, 5: i64 budget, 6: i64 latency_target, 7: i64 rank, 8: string route, 9: string method, 10: binary path, 11: binary headers, 12: binary body, 13: string caller, 14: string client_attempt_id, 15: i64 ordinal, 16: bool repeatable }
+struct ForwardAnswer { 1: string attempt_id, 2: string outcome, 3: string error, 4: i64 status, 5: binary headers, 6: binary body, 7: i64 load, 8: i64 capacity, 9: i64 run_time }
+// What became of an attempt whose connection broke, asked of the incarnation of the sidecar that it was sent to.
+struct FollowCall { 1: string attempt_id, 2: string incarnation, 3: i64 budget }
+struct AbandonCall { 1: string attempt_id }
 struct AbandonAnswer { 1: bool known }
 struct ClaimQueryCall { 1: string claim }
-struct ClaimQueryAnswer { 1: string standing, 2: i64 status, 3: binary headers, 4: binary body }
+struct ClaimQueryAnswer { 1: string state, 2: i64 status, 3: binary headers, 4: binary body }
 struct PingCall { 1: string asker }
 struct PingAnswer { 1: string node }
 
--- a/packages/rpc/src/hoistsaddle/rpc/messages.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages.py
@@ -306,14 +306,14 @@
 
 
 class BundleForwardCall(NamedTuple):
-    send: str
+    attempt_id: str
     caller: str
     client: str
     service_name: str
     target: str
     instance: str
     bundle: int
-    entry: str
+    route: str
     budget: timedelta
     method: str
     path: str
@@ -321,12 +321,12 @@
     body: bytes
     hold: str
     answer_bytes: int
-    # 1 for a request's first send, more for further ones.
+    # 1 for a request's first attempt, more for retries.
     ordinal: int = 1
 
 
 class BundleForwardAnswer(NamedTuple):
-    send: str
+    attempt_id: str
     outcome: str
     error: str = ""
     detail: str = ""
@@ -339,27 +339,27 @@
 class ForwardCall(NamedTuple):
     """A request under items. Headers are msgpack of name, value pairs of bytes, in their order."""
 
-    send: str
+    attempt_id: str
     service_name: str
     target: str
     instance: str
     budget: timedelta
-    aim: timedelta
+    latency_target: timedelta
     rank: int
-    entry: str
+    route: str
     method: str
     path: bytes
     headers: bytes
     body: bytes
     caller: str
-    # The client's own id of this try.
+    # The client's own id of this attempt.
     client_attempt_id: str
     ordinal: int = 1
     repeatable: bool = False
 
 
 class ForwardAnswer(NamedTuple):
-    send: str
+    attempt_id: str
     outcome: str
     error: str = ""
     status: int = 0
@@ -367,23 +367,23 @@
     body: bytes = b""
     # Requests running and waiting at the target's server, how many it works on at a time, and what this one took.
     load: int = 0
-    room: int = 1
-    took: timedelta = timedelta()
+    capacity: int = 1
+    run_time: timedelta = timedelta()
 
 
 class FollowCall(NamedTuple):
     """What became of an attempt whose connection broke. Answered as the attempt itself would be."""
 
-    send: str
-    # The life of the sidecar that it went to: another one can't know.
-    life: str
+    attempt_id: str
+    # The incarnation of the sidecar that it was sent to: another one can't know.
+    incarnation: str
     budget: timedelta
 
 
 class AbandonCall(NamedTuple):
     """The client of a repeatable attempt has left: nobody waits for its answer any more."""
 
-    send: str
+    attempt_id: str
 
 
 class AbandonAnswer(NamedTuple):
@@ -396,7 +396,7 @@
 
 
 class ClaimQueryAnswer(NamedTuple):
-    standing: str
+    state: str
     status: int = 0
     headers: bytes = b""
     body: bytes = b""
--- a/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
@@ -30,7 +30,7 @@
         left = request.deadline - self.now
         node = self.view.nodes.get(request.target.proxy)
         address = node.address if node is not None else request.address
-        self._out.append(Follow(request.number, address, FollowCall(request.send, request.life, left), left))
+        self._out.append(Follow(request.number, address, FollowCall(request.attempt_id, request.life, left), left))
 
     def _followed(self, event: Followed) -> None:
         ticket = self.by_number.pop(event.number, -1)
@@ -49,7 +49,7 @@
             request.follows += 1
             self.follow_again.append((self.now + FOLLOW_AGAIN * request.follows, ticket))
             return None
-        if answer.send != request.send:
+        if answer.attempt_id != request.attempt_id:
             return self._unanswered(ticket, request)
         if answer.outcome == NOT_RUN and self.now < request.deadline:
             return self._not_taken(ticket, request, ErrorKind(answer.error))
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -109,17 +109,17 @@
         event = request.event
         budget = request.deadline - self.now
         node = self.view.nodes[target.proxy]
-        request.send = f"{self.settings.name}.{self.settings.incarnation}.{request.number}"
+        request.attempt_id = f"{self.settings.name}.{self.settings.incarnation}.{request.number}"
         request.life, request.address, request.follows = node.incarnation, node.address, 0
         call = ForwardCall(
-            send=request.send,
+            attempt_id=request.attempt_id,
             service_name=target.service,
             target=target.proxy,
             instance=target.instance,
             budget=budget,
-            aim=max(ZERO, request.aim_at - self.now),
+            latency_target=max(ZERO, request.aim_at - self.now),
             rank=request.entry.rank,
-            entry=request.entry.name,
+            route=request.entry.name,
             method=event.method,
             path=event.path.encode("utf-8", "surrogateescape"),
             headers=event.headers,
@@ -148,12 +148,12 @@
         if request is None:
             return self._late_answer(event)
         seen = self.seen_of(request.target.proxy)
-        seen.room, seen.told_at = max(1, answer.room), self.now
+        seen.room, seen.told_at = max(1, answer.capacity), self.now
         seen.others = max(0, answer.load - seen.mine)
         if answer.outcome == NOT_RUN:
             return self._not_taken(ticket, request, ErrorKind(answer.error))
         request.sends += 1
-        if answer.outcome != ANSWERED or answer.send != request.send:
+        if answer.outcome != ANSWERED or answer.attempt_id != request.attempt_id:
             return self._uncertain(
                 ticket,
                 request,
@@ -163,7 +163,9 @@
             usual = self.answer_bytes.get(request.entry.name, float(len(answer.body)))
             self.answer_bytes[request.entry.name] = usual + (len(answer.body) - usual) * 0.1
             known = seen.spans.get(request.entry.name)
-            seen.spans[request.entry.name] = answer.took if known is None else known + (answer.took - known) * 0.15
+            seen.spans[request.entry.name] = (
+                answer.run_time if known is None else known + (answer.run_time - known) * 0.15
+            )
         elif request.entry.kind == IDEMPOTENT:
             # The server ran it and failed: another may do better, if there is room for one more send.
             request.best = answer
@@ -318,7 +320,7 @@
         if under_way and request.entry.kind != IDEMPOTENT:
             return
         if under_way:
-            self._out.append(Abandon(request.address, AbandonCall(request.send)))
+            self._out.append(Abandon(request.address, AbandonCall(request.attempt_id)))
         self._forget(ticket)
 
     def _ingress_tick(self) -> None:
--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -152,7 +152,7 @@
         if request is None:
             return
         answer = event.answer
-        match answer.standing if answer is not None else "":
+        match answer.state if answer is not None else "":
             case "kept":
                 self._reply(ticket, answer.status, headers=answer.headers, body=answer.body)
             case "working":
--- a/packages/sidecar/src/hoistsaddle/sidecar/received_attempts.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/received_attempts.py
@@ -55,7 +55,7 @@
 
     def answered(self, answer: ForwardAnswer, *, now: timedelta) -> None:
         self.octets += len(answer.body)
-        self.answers[answer.send] = (now + ANSWER_SPAN, answer)
+        self.answers[answer.attempt_id] = (now + ANSWER_SPAN, answer)
         while self.answers:
             until, oldest = next(iter(self.answers.values()))
             if until > now and self.octets <= MOST_BYTES:
--- a/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
@@ -35,7 +35,7 @@
         self.target: ServerRecord | None = None
         self.way = ""
         # The newest attempt: its id, the sidecar's life and address that it went to, and how often it was asked for.
-        self.send = ""
+        self.attempt_id = ""
         self.life = ""
         self.address = ""
         self.follows = 0
--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -136,13 +136,13 @@
     # -- what is expected --------------------------------------------------------------------------------------------
 
     def _span_of(self, call: ForwardCall) -> timedelta:
-        pace = self.latencies.get(call.entry)
-        return call.aim * FIRST_GUESS if pace is None else pace.mean
+        pace = self.latencies.get(call.route)
+        return call.latency_target * FIRST_GUESS if pace is None else pace.mean
 
     def _safe_span_of(self, call: ForwardCall) -> timedelta:
         """A time that most of its runs keep within: admitted by the mean alone, half of a full line would be late."""
-        pace = self.latencies.get(call.entry)
-        return call.aim * FIRST_GUESS * 1.5 if pace is None else pace.mean + pace.deviation * MARGIN
+        pace = self.latencies.get(call.route)
+        return call.latency_target * FIRST_GUESS * 1.5 if pace is None else pace.mean + pace.deviation * MARGIN
 
     def wait_for(self, *, rank: int, due: timedelta) -> timedelta:
         """How long until a request of this rank and due time would start, if it came now."""
@@ -165,13 +165,13 @@
 
     def _limit_of(self, call: ForwardCall) -> timedelta:
         """Within which time it must be likely to be done to be taken."""
-        pace = self.latencies.get(call.entry)
+        pace = self.latencies.get(call.route)
         short = pace is not None and pace.mean <= self.usual.mean * SHORT_RUN
-        return max(call.aim, call.budget * BUDGET_SHARE) if short else call.aim
+        return max(call.latency_target, call.budget * BUDGET_SHARE) if short else call.latency_target
 
     def _learn(self, run: _Run, took: timedelta) -> None:
         self.usual.learn(took)
-        self.latencies.setdefault(run.call.entry, LatencyEstimate()).learn(took)
+        self.latencies.setdefault(run.call.route, LatencyEstimate()).learn(took)
 
     # -- deals -------------------------------------------------------------------------------------------------------
 
@@ -179,14 +179,14 @@
         call = self._aged(event)
         # Its entry may ask for it as long as its own words say, however old they are taken to be here.
         ends = self.now + event.call.budget
-        if not call.repeatable and not self.taken.take(call.send, ends=ends, now=self.now):
+        if not call.repeatable and not self.taken.take(call.attempt_id, ends=ends, now=self.now):
             # It came before, or its entry was told that it never did: it doesn't run again, and is only asked for.
             return self._follow_arrived(
-                FollowArrived(event.ticket, FollowCall(call.send, self.settings.incarnation, call.budget))
+                FollowArrived(event.ticket, FollowCall(call.attempt_id, self.settings.incarnation, call.budget))
             )
         if (kind := self._refusal(call)) is not None:
             return self._turn_away((event.ticket,), call, kind)
-        due = self.now + call.aim
+        due = self.now + call.latency_target
         wait = self.wait_for(rank=call.rank, due=due)
         # Whoever comes back later finds it emptier; whoever waits here past the aim keeps others from theirs.
         if wait > self._span_of(call) * SHORT_WAIT and wait + self._safe_span_of(call) > self._limit_of(call):
@@ -194,7 +194,7 @@
         if len(self.line) >= self.settings.backlog:
             return self._turn_away((event.ticket,), call, ErrorKind.QUEUE_FULL)
         number = self._number()
-        run = self.runs[number] = self.by_send[call.send] = _Run(ticket=event.ticket, call=call, now=self.now)
+        run = self.runs[number] = self.by_send[call.attempt_id] = _Run(ticket=event.ticket, call=call, now=self.now)
         if len(self.running) < self.room:
             return self._start(number, run)
         heapq.heappush(self.line, Waiting(call.rank, due, run.deadline, number))
@@ -206,8 +206,8 @@
             return call
         # What a call gains or loses on an ordinary way says little of when it is due: judged by that, many would be
         # turned away on a quiet day that are in time after all.
-        aim = call.aim if age < LAIN else max(ZERO, call.aim - age)
-        return call._replace(budget=call.budget - age, aim=aim)
+        aim = call.latency_target if age < LAIN else max(ZERO, call.latency_target - age)
+        return call._replace(budget=call.budget - age, latency_target=aim)
 
     def _refusal(self, call: ForwardCall) -> ErrorKind | None:
         if call.budget <= ZERO:
@@ -224,32 +224,32 @@
         return None
 
     def _turn_away(self, tickets: Sequence[int], call: ForwardCall, kind: ErrorKind) -> None:
-        answer = ForwardAnswer(call.send, NOT_RUN, str(kind), load=self.load(), room=self.room)
+        answer = ForwardAnswer(call.attempt_id, NOT_RUN, str(kind), load=self.load(), capacity=self.room)
         self._tell(tickets, call, answer)
 
     def _tell(self, tickets: Sequence[int], call: ForwardCall, answer: ForwardAnswer) -> None:
         """The attempt's end, to all who wait for it, and kept for an entry whose connection breaks just now."""
-        self.by_send.pop(call.send, None)
+        self.by_send.pop(call.attempt_id, None)
         if not call.repeatable:
             self.taken.answered(answer, now=self.now)
         self._out += [AnswerForward(ticket, answer) for ticket in tickets]
 
     def _follow_arrived(self, event: FollowArrived) -> None:
         call = event.call
-        if (run := self.by_send.get(call.send)) is not None:
+        if (run := self.by_send.get(call.attempt_id)) is not None:
             run.tickets.append(event.ticket)
             return
-        answer = self.taken.answer_of(call.send)
+        answer = self.taken.answer_of(call.attempt_id)
         if answer is None:
             # Another life of this sidecar can't know what the one it went to did.
-            never = call.life == self.settings.incarnation and self.taken.shut_out(call.send, now=self.now)
+            never = call.incarnation == self.settings.incarnation and self.taken.shut_out(call.attempt_id, now=self.now)
             outcome, kind = (NOT_RUN, ErrorKind.UNREACHABLE) if never else (UNKNOWN, ErrorKind.SILENT)
-            answer = ForwardAnswer(call.send, outcome, str(kind), load=self.load(), room=self.room)
+            answer = ForwardAnswer(call.attempt_id, outcome, str(kind), load=self.load(), capacity=self.room)
         self._out.append(AnswerForward(event.ticket, answer))
 
     def _abandoned(self, event: AbandonArrived) -> None:
         """Its client has left: what waits is dropped, what runs is broken off, and the next one takes its place."""
-        run = self.by_send.get(event.call.send)
+        run = self.by_send.get(event.call.attempt_id)
         known = run is not None and run.call.repeatable
         self._out.append(AnswerAbandon(event.ticket, AbandonAnswer(known)))
         if not known:
@@ -262,7 +262,9 @@
             return self._turn_away(run.tickets, run.call, ErrorKind.SILENT)
         self.running.discard(number)
         self._out.append(CancelRun(number))
-        answer = ForwardAnswer(run.call.send, UNKNOWN, str(ErrorKind.SILENT), load=self.load(), room=self.room)
+        answer = ForwardAnswer(
+            run.call.attempt_id, UNKNOWN, str(ErrorKind.SILENT), load=self.load(), capacity=self.room
+        )
         self._tell(run.tickets, run.call, answer)
         self._next()
 
@@ -309,12 +311,14 @@
         took = self.now - run.started
         if event.not_run:
             # A full server's word for "not run" says nothing of its pace.
-            answer = ForwardAnswer(run.call.send, NOT_RUN, str(ErrorKind.SERVER_FULL), load=self.load(), room=self.room)
+            answer = ForwardAnswer(
+                run.call.attempt_id, NOT_RUN, str(ErrorKind.SERVER_FULL), load=self.load(), capacity=self.room
+            )
         else:
             if event.status < 500:
                 self._learn(run, took)
             answer = ForwardAnswer(
-                run.call.send, ANSWERED, "", event.status, event.headers, event.body, self.load(), self.room, took
+                run.call.attempt_id, ANSWERED, "", event.status, event.headers, event.body, self.load(), self.room, took
             )
         self._tell(run.tickets, run.call, answer)
         self._next()
@@ -335,7 +339,7 @@
             self._silence()
         outcome = NOT_RUN if event.unsent else UNKNOWN
         kind = ErrorKind.NO_SERVER if event.error.kind == ErrorKind.UNREACHABLE else event.error.kind
-        answer = ForwardAnswer(run.call.send, outcome, str(kind), load=self.load(), room=self.room)
+        answer = ForwardAnswer(run.call.attempt_id, outcome, str(kind), load=self.load(), capacity=self.room)
         self._tell(run.tickets, run.call, answer)
         self._next()
 
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -220,7 +220,7 @@
         serve = self.arrive(call)
         done: Any = self.target.handle(ServerAnswered(serve.number, 200, b"\x90", self.body, False), now=ZERO)[-1]
         answer = done.answer
-        back = pack(number=1, answer=True, message=answer._replace(send=pending.call.send))
+        back = pack(number=1, answer=True, message=answer._replace(attempt_id=pending.call.attempt_id))
         told: Any = unpack(back)[2]
         self.entry.handle(ForwardAnswered(pending.number, told), now=ZERO)
         return len(frame) + len(back) + 8
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -491,7 +491,7 @@
                 key,
                 call.client,
                 call.caller,
-                call.send,
+                call.attempt_id,
                 run,
                 proxy,
                 len(call.body),
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -115,7 +115,9 @@
     def refuse_pass(self) -> None:
         sent = self.newest(ForwardRequest)
         self.feed(
-            ForwardAnswered(sent.number, BundleForwardAnswer(sent.call.send, "not-run", "winding-down", "it leaves"))
+            ForwardAnswered(
+                sent.number, BundleForwardAnswer(sent.call.attempt_id, "not-run", "winding-down", "it leaves")
+            )
         )
 
     def call(self, send: str = "s1", *, budget: float = 4.0, **changes) -> BundleForwardCall:
@@ -170,7 +172,7 @@
         bench.feed(
             ForwardAnswered(
                 sent.number,
-                BundleForwardAnswer(sent.call.send, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}")),
+                BundleForwardAnswer(sent.call.attempt_id, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}")),
             )
         )
         bench.feed(Ticked())
@@ -184,7 +186,9 @@
             bench.ask()
         first = next(command for command in bench.out if isinstance(command, ForwardRequest))
         bench.feed(
-            ForwardAnswered(first.number, BundleForwardAnswer(first.call.send, "not-run", "winding-down", "it leaves"))
+            ForwardAnswered(
+                first.number, BundleForwardAnswer(first.call.attempt_id, "not-run", "winding-down", "it leaves")
+            )
         )
         self.assertThat(bench.answer(ticket), Equals(None))
         bench.refuse_pass()
@@ -200,7 +204,9 @@
             bench.ask()
         for _ in range(2):
             bench.feed(
-                ForwardAnswered(sent.number, BundleForwardAnswer(sent.call.send, "not-run", "no-entry", "not here"))
+                ForwardAnswered(
+                    sent.number, BundleForwardAnswer(sent.call.attempt_id, "not-run", "no-entry", "not here")
+                )
             )
             sent = bench.newest(ForwardRequest)
         return ticket
@@ -309,7 +315,10 @@
         self.assertThat(bench.count(ForwardRequest), Equals(0))
 
     def test_an_answer_altered_or_not_to_this_send_is_nobodys(self) -> None:
-        for spoil in (lambda answer: answer._replace(body=b"{}x"), lambda answer: answer._replace(send="another")):
+        for spoil in (
+            lambda answer: answer._replace(body=b"{}x"),
+            lambda answer: answer._replace(attempt_id="another"),
+        ):
             bench = Bench()
             ticket = bench.ask()
             sent = bench.newest(ForwardRequest)
@@ -317,7 +326,9 @@
                 ForwardAnswered(
                     sent.number,
                     spoil(
-                        BundleForwardAnswer(sent.call.send, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}"))
+                        BundleForwardAnswer(
+                            sent.call.attempt_id, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}")
+                        )
                     ),
                 )
             )
@@ -357,9 +368,9 @@
             "frozen": ({}, True),
             "wrong-instance": ({"service_name": "ledger"}, False),
             "budget-spent": ({"budget": 0.0}, False),
-            "no-entry": ({"entry": "balance", "path": "/balance"}, False),
+            "no-entry": ({"route": "balance", "path": "/balance"}, False),
             "not-allowed": ({"caller": "ledger"}, False),
-            "key-missing": ({"entry": "uploads", "path": "/uploads", "method": "POST"}, False),
+            "key-missing": ({"route": "uploads", "path": "/uploads", "method": "POST"}, False),
             "body-too-large": ({"body": b"x" * 70000}, False),
         }
         for kind, (changes, frozen) in cases.items():
@@ -403,7 +414,7 @@
     def test_the_answer_is_settled_before_it_is_given(self) -> None:
         bench = Bench(name="stall-3")
         bench.feed(
-            ForwardArrived(1, bench.call(entry="uploads", path="/uploads", method="POST", hold="scope claim"), False)
+            ForwardArrived(1, bench.call(route="uploads", path="/uploads", method="POST", hold="scope claim"), False)
         )
         bench.feed(ServerAnswered(bench.newest(RunOnServer).number, 200, {}, b"{}"))
         self.assertThat(
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -104,7 +104,8 @@
         call = self.held(budget=3.0)
         for age, aim in ((0.1, 1.0), (0.7, 0.3), (1.5, 0.0)):
             self.assertThat(
-                self.fleet.cores["s-2"]._aged(ForwardArrived(1, call, seconds(age))).aim, Equals(seconds(aim))
+                self.fleet.cores["s-2"]._aged(ForwardArrived(1, call, seconds(age))).latency_target,
+                Equals(seconds(aim)),
             )
 
     def test_what_waits_is_given_up_in_time_for_its_clients_sidecar_to_hear_of_it(self) -> None:
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -252,7 +252,7 @@
         plain: Callable = KeyClaims._standing_of
 
         def free(self: KeyClaims, claim: str) -> Any:
-            return plain(self, claim)._replace(standing="free")
+            return plain(self, claim)._replace(state="free")
 
         local_server = mock.patch.object(KeyClaims, "_standing_of", free)
         found = self.found(local_server, link="sidecar", fault="reset", kind="pay", timestamp="answered")
--- a/tests/test_sidecar_attempt_follower.py
+++ b/tests/test_sidecar_attempt_follower.py
@@ -90,7 +90,7 @@
         self.assertThat(self.answer(self.arrive(follow.call)).body, Equals(b"done"))
         self.fleet.pass_time(ANSWER_SPAN.total_seconds() + 0.1)
         # What is over goes with the next that ends.
-        self.arrive(sent.call._replace(send="another.life.1"))
+        self.arrive(sent.call._replace(attempt_id="another.life.1"))
         self.fleet.finish()
         self.assertThat(self.outcome(self.arrive(follow.call)), Equals(UNKNOWN))
 
@@ -102,7 +102,7 @@
 
     def test_another_life_cannot_know(self) -> None:
         _, _, follow = self.broken()
-        self.assertThat(self.outcome(self.arrive(follow.call._replace(life="former"))), Equals(UNKNOWN))
+        self.assertThat(self.outcome(self.arrive(follow.call._replace(incarnation="former"))), Equals(UNKNOWN))
 
     def test_a_call_that_comes_twice_runs_once(self) -> None:
         _, sent, _ = self.broken()
@@ -128,7 +128,7 @@
 
     def test_its_answer_is_the_requests(self) -> None:
         ticket, sent, follow = self.broken()
-        answer = ForwardAnswer(sent.call.send, ANSWERED, "", 200, b"", b"done")
+        answer = ForwardAnswer(sent.call.attempt_id, ANSWERED, "", 200, b"", b"done")
         self.fleet.feed("s-1", Followed(follow.number, answer))
         self.assertThat(self.fleet.replies[ticket].body, Equals(b"done"))
 
@@ -139,13 +139,13 @@
 
     def test_what_surely_ran_nowhere_goes_on_and_else_is_refused_with_when_to_come_back(self) -> None:
         ticket, sent, follow = self.broken()
-        not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
+        not_run = ForwardAnswer(sent.call.attempt_id, NOT_RUN, str(ErrorKind.UNREACHABLE))
         self.fleet.feed("s-1", Followed(follow.number, not_run))
         reply = self.fleet.replies[ticket]
         self.assertThat((reply.status, reply.retry_after is None), Equals((503, False)))
         ticket, sent, follow = self.broken()
         self.fleet.show(self.fleet.view._replace(servers=self.both))
-        self.fleet.feed("s-1", Followed(follow.number, not_run._replace(send=sent.call.send)))
+        self.fleet.feed("s-1", Followed(follow.number, not_run._replace(attempt_id=sent.call.attempt_id)))
         self.assertThat(self.fleet.finish().call.target, Equals("s-3"))
         self.assertThat(self.fleet.replies[ticket].status, Equals(200))
 
@@ -154,7 +154,7 @@
             ticket, sent, follow = self.broken()
             count = len(self.fleet.sent(ForwardRequest))
             if answer is not None:
-                answer = answer._replace(send=sent.call.send)
+                answer = answer._replace(attempt_id=sent.call.attempt_id)
             self.fleet.feed("s-1", Followed(follow.number, answer, refused))
             self.assertThat(
                 (self.fleet.replies[ticket].status, len(self.fleet.sent(ForwardRequest))), Equals((502, count))
@@ -183,7 +183,7 @@
             again = self.fleet.ask("/pay/x", key=f"k{number}", door="s-3")
             self.assertThat(self.fleet.replies[again].status, Equals(409))
             if answer is not None:
-                answer = answer._replace(send=sent.call.send)
+                answer = answer._replace(attempt_id=sent.call.attempt_id)
             self.fleet.feed("s-1", Followed(follow.number, answer))
             again = self.fleet.ask("/pay/x", key=f"k{number}", door="s-3")
             self.assertThat(self.fleet.replies[again].status, Equals(status))
@@ -195,7 +195,7 @@
         sent = self.fleet.sent(ForwardRequest)[-1]
         self.fleet.pass_time(0.6)
         self.assertThat(self.fleet.replies[ticket].status, Equals(504))
-        not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
+        not_run = ForwardAnswer(sent.call.attempt_id, NOT_RUN, str(ErrorKind.UNREACHABLE))
         self.fleet.feed("s-1", ForwardAnswered(sent.number, not_run))
         again = self.fleet.ask("/pay/x", key="k", door="s-3")
         self.fleet.finish(body=b"paid")
@@ -205,7 +205,7 @@
         """Past it the target has forgotten what came."""
         ticket, sent, follow = self.broken("/pay/x", key="k", budget=0.5)
         count = len(self.fleet.sent(ForwardRequest))
-        not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
+        not_run = ForwardAnswer(sent.call.attempt_id, NOT_RUN, str(ErrorKind.UNREACHABLE))
         # No tick came since: this process stood still.
         self.fleet.timestamp += SECOND
         self.fleet.feed("s-1", Followed(follow.number, not_run))
@@ -214,7 +214,7 @@
         self.assertThat(self.fleet.replies[again].status, Equals(503))
         ticket, sent, follow = self.broken("/pay/x", key="other", budget=0.5)
         self.fleet.pass_time(0.6)
-        self.fleet.feed("s-1", Followed(follow.number, not_run._replace(send=sent.call.send)))
+        self.fleet.feed("s-1", Followed(follow.number, not_run._replace(attempt_id=sent.call.attempt_id)))
         again = self.fleet.ask("/pay/x", key="other", door="s-3")
         self.assertThat(self.fleet.replies[again].status, Equals(503))
 
--- a/tests/test_sidecar_ingress.py
+++ b/tests/test_sidecar_ingress.py
@@ -94,7 +94,7 @@
         for budget, seconds in ((0.5, 0.5), (9.0, 4.0), (None, 4.0)):
             fleet.ask(budget=budget)
             self.assertThat(fleet.sent()[-1].call.budget, Equals(timedelta(seconds=seconds)))
-        self.assertThat(fleet.sent()[-1].call.aim, Equals(timedelta(seconds=1)))
+        self.assertThat(fleet.sent()[-1].call.latency_target, Equals(timedelta(seconds=1)))
 
     def test_parts_share_as_their_weights_say(self) -> None:
         fleet = SidecarBench(entries=(entry("read", parts=[Part("ledger", 1.0), Part("other", 0.0)]),), room=500)
@@ -534,11 +534,11 @@
 
     def check(self, fleet: SidecarBench, asked: dict[int, tuple[str, str]], seed: int) -> None:
         self.assertThat(set(fleet.replies), Equals(set(asked)), str(seed))
-        not_run = {answer.send for answer in fleet.answers.values() if answer.outcome == "not-run"}
+        not_run = {answer.attempt_id for answer in fleet.answers.values() if answer.outcome == "not-run"}
         # Servers that a try really ran on: the client's own id says which try it was.
         runs: dict[str, int] = {}
         for serve in fleet.sent(RunOnServer):
-            if serve.call.send not in not_run:
+            if serve.call.attempt_id not in not_run:
                 runs[serve.call.client_attempt_id] = runs.get(serve.call.client_attempt_id, 0) + 1
         by_key: dict[str, int] = {}
         for ticket, (name, key) in asked.items():
--- a/tests/test_sidecar_server_connections.py
+++ b/tests/test_sidecar_server_connections.py
@@ -124,14 +124,14 @@
         self, line: ServerConnectionPool, raw: RawServer, send: str = "s1", *, within: float = 2.0, **changes: Any
     ) -> tuple:
         call = ForwardCall(
-            send="mesh-send",
+            attempt_id="mesh-send",
             service_name="ledger",
             target="s-1",
             instance="i-1",
             budget=timedelta(seconds=within),
-            aim=timedelta(seconds=1),
+            latency_target=timedelta(seconds=1),
             rank=0,
-            entry="read",
+            route="read",
             method="GET",
             path=b"/read/x?a=b",
             headers=b"",
--- a/tests/test_sidecar_upstream.py
+++ b/tests/test_sidecar_upstream.py
@@ -28,14 +28,14 @@
     def pending(self, *, budget: float = 3.0, aim: float = 3.0, rank: int = 1, **changes: Any) -> int:
         self.count += 1
         call = ForwardCall(
-            send=f"send-{self.count}",
+            attempt_id=f"send-{self.count}",
             service_name="ledger",
             target=NAME,
             instance=f"i-{NAME}",
             budget=timedelta(seconds=budget),
-            aim=timedelta(seconds=aim),
+            latency_target=timedelta(seconds=aim),
             rank=rank,
-            entry="read",
+            route="read",
             method="GET",
             path=b"/read/x",
             headers=b"",
@@ -63,7 +63,7 @@
         self.fleet.commands.clear()
 
     def started(self) -> list[str]:
-        return [serve.call.send for serve in self.fleet.sent(RunOnServer)]
+        return [serve.call.attempt_id for serve in self.fleet.sent(RunOnServer)]
 
     def test_the_server_works_on_so_many_at_a_time(self) -> None:
         self.core.latencies["read"] = pace_of(0.05)
@@ -151,8 +151,8 @@
         self.core.usual.mean = timedelta(seconds=0.3)
         self.pending()
         self.pending()
-        self.assertThat(self.told(self.pending(entry="peek", aim=0.1, budget=0.6)), Equals(None))
-        self.assertThat(self.refused(self.pending(entry="peek", aim=0.1, budget=0.5)), Equals(ErrorKind.QUEUE_FULL))
+        self.assertThat(self.told(self.pending(route="peek", aim=0.1, budget=0.6)), Equals(None))
+        self.assertThat(self.refused(self.pending(route="peek", aim=0.1, budget=0.5)), Equals(ErrorKind.QUEUE_FULL))
         self.assertThat(self.refused(self.pending(aim=0.6, budget=9)), Equals(ErrorKind.QUEUE_FULL))
 
     def test_an_unknown_pace_is_taken_from_the_aim(self) -> None:
@@ -267,11 +267,11 @@
         waiting = self.pending(budget=9, aim=9)
         self.fleet.finish()
         first = self.fleet.sent(AnswerForward)[0].answer
-        self.assertThat((first.load, first.room), Equals((2, 2)))
+        self.assertThat((first.load, first.capacity), Equals((2, 2)))
         self.fleet.pass_time(0.1)
         self.fleet.finish()
         self.fleet.finish()
-        self.assertThat(self.told(waiting).took, Equals(timedelta(milliseconds=100)))
+        self.assertThat(self.told(waiting).run_time, Equals(timedelta(milliseconds=100)))
 
     def test_own_failures_and_refusals_teach_nothing_of_its_pace(self) -> None:
         self.learn(0.4)
@@ -321,7 +321,9 @@
             for number, (_, command) in enumerate(self.fleet.commands):
                 match command:
                     case RunOnServer(call=call):
-                        self.assertThat(call.send in place, Equals(False), f"{call.send} ran after its answer")
+                        self.assertThat(
+                            call.attempt_id in place, Equals(False), f"{call.attempt_id} ran after its answer"
+                        )
                     case AnswerForward(answer=answer):
-                        place[answer.send] = number
+                        place[answer.attempt_id] = number
             self.assertThat(len(place), GreaterThan(100))
