--- /dev/null
+++ b/packages/proxy/src/hoistsaddle/proxy/bundle_state.py
@@ -0,0 +1,76 @@
+"""What the parts of the core under bundles share beyond hoistsaddle.proxy.core_state: whether they may act now."""
+
+import hashlib
+import random
+from datetime import timedelta
+
+from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.config.bundle import Bundle
+from hoistsaddle.proxy.core_state import CoreSettings, CoreState
+from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
+
+SETTLE_AGAIN = timedelta(milliseconds=250)
+# How long a gap of the core's may last and still be waited out: twice the slowest takeover measured (0.72 s). It counts
+# from when the cause is seen, so a takeover that outlasts the lease by this much still costs no request.
+GAP = timedelta(milliseconds=1500)
+
+
+def number_of(bundle: Bundle) -> int:
+    """Return the bundle's number; newer ones have higher numbers."""
+    return bundle.number
+
+
+def digest_of_body(body: bytes) -> str:
+    """Return the hex digest by which an altered body is told."""
+    return hashlib.sha256(body).hexdigest()
+
+
+def mesh_error(kind: ErrorKind, message: str, remedy: str, field: str = "") -> MeshError:
+    return MeshError(kind, message, remedy, field)
+
+
+class BundleState(CoreState):
+    """State of a core that acts only with a fresh lease, a registered incarnation and a bundle in force."""
+
+    def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
+        super().__init__(settings=settings, seed=seed, now=now)
+        # Since when this proxy can't act.
+        self.unready_since: timedelta | None = None
+
+    def is_registered(self) -> bool:
+        """Whether the log knows this incarnation: before that no acceptance would wait for it."""
+        node = self.view.nodes.get(self.settings.name)
+        return node is not None and node.incarnation == self.settings.incarnation and node.state != GONE
+
+    def server_state(self) -> str:
+        """Return the server's state; a proxy that stops drains its server with it."""
+        state = super().server_state()
+        return WINDING_DOWN if self.stopping and state == READY else state
+
+    def ready(self) -> MeshError | None:
+        """Return why the platform should send nothing here, if so."""
+        if self.stopping:
+            return mesh_error(ErrorKind.WINDING_DOWN, "This proxy is stopping.", "Send new work elsewhere.")
+        if not self.has_lease():
+            return mesh_error(
+                ErrorKind.LEASE_LAPSED, "No fresh news from the core.", "Check the core machines and the way to them."
+            )
+        if not self.is_registered():
+            return mesh_error(
+                ErrorKind.LEASE_LAPSED, "The core has not noted this proxy yet.", "Wait; it registers by itself."
+            )
+        if self.view.bundle is None:
+            return mesh_error(ErrorKind.BUNDLE_UNKNOWN, "No bundle is in force.", "Submit one and have it signed off.")
+        return None
+
+    def unready(self) -> MeshError | None:
+        """Return why no request can be moved on now, if so, and note since when."""
+        error = self.ready()
+        if self.stopping and self.has_lease() and self.is_registered() and self.view.bundle is not None:
+            # What was taken before the stop is still finished.
+            error = None
+        if error is None:
+            self.unready_since = None
+        elif self.unready_since is None:
+            self.unready_since = self.now
+        return error
--- a/packages/proxy/src/hoistsaddle/proxy/core.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core.py
@@ -28,14 +28,13 @@
 )
 from hoistsaddle.proxy.upstream import UpstreamSide
 from hoistsaddle.statemachine.commands import Outcome
-from hoistsaddle.statemachine.state import GONE, READY
 from hoistsaddle.statemachine.view import View
 
 
 class ProxyCore(IngressCore, UpstreamSide):
     def handle(self, event: tuple, *, now: timedelta) -> list[tuple]:
         self.now = max(now, self.now)
-        self._out = []
+        self.out = []
         match event:
             case RequestArrived():
                 self._request(event)
@@ -60,18 +59,18 @@
             case ConfigurationChanged(view=view):
                 self._configuration(view)
             case LeaseRenewed(start=start):
-                was = self.fresh()
-                self.lease_start = start if self.lease_start is None else max(start, self.lease_start)
-                if self.fresh() and not was:
-                    self._announce("lease fresh", revision=self.view.revision)
+                was = self.has_lease()
+                self.renew_lease(start)
+                if self.has_lease() and not was:
+                    self.announce("lease fresh", revision=self.view.revision)
                     self._retry_parked()
                     self._retry_waiting()
             case StopRequested():
                 self.stopping = True
-                self._report()
+                self.report_health()
             case Ticked():
                 self._tick()
-        return self._out
+        return self.out
 
     def _hold_came(self, number: int, outcome: Outcome | None) -> None:
         if outcome is not None:
@@ -87,9 +86,9 @@
         before = self.server
         was = self.server_state()
         self.server = LocalServer(event.service, event.instance, event.address, event.state, self.now)
-        if before is None or before[:4] != self.server[:4] or was != self.server_state():
-            self._announce("server told", service=event.service, instance=event.instance, state=event.state)
-            self._report()
+        if before is None or not before.same_as(self.server) or was != self.server_state():
+            self.announce("server told", service=event.service, instance=event.instance, state=event.state)
+            self.report_health()
 
     def _configuration(self, view: View) -> None:
         before, self.view = self.view, view
@@ -99,21 +98,17 @@
             for service in bundle.services:
                 self._allot(service.name)
         if view.bundle_number != before.bundle_number:
-            self._announce(
+            self.announce(
                 "bundle taken up", bundle=view.bundle_number, before=before.bundle_number, revision=view.revision
             )
         if view.refused_bundle and view.refused_bundle != before.refused_bundle:
-            self._announce("bundle refused", bundle=view.refused_bundle, refusal=view.refusal)
-        if self.server is not None and self.server.state == READY:
-            known = view.servers.get(self.settings.name)
-            # Called gone while it lives, after a freeze or a cut: say so again at once.
-            if known is not None and known.state == GONE and self.server_state() == READY:
-                self._report()
+            self.announce("bundle refused", bundle=view.refused_bundle, refusal=view.refusal)
+        self.contradict_record()
         self._retry_parked()
         self._retry_waiting()
 
     def _tick(self) -> None:
-        self._unready()
+        self.unready()
         for ticket in [ticket for ticket, request in self.requests.items() if self.now >= request.deadline]:
             self._spent(ticket)
         self._give_up_late_claims()
@@ -132,8 +127,7 @@
                 self._release(command, until)
             else:
                 self.release_again.append((timestamp, command, until))
-        if self.server is not None and self.server.state != GONE and self.server_state() == GONE:
-            self._silence()
+        self.expire_server()
 
     def idle(self) -> bool:
         """Nothing mid-answer: a stopping proxy may go."""
--- a/packages/proxy/src/hoistsaddle/proxy/core_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core_state.py
@@ -1,58 +1,61 @@
-"""What both sides of a proxy stand on: its configuration, lease and server, and whether they let it act."""
+"""What all parts of a core share: configuration view, lease, local server, clock, and the commands to carry out."""
 
-import hashlib
 import random
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import Bundle
 from hoistsaddle.proxy.messages import Announce, ReportHealth
-from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
+from hoistsaddle.statemachine.state import GONE, READY
 from hoistsaddle.statemachine.view import View
 
-SETTLE_AGAIN = timedelta(milliseconds=250)
-# How long a gap of the core's may last and still be waited out: twice the slowest takeover measured (0.72 s). It counts
-# from when the cause is seen, so a takeover that outlasts the lease by this much still costs no request.
-GAP = timedelta(milliseconds=1500)
-
-
-def number_of(bundle: Bundle) -> int:
-    return bundle.number
-
-
-def digest_of_body(body: bytes) -> str:
-    return hashlib.sha256(body).hexdigest()
-
 
 class CoreSettings(NamedTuple):
-    """What the core needs of the params."""
+    """What a core needs of its process's settings."""
 
     name: str
     zone: str
     incarnation: str
+    # For how long a renewed lease lets this proxy act, and a health report counts.
     lease_span: timedelta
     health_span: timedelta
-    # The most requests that wait here, and the most runs at once on the own server.
+    # The most requests that wait here, and the most runs at once on the local server.
     backlog: int
-    # The most sends of this proxy under way to one target.
+    # The most attempts of this proxy under way to one target.
     outstanding: int
 
 
 class LocalServer(NamedTuple):
+    """The server beside this proxy, as it reported itself last."""
+
     service: str
     instance: str
     address: str
     state: str
+    # When the report came.
     heard: timedelta
 
-
-def mesh_error(kind: ErrorKind, message: str, remedy: str, field: str = "") -> MeshError:
-    return MeshError(kind, message, remedy, field)
+    def same_as(self, other: "LocalServer") -> bool:
+        """Whether both reports say the same, whenever they came."""
+        return self[:4] == other[:4]
 
 
 class CoreState:
+    """Base of the cores: owner of the state that their parts share, which are given it and read and write it by name.
+
+    Attributes:
+        settings: the proxy's name, zone and limits.
+        random: the source of all that chance decides.
+        now: the monotonic time of the event that is handled.
+        view: the configuration in force here.
+        server: the local server's last report.
+        serial: number of the newest health report; the log takes none that is older.
+        stopping: whether the process was told to stop.
+        closing: whether it is about to end: its server goes on, but nothing new comes through here.
+        out: the commands that answer the event which is handled, in order.
+    """
+
     def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
+        """Begin without configuration, lease and server."""
         self.settings = settings
         self.random = seed
         self.now = now
@@ -61,66 +64,55 @@
         self.server: LocalServer | None = None
         self.serial = 0
         self.stopping = False
-        # This proxy is about to end: its server goes on, but nothing new comes through here.
         self.closing = False
-        # Since when this proxy can't act.
-        self.unready_since: timedelta | None = None
         self.numbers = 0
-        self._out: list[Any] = []
+        self.out: list[Any] = []
 
-    def fresh(self) -> bool:
+    def has_lease(self) -> bool:
+        """Whether the configuration was confirmed recently enough to act on it."""
         return self.lease_start is not None and self.now - self.lease_start < self.settings.lease_span
 
-    def noted(self) -> bool:
-        """Whether the log knows this life of this proxy: before that no acceptance would wait for it."""
-        entry = self.view.nodes.get(self.settings.name)
-        return entry is not None and entry.incarnation == self.settings.incarnation and entry.state != GONE
+    def renew_lease(self, start: timedelta) -> None:
+        """Take that the configuration was in force at this time."""
+        self.lease_start = start if self.lease_start is None else max(start, self.lease_start)
 
     def server_state(self) -> str:
+        """Return the server's own word while that is young; it is gone if it has fallen silent."""
         if self.server is None or self.now - self.server.heard > self.settings.health_span:
             return GONE
-        # A proxy that stops winds its server's work down with it.
-        return WINDING_DOWN if self.stopping and self.server.state == READY else self.server.state
-
-    def ready(self) -> MeshError | None:
-        """The platform's ready check: None, or why not."""
-        if self.stopping:
-            return mesh_error(ErrorKind.WINDING_DOWN, "This proxy is stopping.", "Send new work elsewhere.")
-        if not self.fresh():
-            return mesh_error(
-                ErrorKind.LEASE_LAPSED, "No fresh news from the core.", "Check the core machines and the way to them."
-            )
-        if not self.noted():
-            return mesh_error(
-                ErrorKind.LEASE_LAPSED, "The core has not noted this proxy yet.", "Wait; it registers by itself."
-            )
-        if self.view.bundle is None:
-            return mesh_error(ErrorKind.BUNDLE_UNKNOWN, "No bundle is in force.", "Submit one and have it signed off.")
-        return None
-
-    def _unready(self) -> MeshError | None:
-        error = self.ready()
-        if self.stopping and self.fresh() and self.noted() and self.view.bundle is not None:
-            # What was taken before the stop is still finished.
-            error = None
-        if error is None:
-            self.unready_since = None
-        elif self.unready_since is None:
-            self.unready_since = self.now
-        return error
-
-    def _announce(self, kind: str, **detail) -> None:
-        self._out.append(Announce(kind, {"stall": self.settings.name, **detail}))
-
-    def _number(self) -> int:
+        return self.server.state
+
+    def next_number(self) -> int:
+        """Return a number that no call of this core had before."""
         self.numbers += 1
         return self.numbers
 
-    def _report(self) -> None:
+    def announce(self, kind: str, **detail: Any) -> None:
+        """Tell operators of an event; the detail's names are its JSON keys."""
+        self.out.append(Announce(kind, {"stall": self.settings.name, **detail}))
+
+    def report_health(self) -> None:
+        """Have the server's state sent to the registry at once, not with the next heartbeat."""
         self.serial += 1
-        self._out.append(ReportHealth())
+        self.out.append(ReportHealth())
 
-    def _silence(self) -> None:
+    def mark_server_gone(self) -> None:
+        """Take the server for gone until it reports again."""
+        if self.server is None:
+            return
         self.server = self.server._replace(state=GONE)
-        self._announce("server silent", service=self.server.service, instance=self.server.instance)
-        self._report()
+        self.announce("server silent", service=self.server.service, instance=self.server.instance)
+        self.report_health()
+
+    def expire_server(self) -> None:
+        """Mark the server gone once its last report is too old."""
+        if self.server is not None and self.server.state != GONE and self.server_state() == GONE:
+            self.mark_server_gone()
+
+    def contradict_record(self) -> None:
+        """Report again at once if the log calls the server gone while it lives, as after a freeze or a cut."""
+        recorded = self.view.servers.get(self.settings.name)
+        if recorded is None or recorded.state != GONE:
+            return
+        if self.server is not None and self.server.state == READY and self.server_state() == READY:
+            self.report_health()
--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -6,8 +6,8 @@
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import CLIENTS, SAFE_METHODS, Bundle, Route, Service, budget_of
+from hoistsaddle.proxy.bundle_state import GAP, SETTLE_AGAIN, BundleState, digest_of_body, mesh_error, number_of
 from hoistsaddle.proxy.client_identity import ClientIdentity, digest_of_parts, identify_client
-from hoistsaddle.proxy.core_state import GAP, SETTLE_AGAIN, CoreState, digest_of_body, mesh_error, number_of
 from hoistsaddle.proxy.messages import (
     ANSWERED,
     NOT_RUN,
@@ -70,11 +70,11 @@
     return mesh_error(ErrorKind.NO_LEADER, "No core machine could hold the key.", "Come back after the time given.")
 
 
-class IngressCore(CoreState):
+class IngressCore(BundleState):
     def __init__(self, **needs) -> None:
         super().__init__(**needs)
         # A lease's span and a twentieth, for clocks that run apart: the rule of acceptance.
-        self.further = RetryBudget(wait=self.settings.lease_span * 1.05)
+        self.retry_budget = RetryBudget(wait=self.settings.lease_span * 1.05)
         # Since when the core is silent about keys, or a service has no open server.
         self.silent_since: timedelta | None = None
         self.closed_since: dict[str, timedelta] = {}
@@ -151,7 +151,7 @@
         # After a freeze the moment is late: deadline and lease are looked at again before every step.
         if self.now >= request.deadline:
             return self._spent(ticket)
-        if (error := self._unready()) is not None:
+        if (error := self.unready()) is not None:
             since = ZERO if error.kind == ErrorKind.BUNDLE_UNKNOWN else self.unready_since
             return self._wait(ticket, error, since=since)
         event = request.event
@@ -227,9 +227,9 @@
             request.known = known
             # Where level 1 keeps the key; from level 2 on the log finds it by the bucket.
             request.scope = digest_of_parts(event.caller, event.client, request.entry.name, event.key)
-            request.claim = f"{self.settings.name}.{self.settings.incarnation}.{self._number()}"
+            request.claim = f"{self.settings.name}.{self.settings.incarnation}.{self.next_number()}"
         request.phase = "claiming"
-        request.asked = self._number()
+        request.asked = self.next_number()
         self.by_number[request.asked] = ticket
         # The body's digest covers method, path and query too: another request under the same key is refused.
         digest = digest_of_body("\0".join((event.method, event.path, event.query, "")).encode() + event.body)
@@ -243,7 +243,7 @@
             request.known.who,
             request.entry.name,
         )
-        self._out.append(SubmitHold(request.asked, command))
+        self.out.append(SubmitHold(request.asked, command))
 
     def _give_up_late_claims(self) -> None:
         """Answers requests whose claim goes on past their patience; a grant that comes later is given back."""
@@ -290,7 +290,7 @@
         match detail["phase"]:
             case "granted":
                 request.claimed = True
-                self._announce("key held", scope=request.scope[:12], entry=request.entry.name)
+                self.announce("key held", scope=request.scope[:12], entry=request.entry.name)
                 self._go_on(ticket)
             case phase if phase == SETTLED and detail["kept"]:
                 self._answer(
@@ -357,7 +357,7 @@
         service = self.view.service(name)
         proxies = [proxy.node for proxy in self.view.live_proxies()]
         part = retry_quota_of(service=name, proxy=self.settings.name, proxies=proxies, margin=service.further_margin)
-        self.further.allot(name, part=part, percent=service.further_percent, now=self.now)
+        self.retry_budget.set_quota(name, quota=part, percent=service.further_percent, now=self.now)
         return service
 
     def _send(self, ticket: int) -> None:
@@ -385,14 +385,14 @@
         if request.sends == 0:
             if not request.counted:
                 request.counted = True
-                self.further.first(target.service, percent=service.further_percent)
-                if target.service in self.spent and self.further.room(target.service, now=self.now) >= 1:
+                self.retry_budget.earn(target.service, percent=service.further_percent)
+                if target.service in self.spent and self.retry_budget.available(target.service, now=self.now) >= 1:
                     self.spent.discard(target.service)
-                    self._announce("room again", service=target.service)
-        elif not (way := self.further.gate(target.service, now=self.now)):
+                    self.announce("room again", service=target.service)
+        elif not (way := self.retry_budget.try_spend(target.service, now=self.now)):
             if target.service not in self.spent:
                 self.spent.add(target.service)
-                self._announce("room spent", service=target.service)
+                self.announce("room spent", service=target.service)
             error = mesh_error(
                 ErrorKind.FURTHER_SENDS_SPENT,
                 f"{entry.service} has no room for further sends.",
@@ -404,8 +404,8 @@
         request.sends += 1
         request.phase = "passing"
         request.target = target
-        request.attempt_id = f"{self.settings.name}.{self.settings.incarnation}.{self._number()}"
-        request.asked = self._number()
+        request.attempt_id = f"{self.settings.name}.{self.settings.incarnation}.{self.next_number()}"
+        request.asked = self.next_number()
         self.by_number[request.asked] = ticket
         self.outstanding[target.proxy] = self.outstanding.get(target.proxy, 0) + 1
         budget = request.deadline - self.now
@@ -427,7 +427,7 @@
             answer_bytes=entry.answer_bytes,
             ordinal=request.sends,
         )
-        self._out.append(ForwardRequest(request.asked, self.view.nodes[target.proxy].address, call, budget))
+        self.out.append(ForwardRequest(request.asked, self.view.nodes[target.proxy].address, call, budget))
 
     def _passed(self, number: int) -> tuple[int, _Request] | None:
         ticket = self.by_number.pop(number, None)
@@ -500,7 +500,7 @@
         # Nothing left this proxy, so this was no send and costs none.
         request.sends -= 1
         if request.sends:
-            self.further.give_back(request.target.service, request.way)
+            self.retry_budget.refund(request.target.service, request.way)
         self._wait(
             ticket,
             mesh_error(ErrorKind.LEASE_LAPSED, "No fresh news from the core.", "Come back after the time given."),
@@ -567,7 +567,7 @@
             )
             for place, amount in enumerate((1, max(0, request.sends - 1), len(request.event.body), len(body))):
                 used[place] += amount
-        self._out.append(AnswerClient(ticket, outcome, status, headers, body, error, retry_after))
+        self.out.append(AnswerClient(ticket, outcome, status, headers, body, error, retry_after))
 
     def _refuse(self, ticket: int, status: int, error: MeshError) -> None:
         self._let_go(self.requests[ticket])
@@ -590,13 +590,13 @@
     def _let_go(self, request: _Request) -> None:
         """Gives a claimed key back: nothing ran under it and nothing will."""
         if request.claim and not request.uncertain:
-            self._announce("key given back", scope=request.scope[:12], entry=request.entry.name)
+            self.announce("key given back", scope=request.scope[:12], entry=request.entry.name)
             self._release(ReleaseHold(request.scope, request.claim), self.now + RELEASE_SPAN)
 
     def _release(self, command: ReleaseHold, until: timedelta) -> None:
-        number = self._number()
+        number = self.next_number()
         self.releases[number] = (command, until)
-        self._out.append(SubmitHold(number, command))
+        self.out.append(SubmitHold(number, command))
 
     def _gone(self, ticket: int) -> None:
         request = self.requests.get(ticket)
--- a/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
+++ b/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
@@ -69,29 +69,29 @@
     def _account(self, service: str) -> _Account:
         return self.accounts.setdefault(service, _Account(wait=self.wait))
 
-    def allot(self, service: str, *, part: int, percent: int, now: timedelta) -> None:
+    def set_quota(self, service: str, *, quota: int, percent: int, now: timedelta) -> None:
         account = self._account(service)
         # Without a share nothing is ever earned, so the whole part are slots.
-        cap = (part + 1) // 2 if percent else 0
+        cap = (quota + 1) // 2 if percent else 0
         account.cap.set(cap, now=now)
-        account.slots.set(part - cap, now=now)
+        account.slots.set(quota - cap, now=now)
         account.tokens = min(account.tokens, Fraction(account.cap.value))
 
-    def first(self, service: str, *, percent: int) -> None:
+    def earn(self, service: str, *, percent: int) -> None:
         account = self._account(service)
         account.tokens = min(account.tokens + Fraction(percent, 100), Fraction(account.cap.value))
 
-    def room(self, service: str, *, now: timedelta) -> Fraction:
+    def available(self, service: str, *, now: timedelta) -> Fraction:
         """What may be sent further now."""
         account = self._account(service)
         while account.used and now - account.used[0] >= WINDOW:
             account.used.popleft()
         return account.tokens + max(0, account.slots.value - len(account.used))
 
-    def gate(self, service: str, *, now: timedelta) -> str:
+    def try_spend(self, service: str, *, now: timedelta) -> str:
         """By what a further send goes out now; empty if it may not."""
         account = self._account(service)
-        if self.room(service, now=now) < 1:
+        if self.available(service, now=now) < 1:
             return ""
         if account.tokens >= 1:
             account.tokens -= 1
@@ -101,7 +101,7 @@
             return SLOT
         return ""
 
-    def give_back(self, service: str, way: str) -> None:
+    def refund(self, service: str, way: str) -> None:
         """A further send that never left this proxy was none."""
         account = self._account(service)
         if way == SHARE:
--- a/packages/proxy/src/hoistsaddle/proxy/service.py
+++ b/packages/proxy/src/hoistsaddle/proxy/service.py
@@ -180,9 +180,9 @@
         room = {
             name: {
                 "part": account.cap.value + account.slots.value,
-                "room": round(float(core.further.room(name, now=self.node.runtime.now())), 2),
+                "room": round(float(core.retry_budget.available(name, now=self.node.runtime.now())), 2),
             }
-            for name, account in sorted(core.further.accounts.items())
+            for name, account in sorted(core.retry_budget.accounts.items())
         }
         return web.json_response({"stall": self.proxy_settings.name, "room": room})
 
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -6,7 +6,7 @@
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import MAX_ONCE_ANSWER_BYTES
-from hoistsaddle.proxy.core_state import GAP, SETTLE_AGAIN, CoreState, digest_of_body, mesh_error, number_of
+from hoistsaddle.proxy.bundle_state import GAP, SETTLE_AGAIN, BundleState, digest_of_body, mesh_error, number_of
 from hoistsaddle.proxy.messages import (
     ANSWERED,
     NOT_RUN,
@@ -39,7 +39,7 @@
         self.answered = False
 
 
-class UpstreamSide(CoreState):
+class UpstreamSide(BundleState):
     def __init__(self, **needs) -> None:
         super().__init__(**needs)
         self.runs: dict[int, _Run] = {}
@@ -61,13 +61,13 @@
             return
         if error is None:
             self._remember(call.attempt_id)
-            number = self._number()
+            number = self.next_number()
             self.runs[number] = _Run(ticket=event.ticket, call=call, arrived=self.now)
-            self._out.append(RunOnServer(number, self.server.address, call, call.budget))
+            self.out.append(RunOnServer(number, self.server.address, call, call.budget))
             return
         if error.kind == ErrorKind.ALREADY_SEEN:
             # It ran or was refused under this very id: nothing certain can be said to the second copy.
-            self._out.append(
+            self.out.append(
                 AnswerForward(
                     event.ticket, BundleForwardAnswer(call.attempt_id, UNKNOWN, str(error.kind), error.message)
                 )
@@ -75,14 +75,14 @@
             return
         # Refused for good: should a copy of this envelope turn up later, it won't run either.
         self._remember(call.attempt_id)
-        self._out.append(
+        self.out.append(
             AnswerForward(event.ticket, BundleForwardAnswer(call.attempt_id, NOT_RUN, str(error.kind), error.message))
         )
 
     def _retry_parked(self) -> None:
         for ticket, (event, came, until) in list(self.parked.items()):
             newest = max((each.number for each in self.view.active_bundles), default=0)
-            if (self.fresh() and event.call.bundle <= newest) or self.now >= until:
+            if (self.has_lease() and event.call.bundle <= newest) or self.now >= until:
                 # Admitted anew, with what of its budget is left; past its time the refusal stands.
                 del self.parked[ticket]
                 left = event.call.budget - (self.now - came)
@@ -107,7 +107,7 @@
             )
         if call.budget <= ZERO:
             return mesh_error(ErrorKind.BUDGET_SPENT, "The budget is spent.", "Send sooner.")
-        if not self.fresh() or not self.noted():
+        if not self.has_lease() or not self.is_registered():
             return mesh_error(ErrorKind.LEASE_LAPSED, "No fresh news from the core.", "Send it elsewhere.")
         if self.stopping or self.server_state() != READY:
             return mesh_error(
@@ -177,10 +177,10 @@
         self._settle(event.number, run)
 
     def _settle(self, number: int, run: _Run) -> None:
-        asked = self._number()
+        asked = self.next_number()
         run.settle_at = None
         self.settles[asked] = number
-        self._out.append(SubmitHold(asked, run.settle))
+        self.out.append(SubmitHold(asked, run.settle))
 
     def _settled(self, asked: int, outcome: Outcome | None) -> None:
         number = self.settles.pop(asked)
@@ -191,14 +191,14 @@
             # Settling goes on past the answer: a repeat must find what the first one got.
             run.settle_at = self.now + SETTLE_AGAIN
             return
-        self._announce("key settled", scope=run.settle.scope[:12], entry=run.call.route)
+        self.announce("key settled", scope=run.settle.scope[:12], entry=run.call.route)
         run.settle = None
         self._answer_run(number, run)
 
     def _answer_run(self, number: int, run: _Run) -> None:
         if not run.answered:
             run.answered = True
-            self._out.append(AnswerForward(run.ticket, run.answer))
+            self.out.append(AnswerForward(run.ticket, run.answer))
         if run.settle is None:
             self.runs.pop(number, None)
 
@@ -213,9 +213,9 @@
             and self.server_state() != GONE
         ):
             # Nobody listens there any more: no need to wait until its health reports run out.
-            self._silence()
+            self.mark_server_gone()
         outcome = NOT_RUN if event.unsent else UNKNOWN
-        self._out.append(
+        self.out.append(
             AnswerForward(
                 run.ticket,
                 BundleForwardAnswer(run.call.attempt_id, outcome, str(event.error.kind), event.error.message),
--- a/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
@@ -88,15 +88,13 @@
         room = {
             name: {
                 "part": account.cap.value + account.slots.value,
-                "room": round(float(core.further.room(name, now=self.node.runtime.now())), 2),
+                "room": round(float(core.ingress.retries.budget.available(name, now=self.node.runtime.now())), 2),
             }
-            for name, account in sorted(core.further.accounts.items())
+            for name, account in sorted(core.ingress.retries.budget.accounts.items())
         }
-        kept: dict[str, int] = {}
-        for each in core.kept.values():
-            standing = "kept" if each.answer is not None else each.standing
-            kept[standing] = kept.get(standing, 0) + 1
-        return web.json_response({"stall": self.settings.name, "room": room, "keys": kept})
+        return web.json_response(
+            {"stall": self.settings.name, "room": room, "keys": core.ingress.keys.count_by_state()}
+        )
 
     async def _take_health(self, request: web.Request) -> web.Response:
         match read_body(await request.read(), _Health):
--- a/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
@@ -1,89 +1,78 @@
-"""Attempts whose connection broke: the life of the sidecar that they went to is asked what became of them.
+"""Attempts whose connection broke: the incarnation of the sidecar that they were sent to is asked what became of them.
 
-What may not be repeated is never sent again on a guess. That life's own word decides: its answer, that it never came
-and is shut out now, or that nobody knows.
+What may not be repeated is never sent again on a guess. Only that incarnation can say: the answer, that the attempt
+never arrived and is shut out now, or that nobody knows.
 """
 
 from datetime import timedelta
+from enum import Enum, auto
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.proxy.core_state import mesh_error
+from hoistsaddle.proxy.core_state import CoreState
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN
-from hoistsaddle.rpc.messages import FollowCall, ForwardAnswer
-from hoistsaddle.sidecar.messages import Follow, Followed, ForwardAnswered
+from hoistsaddle.rpc.messages import FollowCall
+from hoistsaddle.sidecar.messages import Follow, Followed
 from hoistsaddle.sidecar.request_table import PendingRequest, RequestTable
 
-# Nobody answered: asked again this much later each time, for as long as the request's own time lasts.
-FOLLOW_AGAIN = milliseconds(100)
+# After a question without an answer the next one waits this much longer each time, until the request's deadline.
+RETRY_BACKOFF = milliseconds(100)
 
 
-class AttemptFollower(RequestTable):
-    def __init__(self, **needs) -> None:
-        super().__init__(**needs)
-        # When to ask again, and after which request.
-        self.follow_again: list[tuple[timedelta, int]] = []
-
-    def _follow(self, ticket: int, request: PendingRequest) -> None:
-        request.number = self._number()
-        self.by_number[request.number] = ticket
-        left = request.deadline - self.now
-        node = self.view.nodes.get(request.target.proxy)
-        address = node.address if node is not None else request.address
-        self._out.append(Follow(request.number, address, FollowCall(request.attempt_id, request.life, left), left))
-
-    def _followed(self, event: Followed) -> None:
-        ticket = self.by_number.pop(event.number, -1)
-        request = self.pending_requests.get(ticket)
-        answer = event.answer
-        if request is None or request.number != event.number:
-            if answer is None or answer.outcome == NOT_RUN:
-                # What the target still knows of it is sure only within its time.
-                return self._late_miss(event.number)
-            return self._late_answer(ForwardAnswered(event.number, answer))
-        if answer is None:
-            if event.refused:
-                # Nobody listens there: that life is over, and what it did isn't known.
-                return self._unanswered(ticket, request)
-            self.by_number[event.number] = ticket
-            request.follows += 1
-            self.follow_again.append((self.now + FOLLOW_AGAIN * request.follows, ticket))
-            return None
-        if answer.attempt_id != request.attempt_id:
-            return self._unanswered(ticket, request)
-        if answer.outcome == NOT_RUN and self.now < request.deadline:
-            return self._not_taken(ticket, request, ErrorKind(answer.error))
-        request.sends += 1
-        if answer.outcome == ANSWERED:
-            return self._answered(ticket, request, answer)
-        self._unanswered(ticket, request, counted=True)
+class AttemptOutcome(Enum):
+    """What became of an attempt, as far as the sidecar that it was sent to says."""
 
-    def _unanswered(self, ticket: int, request: PendingRequest, *, counted: bool = False) -> None:
-        if not counted:
-            request.sends += 1
-        error = mesh_error(ErrorKind.SILENT, f"{request.target.proxy} gave no answer.", "Ask what became of it.")
-        self._uncertain(ticket, request, error)
+    # Nobody answered: it is asked again.
+    PENDING = auto()
+    # It never arrived, and won't be let in any more.
+    NOT_RUN = auto()
+    ANSWERED = auto()
+    # It may have run, and nobody can say any more.
+    UNKNOWN = auto()
 
-    def _follow_tick(self) -> None:
-        again, self.follow_again = self.follow_again, []
-        for timestamp, ticket in again:
-            if self.now < timestamp:
-                self.follow_again.append((timestamp, ticket))
-            elif (request := self.pending_requests.get(ticket)) is not None:
-                self.by_number.pop(request.number, None)
-                self._follow(ticket, request)
 
-    def _late_answer(self, event: ForwardAnswered) -> None:
-        raise NotImplementedError
+class AttemptFollower:
+    """Asks sidecars what became of attempts, and again where no answer comes."""
 
-    def _late_miss(self, number: int) -> None:
-        raise NotImplementedError
+    def __init__(self, *, state: CoreState, requests: RequestTable) -> None:
+        self._state = state
+        self._requests = requests
+        # When to ask again, and after which request.
+        self._retries: list[tuple[timedelta, int]] = []
 
-    def _not_taken(self, ticket: int, request: PendingRequest, kind: ErrorKind) -> None:
-        raise NotImplementedError
+    def follow(self, request: PendingRequest) -> None:
+        """Ask what became of the request's newest attempt."""
+        number = self._state.next_number()
+        self._requests.begin_call(request, number)
+        left = request.deadline - self._state.now
+        node = self._state.view.nodes.get(request.target)
+        address = node.address if node is not None else request.target_address
+        call = FollowCall(request.attempt_id, request.target_incarnation, left)
+        self._state.out.append(Follow(number, address, call, left))
 
-    def _answered(self, ticket: int, request: PendingRequest, answer: ForwardAnswer) -> None:
-        raise NotImplementedError
+    def followed(self, request: PendingRequest, event: Followed) -> AttemptOutcome:
+        """Take the answer to a question about the request's newest attempt."""
+        answer = event.answer
+        if answer is None and event.refused:
+            # Nobody listens there: that incarnation has ended, and what it did isn't known.
+            return AttemptOutcome.UNKNOWN
+        if answer is None:
+            self._requests.resume_call(request, event.number)
+            request.follow_ups += 1
+            self._retries.append((self._state.now + RETRY_BACKOFF * request.follow_ups, request.ticket))
+            return AttemptOutcome.PENDING
+        if answer.attempt_id != request.attempt_id:
+            return AttemptOutcome.UNKNOWN
+        if answer.outcome == NOT_RUN and self._state.now < request.deadline:
+            # What that sidecar still knows of it is sure only within the request's time.
+            return AttemptOutcome.NOT_RUN
+        return AttemptOutcome.ANSWERED if answer.outcome == ANSWERED else AttemptOutcome.UNKNOWN
 
-    def _uncertain(self, ticket: int, request: PendingRequest, error) -> None:
-        raise NotImplementedError
+    def retry_due(self) -> None:
+        """Ask again what is due."""
+        retries, self._retries = self._retries, []
+        for due, ticket in retries:
+            if self._state.now < due:
+                self._retries.append((due, ticket))
+            elif (request := self._requests.get(ticket)) is not None:
+                self._requests.end_call(request.call_number)
+                self.follow(request)
--- a/packages/sidecar/src/hoistsaddle/sidecar/core.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/core.py
@@ -1,10 +1,16 @@
-"""One proxy that serves items: owner of every request in it. Events come in, commands go out, nothing else happens."""
+"""The core of a sidecar, which owns every request in it. Events come in, commands go out, nothing else happens.
 
+The ingress side (ingress.py) takes the requests of clients; the upstream side (upstream.py) what other sidecars
+forward to the local server. Every sidecar is both.
+"""
+
+import random
 from datetime import timedelta
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.proxy.core_state import LocalServer
+from hoistsaddle.common.errors import MeshError
+from hoistsaddle.proxy.core_state import CoreSettings, CoreState, LocalServer
 from hoistsaddle.proxy.messages import ConfigurationChanged, HoldAnswered, LeaseRenewed, StopRequested, Ticked
+from hoistsaddle.sidecar.errors import AwaitingConfiguration, NotReady
 from hoistsaddle.sidecar.ingress import IngressCore
 from hoistsaddle.sidecar.messages import (
     AbandonArrived,
@@ -23,98 +29,136 @@
     ServerAnswered,
     ServerFailed,
 )
-from hoistsaddle.sidecar.upstream import UpstreamSide
-from hoistsaddle.statemachine.state import GONE, READY
+from hoistsaddle.sidecar.upstream import UpstreamCore
+from hoistsaddle.statemachine.state import READY
 from hoistsaddle.statemachine.view import View
 
 
-class SidecarCore(IngressCore, UpstreamSide):
-    def __init__(self, *, server: str, drain_span: timedelta, **needs) -> None:
-        super().__init__(**needs)
-        self.server_address = server
-        self.drain_span = drain_span
+class SidecarCore(CoreState):
+    """Passes each event to the side that it concerns, and collects the commands that answer it."""
+
+    def __init__(
+        self,
+        *,
+        settings: CoreSettings,
+        seed: random.Random,
+        now: timedelta,
+        service: str,
+        server_address: str,
+        drain_timeout: timedelta,
+        retry_percent: int,
+        retry_margin: int,
+        key_lifetime: timedelta,
+    ) -> None:
+        """Begin without a configuration.
+
+        Args:
+            settings: the sidecar's name, zone and limits.
+            seed: for all that chance decides.
+            now: the monotonic clock's time.
+            service: the service of the local server, as the machine's settings name it.
+            server_address: its address, from the same settings.
+            drain_timeout: how long a server that leaves still gets queued work.
+            retry_percent: retries per hundred first attempts, over the whole fleet.
+            retry_margin: retries beyond that share in ten seconds, over the whole fleet.
+            key_lifetime: how long a claimed key stays claimed.
+        """
+        super().__init__(settings=settings, seed=seed, now=now)
+        self._service = service
+        self._server_address = server_address
+        self.ingress = IngressCore(
+            state=self,
+            service=service,
+            key_lifetime=key_lifetime,
+            retry_percent=retry_percent,
+            retry_margin=retry_margin,
+        )
+        self.upstream = UpstreamCore(state=self, drain_timeout=drain_timeout)
 
     def handle(self, event: tuple, *, now: timedelta) -> list[tuple]:
+        """Take one event.
+
+        Args:
+            event: one of sidecar.messages or proxy.messages.
+            now: the monotonic clock's time.
+
+        Returns:
+            The commands to carry out, in order.
+        """
         self.now = max(now, self.now)
-        self._out = []
+        self.out = []
         match event:
             case RequestArrived():
-                self._asked(event)
+                self.ingress.request_arrived(event)
             case ForwardAnswered():
-                self._forward_answered(event)
+                self.ingress.forward_answered(event)
             case ForwardFailed():
-                self._forward_failed(event)
+                self.ingress.forward_failed(event)
             case ForwardArrived():
-                self._forward_arrived(event)
+                self.upstream.forward_arrived(event)
             case ServerAnswered():
-                self._served(event)
+                self.upstream.server_answered(event)
             case ServerFailed():
-                self._serve_missed(event)
+                self.upstream.server_failed(event)
             case HoldAnswered(number=number, outcome=outcome):
-                self._hold_answered(number, outcome)
+                self.ingress.key_decided(self.ingress.keys.hold_answered(number, outcome))
             case ClaimQueryArrived():
-                self._recall(event)
+                self.ingress.keys.query_arrived(event)
             case ClaimQueryAnswered():
-                self._recall_answered(event)
+                self.ingress.key_decided(self.ingress.keys.query_answered(event))
             case FollowArrived():
-                self._follow_arrived(event)
+                self.upstream.follow_arrived(event)
             case Followed():
-                self._followed(event)
+                self.ingress.followed(event)
             case AbandonArrived():
-                self._abandoned(event)
+                self.upstream.abandon_arrived(event)
             case HealthReported():
-                self._health_reported(event)
+                self.upstream.health_reported(event)
             case ConfigurationChanged(view=view):
-                self._configuration(view)
+                self._configuration_changed(view)
             case LeaseRenewed(start=start):
-                self.lease_start = start if self.lease_start is None else max(start, self.lease_start)
+                self.renew_lease(start)
             case ClientDisconnected(ticket=ticket):
-                self._client_gone(ticket)
+                self.ingress.client_disconnected(ticket)
             case StopRequested():
                 self.stopping = True
             case CloseRequested():
                 self.closing = True
             case GraceExpired():
-                self._end_all()
+                self.ingress.end_all()
             case Ticked():
-                self._ingress_tick()
-                self._upstream_tick()
-        return self._out
+                self.ingress.tick()
+                self.upstream.tick()
+        return self.out
 
-    def _configuration(self, view: View) -> None:
+    def _configuration_changed(self, view: View) -> None:
         before, self.view = self.view, view
         if view.item_revisions != before.item_revisions:
-            self._announce("items taken up", revision=view.revision, items=len(view.item_revisions))
-        known = view.servers.get(self.settings.name)
+            self.announce("items taken up", revision=view.revision, items=len(view.item_revisions))
+        recorded = view.servers.get(self.settings.name)
         if (
-            self.server is None
-            and known is not None
-            and known.state == READY
-            and (known.service, known.address) == (self.service_here, self.server_address)
+            recorded is not None
+            and recorded.state == READY
+            and (recorded.service, recorded.address) == (self._service, self._server_address)
         ):
-            self.assume_server(LocalServer(known.service, known.instance, known.address, READY, self.now))
-        if (
-            self.server is not None
-            and self.server.state == READY
-            and known is not None
-            and known.state == GONE
-            and self.server_state() == READY
-        ):
-            # Called gone while it lives, after a freeze or a cut: say so again at once.
-            self._report()
-        gone = [proxy for proxy in self.seen if proxy not in view.servers]
-        for proxy in gone:
-            del self.seen[proxy]
+            self.upstream.assume_server(
+                LocalServer(recorded.service, recorded.instance, recorded.address, READY, self.now)
+            )
+        self.contradict_record()
+        self.ingress.servers.forget_removed(view)
 
     def ready(self) -> MeshError | None:
-        """The platform's ready check. The core may be away: what is in force here goes on being in force."""
+        """Return why the platform should send nothing here, if so. A configuration stays in force without a core."""
         if self.stopping:
-            return MeshError(ErrorKind.WINDING_DOWN, "This proxy is stopping.", "Send new work elsewhere.")
+            return NotReady("This proxy is stopping.")
         if self.view.items is None:
-            return MeshError(
-                ErrorKind.NO_CONFIGURATION, "No configuration is in force here yet.", "Wait for the core's news."
-            )
+            return AwaitingConfiguration("No configuration is in force here yet.")
         return None
 
+    def pending_count(self) -> int:
+        """Return how many clients' requests have no final answer yet."""
+        return len(self.ingress.requests.requests)
+
     def idle(self) -> bool:
-        return not self.pending_requests and not self.runs and not self.releases
+        """Whether nothing is under way: a stopping sidecar may end."""
+        return not self.pending_count() and not self.upstream.runs and not self.ingress.keys.releases
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -1,4 +1,4 @@
-"""The entry's side: what clients and the own server ask is checked, its key held, a server selected, and answered.
+"""The ingress side: requests of clients and of the local server are checked, forwarded to a server, and answered.
 
 Nothing waits here. A request is with a server's sidecar, with the log for its key, or answered: one that nobody can
 take gets its final answer at once, with when to come back.
@@ -8,289 +8,352 @@
 
 from hoistsaddle.common.clock import ZERO, milliseconds
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.items import IDEMPOTENT, ONCE_PER_KEY, RouteItem, hold_timeout, latency_target
-from hoistsaddle.proxy.core_state import mesh_error
+from hoistsaddle.config.items import IDEMPOTENT, ONCE_PER_KEY, RouteItem, hold_timeout
+from hoistsaddle.proxy.core_state import CoreState
+from hoistsaddle.proxy.errors import NoServerAvailable
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN
 from hoistsaddle.rpc.messages import AbandonCall, ForwardAnswer, ForwardCall
-from hoistsaddle.sidecar.attempt_follower import AttemptFollower
-from hoistsaddle.sidecar.key_claims import FREE, UNKNOWN_RUN, WORKING, KeyClaims
-from hoistsaddle.sidecar.messages import Abandon, ForwardAnswered, ForwardFailed, ForwardRequest, Reply, RequestArrived
-from hoistsaddle.sidecar.request_table import PendingRequest
+from hoistsaddle.sidecar.attempt_follower import AttemptFollower, AttemptOutcome
+from hoistsaddle.sidecar.errors import (
+    AttemptRejected,
+    BodyTooLarge,
+    ConfigurationOutdated,
+    DeadlineExceeded,
+    Draining,
+    HeadersTooLarge,
+    KeyInProgress,
+    KeyOutcomeUnknown,
+    NoAnswer,
+    NoRoute,
+    NotConfigured,
+    ProxyUnreachable,
+)
+from hoistsaddle.sidecar.key_claims import (
+    KeyAnswered,
+    KeyBusy,
+    KeyClaims,
+    KeyDecision,
+    KeyGranted,
+    KeyLost,
+    KeyRefused,
+)
+from hoistsaddle.sidecar.messages import (
+    Abandon,
+    Followed,
+    ForwardAnswered,
+    ForwardFailed,
+    ForwardRequest,
+    Reply,
+    RequestArrived,
+)
+from hoistsaddle.sidecar.request_table import NO_CALL, PendingRequest, RequestTable
+from hoistsaddle.sidecar.retry_allowance import RetryAllowance
 from hoistsaddle.sidecar.server_selection import ServerSelection
-
-# Sidecars that turn a request away cost a hop each: so many are asked, then it is told to come back.
-MOST_ASKED = 4
-# A body this large crosses the links twice at the most.
-LARGE_BODY = 8192
-# A sidecar that couldn't be reached is left alone for so long, while there are others.
-LEFT_ALONE = timedelta(seconds=1)
+from hoistsaddle.statemachine.state import ServerRecord
+
+# The time that a request gets whose client names none.
+DEFAULT_BUDGET = timedelta(seconds=30)
+# Sidecars that reject an attempt cost a hop each: so many are tried, then the client is told to come back.
+MAX_SIDECARS_TRIED = 4
+# A large body crosses the links twice at the most.
+MAX_SIDECARS_TRIED_LARGE_BODY = 2
+LARGE_BODY_BYTES = 8192
+# A sidecar that couldn't be reached is left alone for so long, while there are others; one that rejects, for less.
+UNREACHABLE_AVOIDANCE = timedelta(seconds=1)
+REJECTION_AVOIDANCE = UNREACHABLE_AVOIDANCE / 4
 # Nobody is told to come back sooner.
-SOON = milliseconds(50)
-# Nobody is sent away for longer: a second is what a takeover of the core or a queue takes to be over.
-MOST_AWAY = timedelta(seconds=1)
-
+MIN_RETRY_AFTER = milliseconds(50)
+# Nor later: a second is what a takeover of the core or a queue takes to be over.
+MAX_RETRY_AFTER = timedelta(seconds=1)
+# How much of its bound a retry-after varies, so that clients rejected together don't come back together.
+FIXED_RETRY_AFTER_SHARE, RANDOM_RETRY_AFTER_SHARE = 0.4, 0.6
+# Statuses from this one on say that a server ran a request and failed.
+SERVER_ERROR_STATUS = 500
 
-class IngressCore(KeyClaims, ServerSelection, AttemptFollower):
-    def __init__(self, *, service: str, **needs) -> None:
-        super().__init__(**needs)
-        self.service_here = service
 
-    # -- admitting ---------------------------------------------------------------------------------------------------
+class IngressCore:
+    """Owns every request that came in at this sidecar, from its arrival to its final answer."""
 
-    def _asked(self, event: RequestArrived) -> None:
-        request = self.pending_requests[event.ticket] = PendingRequest(event=event, now=self.now)
-        items = self.view.items
-        if self.closing:
-            error = mesh_error(ErrorKind.WINDING_DOWN, "This proxy is about to end.", "Send it to another machine.")
-            return self._turned_back(event.ticket, error)
+    def __init__(
+        self, *, state: CoreState, service: str, key_lifetime: timedelta, retry_percent: int, retry_margin: int
+    ) -> None:
+        """Begin without requests.
+
+        Args:
+            state: of the core that the commands go out from.
+            service: the service of the local server, as the settings name it.
+            key_lifetime: how long a claimed key stays claimed.
+            retry_percent: retries per hundred first attempts, over the whole fleet.
+            retry_margin: retries beyond that share in ten seconds, over the whole fleet.
+        """
+        self._state = state
+        self._service = service
+        self.requests = RequestTable()
+        self.servers = ServerSelection(state=state)
+        self.retries = RetryAllowance(state=state, percent=retry_percent, margin=retry_margin)
+        self.keys = KeyClaims(state=state, requests=self.requests, key_lifetime=key_lifetime)
+        self._follower = AttemptFollower(state=state, requests=self.requests)
+
+    # -- admission ---------------------------------------------------------------------------------------------------
+
+    def request_arrived(self, event: RequestArrived) -> None:
+        """Check a request, and forward it or claim its key."""
+        now = self._state.now
+        # What lay unread while this process stood still has less left than it says.
+        deadline = now + (DEFAULT_BUDGET if event.budget is None else event.budget) - event.unread
+        if self._state.closing:
+            return self._reject_arrival(event, deadline, Draining("This proxy is about to end."))
+        items = self._state.view.items
         if items is None:
-            return self._turned_back(
-                event.ticket,
-                mesh_error(ErrorKind.NO_CONFIGURATION, "No configuration is in force here yet.", "Come back shortly."),
-            )
+            return self._reject_arrival(event, deadline, NotConfigured("No configuration is in force here yet."))
         path = event.path.partition("?")[0]
-        entry = items.select_entry(host=event.host, path=path)
-        if entry is None and not self.fresh():
-            # It may have been added since: "not declared" is a word about now, and this configuration is older.
-            error = mesh_error(
-                ErrorKind.LEASE_LAPSED, "No such entry in a configuration that may have been overtaken.", "Come back."
-            )
-            return self._turned_back(event.ticket, error)
-        if entry is None:
-            error = mesh_error(ErrorKind.NO_ENTRY, f"No entry for {event.host} {path[:80]}.", "Call a declared entry.")
-            return self._reply(event.ticket, 404, error=error)
+        route = items.select_entry(host=event.host, path=path)
+        if route is None and not self._state.has_lease():
+            # It may have been added since: "not declared" is true of now alone, and this configuration is older.
+            outdated = ConfigurationOutdated("No such entry in a configuration that may have been overtaken.")
+            return self._reject_arrival(event, deadline, outdated)
+        if route is None:
+            return self._refuse_arrival(event, 404, NoRoute(f"No entry for {event.host} {path[:80]}."))
         if event.header_bytes > items.limits.header_bytes:
-            error = mesh_error(ErrorKind.REQUEST_BROKEN, "The headers are over their limit.", "Send less.")
-            return self._reply(event.ticket, 431, error=error)
+            return self._refuse_arrival(event, 431, HeadersTooLarge("The headers are over their limit."))
         if len(event.body) > items.limits.body_bytes:
-            error = mesh_error(ErrorKind.BODY_TOO_LARGE, "The body is over its limit.", "Send a smaller body.", "body")
-            return self._reply(event.ticket, 413, error=error)
-        request.entry = entry
-        request.deadline = min(request.deadline, self.now + hold_timeout(entry))
-        request.aim_at = min(request.deadline, self.now + latency_target(entry))
-        request.service = self._select_service(entry)
-        if entry.kind == ONCE_PER_KEY and event.key:
-            return self._claim(event.ticket)
-        self._place(event.ticket)
-
-    def _select_service(self, entry: RouteItem) -> str:
-        if len(entry.parts) == 1:
-            return entry.parts[0].service
-        weights = [part.weight for part in entry.parts]
-        return self.random.choices([part.service for part in entry.parts], weights=weights)[0]
-
-    # -- sending it on ------------------------------------------------------------------------------------------------
-
-    def _place(self, ticket: int) -> None:
-        """Sends the request to the best server's proxy, or gives its final answer."""
-        request = self.pending_requests[ticket]
-        if self.now >= request.deadline:
-            return self._spent(ticket)
-        most = MOST_ASKED if len(request.event.body) <= LARGE_BODY else 2
-        if request.asked >= most or request.sends >= max(1, request.entry.most_sends):
-            return self._give_up(ticket)
-        target = self._select(request)
-        if target is None:
-            return self._give_up(ticket)
-        self._allot(request.service)
-        if request.sends == 0:
-            if not request.counted:
-                request.counted = True
-                self.further.first(request.service, percent=self.further_percent)
-        elif not (way := self.further.gate(request.service, now=self.now)):
-            return self._give_up(ticket)
-        else:
-            request.way = way
-        request.asked += 1
-        request.target = target
-        request.number = self._number()
-        self.by_number[request.number] = ticket
-        self.seen_of(target.proxy).mine += 1
-        event = request.event
-        budget = request.deadline - self.now
-        node = self.view.nodes[target.proxy]
-        request.attempt_id = f"{self.settings.name}.{self.settings.incarnation}.{request.number}"
-        request.life, request.address, request.follows = node.incarnation, node.address, 0
+            return self._refuse_arrival(event, 413, BodyTooLarge("The body is over its limit."))
+        request = PendingRequest(
+            event=event,
+            route=route,
+            service=self._pick_service(route),
+            now=now,
+            deadline=min(deadline, now + hold_timeout(route)),
+        )
+        self.requests.add(request)
+        if route.kind == ONCE_PER_KEY and event.key:
+            return self.keys.claim(request)
+        return self._place(request)
+
+    def _pick_service(self, route: RouteItem) -> str:
+        if len(route.parts) == 1:
+            return route.parts[0].service
+        weights = [part.weight for part in route.parts]
+        return self._state.random.choices([part.service for part in route.parts], weights=weights)[0]
+
+    def _reject_arrival(self, event: RequestArrived, deadline: timedelta, error: MeshError) -> None:
+        """Answer a request that was never admitted: it may come back."""
+        self._state.out.append(Reply(event.ticket, 503, b"", b"", error, self._retry_after(deadline)))
+
+    def _refuse_arrival(self, event: RequestArrived, status: int, error: MeshError) -> None:
+        """Answer a request that can't be admitted however often it comes."""
+        self._state.out.append(Reply(event.ticket, status, b"", b"", error, None))
+
+    # -- forwarding --------------------------------------------------------------------------------------------------
+
+    def _place(self, request: PendingRequest) -> None:
+        """Forward the request to the best server's sidecar, or give its final answer."""
+        if self._state.now >= request.deadline:
+            return self._expire(request)
+        large = len(request.event.body) > LARGE_BODY_BYTES
+        max_tried = MAX_SIDECARS_TRIED_LARGE_BODY if large else MAX_SIDECARS_TRIED
+        if request.sidecars_tried >= max_tried or request.attempts >= max(1, request.route.most_sends):
+            return self._give_up(request)
+        server = self.servers.select(request)
+        if server is None or not self.retries.admit(request):
+            return self._give_up(request)
+        return self._forward(request, server)
+
+    def _forward(self, request: PendingRequest, server: ServerRecord) -> None:
+        state, event, route = self._state, request.event, request.route
+        node = state.view.nodes[server.proxy]
+        number = state.next_number()
+        self.requests.begin_call(request, number)
+        self.servers.attempt_sent(server.proxy)
+        request.sidecars_tried += 1
+        request.attempt_id = f"{state.settings.name}.{state.settings.incarnation}.{number}"
+        request.target = server.proxy
+        request.target_incarnation = node.incarnation
+        request.target_address = node.address
+        request.follow_ups = 0
+        budget = request.deadline - state.now
         call = ForwardCall(
             attempt_id=request.attempt_id,
-            service_name=target.service,
-            target=target.proxy,
-            instance=target.instance,
+            service_name=server.service,
+            target=server.proxy,
+            instance=server.instance,
             budget=budget,
-            latency_target=max(ZERO, request.aim_at - self.now),
-            rank=request.entry.rank,
-            route=request.entry.name,
+            latency_target=max(ZERO, request.latency_deadline - state.now),
+            rank=route.rank,
+            route=route.name,
             method=event.method,
             path=event.path.encode("utf-8", "surrogateescape"),
             headers=event.headers,
             body=event.body,
-            caller=self.service_here,
+            caller=self._service,
             client_attempt_id=event.client_attempt_id,
-            ordinal=request.sends + 1,
-            repeatable=request.entry.kind == IDEMPOTENT,
+            ordinal=request.attempts + 1,
+            repeatable=route.kind == IDEMPOTENT,
         )
-        self._out.append(ForwardRequest(request.number, node.address, call, budget))
+        state.out.append(ForwardRequest(number, node.address, call, budget))
 
-    # -- what comes back ---------------------------------------------------------------------------------------------
+    # -- answers -----------------------------------------------------------------------------------------------------
 
-    def _back(self, number: int) -> tuple[int, PendingRequest | None]:
-        ticket = self.by_number.pop(number, -1)
-        request = self.pending_requests.get(ticket)
-        if request is None or request.number != number:
-            return ticket, None
-        seen = self.seen_of(request.target.proxy)
-        seen.mine = max(0, seen.mine - 1)
-        return ticket, request
+    def _attempt_ended(self, number: int) -> PendingRequest | None:
+        """Close an attempt and return its request, if that still waits for this attempt."""
+        request = self.requests.end_call(number)
+        if request is None or request.call_number != number:
+            return None
+        self.servers.attempt_ended(request.target)
+        return request
 
-    def _forward_answered(self, event: ForwardAnswered) -> None:
+    def forward_answered(self, event: ForwardAnswered) -> None:
+        """Take what the target's sidecar answered to an attempt."""
         answer = event.answer
-        ticket, request = self._back(event.number)
+        request = self._attempt_ended(event.number)
         if request is None:
-            return self._late_answer(event)
-        seen = self.seen_of(request.target.proxy)
-        seen.room, seen.told_at = max(1, answer.capacity), self.now
-        seen.others = max(0, answer.load - seen.mine)
+            return self.keys.late_answer(event.number, answer)
+        self.servers.load_reported(request.target, answer)
         if answer.outcome == NOT_RUN:
-            return self._not_taken(ticket, request, ErrorKind(answer.error))
-        request.sends += 1
+            return self._attempt_rejected(request, ErrorKind(answer.error))
+        request.attempts += 1
         if answer.outcome != ANSWERED or answer.attempt_id != request.attempt_id:
-            return self._uncertain(
-                ticket,
-                request,
-                mesh_error(ErrorKind.SILENT, "The server gave no whole answer.", "Ask what became of it."),
-            )
-        if answer.status < 500:
-            usual = self.answer_bytes.get(request.entry.name, float(len(answer.body)))
-            self.answer_bytes[request.entry.name] = usual + (len(answer.body) - usual) * 0.1
-            known = seen.spans.get(request.entry.name)
-            seen.spans[request.entry.name] = (
-                answer.run_time if known is None else known + (answer.run_time - known) * 0.15
-            )
-        elif request.entry.kind == IDEMPOTENT:
-            # The server ran it and failed: another may do better, if there is room for one more send.
-            request.best = answer
-            request.avoid.add(request.target.proxy)
-            return self._place(ticket)
-        self._answered(ticket, request, answer)
-
-    def _late_answer(self, event: ForwardAnswered) -> None:
-        """Its client has given up, but a repeat of its key still wants the first answer."""
-        kept = self.kept.get(self.late.pop(event.number, ""))
-        if kept is None:
-            return
-        if event.answer.outcome == ANSWERED:
-            kept.answer = event.answer
-        else:
-            # Turned away after all: nothing ran under the claim, and no other attempt of it is under way.
-            kept.standing = FREE if event.answer.outcome == NOT_RUN else UNKNOWN_RUN
-
-    def _late_miss(self, number: int) -> None:
-        if (kept := self.kept.get(self.late.pop(number, ""))) is not None:
-            kept.standing = UNKNOWN_RUN
-
-    def _answered(self, ticket: int, request: PendingRequest, answer: ForwardAnswer) -> None:
-        if request.claimed and (kept := self.kept.get(request.claim)) is not None:
-            kept.answer = answer
-        self._reply(ticket, answer.status, headers=answer.headers, body=answer.body)
-
-    def _not_taken(self, ticket: int, request: PendingRequest, kind: ErrorKind) -> None:
-        request.avoid.add(request.target.proxy)
-        request.why = mesh_error(kind, f"{request.target.proxy} could not take it.", "Come back after the time given.")
-        if kind == ErrorKind.SERVER_FULL:
-            # It did arrive at a server, which counts as a send though nothing ran.
-            request.sends += 1
-        elif kind != ErrorKind.QUEUE_FULL:
-            self.seen_of(request.target.proxy).alone_until = self.now + LEFT_ALONE / 4
-            request.asked -= 1 if request.asked < MOST_ASKED else 0
-        self._place(ticket)
-
-    def _forward_failed(self, event: ForwardFailed) -> None:
-        ticket, request = self._back(event.number)
+            return self._attempt_uncertain(request, NoAnswer("The server gave no whole answer."))
+        if answer.status < SERVER_ERROR_STATUS:
+            self.servers.answer_received(request.target, request.route.name, answer)
+        elif request.route.kind == IDEMPOTENT:
+            # The server ran it and failed: another may do better, if one more attempt is allowed.
+            request.server_failure = answer
+            request.excluded.add(request.target)
+            return self._place(request)
+        return self._answer(request, answer)
+
+    def forward_failed(self, event: ForwardFailed) -> None:
+        """Take that the connection to the target's sidecar broke."""
+        request = self._attempt_ended(event.number)
         if request is None:
-            return self._late_miss(event.number)
-        self.seen_of(request.target.proxy).alone_until = self.now + LEFT_ALONE
+            return self.keys.late_failure(event.number)
+        self.servers.avoid(request.target, duration=UNREACHABLE_AVOIDANCE)
         if event.unsent:
             # No connection was made, so nothing can arrive later either.
-            request.avoid.add(request.target.proxy)
-            request.why = mesh_error(
-                ErrorKind.UNREACHABLE, f"{request.target.proxy} takes no connection.", "Come back."
-            )
-            return self._place(ticket)
-        if request.entry.kind != IDEMPOTENT and request.life and self.now < request.deadline:
-            # It may be at work there, or never have come: its sidecar knows, and nothing is sent again before it said.
-            return self._follow(ticket, request)
-        self._unanswered(ticket, request)
-
-    def _uncertain(self, ticket: int, request: PendingRequest, error: MeshError) -> None:
-        """It may have run. Only what may be repeated is sent again."""
+            request.excluded.add(request.target)
+            request.last_error = ProxyUnreachable(f"{request.target} takes no connection.")
+            return self._place(request)
+        follows = request.route.kind != IDEMPOTENT and request.target_incarnation
+        if follows and self._state.now < request.deadline:
+            # It may be running there, or never have arrived: nothing is sent again before its sidecar has said.
+            return self._follower.follow(request)
+        return self._attempt_unanswered(request)
+
+    def followed(self, event: Followed) -> None:
+        """Take what the target's sidecar says became of an attempt whose connection broke."""
+        answer = event.answer
+        request = self.requests.end_call(event.number)
+        if request is None or request.call_number != event.number:
+            if answer is None or answer.outcome == NOT_RUN:
+                # What the target still knows of it is sure only within the request's time.
+                return self.keys.late_failure(event.number)
+            return self.keys.late_answer(event.number, answer)
+        outcome = self._follower.followed(request, event)
+        if outcome is AttemptOutcome.UNKNOWN:
+            return self._attempt_unanswered(request)
+        if outcome is AttemptOutcome.PENDING or answer is None:
+            return None
+        if outcome is AttemptOutcome.NOT_RUN:
+            return self._attempt_rejected(request, ErrorKind(answer.error))
+        request.attempts += 1
+        return self._answer(request, answer)
+
+    def _attempt_rejected(self, request: PendingRequest, kind: ErrorKind) -> None:
+        """Nothing ran: another server's sidecar may take it."""
+        request.excluded.add(request.target)
+        request.last_error = AttemptRejected(kind, request.target)
+        if kind == ErrorKind.SERVER_FULL:
+            # It did arrive at a server, which counts as an attempt though nothing ran.
+            request.attempts += 1
+        elif kind != ErrorKind.QUEUE_FULL:
+            self.servers.avoid(request.target, duration=REJECTION_AVOIDANCE)
+            request.sidecars_tried -= 1 if request.sidecars_tried < MAX_SIDECARS_TRIED else 0
+        self._place(request)
+
+    def _attempt_unanswered(self, request: PendingRequest) -> None:
+        request.attempts += 1
+        self._attempt_uncertain(request, NoAnswer(f"{request.target} gave no answer."))
+
+    def _attempt_uncertain(self, request: PendingRequest, error: MeshError) -> None:
+        """It may have run: only an idempotent request is sent again."""
         request.uncertain = True
-        request.why = error
-        request.avoid.add(request.target.proxy)
-        if request.entry.kind == IDEMPOTENT and self.now < request.deadline:
-            return self._place(ticket)
-        self._unknown(ticket)
+        request.last_error = error
+        request.excluded.add(request.target)
+        if request.route.kind == IDEMPOTENT and self._state.now < request.deadline:
+            return self._place(request)
+        return self._answer_unknown(request)
+
+    def key_decided(self, decision: KeyDecision | None) -> None:
+        """Act on what came of a request's key."""
+        match decision:
+            case KeyGranted(request):
+                self._place(request)
+            case KeyRefused(request, error):
+                self._reject(request, error)
+            case KeyAnswered(request, answer):
+                self._reply(request, answer.status, headers=answer.headers, body=answer.body)
+            case KeyBusy(request):
+                busy = KeyInProgress("The first request with this key is still working.")
+                self._reply(request, 409, error=busy, retry_after=self._retry_after(request.deadline))
+            case KeyLost(request):
+                # This repeat ran nowhere and never will, which is all that 503 says; of the first it says nothing.
+                lost = KeyOutcomeUnknown("What became of this key's first request is not known; this one did not run.")
+                self._reply(request, 503, error=lost, retry_after=self._retry_after(request.deadline))
 
     # -- final answers -----------------------------------------------------------------------------------------------
 
-    def _give_up(self, ticket: int) -> None:
-        request = self.pending_requests[ticket]
-        if request.best is not None:
-            # A server's own failure is its answer.
-            return self._answered(ticket, request, request.best)
+    def _answer(self, request: PendingRequest, answer: ForwardAnswer) -> None:
+        self.keys.record_answer(request, answer)
+        self._reply(request, answer.status, headers=answer.headers, body=answer.body)
+
+    def _give_up(self, request: PendingRequest) -> None:
+        if request.server_failure is not None:
+            return self._answer(request, request.server_failure)
         if request.uncertain:
-            return self._unknown(ticket)
-        error = request.why or mesh_error(
-            ErrorKind.NO_SERVER, f"No server of {request.service} takes work.", "Come back after the time given."
-        )
-        self._turned_back(ticket, error)
+            return self._answer_unknown(request)
+        error = request.last_error or NoServerAvailable(f"No server of {request.service} takes work.")
+        return self._reject(request, error)
 
-    def _turned_back(self, ticket: int, error: MeshError) -> None:
-        """Nothing ran and nothing will: said at once, with when to come back."""
-        request = self.pending_requests[ticket]
+    def _reject(self, request: PendingRequest, error: MeshError) -> None:
+        """Nothing ran and nothing will: answered at once, with when to come back."""
         if request.uncertain:
-            return self._unknown(ticket)
-        # Also a send that a full server turned away has not run.
-        request.sends = 0
-        self._let_go(request)
-        self._reply(ticket, 503, error=error, retry_after=self._soon(request))
-
-    def _soon(self, request: PendingRequest) -> timedelta:
-        """Spread over up to a third of what is left: those turned back together must not come back together."""
-        left = max(ZERO, request.deadline - self.now)
-        return max(SOON, min(left / 3, MOST_AWAY) * (0.4 + 0.6 * self.random.random()))
-
-    def _unknown(self, ticket: int) -> None:
-        request = self.pending_requests[ticket]
-        if request.claimed and (kept := self.kept.get(request.claim)) is not None:
-            kept.standing = UNKNOWN_RUN
-            if request.number in self.by_number:
-                kept.standing = WORKING
-                self.late[request.number] = request.claim
-        self._reply(ticket, 504 if self.now >= request.deadline else 502, error=request.why or _no_answer())
-
-    def _spent(self, ticket: int) -> None:
-        error = mesh_error(ErrorKind.BUDGET_SPENT, "Its time ran out before it was sent.", "Give it more time.")
-        self._end(ticket, error)
-
-    def _end_all(self) -> None:
-        """The process ends: a closed connection would tell its clients nothing, so each is told what is known."""
-        for ticket in list(self.pending_requests):
-            error = mesh_error(ErrorKind.WINDING_DOWN, "This sidecar ends now.", "Send it to another machine.")
-            self._end(ticket, error)
-
-    def _end(self, ticket: int, unsent: MeshError) -> None:
-        """The final answer now, whatever is still under way; `unsent` is why if nothing was sent."""
-        request = self.pending_requests[ticket]
-        under_way = request.number is not None and request.number in self.by_number and request.target is not None
-        if under_way and request.number not in self.claims:
+            return self._answer_unknown(request)
+        # An attempt that a full server turned away has not run either.
+        request.attempts = 0
+        self.keys.release_unused(request)
+        return self._reply(request, 503, error=error, retry_after=self._retry_after(request.deadline))
+
+    def _retry_after(self, deadline: timedelta) -> timedelta:
+        """Return when to come back: within a third of the time left, spread by chance."""
+        left = max(ZERO, deadline - self._state.now)
+        spread = FIXED_RETRY_AFTER_SHARE + RANDOM_RETRY_AFTER_SHARE * self._state.random.random()
+        return max(MIN_RETRY_AFTER, min(left / 3, MAX_RETRY_AFTER) * spread)
+
+    def _answer_unknown(self, request: PendingRequest) -> None:
+        self.keys.record_unknown(request)
+        status = 504 if self._state.now >= request.deadline else 502
+        self._reply(request, status, error=request.last_error or NoAnswer("No answer came within its time."))
+
+    def _expire(self, request: PendingRequest) -> None:
+        self._end(request, DeadlineExceeded("Its time ran out before it was sent."))
+
+    def end_all(self) -> None:
+        """Answer every request, as the process ends: a closed connection would tell its clients nothing."""
+        for request in list(self.requests.requests.values()):
+            self._end(request, Draining("This sidecar ends now."))
+
+    def _end(self, request: PendingRequest, unsent: MeshError) -> None:
+        """Give the final answer now, whatever is still under way; `unsent` is why if nothing was sent."""
+        if self._has_attempt(request) and not self.keys.is_claim(request.call_number):
             request.uncertain = True
-        if request.uncertain or request.best is not None:
-            return self._give_up(ticket)
-        self._turned_back(ticket, request.why or unsent)
+        if request.uncertain or request.server_failure is not None:
+            return self._give_up(request)
+        return self._reject(request, request.last_error or unsent)
 
     def _reply(
         self,
-        ticket: int,
+        request: PendingRequest,
         status: int,
         *,
         headers: bytes = b"",
@@ -298,38 +361,38 @@
         error: MeshError | None = None,
         retry_after: timedelta | None = None,
     ) -> None:
-        self._forget(ticket)
-        self._out.append(Reply(ticket, status, headers, body, error, retry_after))
-
-    def _forget(self, ticket: int) -> None:
-        request = self.pending_requests.pop(ticket)
-        if (
-            request.number is not None
-            and request.target is not None
-            and self.by_number.pop(request.number, None) is not None
-        ):
-            seen = self.seen_of(request.target.proxy)
-            seen.mine = max(0, seen.mine - 1)
-
-    def _client_gone(self, ticket: int) -> None:
-        """Nobody waits for the answer: it is given up, but for work under a key and what may not be repeated."""
-        request = self.pending_requests.get(ticket)
-        if request is None or request.claim:
-            return
-        under_way = request.number is not None and request.number in self.by_number
-        if under_way and request.entry.kind != IDEMPOTENT:
-            return
-        if under_way:
-            self._out.append(Abandon(request.address, AbandonCall(request.attempt_id)))
-        self._forget(ticket)
+        self._forget(request)
+        self._state.out.append(Reply(request.ticket, status, headers, body, error, retry_after))
+
+    def _forget(self, request: PendingRequest) -> None:
+        self.requests.remove(request)
+        if self._has_attempt(request):
+            self.requests.end_call(request.call_number)
+            self.servers.attempt_ended(request.target)
 
-    def _ingress_tick(self) -> None:
-        for ticket in [ticket for ticket, request in self.pending_requests.items() if self.now >= request.deadline]:
-            if ticket in self.pending_requests:
-                self._spent(ticket)
-        self._key_tick()
-        self._follow_tick()
+    def _has_attempt(self, request: PendingRequest) -> bool:
+        """Whether the newest call is under way and an attempt was ever sent."""
+        return request.call_number != NO_CALL and request.target != "" and self.requests.has_call(request)
 
+    # -- other events ------------------------------------------------------------------------------------------------
 
-def _no_answer() -> MeshError:
-    return mesh_error(ErrorKind.SILENT, "No answer came within its time.", "Ask what became of it.")
+    def client_disconnected(self, ticket: int) -> None:
+        """Give up what nobody waits for, except work under a key and what may not be repeated."""
+        request = self.requests.get(ticket)
+        if request is None or request.claim:
+            return
+        has_call = self.requests.has_call(request)
+        if has_call and request.route.kind != IDEMPOTENT:
+            return
+        if has_call:
+            self._state.out.append(Abandon(request.target_address, AbandonCall(request.attempt_id)))
+        self._forget(request)
+
+    def tick(self) -> None:
+        """Give the final answers that are due, and retry what got no answer."""
+        for request in self.requests.expired(self._state.now):
+            self._expire(request)
+        for refused in self.keys.overdue():
+            self._reject(refused.request, refused.error)
+        self.keys.retry_due()
+        self._follower.retry_due()
--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -1,14 +1,21 @@
-"""The keyed requests of a sidecar: each key is claimed in the log, and its answer stays with the claim's sidecar."""
+"""Idempotency keys of a sidecar's requests: each is claimed in the log, and the claim's outcome stays with its sidecar.
+
+The log knows which sidecar claimed a key; only that sidecar knows what came of it. A repeat that meets a claimed key
+asks there.
+"""
 
 from collections import OrderedDict
 from datetime import timedelta
 from math import ceil
+from typing import NamedTuple
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import MeshError
 from hoistsaddle.proxy.client_identity import digest_of_parts
-from hoistsaddle.proxy.core_state import mesh_error
-from hoistsaddle.proxy.messages import SubmitHold
+from hoistsaddle.proxy.core_state import CoreState
+from hoistsaddle.proxy.errors import LogUnavailable
+from hoistsaddle.proxy.hold_releases import HoldReleases
+from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, SubmitHold
 from hoistsaddle.rpc.messages import ClaimQueryAnswer, ClaimQueryCall, ForwardAnswer
 from hoistsaddle.sidecar.messages import AnswerClaimQuery, ClaimQueryAnswered, ClaimQueryArrived, QueryClaim
 from hoistsaddle.sidecar.request_table import PendingRequest, RequestTable
@@ -16,221 +23,307 @@
 from hoistsaddle.statemachine.idempotency import hold_handle
 from hoistsaddle.statemachine.state import GONE
 
-# How much of its aim a request waits for its key.
-KEY_SHARE = 0.22
+# How much of its latency target a request waits for its key.
+KEY_WAIT_SHARE = 0.22
 # Hex digits of a key's digest: 96 bits tell keys apart, and the log holds hundreds of them a second.
 SCOPE_LENGTH = 24
-# For how long a key that is given back is offered to the log again and again.
-RELEASE_SPAN = timedelta(seconds=10)
-# Not urgent: until it is done a repeat that meets the key is told here that it is free.
-RELEASE_AGAIN = timedelta(seconds=1)
-# A claim that got no answer is asked again this soon, for as long as waiting costs the client little.
-CLAIM_AGAIN = milliseconds(40)
+# For how long the release of a key is submitted to the log again and again.
+RELEASE_TIMEOUT = timedelta(seconds=10)
+# Not urgent: until the release is in the log, a repeat that meets the key is told here that it is free.
+RELEASE_RETRY_INTERVAL = timedelta(seconds=1)
+# A claim that got no answer is submitted again this soon, for as long as waiting costs the client little.
+CLAIM_RETRY_INTERVAL = milliseconds(40)
+# What became of a claim, as sidecars tell each other.
 WORKING = "working"
 KEPT = "kept"
 FREE = "free"
 UNKNOWN_RUN = "unknown"
+# What a sidecar tells that gave no answer.
+NO_STATE = ""
+# The log's answer to a claim that holds the key from now on.
+GRANTED_PHASE = "granted"
+
+
+class KeyGranted(NamedTuple):
+    """The log granted the claim: the request may be forwarded."""
+
+    request: PendingRequest
+
+
+class KeyRefused(NamedTuple):
+    """The key can't be claimed: nothing ran under it."""
+
+    request: PendingRequest
+    error: MeshError
+
+
+class KeyAnswered(NamedTuple):
+    """The first request with this key has its answer, and the repeat gets the same one."""
+
+    request: PendingRequest
+    answer: ClaimQueryAnswer
+
+
+class KeyBusy(NamedTuple):
+    """The first request with this key is still running."""
+
+    request: PendingRequest
+
 
+class KeyLost(NamedTuple):
+    """Nobody knows what became of the first request with this key."""
 
-class Kept:
-    """What became of a claim of this sidecar's: repeats at any door ask here."""
+    request: PendingRequest
 
-    def __init__(self, *, until: timedelta) -> None:
-        self.standing = WORKING
-        self.until = until
+
+KeyDecision = KeyGranted | KeyRefused | KeyAnswered | KeyBusy | KeyLost
+
+
+class ClaimRecord:
+    """What became of one claim of this sidecar's, for repeats of its key at any sidecar."""
+
+    def __init__(self, *, expires: timedelta) -> None:
+        self.state = WORKING
+        self.expires = expires
         self.answer: ForwardAnswer | None = None
 
+    def current_state(self) -> str:
+        """Return the state that is told: an answer, once there, is the claim's outcome."""
+        return self.state if self.answer is None else KEPT
 
-def _no_core() -> MeshError:
-    return mesh_error(ErrorKind.NO_LEADER, "No core machine could hold the key.", "Come back after the time given.")
 
+class KeyClaims:
+    """Claims keys for pending requests, keeps the claims' outcomes, and gives back what nothing ran under."""
 
-class KeyClaims(RequestTable):
-    def __init__(self, *, key_span: timedelta, **needs) -> None:
-        super().__init__(**needs)
-        self.key_span = key_span
-        self.claims: dict[int, ClaimHold] = {}
-        self.recalls: dict[int, int] = {}
-        self.releases: dict[int, tuple[ReleaseHold, timedelta]] = {}
-        self.release_again: list[tuple[timedelta, ReleaseHold, timedelta]] = []
-        self.claim_again: list[tuple[timedelta, int]] = []
-        self.kept: OrderedDict[str, Kept] = OrderedDict()
-        # Attempts whose requests were answered before they came back, to the claims they ran under.
-        self.late: dict[int, str] = {}
-        # Since when the core gives no answer about keys.
-        self.silent_since: timedelta | None = None
+    def __init__(self, *, state: CoreState, requests: RequestTable, key_lifetime: timedelta) -> None:
+        """Begin without claims.
 
-    def _claim(self, ticket: int) -> None:
-        request = self.pending_requests[ticket]
+        Args:
+            state: of the core that the commands go out from.
+            requests: the pending requests, shared with the ingress core.
+            key_lifetime: how long a claimed key stays claimed, and its outcome known here.
+        """
+        self._state = state
+        self._requests = requests
+        self.key_lifetime = key_lifetime
+        # Claims submitted to the log by the call's number, and queries to the claim's sidecar to the request's ticket.
+        self.submitted: dict[int, ClaimHold] = {}
+        self._queries: dict[int, int] = {}
+        self._claim_retries: list[tuple[timedelta, int]] = []
+        self.releases = HoldReleases(state=state, retry_interval=RELEASE_RETRY_INTERVAL, timeout=RELEASE_TIMEOUT)
+        # By claim, the oldest first.
+        self.records: OrderedDict[str, ClaimRecord] = OrderedDict()
+        # Attempts under way whose requests have their final answer already, to the claims that they run under.
+        self._late_attempts: dict[int, str] = {}
+
+    # -- claiming ----------------------------------------------------------------------------------------------------
+
+    def claim(self, request: PendingRequest) -> None:
+        """Submit a claim of the request's key to the log. Submitted again under the same claim, it is still one."""
         if not request.claim:
-            # One operation is known by its key alone, whichever door it reaches and whatever else it carries.
+            # One operation is known by its key alone, whichever sidecar it reaches and whatever else it carries.
             request.scope = digest_of_parts("operation", request.event.key)[:SCOPE_LENGTH]
-            request.claim = f"{self.settings.name}.{self.settings.incarnation}.{self._number()}"
-        request.number = self._number()
-        self.by_number[request.number] = ticket
-        command = self.claims[request.number] = self._claim_of(request)
-        self._out.append(SubmitHold(request.number, command))
+            settings = self._state.settings
+            request.claim = f"{settings.name}.{settings.incarnation}.{self._state.next_number()}"
+        number = self._state.next_number()
+        self._requests.begin_call(request, number)
+        command = self.submitted[number] = self._claim_command(request)
+        self._state.out.append(SubmitHold(number, command))
 
-    def _claim_of(self, request: PendingRequest) -> ClaimHold:
+    def _claim_command(self, request: PendingRequest) -> ClaimHold:
         return ClaimHold(
             request.scope,
             request.claim,
-            self.settings.name,
+            self._state.settings.name,
             "",
             request.scope,
             "operation",
             "",
-            request.entry.name,
-            max(1, ceil(self.key_span.total_seconds())),
-            request.after,
+            request.route.name,
+            max(1, ceil(self.key_lifetime.total_seconds())),
+            request.replaces_claim,
         )
 
-    def _hold_answered(self, number: int, outcome: Outcome | None) -> None:
-        if outcome is not None:
-            self.silent_since = None
-        elif self.silent_since is None:
-            self.silent_since = self.now
-        if number in self.releases:
-            released, until = self.releases.pop(number)
-            if outcome is None and self.now < until:
-                self.release_again.append((self.now + RELEASE_AGAIN, released, until))
+    def is_claim(self, number: int) -> bool:
+        """Whether this call is a claim that the log hasn't answered."""
+        return number in self.submitted
+
+    def hold_answered(self, number: int, outcome: Outcome | None) -> KeyDecision | None:
+        """Take the log's answer to a claim or a release; None is no answer.
+
+        Returns:
+            What is decided about a request now, if anything.
+        """
+        if self.releases.answered(number, outcome):
             return None
-        command = self.claims.pop(number, None)
+        command = self.submitted.pop(number, None)
         if command is None:
             return None
-        ticket = self.by_number.pop(number, -1)
-        request = self.pending_requests.get(ticket)
-        granted = outcome is not None and outcome.detail.get("phase") == "granted"
-        if request is None or request.number != number or request.claimed:
+        request = self._requests.end_call(number)
+        granted = outcome is not None and outcome.detail.get("phase") == GRANTED_PHASE
+        if request is None or request.call_number != number or request.claimed:
             # Granted after its request was given up: nothing was sent under it, so the key goes back.
             if granted and (request is None or request.claim != command.claim):
                 self._release(command)
             return None
         if outcome is None:
-            return self._claim_missed(ticket, request)
+            return self._claim_unanswered(request)
         if outcome.error:
-            error = MeshError(outcome.error, outcome.message, outcome.remedy, outcome.field)
-            return self._turned_back(ticket, error)
+            return KeyRefused(request, MeshError(outcome.error, outcome.message, outcome.remedy, outcome.field))
         if granted:
             request.claimed = True
-            self._keep(request.claim)
-            self._announce_key("key held", request)
-            return self._place(ticket)
-        self._ask_holder(ticket, request, outcome.detail["stall"], outcome.detail["claim"])
-
-    def _claim_missed(self, ticket: int, request: PendingRequest) -> None:
-        """Claiming again under the same claim is one claim: the log knows it."""
-        if self.now < self._patience(request):
-            self.claim_again.append((self.now + CLAIM_AGAIN, ticket))
-            return
-        self._key_out_of_reach(ticket, request)
-
-    @staticmethod
-    def _patience(request: PendingRequest) -> timedelta:
-        """Until when a key may be waited for: who is told by then loses little by coming back."""
-        return request.arrived + (request.aim_at - request.arrived) * KEY_SHARE
-
-    def _key_out_of_reach(self, ticket: int, request: PendingRequest) -> None:
-        """It may be in the log for all we know: should it turn up as granted later, it is given back then."""
-        self._turned_back(ticket, _no_core())
-
-    def _ask_holder(self, ticket: int, request: PendingRequest, proxy: str, claim: str) -> None:
-        """Somebody holds the key: only that proxy knows what became of it."""
-        request.recalled = claim
-        number = self._number()
-        self.recalls[number] = ticket
-        node = self.view.nodes.get(proxy)
-        if proxy == self.settings.name:
-            return self._recall_answered(ClaimQueryAnswered(number, self._standing_of(claim)))
+            self._record(request.claim)
+            return KeyGranted(request)
+        return self._query_holder(request, proxy=outcome.detail["stall"], claim=outcome.detail["claim"])
+
+    def _claim_unanswered(self, request: PendingRequest) -> KeyDecision | None:
+        if self._state.now < _key_deadline(request):
+            self._claim_retries.append((self._state.now + CLAIM_RETRY_INTERVAL, request.ticket))
+            return None
+        return _unavailable(request)
+
+    def overdue(self) -> list[KeyRefused]:
+        """Return the requests that have waited for their key as long as they may: their clients had better come back.
+
+        Such a claim may be in the log for all we know: should it turn up as granted later, it is released then.
+        """
+        now = self._state.now
+        return [
+            _unavailable(request)
+            for request in self._requests.requests.values()
+            if request.claim and not request.claimed and not request.queried_claim and now >= _key_deadline(request)
+        ]
+
+    def retry_due(self) -> None:
+        """Submit again the claims and releases that got no answer."""
+        retries, self._claim_retries = self._claim_retries, []
+        for due, ticket in retries:
+            if self._state.now < due:
+                self._claim_retries.append((due, ticket))
+            elif (request := self._requests.get(ticket)) is not None:
+                self.claim(request)
+        self.releases.retry_due()
+
+    # -- what became of others' claims -------------------------------------------------------------------------------
+
+    def _query_holder(self, request: PendingRequest, *, proxy: str, claim: str) -> KeyDecision | None:
+        """Ask the sidecar that claimed the key: only that one knows what became of it."""
+        request.queried_claim = claim
+        number = self._state.next_number()
+        self._queries[number] = request.ticket
+        node = self._state.view.nodes.get(proxy)
+        if proxy == self._state.settings.name:
+            return self.query_answered(ClaimQueryAnswered(number, self.claim_state(claim)))
         if node is None or node.state == GONE:
-            return self._recall_answered(ClaimQueryAnswered(number, None))
-        self._out.append(QueryClaim(number, node.address, ClaimQueryCall(claim)))
+            return self.query_answered(ClaimQueryAnswered(number, None))
+        self._state.out.append(QueryClaim(number, node.address, ClaimQueryCall(claim)))
+        return None
+
+    def query_answered(self, event: ClaimQueryAnswered) -> KeyDecision | None:
+        """Take what the sidecar that claimed the key says of it.
 
-    def _recall_answered(self, event: ClaimQueryAnswered) -> None:
-        ticket = self.recalls.pop(event.number, -1)
-        request = self.pending_requests.get(ticket)
+        Returns:
+            What is decided about the request, if anything: a key that is free is claimed in turn.
+        """
+        request = self._requests.get(self._queries.pop(event.number, -1))
         if request is None:
-            return
+            return None
         answer = event.answer
-        match answer.state if answer is not None else "":
-            case "kept":
-                self._reply(ticket, answer.status, headers=answer.headers, body=answer.body)
-            case "working":
-                error = mesh_error(
-                    ErrorKind.KEY_HELD, "The first request with this key is still working.", "Ask again shortly."
-                )
-                self._reply(ticket, 409, error=error, retry_after=self._soon(request))
-            case "free" if request.after != request.recalled:
-                request.after = request.recalled
-                self._claim(ticket)
-            case _:
-                # This repeat ran nowhere and never will, which is all that 503 says; of the first it says nothing.
-                error = mesh_error(
-                    ErrorKind.SILENT,
-                    "What became of this key's first request is not known; this one did not run.",
-                    "Come back with the same key, and ask what became of the first before using another one.",
-                )
-                self._reply(ticket, 503, error=error, retry_after=self._soon(request))
-
-    def _recall(self, event: ClaimQueryArrived) -> None:
-        self._out.append(AnswerClaimQuery(event.ticket, self._standing_of(event.call.claim)))
-
-    def _standing_of(self, claim: str) -> ClaimQueryAnswer:
-        kept = self.kept.get(claim)
-        if kept is None:
-            # A former life's, or forgotten: whether it ran is not known here.
-            return ClaimQueryAnswer(UNKNOWN_RUN)
-        if kept.answer is not None:
-            return ClaimQueryAnswer(KEPT, kept.answer.status, kept.answer.headers, kept.answer.body)
-        return ClaimQueryAnswer(kept.standing)
-
-    def _keep(self, claim: str) -> Kept:
-        while self.kept and next(iter(self.kept.values())).until <= self.now:
-            self.kept.popitem(last=False)
-        return self.kept.setdefault(claim, Kept(until=self.now + self.key_span))
-
-    def _let_go(self, request: PendingRequest) -> None:
-        """Gives a claimed key back: nothing ran under it and nothing will."""
-        if not request.claim or request.uncertain or request.sends:
+        if answer is None:
+            return KeyLost(request)
+        if answer.state == KEPT:
+            return KeyAnswered(request, answer)
+        if answer.state == WORKING:
+            return KeyBusy(request)
+        if answer.state == FREE and request.replaces_claim != request.queried_claim:
+            request.replaces_claim = request.queried_claim
+            self.claim(request)
             return None
-        # Also a claim that was never answered: should it be in the log, a repeat that meets it may take it over.
-        self._keep(request.claim).standing = FREE
-        command = self._claim_of(request)
+        return KeyLost(request)
+
+    def query_arrived(self, event: ClaimQueryArrived) -> None:
+        """Answer another sidecar's question about a claim."""
+        self._state.out.append(AnswerClaimQuery(event.ticket, self.claim_state(event.call.claim)))
+
+    # -- what became of the own claims -------------------------------------------------------------------------------
+
+    def claim_state(self, claim: str) -> ClaimQueryAnswer:
+        """Return what is known here of a claim: of a former incarnation's, or a forgotten one, nothing."""
+        record = self.records.get(claim)
+        if record is None:
+            return ClaimQueryAnswer(UNKNOWN_RUN)
+        if record.answer is not None:
+            return ClaimQueryAnswer(KEPT, record.answer.status, record.answer.headers, record.answer.body)
+        return ClaimQueryAnswer(record.state)
+
+    def count_by_state(self) -> dict[str, int]:
+        """Return how many claims are known here in each state."""
+        counts: dict[str, int] = {}
+        for record in self.records.values():
+            state = record.current_state()
+            counts[state] = counts.get(state, 0) + 1
+        return counts
+
+    def record_answer(self, request: PendingRequest, answer: ForwardAnswer) -> None:
+        """Keep the answer of a claimed request for repeats of its key."""
+        if (record := self._record_of(request)) is not None:
+            record.answer = answer
+
+    def record_unknown(self, request: PendingRequest) -> None:
+        """Note that a claimed request ends without an answer, though its attempt may still bring one."""
+        if (record := self._record_of(request)) is None:
+            return
+        record.state = UNKNOWN_RUN
+        if self._requests.has_call(request):
+            record.state = WORKING
+            self._late_attempts[request.call_number] = request.claim
+
+    def late_answer(self, number: int, answer: ForwardAnswer) -> None:
+        """Take the answer to an attempt whose client has gone: a repeat of its key still wants it."""
+        record = self.records.get(self._late_attempts.pop(number, ""))
+        if record is None:
+            return
+        if answer.outcome == ANSWERED:
+            record.answer = answer
+        else:
+            # Rejected after all: nothing ran under the claim, and no other attempt of it is under way.
+            record.state = FREE if answer.outcome == NOT_RUN else UNKNOWN_RUN
+
+    def late_failure(self, number: int) -> None:
+        """Note that an attempt whose client has gone brought no answer."""
+        if (record := self.records.get(self._late_attempts.pop(number, ""))) is not None:
+            record.state = UNKNOWN_RUN
+
+    def release_unused(self, request: PendingRequest) -> None:
+        """Release the request's key, if it claimed one and nothing ran under it."""
+        if not request.claim or request.uncertain or request.attempts:
+            return
+        # Also a claim that was never answered: should it be in the log, a repeat that meets it may replace it.
+        self._record(request.claim).state = FREE
+        command = self._claim_command(request)
         if request.claimed:
-            return self._release(command)
-        # The log didn't answer in time, so it is busy or away: nothing that isn't urgent is asked of it now.
-        release = ReleaseHold(hold_handle(command), command.claim)
-        self.release_again.append((self.now + RELEASE_AGAIN, release, self.now + RELEASE_SPAN))
+            self._release(command)
+        else:
+            # The log didn't answer in time, so it is busy or away: nothing that isn't urgent is submitted now.
+            self.releases.schedule(ReleaseHold(hold_handle(command), command.claim))
 
     def _release(self, command: ClaimHold) -> None:
-        self._ask_release(ReleaseHold(hold_handle(command), command.claim), self.now + RELEASE_SPAN)
-
-    def _ask_release(self, command: ReleaseHold, until: timedelta) -> None:
-        number = self._number()
-        self.releases[number] = (command, until)
-        self._out.append(SubmitHold(number, command))
-
-    def _announce_key(self, kind: str, request: PendingRequest) -> None:
-        """Keys are counted, not told one by one: there are hundreds a second."""
-
-    def _key_tick(self) -> None:
-        # A key that doesn't come: the log may answer any time, but the client is better told now.
-        keyless = [
-            (ticket, request)
-            for ticket, request in self.pending_requests.items()
-            if request.claim and not request.claimed and not request.recalled and self.now >= self._patience(request)
-        ]
-        for ticket, request in keyless:
-            self._key_out_of_reach(ticket, request)
-        again, self.claim_again = self.claim_again, []
-        for timestamp, ticket in again:
-            if self.now < timestamp:
-                self.claim_again.append((timestamp, ticket))
-            elif ticket in self.pending_requests:
-                self._claim(ticket)
-        releases, self.release_again = self.release_again, []
-        for timestamp, command, until in releases:
-            if self.now >= timestamp:
-                self._ask_release(command, until)
-            else:
-                self.release_again.append((timestamp, command, until))
+        self.releases.submit(ReleaseHold(hold_handle(command), command.claim))
+
+    def _record_of(self, request: PendingRequest) -> ClaimRecord | None:
+        return self.records.get(request.claim) if request.claimed else None
+
+    def _record(self, claim: str) -> ClaimRecord:
+        now = self._state.now
+        while self.records and next(iter(self.records.values())).expires <= now:
+            self.records.popitem(last=False)
+        return self.records.setdefault(claim, ClaimRecord(expires=now + self.key_lifetime))
+
+
+def _key_deadline(request: PendingRequest) -> timedelta:
+    """Until when a key is waited for: a client told by then loses little by coming back."""
+    return request.arrived + (request.latency_deadline - request.arrived) * KEY_WAIT_SHARE
+
+
+def _unavailable(request: PendingRequest) -> KeyRefused:
+    return KeyRefused(request, LogUnavailable("No core machine could hold the key."))
--- a/packages/sidecar/src/hoistsaddle/sidecar/messages.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/messages.py
@@ -112,8 +112,10 @@
     instance: str
     address: str
     state: str
-    room: int
-    cold: timedelta
+    # How many requests it works on at a time.
+    capacity: int
+    # For how long it still is slow after its start.
+    warm_up: timedelta
 
 
 class CloseRequested(NamedTuple):
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -98,11 +98,11 @@
             settings=self._core_settings_view(),
             seed=self.runtime.random,
             now=self.runtime.now(),
-            server=settings.server,
-            drain_span=timedelta(seconds=settings.drain_seconds),
-            further_percent=settings.further_percent,
-            further_margin=settings.further_margin,
-            key_span=timedelta(seconds=settings.key_seconds),
+            server_address=settings.server,
+            drain_timeout=timedelta(seconds=settings.drain_seconds),
+            retry_percent=settings.further_percent,
+            retry_margin=settings.further_margin,
+            key_lifetime=timedelta(seconds=settings.key_seconds),
             service=settings.service,
         )
 
@@ -255,9 +255,9 @@
         )
         self.member.seeds = settings.seeds
         core = self.core
-        core.set_further(percent=settings.further_percent, margin=settings.further_margin)
-        core.key_span = timedelta(seconds=settings.key_seconds)
-        core.drain_span = timedelta(seconds=settings.drain_seconds)
+        core.ingress.retries.set_limits(percent=settings.further_percent, margin=settings.further_margin)
+        core.ingress.keys.key_lifetime = timedelta(seconds=settings.key_seconds)
+        core.upstream.drain_timeout = timedelta(seconds=settings.drain_seconds)
 
     async def wind_down(self, *, quiet: timedelta, most: timedelta) -> None:
         """Planned stop: says so at once, goes on with all that comes, and ends once nothing has come for a while."""
@@ -265,12 +265,12 @@
         self.feed(StopRequested())
         # The server beside goes on being reached from everywhere; only the door must fall quiet.
         while self.runtime.now() - began < most * OPEN_SHARE and not (
-            self.runtime.now() - self.asked_at >= quiet and not self.core.pending_requests
+            self.runtime.now() - self.asked_at >= quiet and not self.core.pending_count()
         ):
             await asyncio.sleep(self.tick.total_seconds())
         self.feed(CloseRequested())
         while self.runtime.now() - began < most and not self.core.idle():
             await asyncio.sleep(self.tick.total_seconds())
-        if self.core.pending_requests:
-            self.counters.record_event("requests ended with the grace", count=len(self.core.pending_requests))
+        if count := self.core.pending_count():
+            self.counters.record_event("requests ended with the grace", count=count)
             self.feed(GraceExpired())
--- a/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
@@ -1,83 +1,103 @@
-"""What a sidecar knows of each request that came in at its own handler, and what the parts that work on one share."""
+"""The requests that clients of this sidecar wait for, and which log or mesh call belongs to which of them."""
 
 from datetime import timedelta
 
 from hoistsaddle.common.errors import MeshError
-from hoistsaddle.config.items import RouteItem
-from hoistsaddle.proxy.core_state import CoreState
+from hoistsaddle.config.items import RouteItem, latency_target
 from hoistsaddle.rpc.messages import ForwardAnswer
 from hoistsaddle.sidecar.messages import RequestArrived
-from hoistsaddle.statemachine.state import ServerRecord
 
-# What a request gets whose client names no time.
-DEFAULT_BUDGET = timedelta(seconds=30)
+# Of a request without a call so far; numbers of calls begin at 1.
+NO_CALL = 0
 
 
 class PendingRequest:
-    """One request of a client, from its arrival to its final answer."""
+    """One admitted request of a client, until its final answer."""
 
-    def __init__(self, *, event: RequestArrived, now: timedelta) -> None:
+    def __init__(
+        self, *, event: RequestArrived, route: RouteItem, service: str, now: timedelta, deadline: timedelta
+    ) -> None:
+        """Keep the request.
+
+        Args:
+            event: the request as it arrived.
+            route: the route that its host and path match.
+            service: the service that was picked of the route's.
+            now: when it arrived.
+            deadline: when it must have its final answer.
+        """
         self.event = event
+        self.ticket = event.ticket
+        self.route = route
+        self.service = service
         self.arrived = now
-        # What lay unread while this process stood still has less left than it says.
-        self.deadline = now + (DEFAULT_BUDGET if event.budget is None else event.budget) - event.unread
-        self.aim_at = self.deadline
-        self.entry: RouteItem | None = None
-        self.service = ""
-        self.asked = 0
-        self.avoid: set[str] = set()
+        self.deadline = deadline
+        self.latency_deadline = min(deadline, now + latency_target(route))
+        # Sidecars that were sent an attempt, and those that get no further one.
+        self.sidecars_tried = 0
+        self.excluded: set[str] = set()
         # Attempts that may have reached a server.
-        self.sends = 0
+        self.attempts = 0
+        # Set once an attempt may have run and nobody can say.
         self.uncertain = False
-        self.why: MeshError | None = None
-        self.best: ForwardAnswer | None = None
-        self.number: int | None = None
-        self.target: ServerRecord | None = None
-        self.way = ""
-        # The newest attempt: its id, the sidecar's life and address that it went to, and how often it was asked for.
-        self.attempt_id = ""
-        self.life = ""
-        self.address = ""
-        self.follows = 0
+        self.last_error: MeshError | None = None
+        # A server's own failure: the final answer if no other attempt does better.
+        self.server_failure: ForwardAnswer | None = None
+        # Whether its first attempt has earned its share of a retry.
         self.counted = False
+        # The newest call about it, to the log or to a sidecar.
+        self.call_number = NO_CALL
+        # The newest attempt: its id, where it went, and how often that sidecar was asked what became of it.
+        self.attempt_id = ""
+        self.target = ""
+        self.target_incarnation = ""
+        self.target_address = ""
+        self.follow_ups = 0
+        # The key's claim in the log, whether it was granted, and the claim that it may replace.
         self.scope = ""
         self.claim = ""
         self.claimed = False
-        self.after = ""
-        self.recalled = ""
-
-
-class RequestTable(CoreState):
-    """What the keys, the selection and the entry work on together."""
-
-    def __init__(self, **needs) -> None:
-        super().__init__(**needs)
-        # By ticket of the handler.
-        self.pending_requests: dict[int, PendingRequest] = {}
-        # Claims and attempts under way, by their number, to their request's ticket.
-        self.by_number: dict[int, int] = {}
-
-    def _place(self, ticket: int) -> None:
-        """Sends the request to the best server's sidecar, or gives its final answer."""
-        raise NotImplementedError
-
-    def _turned_back(self, ticket: int, error: MeshError) -> None:
-        """Nothing ran and nothing will: said at once, with when to come back."""
-        raise NotImplementedError
-
-    def _soon(self, request: PendingRequest) -> timedelta:
-        """When a client that is sent away shall come back."""
-        raise NotImplementedError
-
-    def _reply(
-        self,
-        ticket: int,
-        status: int,
-        *,
-        headers: bytes = b"",
-        body: bytes = b"",
-        error: MeshError | None = None,
-        retry_after: timedelta | None = None,
-    ) -> None:
-        """The final answer: the request is forgotten."""
-        raise NotImplementedError
+        self.replaces_claim = ""
+        # The other request's claim whose outcome was asked for.
+        self.queried_claim = ""
+
+
+class RequestTable:
+    """All pending requests by ticket, and the calls under way by their number."""
+
+    def __init__(self) -> None:
+        self.requests: dict[int, PendingRequest] = {}
+        self.tickets: dict[int, int] = {}
+
+    def add(self, request: PendingRequest) -> None:
+        """Take up an admitted request."""
+        self.requests[request.ticket] = request
+
+    def remove(self, request: PendingRequest) -> None:
+        """Forget a request that has its final answer."""
+        del self.requests[request.ticket]
+
+    def get(self, ticket: int) -> PendingRequest | None:
+        """Return the pending request with this ticket."""
+        return self.requests.get(ticket)
+
+    def begin_call(self, request: PendingRequest, number: int) -> None:
+        """Note that the call with this number is the newest one about the request."""
+        request.call_number = number
+        self.tickets[number] = request.ticket
+
+    def resume_call(self, request: PendingRequest, number: int) -> None:
+        """Keep a call open whose answer said nothing."""
+        self.tickets[number] = request.ticket
+
+    def end_call(self, number: int) -> PendingRequest | None:
+        """Close a call and return its request; None if that has its final answer."""
+        return self.requests.get(self.tickets.pop(number, -1))
+
+    def has_call(self, request: PendingRequest) -> bool:
+        """Whether the newest call about the request is still under way."""
+        return request.call_number in self.tickets
+
+    def expired(self, now: timedelta) -> list[PendingRequest]:
+        """Return the requests whose deadline has passed."""
+        return [request for request in self.requests.values() if now >= request.deadline]
--- a/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
@@ -15,8 +15,9 @@
 from aiohttp.http import HttpResponseParser
 
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import split_address
+from hoistsaddle.sidecar.errors import ServerAnswerMissing, ServerNotReached
 from hoistsaddle.sidecar.header_names import HeaderNames
 from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
 
@@ -326,14 +327,11 @@
     def _unsent(self, serve: RunOnServer, kind: ErrorKind) -> ServerFailed:
         """Not one byte of it was written."""
         self.counters.add(f"server.unsent.{kind}")
-        error = MeshError(kind, "The server was not reached in time.", "Send it elsewhere.")
-        return ServerFailed(serve.number, True, error)
+        return ServerFailed(serve.number, True, ServerNotReached(kind))
 
     def _missed(self, serve: RunOnServer, kind: ErrorKind) -> ServerFailed:
         self.counters.add(f"server.{kind}")
-        return ServerFailed(
-            serve.number, False, MeshError(kind, "The server gave no whole answer in time.", "Ask what became of it.")
-        )
+        return ServerFailed(serve.number, False, ServerAnswerMissing(kind))
 
     async def _answer(self, connection: _Connection, client_attempt_id: str):
         """The answer under this id. One under another's stands in its place and belongs to nobody."""
--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -1,7 +1,7 @@
-"""The target's side: what runs on the server beside this proxy, what waits for it, and what is turned away at once.
+"""The upstream side: what runs on the server beside this sidecar, what is queued for it, and what is rejected at once.
 
-Nobody else reaches this server, so this side alone decides how much it works on at a time. Waiting work is ordered by
-rank and then by when it is due. Work that can't be done in its time is refused the moment that is known.
+Nobody else reaches this server, so this side alone decides how much it works on at a time. Queued work is ordered by
+rank and then by when it is due. Work that can't be done in its time is rejected the moment that is known.
 """
 
 import heapq
@@ -14,6 +14,7 @@
 from hoistsaddle.proxy.core_state import CoreState, LocalServer
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, UNKNOWN
 from hoistsaddle.rpc.messages import AbandonAnswer, FollowCall, ForwardAnswer, ForwardCall
+from hoistsaddle.sidecar.latency import LatencyEstimates
 from hoistsaddle.sidecar.messages import (
     AbandonArrived,
     AnswerAbandon,
@@ -29,322 +30,306 @@
 from hoistsaddle.sidecar.received_attempts import ReceivedAttempts
 from hoistsaddle.statemachine.state import GONE, READY
 
-# What a server of unknown pace is taken to need for one request, as a share of the request's aim.
-FIRST_GUESS = 0.33
-# The newest run's share in what is expected of the next, once there were a few.
-WEIGHT = 0.1
-# By how many of its usual deviations a run may outlast its usual time and still be in time.
-MARGIN = 1.0
-# A wait this short, as a share of the run itself, is no reason to turn anybody away: a slow server whose line is
-# always empty stands idle between two arrivals.
-SHORT_WAIT = 0.25
-# Runs this much shorter than the usual one here are the calls of other servers, whose own work is lost with them.
-# They hardly keep anybody, so they may use their whole budget.
-SHORT_RUN = 0.5
-BUDGET_SHARE = 0.8
+# A wait this short, as a share of the run itself, is no reason to reject anybody: a slow server whose queue is always
+# empty stands idle between two arrivals.
+SHORT_WAIT_SHARE = 0.25
 # What a run over its usual time is taken to need still, as a share of that time.
-OVERTIME = 0.15
-# A waiting run is given up this long before its time is over: the word that it didn't run must reach its client's
-# sidecar before that one has to call it unknown. Two ticks, and a way between two regions.
-NOTICE = milliseconds(80)
-# A call this old lay somewhere, and is due that much sooner.
-LAIN = milliseconds(400)
+OVERTIME_SHARE = 0.15
+# A queued run is given up this long before its deadline: the answer that it didn't run must reach its client's sidecar
+# before that one has to call it unknown. Two ticks, and a way between two regions.
+REJECTION_LEAD_TIME = milliseconds(80)
+# A call this old lay somewhere, and is due that much sooner. What a call gains or loses on an ordinary way says little
+# of when it is due: judged by that, many would be rejected on a quiet day that are in time after all.
+OLD_CALL_AGE = milliseconds(400)
+# Share of the drain time after which nothing queued is started on a server that leaves.
+DRAIN_START_SHARE = 0.7
+# Answers with a status from this one on say that the server failed, and nothing of how long its runs take.
+SERVER_ERROR_STATUS = 500
 
 
 class _Run:
-    def __init__(self, *, ticket: int, call: ForwardCall, now: timedelta) -> None:
-        # Who is to be answered: the call, and entries that asked what became of it.
+    """A call that waits for the server or runs on it."""
+
+    def __init__(self, *, number: int, ticket: int, call: ForwardCall, now: timedelta) -> None:
+        self.number = number
+        # Who is to be answered: the call, and senders that asked what became of it.
         self.tickets = [ticket]
         self.call = call
-        self.arrived = now
         self.deadline = now + call.budget
-        self.started: timedelta | None = None
-
-
-class LatencyEstimate:
-    """How long runs of one entry take here: their mean, and how far they lie from it."""
 
-    def __init__(self) -> None:
-        self.mean = ZERO
-        self.deviation = ZERO
-        self.count = 0
-
-    def learn(self, took: timedelta) -> None:
-        self.count += 1
-        if self.count == 1:
-            self.mean, self.deviation = took, took / 3
-            return
-        # The first few count alike: a mean that begins with one odd run would stay odd for long.
-        weight = max(WEIGHT, 1 / self.count)
-        self.deviation += (abs(took - self.mean) - self.deviation) * weight
-        self.mean += (took - self.mean) * weight
 
+class _Queued(NamedTuple):
+    """A run's place in the queue: the least is started first."""
 
-class Waiting(NamedTuple):
     rank: int
     due: timedelta
     deadline: timedelta
     number: int
 
 
-class UpstreamSide(CoreState):
-    def __init__(self, **needs) -> None:
-        super().__init__(**needs)
-        self.room = 1
+class UpstreamCore:
+    """Owns what was forwarded to the local server: admission, queue, runs, and what became of each attempt."""
+
+    def __init__(self, *, state: CoreState, drain_timeout: timedelta) -> None:
+        """Begin without work.
+
+        Args:
+            state: of the core that the commands go out from.
+            drain_timeout: how long a server that leaves still gets work that was queued before.
+        """
+        self._state = state
+        self.drain_timeout = drain_timeout
+        # How many requests the server works on at a time, and since when it takes no new ones.
+        self._capacity = 1
+        self._draining_since: timedelta | None = None
+        # Every run by its number, those on the server with when they were started, and those queued.
         self.runs: dict[int, _Run] = {}
-        self.running: set[int] = set()
-        self.line: list[Waiting] = []
-        # Entry to the time its runs take here.
-        self.latencies: dict[str, LatencyEstimate] = {}
-        # The same over all entries.
-        self.usual = LatencyEstimate()
-        self.drain_span = timedelta(seconds=2)
-        self.closed_at: timedelta | None = None
-        # Of the attempts that may not be repeated, and which run or waiting call is which.
-        self.taken = ReceivedAttempts()
-        self.by_send: dict[str, _Run] = {}
-
-    # -- the own server ----------------------------------------------------------------------------------------------
-
-    def _health_reported(self, event: HealthReported) -> None:
-        before = self.server
-        was = self.server_state()
-        self.server = LocalServer(event.service, event.instance, event.address, event.state, self.now)
-        self.room = max(1, event.room)
+        self._running: dict[int, timedelta] = {}
+        self._queue: list[_Queued] = []
+        self._by_attempt: dict[str, _Run] = {}
+        self.latencies = LatencyEstimates()
+        # Attempts that may not be repeated.
+        self._received = ReceivedAttempts()
+
+    # -- the local server --------------------------------------------------------------------------------------------
+
+    def health_reported(self, event: HealthReported) -> None:
+        """Take what the server says of itself."""
+        state = self._state
+        before = state.server
+        state_before = state.server_state()
+        server = LocalServer(event.service, event.instance, event.address, event.state, state.now)
+        state.server = server
+        self._capacity = max(1, event.capacity)
         if event.state == READY:
-            self.closed_at = None
-        elif self.closed_at is None or (before is not None and before.instance != event.instance):
-            self.closed_at = self.now
-        if before is None or before[:4] != self.server[:4] or was != self.server_state():
-            self._announce("server told", service=event.service, instance=event.instance, state=event.state)
-            self._report()
-        # More room may have come, or those that wait may wait for a life that is over.
-        self._sift()
-
-    def server_state(self) -> str:
-        """Its own word while that is young. A proxy that stops says nothing of its server: it is back in a moment."""
-        if self.server is None or self.now - self.server.heard > self.settings.health_span:
-            return GONE
-        return self.server.state
+            self._draining_since = None
+        elif self._draining_since is None or (before is not None and before.instance != event.instance):
+            self._draining_since = state.now
+        if before is None or not before.same_as(server) or state_before != state.server_state():
+            state.announce("server told", service=event.service, instance=event.instance, state=event.state)
+            state.report_health()
+        # There may be more capacity now, or what is queued may wait for a server that has ended.
+        self._review_queue()
 
     def assume_server(self, server: LocalServer) -> None:
-        """After a restart: the one the log names here, until its own next word. A wrong guess runs nothing."""
-        if self.server is None:
-            self.server = server
-            self._report()
-
-    # -- what is expected --------------------------------------------------------------------------------------------
-
-    def _span_of(self, call: ForwardCall) -> timedelta:
-        pace = self.latencies.get(call.route)
-        return call.latency_target * FIRST_GUESS if pace is None else pace.mean
-
-    def _safe_span_of(self, call: ForwardCall) -> timedelta:
-        """A time that most of its runs keep within: admitted by the mean alone, half of a full line would be late."""
-        pace = self.latencies.get(call.route)
-        return call.latency_target * FIRST_GUESS * 1.5 if pace is None else pace.mean + pace.deviation * MARGIN
-
-    def wait_for(self, *, rank: int, due: timedelta) -> timedelta:
-        """How long until a request of this rank and due time would start, if it came now."""
-        slots = [ZERO] * max(0, self.room - len(self.running))
-        for number in self.running:
-            run = self.runs[number]
-            span = self._span_of(run.call)
-            # A run over its usual time is taken to need some more of it.
-            slots.append(max(span - (self.now - run.started), span * OVERTIME))
-        heapq.heapify(slots)
-        for waiting in sorted(self.line):
-            if (waiting.rank, waiting.due) > (rank, due):
-                break
-            # What stands before it takes the slots as they come free.
-            heapq.heapreplace(slots, slots[0] + self._span_of(self.runs[waiting.number].call))
-        return slots[0]
+        """After a restart, take the server that the log names here until its next report. A wrong one runs nothing."""
+        if self._state.server is None:
+            self._state.server = server
+            self._state.report_health()
+
+    # -- admission ---------------------------------------------------------------------------------------------------
+
+    def forward_arrived(self, event: ForwardArrived) -> None:
+        """Start, queue or reject a call of another sidecar."""
+        state = self._state
+        call = self.without_age(event)
+        # Its sender may ask for it until its own deadline, however old the call is taken to be here.
+        deadline = state.now + event.call.budget
+        if not call.repeatable and not self._received.receive(call.attempt_id, deadline=deadline, now=state.now):
+            # It arrived before, or its sender was told that it never did: it doesn't run again, and is only asked for.
+            follow = FollowCall(call.attempt_id, state.settings.incarnation, call.budget)
+            return self.follow_arrived(FollowArrived(event.ticket, follow))
+        admission = self._admit(call)
+        if isinstance(admission, ErrorKind):
+            return self._reject((event.ticket,), call, admission)
+        number = state.next_number()
+        run = _Run(number=number, ticket=event.ticket, call=call, now=state.now)
+        self.runs[number] = self._by_attempt[call.attempt_id] = run
+        if len(self._running) < self._capacity:
+            return self._start(run, admission)
+        heapq.heappush(self._queue, _Queued(call.rank, state.now + call.latency_target, run.deadline, number))
+        return None
 
-    def load(self) -> int:
-        return len(self.running) + len(self.line)
-
-    def _limit_of(self, call: ForwardCall) -> timedelta:
-        """Within which time it must be likely to be done to be taken."""
-        pace = self.latencies.get(call.route)
-        short = pace is not None and pace.mean <= self.usual.mean * SHORT_RUN
-        return max(call.latency_target, call.budget * BUDGET_SHARE) if short else call.latency_target
-
-    def _learn(self, run: _Run, took: timedelta) -> None:
-        self.usual.learn(took)
-        self.latencies.setdefault(run.call.route, LatencyEstimate()).learn(took)
-
-    # -- deals -------------------------------------------------------------------------------------------------------
-
-    def _forward_arrived(self, event: ForwardArrived) -> None:
-        call = self._aged(event)
-        # Its entry may ask for it as long as its own words say, however old they are taken to be here.
-        ends = self.now + event.call.budget
-        if not call.repeatable and not self.taken.take(call.attempt_id, ends=ends, now=self.now):
-            # It came before, or its entry was told that it never did: it doesn't run again, and is only asked for.
-            return self._follow_arrived(
-                FollowArrived(event.ticket, FollowCall(call.attempt_id, self.settings.incarnation, call.budget))
-            )
-        if (kind := self._refusal(call)) is not None:
-            return self._turn_away((event.ticket,), call, kind)
-        due = self.now + call.latency_target
-        wait = self.wait_for(rank=call.rank, due=due)
-        # Whoever comes back later finds it emptier; whoever waits here past the aim keeps others from theirs.
-        if wait > self._span_of(call) * SHORT_WAIT and wait + self._safe_span_of(call) > self._limit_of(call):
-            return self._turn_away((event.ticket,), call, ErrorKind.QUEUE_FULL)
-        if len(self.line) >= self.settings.backlog:
-            return self._turn_away((event.ticket,), call, ErrorKind.QUEUE_FULL)
-        number = self._number()
-        run = self.runs[number] = self.by_send[call.attempt_id] = _Run(ticket=event.ticket, call=call, now=self.now)
-        if len(self.running) < self.room:
-            return self._start(number, run)
-        heapq.heappush(self.line, Waiting(call.rank, due, run.deadline, number))
-
-    def _aged(self, event: ForwardArrived) -> ForwardCall:
-        """The call with what is really left of its time: its words may have waited in a socket."""
+    def without_age(self, event: ForwardArrived) -> ForwardCall:
+        """Return the call with what is really left of its time: its bytes may have waited in a socket."""
         call, age = event.call, event.age
         if not age:
             return call
-        # What a call gains or loses on an ordinary way says little of when it is due: judged by that, many would be
-        # turned away on a quiet day that are in time after all.
-        aim = call.latency_target if age < LAIN else max(ZERO, call.latency_target - age)
-        return call._replace(budget=call.budget - age, latency_target=aim)
+        target = call.latency_target if age < OLD_CALL_AGE else max(ZERO, call.latency_target - age)
+        return call._replace(budget=call.budget - age, latency_target=target)
 
-    def _refusal(self, call: ForwardCall) -> ErrorKind | None:
+    def _admit(self, call: ForwardCall) -> LocalServer | ErrorKind:
+        """Return the server that takes the call, or why none does."""
+        state = self._state
         if call.budget <= ZERO:
             return ErrorKind.BUDGET_SPENT
-        server = self.server
-        if server is None or self.server_state() == GONE:
+        server = state.server
+        if server is None or state.server_state() == GONE:
             return ErrorKind.NO_SERVER
-        if server.state != READY or self.closing:
+        if server.state != READY or state.closing:
             return ErrorKind.WINDING_DOWN
-        if (call.target, call.service_name) != (self.settings.name, server.service):
+        if (call.target, call.service_name) != (state.settings.name, server.service):
             return ErrorKind.WRONG_INSTANCE
         if call.instance != server.instance:
             return ErrorKind.WRONG_INSTANCE
-        return None
+        wait = self.wait_for(rank=call.rank, due=state.now + call.latency_target)
+        # Whoever comes back later finds the queue shorter; whoever waits past the target keeps others from theirs.
+        long_wait = wait > self.latencies.expected(call) * SHORT_WAIT_SHARE
+        if long_wait and wait + self.latencies.safe(call) > self.latencies.admission_limit(call):
+            return ErrorKind.QUEUE_FULL
+        if len(self._queue) >= state.settings.backlog:
+            return ErrorKind.QUEUE_FULL
+        return server
+
+    def wait_for(self, *, rank: int, due: timedelta) -> timedelta:
+        """Return how long until a request of this rank and due time would start, if it came now."""
+        slots = [ZERO] * max(0, self._capacity - len(self._running))
+        for number, started in self._running.items():
+            expected = self.latencies.expected(self.runs[number].call)
+            # A run over its usual time is taken to need some more of it.
+            slots.append(max(expected - (self._state.now - started), expected * OVERTIME_SHARE))
+        heapq.heapify(slots)
+        for queued in sorted(self._queue):
+            if (queued.rank, queued.due) > (rank, due):
+                break
+            # What stands before it takes the slots as they come free.
+            heapq.heapreplace(slots, slots[0] + self.latencies.expected(self.runs[queued.number].call))
+        return slots[0]
 
-    def _turn_away(self, tickets: Sequence[int], call: ForwardCall, kind: ErrorKind) -> None:
-        answer = ForwardAnswer(call.attempt_id, NOT_RUN, str(kind), load=self.load(), capacity=self.room)
-        self._tell(tickets, call, answer)
+    def load(self) -> int:
+        """Return how many requests run on the server or are queued for it."""
+        return len(self._running) + len(self._queue)
 
-    def _tell(self, tickets: Sequence[int], call: ForwardCall, answer: ForwardAnswer) -> None:
-        """The attempt's end, to all who wait for it, and kept for an entry whose connection breaks just now."""
-        self.by_send.pop(call.attempt_id, None)
-        if not call.repeatable:
-            self.taken.answered(answer, now=self.now)
-        self._out += [AnswerForward(ticket, answer) for ticket in tickets]
+    # -- answers to other sidecars -----------------------------------------------------------------------------------
 
-    def _follow_arrived(self, event: FollowArrived) -> None:
+    def follow_arrived(self, event: FollowArrived) -> None:
+        """Answer what became of an attempt, as soon as that is known."""
         call = event.call
-        if (run := self.by_send.get(call.attempt_id)) is not None:
+        if (run := self._by_attempt.get(call.attempt_id)) is not None:
             run.tickets.append(event.ticket)
             return
-        answer = self.taken.answer_of(call.attempt_id)
+        answer = self._received.answer_of(call.attempt_id)
         if answer is None:
-            # Another life of this sidecar can't know what the one it went to did.
-            never = call.incarnation == self.settings.incarnation and self.taken.shut_out(call.attempt_id, now=self.now)
-            outcome, kind = (NOT_RUN, ErrorKind.UNREACHABLE) if never else (UNKNOWN, ErrorKind.SILENT)
-            answer = ForwardAnswer(call.attempt_id, outcome, str(kind), load=self.load(), capacity=self.room)
-        self._out.append(AnswerForward(event.ticket, answer))
-
-    def _abandoned(self, event: AbandonArrived) -> None:
-        """Its client has left: what waits is dropped, what runs is broken off, and the next one takes its place."""
-        run = self.by_send.get(event.call.attempt_id)
-        known = run is not None and run.call.repeatable
-        self._out.append(AnswerAbandon(event.ticket, AbandonAnswer(known)))
-        if not known:
+            # Another incarnation of this sidecar can't know what the one it was sent to did.
+            same_incarnation = call.incarnation == self._state.settings.incarnation
+            if same_incarnation and self._received.bar(call.attempt_id, now=self._state.now):
+                answer = self._without_run(call.attempt_id, NOT_RUN, ErrorKind.UNREACHABLE)
+            else:
+                answer = self._without_run(call.attempt_id, UNKNOWN, ErrorKind.SILENT)
+        self._state.out.append(AnswerForward(event.ticket, answer))
+
+    def abandon_arrived(self, event: AbandonArrived) -> None:
+        """Drop what waits for a client that has left, cancel what runs for it, and start the next."""
+        run = self._by_attempt.get(event.call.attempt_id)
+        if run is None or not run.call.repeatable:
+            self._state.out.append(AnswerAbandon(event.ticket, AbandonAnswer(False)))
             return None
-        number = next(found for found, each in self.runs.items() if each is run)
-        del self.runs[number]
-        if run.started is None:
-            self.line = [each for each in self.line if each.number != number]
-            heapq.heapify(self.line)
-            return self._turn_away(run.tickets, run.call, ErrorKind.SILENT)
-        self.running.discard(number)
-        self._out.append(CancelRun(number))
-        answer = ForwardAnswer(
-            run.call.attempt_id, UNKNOWN, str(ErrorKind.SILENT), load=self.load(), capacity=self.room
+        self._state.out.append(AnswerAbandon(event.ticket, AbandonAnswer(True)))
+        del self.runs[run.number]
+        if self._running.pop(run.number, None) is None:
+            self._queue = [queued for queued in self._queue if queued.number != run.number]
+            heapq.heapify(self._queue)
+            return self._reject(run.tickets, run.call, ErrorKind.SILENT)
+        self._state.out.append(CancelRun(run.number))
+        self._answer(run.tickets, run.call, self._without_run(run.call.attempt_id, UNKNOWN, ErrorKind.SILENT))
+        return self._start_next()
+
+    def _without_run(self, attempt_id: str, outcome: str, kind: str) -> ForwardAnswer:
+        """Return an answer that holds no server's answer."""
+        return ForwardAnswer(attempt_id, outcome, str(kind), load=self.load(), capacity=self._capacity)
+
+    def _reject(self, tickets: Sequence[int], call: ForwardCall, kind: ErrorKind) -> None:
+        self._answer(tickets, call, self._without_run(call.attempt_id, NOT_RUN, kind))
+
+    def _answer(self, tickets: Sequence[int], call: ForwardCall, answer: ForwardAnswer) -> None:
+        """Answer all who wait for the attempt, and keep the answer for a sender whose connection breaks just now."""
+        self._by_attempt.pop(call.attempt_id, None)
+        if not call.repeatable:
+            self._received.answered(answer, now=self._state.now)
+        self._state.out += [AnswerForward(ticket, answer) for ticket in tickets]
+
+    # -- runs --------------------------------------------------------------------------------------------------------
+
+    def _start(self, run: _Run, server: LocalServer) -> None:
+        now = self._state.now
+        self._running[run.number] = now
+        self._state.out.append(RunOnServer(run.number, server.address, run.call, run.deadline - now))
+
+    def _startable(self, run: _Run) -> LocalServer | ErrorKind:
+        """Return the server for a queued run, or why it won't be started any more."""
+        state = self._state
+        server = state.server
+        # What was queued for a server that leaves ends before its last moment; what can't be in time, now.
+        late = (
+            self._draining_since is not None
+            and state.now - self._draining_since > self.drain_timeout * DRAIN_START_SHARE
         )
-        self._tell(run.tickets, run.call, answer)
-        self._next()
-
-    def _start(self, number: int, run: _Run) -> None:
-        run.started = self.now
-        self.running.add(number)
-        within = run.deadline - self.now
-        self._out.append(RunOnServer(number, self.server.address, run.call, within))
-
-    def _in_vain(self, run: _Run) -> ErrorKind | None:
-        """Why a waiting run won't start any more."""
-        # What was promised to a server that leaves ends before its last moment; what can't be in time, now.
-        leaving = self.closed_at is not None and self.now - self.closed_at > self.drain_span * 0.7
-        if leaving or self.server is None or self.server.instance != run.call.instance or self.server_state() == GONE:
+        if late or server is None or server.instance != run.call.instance or state.server_state() == GONE:
             return ErrorKind.WINDING_DOWN
-        needs = max(self._span_of(run.call) / 2, NOTICE)
-        return ErrorKind.BUDGET_SPENT if self.now + needs > run.deadline else None
-
-    def _next(self) -> None:
-        while self.line and len(self.running) < self.room:
-            number = heapq.heappop(self.line).number
-            run = self.runs[number]
-            if (kind := self._in_vain(run)) is not None:
-                del self.runs[number]
-                self._turn_away(run.tickets, run.call, kind)
-                continue
-            self._start(number, run)
-
-    def _sift(self) -> None:
-        """What can no longer be done is told so now, not when a slot comes free; then the rest goes on."""
-        for each, kind in [(each, self._in_vain(self.runs[each.number])) for each in self.line]:
-            if kind is not None:
-                self.line.remove(each)
-                run = self.runs.pop(each.number)
-                self._turn_away(run.tickets, run.call, kind)
-        heapq.heapify(self.line)
-        self._next()
-
-    def _served(self, event: ServerAnswered) -> None:
+        needed = max(self.latencies.expected(run.call) / 2, REJECTION_LEAD_TIME)
+        return ErrorKind.BUDGET_SPENT if state.now + needed > run.deadline else server
+
+    def _start_next(self) -> None:
+        while self._queue and len(self._running) < self._capacity:
+            run = self.runs[heapq.heappop(self._queue).number]
+            server = self._startable(run)
+            if isinstance(server, ErrorKind):
+                del self.runs[run.number]
+                self._reject(run.tickets, run.call, server)
+            else:
+                self._start(run, server)
+
+    def _review_queue(self) -> None:
+        """Reject what can no longer be done now, not when a slot comes free; then start what can be."""
+        for queued, server in [(queued, self._startable(self.runs[queued.number])) for queued in self._queue]:
+            if isinstance(server, ErrorKind):
+                self._queue.remove(queued)
+                run = self.runs.pop(queued.number)
+                self._reject(run.tickets, run.call, server)
+        heapq.heapify(self._queue)
+        self._start_next()
+
+    def server_answered(self, event: ServerAnswered) -> None:
+        """Pass the server's answer on, and start the next run."""
         run = self.runs.pop(event.number, None)
         if run is None:
             return
-        self.running.discard(event.number)
-        took = self.now - run.started
+        run_time = self._state.now - self._running.pop(event.number)
+        attempt_id = run.call.attempt_id
         if event.not_run:
-            # A full server's word for "not run" says nothing of its pace.
-            answer = ForwardAnswer(
-                run.call.attempt_id, NOT_RUN, str(ErrorKind.SERVER_FULL), load=self.load(), capacity=self.room
-            )
+            # A full server's word for "not run" says nothing of how long its runs take.
+            answer = self._without_run(attempt_id, NOT_RUN, ErrorKind.SERVER_FULL)
         else:
-            if event.status < 500:
-                self._learn(run, took)
+            if event.status < SERVER_ERROR_STATUS:
+                self.latencies.learn(run.call.route, run_time)
             answer = ForwardAnswer(
-                run.call.attempt_id, ANSWERED, "", event.status, event.headers, event.body, self.load(), self.room, took
+                attempt_id,
+                ANSWERED,
+                "",
+                event.status,
+                event.headers,
+                event.body,
+                self.load(),
+                self._capacity,
+                run_time,
             )
-        self._tell(run.tickets, run.call, answer)
-        self._next()
+        self._answer(run.tickets, run.call, answer)
+        self._start_next()
 
-    def _serve_missed(self, event: ServerFailed) -> None:
+    def server_failed(self, event: ServerFailed) -> None:
+        """Pass on that the server gave no answer, and start the next run."""
         run = self.runs.pop(event.number, None)
         if run is None:
             return
-        self.running.discard(event.number)
+        self._running.pop(event.number, None)
+        state, kind = self._state, event.error.kind
+        server = state.server
         if (
             event.unsent
-            and event.error.kind == ErrorKind.UNREACHABLE
-            and self.server is not None
-            and self.server.instance == run.call.instance
-            and self.server_state() != GONE
+            and kind == ErrorKind.UNREACHABLE
+            and server is not None
+            and server.instance == run.call.instance
+            and state.server_state() != GONE
         ):
-            # Nobody listens there any more: no need to wait until its health reports run out.
-            self._silence()
+            # Nobody listens there any more: no need to wait until its health report expires.
+            state.mark_server_gone()
         outcome = NOT_RUN if event.unsent else UNKNOWN
-        kind = ErrorKind.NO_SERVER if event.error.kind == ErrorKind.UNREACHABLE else event.error.kind
-        answer = ForwardAnswer(run.call.attempt_id, outcome, str(kind), load=self.load(), capacity=self.room)
-        self._tell(run.tickets, run.call, answer)
-        self._next()
-
-    def _upstream_tick(self) -> None:
-        if self.server is not None and self.server.state != GONE and self.server_state() == GONE:
-            self._silence()
-        if self.line:
-            self._sift()
+        told_kind = ErrorKind.NO_SERVER if kind == ErrorKind.UNREACHABLE else kind
+        self._answer(run.tickets, run.call, self._without_run(run.call.attempt_id, outcome, told_kind))
+        self._start_next()
+
+    def tick(self) -> None:
+        """Notice that the server has fallen silent, and reject what can't be done in time any more."""
+        self._state.expire_server()
+        if self._queue:
+            self._review_queue()
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -180,11 +180,11 @@
         ),
         seed=random.Random(number),
         now=ZERO,
-        server=server.address,
-        drain_span=timedelta(seconds=2),
-        further_percent=20,
-        further_margin=10,
-        key_span=timedelta(seconds=75),
+        server_address=server.address,
+        drain_timeout=timedelta(seconds=2),
+        retry_percent=20,
+        retry_margin=10,
+        key_lifetime=timedelta(seconds=75),
         service=server.service,
     )
     core.handle(ConfigurationChanged(view), now=ZERO)
@@ -246,8 +246,8 @@
         lambda: unpack(pack(number=1, answer=False, message=sent)),
         times=times,
     )
-    call.entry.pending_requests.clear()
-    call.entry.by_number.clear()
+    call.entry.ingress.requests.requests.clear()
+    call.entry.ingress.requests.tickets.clear()
 
 
 # -- membership ------------------------------------------------------------------------------------------------------
--- a/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
@@ -165,7 +165,7 @@
             if (
                 len(view.item_revisions) >= items
                 and alive >= nodes
-                and node.core.fresh()
+                and node.core.has_lease()
                 and node.health_acknowledged[1] == READY
             ):
                 well += 1
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/faults.py
@@ -184,7 +184,7 @@
         core = complete.nodes[follower].runner.core
         complete.check_expectation("a former release stops and says so", core.halted != "" and core.role == "follower")
         complete.check_expectation(
-            "a former release's proxy doesn't serve", not complete.nodes["stall-01"].core.noted()
+            "a former release's proxy doesn't serve", not complete.nodes["stall-01"].core.is_registered()
         )
         complete.levels = {}
         complete.restart(follower, "stall-01")
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -21,6 +21,8 @@
 from hoistsaddle.sidecar.listener import IngressHandler
 from hoistsaddle.sidecar.messages import Reply
 from hoistsaddle.sidecar.node import SidecarNode
+from hoistsaddle.sidecar.request_table import PendingRequest
+from hoistsaddle.sidecar.server_selection import ServerSelection
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.statemachine.deduplication import PatchCheck
 from hoistsaddle.statemachine.state import READY
@@ -197,19 +199,19 @@
 
 
 def _uncertain_is_sent_again():
-    def again(self: IngressCore, ticket: int, pending, error) -> None:
-        pending.uncertain, pending.why = True, error
-        pending.avoid.add(pending.target.proxy)
-        self._place(ticket)
+    def again(self: IngressCore, request: PendingRequest, error: MeshError) -> None:
+        request.uncertain, request.last_error = True, error
+        request.excluded.add(request.target)
+        self._place(request)
 
-    return mock.patch.object(IngressCore, "_uncertain", again)
+    return mock.patch.object(IngressCore, "_attempt_uncertain", again)
 
 
 def _unknown_is_called_not_run():
-    def unknown(self: IngressCore, ticket: int) -> None:
-        self._reply(ticket, 503, error=MeshError(ErrorKind.SILENT, "planted", "planted"), retry_after=milliseconds(50))
+    def unknown(self: IngressCore, request: PendingRequest) -> None:
+        self._reply(request, 503, error=MeshError(ErrorKind.SILENT, "planted", "planted"), retry_after=milliseconds(50))
 
-    return mock.patch.object(IngressCore, "_unknown", unknown)
+    return mock.patch.object(IngressCore, "_answer_unknown", unknown)
 
 
 def _some_entries_unknown():
@@ -220,10 +222,10 @@
 
 
 def _any_service_will_do():
-    def any_service(self: IngressCore, entry) -> str:
-        return self.random.choice(sorted(self.view.items.services))
+    def any_service(self: IngressCore, route) -> str:
+        return self._state.random.choice(sorted(self._state.view.items.services))
 
-    return mock.patch.object(IngressCore, "_select_service", any_service)
+    return mock.patch.object(IngressCore, "_pick_service", any_service)
 
 
 def _leaving_is_ready():
@@ -234,7 +236,7 @@
     plain = SidecarNode.wind_down
 
     async def at_once(self: SidecarNode, **needs) -> None:
-        for ticket in list(self.core.pending_requests):
+        for ticket in list(self.core.ingress.requests.requests):
             future = self.answers.pop(ticket, None)
             if future is not None and not future.done():
                 future.set_result(Reply(ticket, 502, b"", b"", MeshError(ErrorKind.SILENT, "planted", "planted"), None))
@@ -255,29 +257,29 @@
 
 
 def _first_items_kept():
-    plain = SidecarCore._configuration
+    plain = SidecarCore._configuration_changed
 
     def first(self: SidecarCore, view) -> None:
         kept = self.view.items
         plain(self, view if kept is None else view._replace(items=kept))
 
-    return mock.patch.object(SidecarCore, "_configuration", first)
+    return mock.patch.object(SidecarCore, "_configuration_changed", first)
 
 
 def _items_waver():
     """Each second request is judged by the first items that its proxy took up."""
-    plain = IngressCore._asked
+    plain = IngressCore.request_arrived
 
     def wavering(self: IngressCore, event) -> None:
-        now = self.view
+        now = self._state.view
         self.first_items = getattr(self, "first_items", None) or now.items
         self.turn = not getattr(self, "turn", False)
         if self.turn:
-            self.view = now._replace(items=self.first_items)
+            self._state.view = now._replace(items=self.first_items)
         plain(self, event)
-        self.view = now
+        self._state.view = now
 
-    return mock.patch.object(IngressCore, "_asked", wavering)
+    return mock.patch.object(IngressCore, "request_arrived", wavering)
 
 
 def _entries_unchecked():
@@ -349,7 +351,7 @@
 
 
 def _further_sends_unbounded():
-    return mock.patch.object(RetryBudget, "gate", lambda self, service, *, now: "share")
+    return mock.patch.object(RetryBudget, "try_spend", lambda self, service, *, now: "share")
 
 
 def _slow_elections_after_the_first():
@@ -375,7 +377,7 @@
 
 
 def _nobody_is_selected():
-    return mock.patch.object(IngressCore, "_select", lambda self, pending: None)
+    return mock.patch.object(ServerSelection, "select", lambda self, request: None)
 
 
 INJECTED_FAULTS = (
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -107,7 +107,7 @@
 
 
 def _further_sends_unbounded():
-    return mock.patch.object(RetryBudget, "gate", lambda self, service, *, now: "share")
+    return mock.patch.object(RetryBudget, "try_spend", lambda self, service, *, now: "share")
 
 
 def _margin_of_one_each():
--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -9,6 +9,7 @@
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.messages import ConfigurationChanged, HoldAnswered, SubmitHold, Ticked
 from hoistsaddle.sidecar.core import SidecarCore
+from hoistsaddle.sidecar.latency import LatencyEstimate
 from hoistsaddle.sidecar.messages import (
     Abandon,
     AbandonArrived,
@@ -30,7 +31,6 @@
     ServerAnswered,
     ServerFailed,
 )
-from hoistsaddle.sidecar.upstream import LatencyEstimate
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import pack_command
 from hoistsaddle.statemachine.state import READY, NodeRecord, ServerRecord, State, initial_state
@@ -122,11 +122,11 @@
             ),
             seed=random.Random(seed),
             now=self.timestamp,
-            server=f"plant-{name}",
-            drain_span=timedelta(seconds=2),
-            further_percent=20,
-            further_margin=margin,
-            key_span=timedelta(seconds=75),
+            server_address=f"plant-{name}",
+            drain_timeout=timedelta(seconds=2),
+            retry_percent=20,
+            retry_margin=margin,
+            key_lifetime=timedelta(seconds=75),
             service="ledger",
         )
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -373,7 +373,7 @@
         # It is acknowledged all the same: its sender asks nothing more.
         self.assertThat(self.put(call_seq=7), Equals(200))
         self.assertThat([each.state for each in self.node.told], Equals([READY, WINDING_DOWN]))
-        self.assertThat(self.node.told[1].cold, Equals(timedelta(seconds=1.5)))
+        self.assertThat(self.node.told[1].warm_up, Equals(timedelta(seconds=1.5)))
 
     def test_a_new_life_counts_from_its_own_beginning(self) -> None:
         self.put(call_seq=70)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,8 +8,9 @@
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import read_bundle
+from hoistsaddle.proxy.bundle_state import GAP, digest_of_body
 from hoistsaddle.proxy.core import ProxyCore
-from hoistsaddle.proxy.core_state import GAP, CoreSettings, digest_of_body
+from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.ingress import MAX_KEY_WAIT
 from hoistsaddle.proxy.messages import (
     AnswerClient,
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -104,7 +104,7 @@
         call = self.held(budget=3.0)
         for age, aim in ((0.1, 1.0), (0.7, 0.3), (1.5, 0.0)):
             self.assertThat(
-                self.fleet.cores["s-2"]._aged(ForwardArrived(1, call, seconds(age))).latency_target,
+                self.fleet.cores["s-2"].upstream.without_age(ForwardArrived(1, call, seconds(age))).latency_target,
                 Equals(seconds(aim)),
             )
 
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -17,6 +17,7 @@
 from hoistsaddle.sidecar.ingress import IngressCore
 from hoistsaddle.sidecar.key_claims import KeyClaims
 from hoistsaddle.sidecar.received_attempts import ReceivedAttempts
+from hoistsaddle.sidecar.request_table import PendingRequest
 from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 from sidecar_stack import BUDGET, ClientRequest, ControlledLink, History, LocalServer, Machine, SidecarStack, judge
 from stepped_clock import run_stepped
@@ -185,8 +186,8 @@
 
     def test_a_target_that_forgot_what_came_is_found(self) -> None:
         """Planted: it says of any attempt that it never came."""
-        local_server = mock.patch.object(ReceivedAttempts, "answer_of", lambda self, send: None)
-        forgotten = mock.patch.object(ReceivedAttempts, "shut_out", lambda self, send, **needs: True)
+        local_server = mock.patch.object(ReceivedAttempts, "answer_of", lambda self, attempt_id: None)
+        forgotten = mock.patch.object(ReceivedAttempts, "bar", lambda self, attempt_id, **needs: True)
         with local_server, forgotten:
             found = " ".join(judge(play(link="sidecar", fault="reset", kind="pack", timestamp="answered")))
         self.assertThat(found, Contains("TWICE"))
@@ -218,21 +219,21 @@
             return {line.split()[0] for line in judge(play(**needs))}
 
     def test_an_uncertain_attempt_that_is_dealt_again_is_found(self) -> None:
-        def again(self: IngressCore, ticket: int, pending: Any, error: MeshError) -> None:
-            pending.avoid.add(pending.target.proxy)
-            pending.sends = 0
-            self._place(ticket)
+        def again(self: IngressCore, request: PendingRequest, error: MeshError) -> None:
+            request.excluded.add(request.target)
+            request.attempts = 0
+            self._place(request)
 
-        local_server = mock.patch.object(IngressCore, "_uncertain", again)
+        local_server = mock.patch.object(IngressCore, "_attempt_uncertain", again)
         found = self.found(local_server, link="server", fault="reset", kind="pack", timestamp="answered")
         self.assertThat(found, Contains("TWICE"))
 
     def test_an_unknown_end_that_is_called_a_refusal_is_found(self) -> None:
-        def unknown(self: IngressCore, ticket: int) -> None:
+        def unknown(self: IngressCore, request: PendingRequest) -> None:
             error = MeshError(ErrorKind.SILENT, "planted", "planted")
-            self._reply(ticket, 503, error=error, retry_after=milliseconds(50))
+            self._reply(request, 503, error=error, retry_after=milliseconds(50))
 
-        local_server = mock.patch.object(IngressCore, "_unknown", unknown)
+        local_server = mock.patch.object(IngressCore, "_answer_unknown", unknown)
         found = self.found(local_server, link="server", fault="reset", kind="pack", timestamp="answered")
         self.assertThat(found, Contains("REFUSED"))
 
@@ -249,11 +250,11 @@
         self.assertThat(found, Contains("WRONG"))
 
     def test_a_key_that_is_free_whatever_became_of_it_is_found(self) -> None:
-        plain: Callable = KeyClaims._standing_of
+        plain: Callable = KeyClaims.claim_state
 
         def free(self: KeyClaims, claim: str) -> Any:
             return plain(self, claim)._replace(state="free")
 
-        local_server = mock.patch.object(KeyClaims, "_standing_of", free)
+        local_server = mock.patch.object(KeyClaims, "claim_state", free)
         found = self.found(local_server, link="sidecar", fault="reset", kind="pay", timestamp="answered")
         self.assertThat(found, Contains("TWICE"))
--- a/tests/test_sidecar_attempt_follower.py
+++ b/tests/test_sidecar_attempt_follower.py
@@ -20,7 +20,7 @@
     ForwardRequest,
     RunOnServer,
 )
-from hoistsaddle.sidecar.received_attempts import ANSWER_SPAN, ReceivedAttempts
+from hoistsaddle.sidecar.received_attempts import ANSWER_RETENTION, ReceivedAttempts
 from sidecar_bench import SidecarBench
 
 SECOND = timedelta(seconds=1)
@@ -88,7 +88,7 @@
         self.arrive(sent.call)
         self.fleet.finish(body=b"done")
         self.assertThat(self.answer(self.arrive(follow.call)).body, Equals(b"done"))
-        self.fleet.pass_time(ANSWER_SPAN.total_seconds() + 0.1)
+        self.fleet.pass_time(ANSWER_RETENTION.total_seconds() + 0.1)
         # What is over goes with the next that ends.
         self.arrive(sent.call._replace(attempt_id="another.life.1"))
         self.fleet.finish()
@@ -223,38 +223,40 @@
     def test_what_is_long_over_is_forgotten(self) -> None:
         taken = ReceivedAttempts()
         for number in range(100):
-            self.assertThat(taken.take(f"a.b.{number}", ends=SECOND * (number + 1), now=SECOND * number), Equals(True))
+            self.assertThat(
+                taken.receive(f"a.b.{number}", deadline=SECOND * (number + 1), now=SECOND * number), Equals(True)
+            )
         self.assertThat(len(taken.attempts) <= 4, Equals(True))
 
     def test_beyond_its_bound_it_knows_that_it_does_not_know(self) -> None:
-        self.patch(modules, "MOST_TAKEN", 3)
+        self.patch(modules, "MAX_ATTEMPTS", 3)
         taken = ReceivedAttempts()
         for number in range(4):
-            taken.take(f"a.b.{number}", ends=SECOND * 5, now=SECOND)
-        self.assertThat(taken.shut_out("a.b.0", now=SECOND * 2), Equals(False))
-        self.assertThat(taken.shut_out("never", now=SECOND * 2), Equals(False))
-        self.assertThat(taken.shut_out("later", now=SECOND * 8), Equals(True))
+            taken.receive(f"a.b.{number}", deadline=SECOND * 5, now=SECOND)
+        self.assertThat(taken.bar("a.b.0", now=SECOND * 2), Equals(False))
+        self.assertThat(taken.bar("never", now=SECOND * 2), Equals(False))
+        self.assertThat(taken.bar("later", now=SECOND * 8), Equals(True))
 
     def test_it_promises_no_more_than_it_can_keep(self) -> None:
-        self.patch(modules, "MOST_TAKEN", 3)
+        self.patch(modules, "MAX_ATTEMPTS", 3)
         taken = ReceivedAttempts()
-        told = [taken.shut_out(f"a.b.{number}", now=SECOND) for number in range(4)]
+        told = [taken.bar(f"a.b.{number}", now=SECOND) for number in range(4)]
         self.assertThat(told, Equals([True, True, True, False]))
         for number in range(3):
-            self.assertThat(taken.take(f"a.b.{number}", ends=SECOND * 5, now=SECOND * 2), Equals(False))
+            self.assertThat(taken.receive(f"a.b.{number}", deadline=SECOND * 5, now=SECOND * 2), Equals(False))
 
     def test_kept_answers_are_bounded_by_their_bytes(self) -> None:
-        self.patch(modules, "MOST_BYTES", 100)
+        self.patch(modules, "MAX_ANSWER_BYTES", 100)
         taken = ReceivedAttempts()
         for number in range(5):
             taken.answered(ForwardAnswer(f"a.b.{number}", ANSWERED, "", 200, b"", b"x" * 40), now=SECOND)
-        self.assertThat((len(taken.answers), taken.octets), Equals((2, 80)))
+        self.assertThat((len(taken.answers), taken.answer_bytes), Equals((2, 80)))
 
     def test_in_any_order_an_attempt_is_let_in_or_shut_out_and_never_both(self) -> None:
         """Its entry asks for it within its time; what a socket held may come at any moment after it was written."""
         for seed in range(30):
             dice = random.Random(seed)
-            self.patch(modules, "MOST_TAKEN", 20)
+            self.patch(modules, "MAX_ATTEMPTS", 20)
             taken, timestamp = ReceivedAttempts(), timedelta()
             ends: dict[str, timedelta] = {}
             unread: set[str] = set()
@@ -270,11 +272,11 @@
                         send = dice.choice(sorted(unread))
                         unread.discard(send)
                         # Its own words still say what it had as it was written.
-                        if taken.take(send, ends=timestamp + SECOND * 3, now=timestamp):
+                        if taken.receive(send, deadline=timestamp + SECOND * 3, now=timestamp):
                             ran.add(send)
                     case "asked" if alive := [send for send, end in ends.items() if timestamp < end]:
                         send = dice.choice(alive)
-                        if taken.shut_out(send, now=timestamp):
+                        if taken.bar(send, now=timestamp):
                             refused.add(send)
                 self.assertThat(ran & refused, Equals(set()), f"seed {seed}")
             self.assertThat((len(ran) > 50, len(refused) > 5), Equals((True, True)), f"{len(ran)} {len(refused)}")
--- a/tests/test_sidecar_client_gone.py
+++ b/tests/test_sidecar_client_gone.py
@@ -50,7 +50,9 @@
         fleet.silent.add(name)
         fleet.leave(ticket)
         fleet.finish()
-        self.assertThat((len(fleet.sent(ForwardRequest)), fleet.cores["s-1"].pending_requests), Equals((1, {})))
+        self.assertThat(
+            (len(fleet.sent(ForwardRequest)), fleet.cores["s-1"].ingress.requests.requests), Equals((1, {}))
+        )
 
     def test_a_client_that_left_long_ago_changes_nothing(self) -> None:
         fleet = SidecarBench("s-1")
--- a/tests/test_sidecar_ingress.py
+++ b/tests/test_sidecar_ingress.py
@@ -135,7 +135,7 @@
         fleet = SidecarBench(room=1)
         for name, core in fleet.cores.items():
             # Each runs one that takes long.
-            core.latencies["read"] = pace_of(3.5)
+            core.upstream.latencies.by_route["read"] = pace_of(3.5)
             fleet.ask(door=name, budget=4.0)
         timestamp = fleet.timestamp
         ticket = fleet.ask(budget=3.0)
@@ -453,7 +453,7 @@
         fleet.pass_time(1.0)
         granted = fleet.write(first.command)
         self.assertThat(len(fleet.log.holds), Equals(1))
-        fleet.cores["s-1"].claims[first.number] = first.command
+        fleet.cores["s-1"].ingress.keys.submitted[first.number] = first.command
         fleet.feed("s-1", HoldAnswered(first.number, granted))
         self.assertThat((len(fleet.log.holds), fleet.sent(ForwardRequest)), Equals((0, [])))
 
@@ -488,7 +488,7 @@
         fleet.finish()
         fleet.pass_time(80, step=2.0)
         self.pay(fleet, key="k2")
-        self.assertThat(len(fleet.cores["s-1"].kept), Equals(1))
+        self.assertThat(len(fleet.cores["s-1"].ingress.keys.records), Equals(1))
 
 
 class AnyHistory(Case):
--- a/tests/test_sidecar_key_answers.py
+++ b/tests/test_sidecar_key_answers.py
@@ -66,7 +66,7 @@
         ask = asks[0][1]
         granted = self.fleet.write(ask.command)
         # Frozen meanwhile: no tick comes, and the grant lies in its socket.
-        self.fleet.timestamp += self.fleet.cores["s-1"].key_span
+        self.fleet.timestamp += self.fleet.cores["s-1"].ingress.keys.key_lifetime
         self.fleet.feed("s-1", HoldAnswered(ask.number, granted))
         self.assertThat((self.told(first).status, self.fleet.sent(ForwardRequest)), Equals((503, [])))
 
--- a/tests/test_sidecar_server_selection.py
+++ b/tests/test_sidecar_server_selection.py
@@ -9,7 +9,7 @@
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.messages import ConfigurationChanged
 from hoistsaddle.proxy.retry_budget import retry_quota_of
-from hoistsaddle.sidecar import server_selection
+from hoistsaddle.sidecar import retry_allowance
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardRequest, RequestArrived
 from hoistsaddle.statemachine.state import GONE, WINDING_DOWN, State, data_plane_items
@@ -31,11 +31,11 @@
         ),
         seed=random.Random(1),
         now=timedelta(),
-        server=server.address,
-        drain_span=timedelta(seconds=2),
-        further_percent=20,
-        further_margin=10,
-        key_span=timedelta(seconds=75),
+        server_address=server.address,
+        drain_timeout=timedelta(seconds=2),
+        retry_percent=20,
+        retry_margin=10,
+        key_lifetime=timedelta(seconds=75),
         service=server.service,
     )
     core.handle(ConfigurationChanged(view), now=timedelta())
@@ -80,7 +80,7 @@
             worked_out.append(len(needs["proxies"]))
             return retry_quota_of(**needs)
 
-        self.patch(server_selection, "retry_quota_of", counted)
+        self.patch(retry_allowance, "retry_quota_of", counted)
         state = make_state(SIZE)
         core = core_with(view_of(state))
         asked(core, 20)
@@ -91,7 +91,7 @@
         self.assertThat(worked_out, Equals([6, 5]))
         left = [proxy_name(number) for number in range(5)]
         self.assertThat(
-            core.parts,
+            core.ingress.retries.quotas,
             Equals(
                 {"service-000": retry_quota_of(service="service-000", proxy=proxy_name(1), proxies=left, margin=10)}
             ),
--- a/tests/test_sidecar_upstream.py
+++ b/tests/test_sidecar_upstream.py
@@ -10,8 +10,8 @@
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, UNKNOWN, StopRequested
 from hoistsaddle.rpc.messages import ForwardAnswer, ForwardCall
+from hoistsaddle.sidecar.latency import LatencyEstimate
 from hoistsaddle.sidecar.messages import AnswerForward, RunOnServer
-from hoistsaddle.sidecar.upstream import LatencyEstimate
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
 from sidecar_bench import SidecarBench, pace_of
 
@@ -59,14 +59,14 @@
             self.pending()
             self.fleet.pass_time(seconds)
             self.fleet.finish()
-        self.core.latencies["read"] = pace_of(seconds)
+        self.core.upstream.latencies.by_route["read"] = pace_of(seconds)
         self.fleet.commands.clear()
 
     def started(self) -> list[str]:
         return [serve.call.attempt_id for serve in self.fleet.sent(RunOnServer)]
 
     def test_the_server_works_on_so_many_at_a_time(self) -> None:
-        self.core.latencies["read"] = pace_of(0.05)
+        self.core.upstream.latencies.by_route["read"] = pace_of(0.05)
         tickets = [self.pending() for _ in range(5)]
         self.assertThat(len(self.fleet.serves), Equals(2))
         for left in (2, 2, 2, 1, 0):
@@ -85,7 +85,7 @@
         self.assertThat(len(self.fleet.serves), Equals(3))
 
     def test_what_waits_goes_by_rank_and_then_by_when_it_is_due(self) -> None:
-        self.core.latencies["read"] = pace_of(0.05)
+        self.core.upstream.latencies.by_route["read"] = pace_of(0.05)
         self.pending()
         self.pending()
         for rank, aim in ((2, 2.0), (0, 3.0), (1, 1.5), (0, 2.5), (1, 1.0)):
@@ -127,7 +127,7 @@
 
     def test_what_most_runs_keep_within_must_fit(self) -> None:
         """Admitted by the mean alone, half of a full line would be late."""
-        self.core.latencies["read"] = pace_of(0.4, deviation=0.15)
+        self.core.upstream.latencies.by_route["read"] = pace_of(0.4, deviation=0.15)
         self.pending()
         self.pending()
         # Starts in 0.4 s and is mostly done within 0.15 s more than the usual 0.4.
@@ -136,7 +136,7 @@
 
     def test_a_short_wait_turns_nobody_away(self) -> None:
         """A slow server takes one that will probably be late rather than stand idle between two arrivals."""
-        self.core.latencies["read"] = pace_of(0.4, deviation=0.2)
+        self.core.upstream.latencies.by_route["read"] = pace_of(0.4, deviation=0.2)
         self.pending()
         self.pending()
         self.fleet.pass_time(0.25)
@@ -146,9 +146,9 @@
 
     def test_a_run_far_shorter_than_usual_may_use_its_budget(self) -> None:
         """It is another server's call: turned away, it costs that server's whole run."""
-        self.core.latencies["read"] = pace_of(0.4)
-        self.core.latencies["peek"] = pace_of(0.04)
-        self.core.usual.mean = timedelta(seconds=0.3)
+        self.core.upstream.latencies.by_route["read"] = pace_of(0.4)
+        self.core.upstream.latencies.by_route["peek"] = pace_of(0.04)
+        self.core.upstream.latencies.overall.mean = timedelta(seconds=0.3)
         self.pending()
         self.pending()
         self.assertThat(self.told(self.pending(route="peek", aim=0.1, budget=0.6)), Equals(None))
@@ -171,9 +171,9 @@
         self.assertThat(pace.mean, Equals(timedelta(seconds=0.3)))
 
     def test_the_line_is_bounded(self) -> None:
-        self.core.latencies["read"] = pace_of(0.05)
+        self.core.upstream.latencies.by_route["read"] = pace_of(0.05)
         tickets = [self.pending(budget=900, aim=900) for _ in range(60)]
-        self.assertThat(self.core.load(), Equals(52))
+        self.assertThat(self.core.upstream.load(), Equals(52))
         self.assertThat(self.refused(tickets[-1]), Equals(ErrorKind.QUEUE_FULL))
 
     def test_only_its_own_server_gets_work_and_only_under_its_newest_life(self) -> None:
@@ -278,7 +278,7 @@
         for status, not_run in ((500, False), (503, True)):
             self.pending()
             self.fleet.finish(status=status, not_run=not_run)
-        self.assertThat(self.core.latencies["read"].mean, Equals(timedelta(seconds=0.4)))
+        self.assertThat(self.core.upstream.latencies.by_route["read"].mean, Equals(timedelta(seconds=0.4)))
 
     def test_any_history_keeps_the_promises(self) -> None:
         """Whatever comes, in whatever order: capacity, one answer each, and nothing run after "not run"."""
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -29,7 +29,7 @@
         self.works = works
         self.told: list[tuple[str, timedelta]] = []
         self.closed: timedelta | None = None
-        core = SimpleNamespace(pending_requests={1: "a request"} if busy else {}, idle=self.idle)
+        core = SimpleNamespace(pending_count=lambda: 1 if busy else 0, idle=self.idle)
         self.node = SimpleNamespace(
             runtime=SimpleNamespace(now=lambda: self.timestamp),
             core=core,
@@ -109,4 +109,4 @@
         # A server may still work on the one; the other waited for its key, so it ran nowhere and never will.
         self.assertThat([fleet.replies[each].status for each in (sent, claiming)], Equals([502, 503]))
         self.assertThat(fleet.replies[claiming].retry_after is not None, Equals(True))
-        self.assertThat(fleet.cores["s-1"].pending_requests, Equals({}))
+        self.assertThat(fleet.cores["s-1"].ingress.requests.requests, Equals({}))
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -384,20 +384,20 @@
 
         def allot(part: int, seconds: float, percent: int = 20) -> float:
             now = timedelta(seconds=seconds)
-            account.allot("s", part=part, percent=percent, now=now)
+            account.set_quota("s", quota=part, percent=percent, now=now)
             for _ in range(100):
-                account.first("s", percent=percent)
-            return float(account.room("s", now=now))
+                account.earn("s", percent=percent)
+            return float(account.available("s", now=now))
 
         self.assertThat([allot(4, 0), allot(4, 1.4), allot(4, 1.5)], Equals([0, 0, 2]))
         # The other half are slots, and they wait for a window more.
         self.assertThat(allot(4, 12.0), Equals(4))
         self.assertThat([allot(1, 12.1), allot(4, 12.2), allot(4, 13.6), allot(4, 13.7)], Equals([1, 1, 1, 2]))
         self.assertThat(allot(4, 30), Equals(4))
-        ways = [account.gate("s", now=timedelta(seconds=30)) for _ in range(5)]
+        ways = [account.try_spend("s", now=timedelta(seconds=30)) for _ in range(5)]
         self.assertThat(ways, Equals(["share", "share", "slot", "slot", ""]))
-        account.give_back("s", "slot")
-        self.assertThat(account.gate("s", now=timedelta(seconds=30)), Equals("slot"))
-        self.assertThat(account.gate("s", now=timedelta(seconds=40.4)), Equals(""))
-        self.assertThat(account.gate("s", now=timedelta(seconds=40.5)), Equals("slot"))
-        self.assertThat(float(account.room("s", now=timedelta(seconds=40.5))), GreaterThan(0.9))
+        account.refund("s", "slot")
+        self.assertThat(account.try_spend("s", now=timedelta(seconds=30)), Equals("slot"))
+        self.assertThat(account.try_spend("s", now=timedelta(seconds=40.4)), Equals(""))
+        self.assertThat(account.try_spend("s", now=timedelta(seconds=40.5)), Equals("slot"))
+        self.assertThat(float(account.available("s", now=timedelta(seconds=40.5))), GreaterThan(0.9))
