--- /dev/null
+++ b/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
@@ -0,0 +1,207 @@
+"""What the nodes of both programs have in common: connections to the mesh, configuration, health reports, and timers.
+
+A node carries out what its core decides. It owns no decision itself, and no HTTP listener.
+"""
+
+import asyncio
+from collections.abc import Coroutine
+from datetime import timedelta
+from typing import Any, NamedTuple
+
+from hoistsaddle.common.backoff import ExponentialBackoff
+from hoistsaddle.common.clock import milliseconds
+from hoistsaddle.common.counters import Counters
+from hoistsaddle.common.settings import ProxySettings, SidecarSettings
+from hoistsaddle.membership.long_poll import LONG_POLL_TIMEOUT, answer_long_poll
+from hoistsaddle.membership.member import Member, MemberTimings
+from hoistsaddle.membership.membership import ALIVE
+from hoistsaddle.membership.relay import Relay
+from hoistsaddle.proxy.configuration_poller import ConfigurationPoller
+from hoistsaddle.proxy.core_state import CoreSettings
+from hoistsaddle.proxy.freeze_detector import FreezeDetector
+from hoistsaddle.proxy.health_reporter import HealthReporter
+from hoistsaddle.proxy.hold_client import HoldClient
+from hoistsaddle.proxy.messages import ConfigurationChanged, HoldAnswered, LeaseRenewed, SubmitHold, Ticked
+from hoistsaddle.proxy.registry_addresses import RegistryAddresses
+from hoistsaddle.rpc.messages import IndirectProbeCall, MemberState, PollCall, ProbeCall
+from hoistsaddle.rpc.runtime import Runtime
+from hoistsaddle.statemachine.commands import LEVEL
+from hoistsaddle.statemachine.state import GONE
+from hoistsaddle.statemachine.view import View
+
+# Between two parents, or two registries, that gave nothing: the first round goes fast, and then each slower.
+MIN_BACKOFF = milliseconds(30)
+# At most this part of a lease: once somebody has a newer configuration again, hearing of it costs no more than that.
+MAX_BACKOFF_LEASE_PART = 3
+HEALTH_MIN_BACKOFF = milliseconds(50)
+HEALTH_MAX_BACKOFF = milliseconds(800)
+# Bytes of a random incarnation.
+INCARNATION_BYTES = 6
+
+
+class NodeTimings(NamedTuple):
+    """Intervals and timeouts of a node; a deployment with thin links sets them wider."""
+
+    long_poll: timedelta = LONG_POLL_TIMEOUT
+    poll_timeout: timedelta = milliseconds(600)
+    health_interval: timedelta = milliseconds(400)
+    tick: timedelta = milliseconds(50)
+    # How many answers in a row that renew nothing a parent may give before it is left.
+    max_same_answers: int = 0
+    member: MemberTimings = MemberTimings()
+
+
+class MeshNode:
+    """Base of the nodes: subclasses make the core, carry out its commands, and answer its calls."""
+
+    timings = NodeTimings()
+
+    def __init__(self, *, settings: ProxySettings | SidecarSettings, runtime: Runtime) -> None:
+        """Begin with a new incarnation.
+
+        Args:
+            settings: of the process.
+            runtime: clock, chance and connections.
+        """
+        self.settings = settings
+        self.runtime = runtime
+        self.incarnation = runtime.token(INCARNATION_BYTES)
+        self.counters = Counters(owner=settings.name)
+        lease_span = timedelta(seconds=settings.lease_seconds)
+        self.core = self._make_core(
+            CoreSettings(
+                settings.name,
+                settings.zone,
+                self.incarnation,
+                lease_span,
+                timedelta(seconds=settings.health_seconds),
+                settings.backlog,
+                settings.outstanding,
+            )
+        )
+        self.relay = Relay(node=settings.name, incarnation=self.incarnation, lease_span=lease_span)
+        self.freezes = FreezeDetector(runtime=runtime, counters=self.counters)
+        # Of the calls and requests that wait for the core's answer, by ticket.
+        self.answers: dict[int, asyncio.Future] = {}
+        self._tickets = 0
+        self.work: set[asyncio.Task] = set()
+        self.tasks: list[asyncio.Future] = []
+        self.registries = RegistryAddresses(seeds=settings.seeds)
+        max_backoff = lease_span / MAX_BACKOFF_LEASE_PART
+        self.holds = HoldClient(
+            runtime=runtime,
+            counters=self.counters,
+            core=self.core,
+            registries=self.registries,
+            backoff=ExponentialBackoff(least=MIN_BACKOFF, most=max_backoff),
+        )
+        self.poller = ConfigurationPoller(
+            runtime=runtime,
+            counters=self.counters,
+            core=self.core,
+            relay=self.relay,
+            parent=settings.seeds[0],
+            parents=self._parents,
+            on_configuration=self._configuration_changed,
+            on_lease=lambda start: self.feed(LeaseRenewed(start)),
+            backoff=ExponentialBackoff(least=MIN_BACKOFF, most=max_backoff),
+            timeout=self.timings.poll_timeout,
+            max_same_answers=self.timings.max_same_answers,
+        )
+        self.health = HealthReporter(
+            runtime=runtime,
+            counters=self.counters,
+            core=self.core,
+            relay=self.relay,
+            registries=self.registries,
+            address=settings.listen,
+            level=settings.release_level or LEVEL,
+            interval=self.timings.health_interval,
+            backoff=ExponentialBackoff(least=HEALTH_MIN_BACKOFF, most=HEALTH_MAX_BACKOFF),
+        )
+        me = MemberState(settings.name, "stall", settings.listen, settings.zone, self.incarnation, 0, ALIVE)
+        self.member = Member(
+            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, pace=self.timings.member
+        )
+
+    def _make_core(self, settings: CoreSettings) -> Any:
+        raise NotImplementedError
+
+    def _parents(self) -> list[str]:
+        """Return the addresses to poll for the configuration, the tree's parent first."""
+        raise NotImplementedError
+
+    def feed(self, event: tuple) -> None:
+        """Give the core an event, and carry out its commands."""
+        raise NotImplementedError
+
+    async def start(self) -> None:
+        """Listen for calls of the mesh, and begin to poll, tick and report."""
+        self.server = await self.runtime.serve(self.settings.listen, self.answer)
+        self.tasks = [
+            asyncio.ensure_future(work)
+            for work in (self.member.run(), self.poller.run(), self._run_ticks(), self.health.run())
+        ]
+        self.counters.record_event("stall up", incarnation=self.incarnation)
+
+    async def stop(self) -> None:
+        """End at once."""
+        for task in self.tasks:
+            task.cancel()
+        self.member.stop()
+        await self.server.stop()
+        self.runtime.rpc_client.close()
+
+    async def answer(self, message: tuple) -> tuple | None:
+        """Answer a call of the mesh; None if it isn't known."""
+        match message:
+            case PollCall():
+                if self.relay.heard(message.applied_versions, now=self.runtime.now()):
+                    # Something below applied a version: the own poll may be held just now, so a second one reports it.
+                    self.spawn(self.poller.poll_once(self.poller.parent, within=self.timings.poll_timeout))
+                return await answer_long_poll(
+                    runtime=self.runtime,
+                    relay=self.relay,
+                    news=self.poller.polled,
+                    call=message,
+                    hold=self.timings.long_poll,
+                )
+            case ProbeCall() | IndirectProbeCall():
+                return await self.member.answer(message)
+        return None
+
+    def spawn(self, work: Coroutine) -> asyncio.Task:
+        """Run something beside what runs now."""
+        task = asyncio.ensure_future(work)
+        self.work.add(task)
+        task.add_done_callback(self.work.discard)
+        return task
+
+    def open_ticket(self) -> tuple[int, asyncio.Future]:
+        """Return a new ticket and the future of what answers it."""
+        self._tickets += 1
+        future = self.answers[self._tickets] = asyncio.get_running_loop().create_future()
+        return self._tickets, future
+
+    def close_ticket(self, ticket: int, answer: tuple) -> None:
+        """Give a ticket its answer, unless whoever waited for it has gone."""
+        future = self.answers.pop(ticket, None)
+        if future is not None and not future.done():
+            future.set_result(answer)
+
+    async def submit_hold(self, command: SubmitHold) -> None:
+        """Submit a command about a key to the log, and give the core the answer."""
+        outcome = await self.holds.submit(command.command)
+        self.feed(HoldAnswered(command.number, outcome))
+
+    def _configuration_changed(self, view: View) -> None:
+        self.feed(ConfigurationChanged(view))
+        self.registries.update(
+            [node.address for node in view.nodes.values() if node.kind == "bourse" and node.state != GONE]
+        )
+
+    async def _run_ticks(self) -> None:
+        while True:
+            self.freezes.tick()
+            self.feed(Ticked())
+            await asyncio.sleep(self.timings.tick.total_seconds())
--- a/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
@@ -1,112 +1,93 @@
-"""A proxy's own admin API, for deployments without a platform: readiness, health reports, counters, events, holds."""
+"""A sidecar's HTTP API for deployments without a platform: readiness, health reports, counters, events, and holds."""
 
 from datetime import timedelta
-from typing import Annotated, Literal
+from typing import Annotated
 
 import msgspec
 from aiohttp import web
 from returns.result import Failure, Success
 
-from hoistsaddle.common.errors import MeshError
-from hoistsaddle.common.reading import plain_name, read_body, whole_number
-from hoistsaddle.common.settings import SidecarSettings, check_address, split_address
+from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.proxy.admin_api import (
+    HEALTH_PATH,
+    HOLDS_PATH,
+    READY_PATH,
+    CountersApi,
+    HealthReport,
+    open_application,
+    read_health_report,
+    refuse,
+    retry_budgets,
+)
 from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.sidecar.node import SidecarNode
 
+MAX_BODY_BYTES = 65536
+SHUTDOWN_TIMEOUT = timedelta(seconds=1)
+
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
 
 
-class _Health(msgspec.Struct, frozen=True):
-    """What a server says of itself about once a second; what else it says is passed over."""
+class _HealthReport(HealthReport, frozen=True):
+    """A report with what load balancing needs to know."""
 
     service: _Name
     instance: _Name
-    address: str
-    state: Literal["ready", "winding down", "gone"]
     # How many requests it works on at a time, and for how long it still is slow after its start.
     room: Annotated[int, msgspec.Meta(ge=1, le=100000)] = 1
     cold_seconds: Annotated[float, msgspec.Meta(ge=0, le=86400)] = 0.0
 
 
-def _refuse(error: MeshError) -> web.Response:
-    return web.json_response({"refused": error.describe()}, status=400)
-
-
 class AdminApi:
+    """The listeners for readiness and health reports; both also serve operators' reads."""
+
     def __init__(self, *, node: SidecarNode, settings: SidecarSettings) -> None:
-        self.node = node
-        self.settings = settings
+        self._node = node
+        self._settings = settings
+        self._counters_api = CountersApi(counters=node.counters)
 
     async def open(self) -> list[web.AppRunner]:
-        # One address may serve for both; health reports are the own server's affair and taken at its door alone.
-        return [
-            await self._open(address, health=address == self.settings.health_door)
-            for address in dict.fromkeys((self.settings.ready_door, self.settings.health_door))
-        ]
+        """Listen. One address may serve for both; health reports are taken at theirs alone."""
+        addresses = dict.fromkeys((self._settings.ready_door, self._settings.health_door))
+        return [await self._open(address, health=address == self._settings.health_door) for address in addresses]
 
     async def _open(self, address: str, *, health: bool) -> web.AppRunner:
-        application = web.Application(client_max_size=65536)
-        application.router.add_get("/hoistsaddle/ready", self._ready)
-        application.router.add_get("/hoistsaddle/counters", self._counters)
-        application.router.add_get("/hoistsaddle/happenings", self._happenings)
-        application.router.add_get("/hoistsaddle/holds", self._holds)
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
+        application.router.add_get(READY_PATH, self._ready)
+        application.router.add_get(HOLDS_PATH, self._holds)
+        self._counters_api.add_routes(application)
         if health:
-            application.router.add_post("/hoistsaddle/vitals", self._take_health)
-        runner = web.AppRunner(application, access_log=None, shutdown_timeout=1)
-        await runner.setup()
-        host, port = split_address(address)
-        await web.TCPSite(runner, host, port).start()
-        return runner
+            application.router.add_post(HEALTH_PATH, self._take_health)
+        return await open_application(application, address=address, shutdown_timeout=SHUTDOWN_TIMEOUT)
 
     async def _ready(self, request: web.Request) -> web.Response:
-        core = self.node.core
+        core = self._node.core
         error = core.ready()
         state = {
             "ready": error is None,
             "items": len(core.view.item_revisions),
             "revision": core.view.revision,
             "server": core.server_state(),
-            "life": self.node.incarnation,
+            "life": self._node.incarnation,
         }
         if error is None:
             return web.json_response(state)
         return web.json_response({**state, "why": error.describe()}, status=503, headers={"Retry-After": "1"})
 
-    async def _counters(self, request: web.Request) -> web.Response:
-        return web.json_response(self.node.counters.read())
-
-    async def _happenings(self, request: web.Request) -> web.Response:
-        match whole_number(request.query.get("after", "0"), field="after"):
-            case Failure(error):
-                return _refuse(error)
-            case Success(after):
-                return web.json_response(self.node.counters.events(after=after))
-
     async def _holds(self, request: web.Request) -> web.Response:
-        """This proxy's room for further sends by service, and what it keeps of the keys it holds."""
-        core = self.node.core
-        room = {
-            name: {
-                "part": account.cap.value + account.slots.value,
-                "room": round(float(core.ingress.retries.budget.available(name, now=self.node.runtime.now())), 2),
-            }
-            for name, account in sorted(core.ingress.retries.budget.accounts.items())
-        }
-        return web.json_response(
-            {"stall": self.settings.name, "room": room, "keys": core.ingress.keys.count_by_state()}
-        )
+        """Return what this sidecar may retry by service, and what it knows of the keys that it claimed."""
+        ingress = self._node.core.ingress
+        budgets = retry_budgets(ingress.retries.budget, now=self._node.runtime.now())
+        return web.json_response({"stall": self._settings.name, "room": budgets, "keys": ingress.keys.count_by_state()})
 
     async def _take_health(self, request: web.Request) -> web.Response:
-        match read_body(await request.read(), _Health):
+        match read_health_report(await request.read(), _HealthReport):
             case Failure(error):
-                return _refuse(error)
-            case Success(told):
+                return refuse(error)
+            case Success(report):
                 pass
-        wrong = check_address(field="address", address=told.address)
-        for field in ("service", "instance"):
-            wrong = wrong or plain_name(getattr(told, field), field=field).swap().value_or(None)
-        if wrong is not None:
-            return _refuse(wrong)
-        cold = timedelta(seconds=told.cold_seconds)
-        self.node.feed(HealthReported(told.service, told.instance, told.address, told.state, told.room, cold))
+        warm_up = timedelta(seconds=report.cold_seconds)
+        self._node.feed(
+            HealthReported(report.service, report.instance, report.address, report.state, report.room, warm_up)
+        )
         return web.json_response({"heard": True})
--- a/packages/sidecar/src/hoistsaddle/sidecar/header_names.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/header_names.py
@@ -1,4 +1,4 @@
-"""The names under which requests and servers speak of what the mesh needs to know. A platform has its own."""
+"""Names of the headers by which clients, servers and the mesh tell each other of attempts. A platform has its own."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 class HeaderNames(NamedTuple):
     """Names of headers, in any case."""
 
-    # The id of one try, which an answer carries back.
+    # The client's id of one attempt, which an answer carries back.
     client_attempt_id: str = "X-Hoistsaddle-Send"
-    # Milliseconds the caller will wait.
+    # Milliseconds that the caller will wait.
     budget: str = "X-Hoistsaddle-Budget"
-    # The operation that runs once, whichever try brings it.
+    # The operation that runs once, whichever attempt brings it.
     key: str = "Idempotency-Key"
     # Set by the mesh: the service on the machine where the request began, and the server that is meant.
     caller: str = "X-Hoistsaddle-Caller"
--- a/packages/sidecar/src/hoistsaddle/sidecar/listener.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/listener.py
@@ -1,4 +1,4 @@
-"""The door of a proxy that serves items: any method, any bytes, whole requests in and whole answers out."""
+"""The HTTP listener for clients of a sidecar: any method, any bytes, complete requests in and complete answers out."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,9 +9,9 @@
 
 from hoistsaddle.common.settings import split_address
 from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.header_pairs import HOP_BY_HOP, pack_pairs, unpack_pairs
 from hoistsaddle.sidecar.messages import Reply, RequestArrived
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.server_connections import HOP_BY_HOP, pack_pairs, unpack_pairs
 
 LARGEST_HEADER = 262144
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -19,7 +19,13 @@
 
 
 async def open_listener(*, address: str, handler: Handler, idle: timedelta = timedelta(seconds=75)) -> web.ServerRunner:
-    """A plain HTTP door; its runner closes it."""
+    """Listen for plain HTTP; the runner closes it.
+
+    Args:
+        address: IP number and port.
+        handler: answers each request.
+        idle: how long a kept connection may stand unused.
+    """
     server = web.Server(
         handler,
         access_log=None,
@@ -30,7 +36,7 @@
         # A client that leaves ends its handler: what it asked for is given up where that is allowed.
         handler_cancellation=True,
     )
-    # What still runs when a door closes had its time before: closing itself is quick.
+    # What still runs when a listener closes had its time before: closing itself is quick.
     runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=0.2)
     await runner.setup()
     host, port = split_address(address)
@@ -39,11 +45,14 @@
 
 
 class IngressHandler:
+    """Turns HTTP requests of clients into events of the sidecar's core, and its replies into responses."""
+
     def __init__(self, *, node: SidecarNode, header_names: HeaderNames) -> None:
         self.node = node
         self.header_names = header_names
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer one request."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         items = self.node.core.view.items
@@ -91,7 +100,7 @@
         if answer.retry_after is not None:
             response.headers["Retry-After"] = f"{answer.retry_after.total_seconds():.3f}"
         if self.node.core.stopping:
-            # A kept connection would bring the next request to a door that closes.
+            # A kept connection would bring the next request to a listener that closes.
             response.force_close()
         return response
 
@@ -104,7 +113,12 @@
 
 
 async def close_listener(runner: web.ServerRunner, *, wait: timedelta) -> None:
-    """New connections first; one that stood already may hold a request nobody has read yet, and gets its answer."""
+    """Close a listener, new connections first: one that stood already may hold a request that nobody has read yet.
+
+    Args:
+        runner: of the listener.
+        wait: how long such requests still get answers.
+    """
     for site in list(runner.sites):
         await site.stop()
     await asyncio.sleep(wait.total_seconds())
--- a/packages/sidecar/src/hoistsaddle/sidecar/messages.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/messages.py
@@ -16,7 +16,7 @@
 
 
 class RequestArrived(NamedTuple):
-    """A request at this proxy's door, read whole."""
+    """A client's request, read completely."""
 
     ticket: int
     method: str
@@ -26,46 +26,52 @@
     headers: bytes
     header_bytes: int
     body: bytes
-    # What its sender gives it; None leaves it to the entry.
+    # The time that its sender gives it; None leaves it to the route.
     budget: timedelta | None
     key: str
     client_attempt_id: str
-    # For how long this process may have left it unread, as far as it stood still itself.
+    # For how long this process may have left it unread, as it stood still itself.
     unread: timedelta = timedelta()
 
 
 class ClientDisconnected(NamedTuple):
-    """The client hung up. What may not be repeated is followed to its end; the rest is given up."""
+    """The client closed its connection."""
 
     ticket: int
 
 
 class ForwardAnswered(NamedTuple):
+    """The target's sidecar answered an attempt."""
+
     number: int
     answer: ForwardAnswer
 
 
 class ForwardFailed(NamedTuple):
-    """No answer. unsent means that nothing was ever written to the target."""
+    """An attempt got no answer; unsent means that nothing was ever written to the target."""
 
     number: int
     unsent: bool
 
 
 class ForwardArrived(NamedTuple):
+    """Another sidecar forwards an attempt for the local server."""
+
     ticket: int
     call: ForwardCall
-    # How old it was as it was read: its words say what time it had left as it was written.
+    # How old it was as it was read: its budget is of when it was written.
     age: timedelta = timedelta()
 
 
 class FollowArrived(NamedTuple):
+    """Another sidecar asks what became of an attempt."""
+
     ticket: int
     call: FollowCall
 
 
 class Followed(NamedTuple):
-    """What the target's life said of the attempt; answer is None when nobody said anything."""
+    """What the target's sidecar said of an attempt; answer is None when it said nothing."""
 
     number: int
     answer: ForwardAnswer | None
@@ -74,39 +80,47 @@
 
 
 class AbandonArrived(NamedTuple):
+    """Another sidecar says that nobody waits for an attempt any more."""
+
     ticket: int
     call: AbandonCall
 
 
 class ServerAnswered(NamedTuple):
+    """The local server answered a run."""
+
     number: int
     status: int
     headers: bytes
     body: bytes
-    # The server says itself that it did not run it.
+    # The server itself says that it did not run it.
     not_run: bool
 
 
 class ServerFailed(NamedTuple):
+    """The local server gave no answer to a run; unsent means that nothing was written to it."""
+
     number: int
     unsent: bool
     error: MeshError
 
 
 class ClaimQueryArrived(NamedTuple):
+    """Another sidecar asks what became of a claim of this one."""
+
     ticket: int
     call: ClaimQueryCall
 
 
 class ClaimQueryAnswered(NamedTuple):
-    """answer is None when the proxy that holds the key said nothing."""
+    """What a sidecar said of its claim; answer is None when it said nothing."""
 
     number: int
     answer: ClaimQueryAnswer | None
 
 
 class HealthReported(NamedTuple):
-    """What the own server says of itself."""
+    """What the local server reports of itself."""
 
     service: str
     instance: str
@@ -119,33 +133,35 @@
 
 
 class CloseRequested(NamedTuple):
-    """Nothing more comes through this proxy: what runs is finished, and no more taken."""
+    """No more requests are taken: what runs is finished."""
 
 
 class GraceExpired(NamedTuple):
-    """The process ends in a moment: every request that still waits here gets its final answer now."""
+    """The process ends in a moment: every pending request gets its final answer now."""
 
 
 class Abandon(NamedTuple):
-    """Tell the sidecar at this address that nobody waits for the attempt."""
+    """Tells the sidecar at this address that nobody waits for the attempt any more."""
 
     address: str
     call: AbandonCall
 
 
 class AnswerAbandon(NamedTuple):
+    """Answers a sidecar's call to abandon an attempt."""
+
     ticket: int
     answer: AbandonAnswer
 
 
 class CancelRun(NamedTuple):
-    """Break off what runs on the own server under this number: its connection closes, and its end isn't told."""
+    """Cancels a run on the local server: its connection closes, and its end isn't reported."""
 
     number: int
 
 
 class Reply(NamedTuple):
-    """The final answer at the door; headers are only the server's own."""
+    """The final answer to a client; headers are only the server's own."""
 
     ticket: int
     status: int
@@ -156,6 +172,8 @@
 
 
 class ForwardRequest(NamedTuple):
+    """Forwards an attempt to the sidecar at this address."""
+
     number: int
     address: str
     call: ForwardCall
@@ -163,7 +181,7 @@
 
 
 class Follow(NamedTuple):
-    """Asks the target's sidecar what became of an attempt."""
+    """Asks the sidecar at this address what became of an attempt."""
 
     number: int
     address: str
@@ -172,6 +190,8 @@
 
 
 class RunOnServer(NamedTuple):
+    """Runs an attempt on the local server."""
+
     number: int
     address: str
     call: ForwardCall
@@ -179,16 +199,22 @@
 
 
 class QueryClaim(NamedTuple):
+    """Asks the sidecar at this address what became of its claim."""
+
     number: int
     address: str
     call: ClaimQueryCall
 
 
 class AnswerForward(NamedTuple):
+    """Answers a forwarded attempt, or a question about one."""
+
     ticket: int
     answer: ForwardAnswer
 
 
 class AnswerClaimQuery(NamedTuple):
+    """Answers a sidecar's question about a claim."""
+
     ticket: int
     answer: ClaimQueryAnswer
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -1,20 +1,22 @@
-"""A proxy's node with the sidecar's core: the same lines, tree, health reports and schedule, other requests."""
+"""The node of a sidecar: carries out its core's commands, without the HTTP listeners."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
-from typing import Any
+from functools import partial
 
 import msgspec
-from returns.result import Success
+from returns.result import Result, Success
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import SidecarSettings
 from hoistsaddle.membership.member import MemberTimings
 from hoistsaddle.membership.relay import select_parents
+from hoistsaddle.proxy.core_state import CoreSettings
+from hoistsaddle.proxy.freeze_detector import FROZEN_GAP
+from hoistsaddle.proxy.mesh_node import MeshNode, NodeTimings
 from hoistsaddle.proxy.messages import Announce, ReportHealth, StopRequested, SubmitHold
-from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
 from hoistsaddle.rpc.connection import call_age
 from hoistsaddle.rpc.messages import (
     AbandonCall,
@@ -53,63 +55,81 @@
 from hoistsaddle.statemachine.state import GONE
 from hoistsaddle.statemachine.view import View
 
-# How much of its last moments a stopping proxy waits for its door to fall quiet. The rest is for what it took by then:
-# a platform that sends it clients to the end must not have them cut off.
+# How much of its grace a stopping sidecar waits for its clients to stay away. The rest is for what it took by then: a
+# platform that sends it clients to the end must not have them cut off.
 OPEN_SHARE = 0.55
-RECALL_SPAN = milliseconds(400)
+CLAIM_QUERY_TIMEOUT = milliseconds(400)
 # Whoever doesn't hear within this that a client has left finds out by the attempt's deadline.
-ABANDON_SPAN = milliseconds(400)
+ABANDON_TIMEOUT = milliseconds(400)
 FAN_OUT = 8
 # The roots' links are far wider than a sidecar's: they feed a zone of this size themselves.
 ROOT_FAN_OUT = 24
-Server = Callable[[RunOnServer], Awaitable[tuple]]
+# Runs a request on the local server and returns the event that says what came of it.
+Runner = Callable[[RunOnServer], Awaitable[tuple]]
 
 
-class SidecarNode(ProxyNode):
-    poll_hold = milliseconds(300)
-    health_every = timedelta(seconds=1)
-    poll_span = milliseconds(800)
-    tick = milliseconds(20)
-    same_polls = 1
-    member_timings = MemberTimings(
-        period=timedelta(seconds=1),
-        probe_timeout=milliseconds(500),
-        indirect_probe_timeout=milliseconds(900),
-        suspicion=timedelta(seconds=2),
-        seed_interval=20,
-        retransmit_limit=6,
+class SidecarNode(MeshNode):
+    """A sidecar, as far as the mesh sees it."""
+
+    timings = NodeTimings(
+        long_poll=milliseconds(300),
+        poll_timeout=milliseconds(800),
+        health_interval=timedelta(seconds=1),
+        tick=milliseconds(20),
+        max_same_answers=1,
+        member=MemberTimings(
+            period=timedelta(seconds=1),
+            probe_timeout=milliseconds(500),
+            indirect_probe_timeout=milliseconds(900),
+            suspicion=timedelta(seconds=2),
+            seed_interval=20,
+            retransmit_limit=6,
+        ),
     )
+    core: SidecarCore
+
+    def __init__(self, *, settings: SidecarSettings, runtime: Runtime, serve: Runner) -> None:
+        """Begin without a configuration.
 
-    def __init__(self, *, settings: SidecarSettings, runtime: Runtime, serve: Server) -> None:
-        self.serve = serve
+        Args:
+            settings: of the process.
+            runtime: clock, chance and connections.
+            serve: runs a request on the local server.
+        """
+        self._serve = serve
         self.sidecar_settings = settings
-        # The tree's places follow from the view alone: looked up anew with each view, not with each poll.
-        self.parents_of: View | None = None
-        self.parents: list[str] = []
-        # What runs on the own server, by its number.
-        self.serving: dict[int, asyncio.Task] = {}
-        # When the door was last called.
+        # The tree's parents follow from the view alone: worked out anew with each view, not with each poll.
+        self._parents_of: View | None = None
+        self._parent_addresses: list[str] = []
+        # What runs on the local server, by its number.
+        self._serving: dict[int, asyncio.Task] = {}
+        # When a client called last.
         self.asked_at = runtime.now()
-        super().__init__(settings=settings, runtime=runtime, run_server=serve)
+        super().__init__(settings=settings, runtime=runtime)
 
-    def _make_core(self) -> Any:
-        settings = self.sidecar_settings
+    def _make_core(self, settings: CoreSettings) -> SidecarCore:
+        own = self.sidecar_settings
         return SidecarCore(
-            settings=self._core_settings_view(),
+            settings=settings,
             seed=self.runtime.random,
             now=self.runtime.now(),
-            server_address=settings.server,
-            drain_timeout=timedelta(seconds=settings.drain_seconds),
-            retry_percent=settings.further_percent,
-            retry_margin=settings.further_margin,
-            key_lifetime=timedelta(seconds=settings.key_seconds),
-            service=settings.service,
+            service=own.service,
+            server_address=own.server,
+            drain_timeout=timedelta(seconds=own.drain_seconds),
+            retry_percent=own.further_percent,
+            retry_margin=own.further_margin,
+            key_lifetime=timedelta(seconds=own.key_seconds),
         )
 
     async def handle_request(self, make: Callable[[int], RequestArrived]) -> Reply:
+        """Pass a client's request to the core, and return its final answer.
+
+        Args:
+            make: gives the request's event under a ticket.
+        """
         self.asked_at = self.runtime.now()
-        ticket, future = self._ticket()
-        self.feed(make(ticket)._replace(unread=self.unread()))
+        ticket, future = self.open_ticket()
+        self.feed(make(ticket)._replace(unread=self.freezes.unread()))
         try:
             return await future
         except asyncio.CancelledError:
@@ -117,6 +137,7 @@
             raise
 
     def feed(self, event: tuple) -> None:
+        """Give the core an event, and carry out its commands."""
         for command in self.core.handle(event, now=self.runtime.now()):
             match command:
                 case (
@@ -125,76 +146,77 @@
                     | AnswerClaimQuery(ticket=ticket)
                     | AnswerAbandon(ticket=ticket)
                 ):
-                    future = self.answers.pop(ticket, None)
-                    if future is not None and not future.done():
-                        future.set_result(command)
+                    self.close_ticket(ticket, command)
                 case ForwardRequest():
-                    self._spawn(self._forward_attempt(command, decided=self.runtime.now()))
+                    self.spawn(self._forward_attempt(command, decided=self.runtime.now()))
                 case RunOnServer():
-                    task = self._spawn(self._run_on_server(command, decided=self.runtime.now()))
-                    self.serving[command.number] = task
-                    task.add_done_callback(lambda _, number=command.number: self.serving.pop(number, None))
+                    task = self.spawn(self._run_on_server(command, decided=self.runtime.now()))
+                    self._serving[command.number] = task
+                    task.add_done_callback(partial(self._run_ended, command.number))
                 case CancelRun(number=number):
-                    if (task := self.serving.pop(number, None)) is not None:
-                        task.cancel()
+                    if (running := self._serving.pop(number, None)) is not None:
+                        running.cancel()
                 case Abandon():
-                    self._spawn(self._abandon(command))
+                    self.spawn(self._abandon(command))
                 case Follow():
-                    self._spawn(self._follow(command))
+                    self.spawn(self._follow(command))
                 case SubmitHold():
-                    self._spawn(self._ask_hold(command))
+                    self.spawn(self.submit_hold(command))
                 case QueryClaim():
-                    self._spawn(self._recall(command))
+                    self.spawn(self._query_claim(command))
                 case ReportHealth():
-                    self.health_due.set()
+                    self.health.due.set()
                 case Announce(kind=kind, detail=detail):
                     self.counters.record_event(kind, **detail)
 
+    def _run_ended(self, number: int, _: asyncio.Task) -> None:
+        self._serving.pop(number, None)
+
     async def answer(self, message: tuple) -> tuple | None:
+        """Answer a call of the mesh; None if it isn't known."""
         match message:
             case ForwardCall():
-                ticket, future = self._ticket()
-                self.feed(ForwardArrived(ticket, message, self._age()))
+                ticket, future = self.open_ticket()
+                self.feed(ForwardArrived(ticket, message, self._call_age()))
                 return (await future).answer
             case FollowCall():
-                ticket, future = self._ticket()
+                ticket, future = self.open_ticket()
                 self.feed(FollowArrived(ticket, message))
                 return (await future).answer
             case AbandonCall():
-                ticket, future = self._ticket()
+                ticket, future = self.open_ticket()
                 self.feed(AbandonArrived(ticket, message))
                 return (await future).answer
             case ClaimQueryCall():
-                ticket, future = self._ticket()
+                ticket, future = self.open_ticket()
                 self.feed(ClaimQueryArrived(ticket, message))
                 return (await future).answer
         return await super().answer(message)
 
-    def _age(self) -> timedelta:
-        """How old the call may be that is being answered."""
+    def _call_age(self) -> timedelta:
+        """Return how old the call may be that is being answered."""
         known = call_age()
         age = timedelta(seconds=known.age)
-        return age + self.unread() if known.first else age
+        return age + self.freezes.unread() if known.first else age
 
     async def _forward_attempt(self, command: ForwardRequest, *, decided: timedelta) -> None:
         self.counters.add(f"sends.{command.call.service_name}")
 
         def still() -> bool:
-            # Nothing goes out that was decided before a standstill of this process: its time is told as it was then.
+            # Nothing goes out that was decided before a standstill of this process: its budget is as of then.
             return self.runtime.now() - decided <= FROZEN_GAP
 
         match await self.runtime.rpc_client.call(command.address, command.call, within=command.within, still=still):
             case Success(ForwardAnswer() as answer):
                 self.feed(ForwardAnswered(command.number, answer))
             case result:
-                unsent = not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
                 self.counters.add("sends.missed")
-                self.feed(ForwardFailed(command.number, unsent))
+                self.feed(ForwardFailed(command.number, _was_unreachable(result)))
 
     async def _run_on_server(self, command: RunOnServer, *, decided: timedelta) -> None:
         self.counters.add("runs")
         # A standstill may lie between deciding and now.
-        self.feed(await self.serve(command._replace(within=command.within - (self.runtime.now() - decided))))
+        self.feed(await self._serve(command._replace(within=command.within - (self.runtime.now() - decided))))
 
     async def _follow(self, command: Follow) -> None:
         self.counters.add("sends.followed")
@@ -203,47 +225,43 @@
                 self.counters.add(f"sends.followed.{answer.outcome}")
                 self.feed(Followed(command.number, answer))
             case result:
-                refused = not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
-                self.feed(Followed(command.number, None, refused))
+                self.feed(Followed(command.number, None, _was_unreachable(result)))
 
     async def _abandon(self, command: Abandon) -> None:
         self.counters.add("sends.abandoned")
-        await self.runtime.rpc_client.call(command.address, command.call, within=ABANDON_SPAN)
+        await self.runtime.rpc_client.call(command.address, command.call, within=ABANDON_TIMEOUT)
 
-    async def _recall(self, command: QueryClaim) -> None:
-        match await self.runtime.rpc_client.call(command.address, command.call, within=RECALL_SPAN):
+    async def _query_claim(self, command: QueryClaim) -> None:
+        match await self.runtime.rpc_client.call(command.address, command.call, within=CLAIM_QUERY_TIMEOUT):
             case Success(ClaimQueryAnswer() as answer):
                 self.feed(ClaimQueryAnswered(command.number, answer))
             case _:
                 self.feed(ClaimQueryAnswered(command.number, None))
 
     def _parents(self) -> list[str]:
-        """The own zone's part of the tree first: news then crosses between zones once for each zone's root."""
+        """Return the own zone's part of the tree first: updates cross between zones once for each zone's root."""
         view = self.core.view
-        if self.parents_of is view:
-            return self.parents
+        if self._parents_of is view:
+            return self._parent_addresses
+        zone = self.settings.zone
         nodes = [node for node in view.nodes.values() if node.state != GONE]
         roots = [(node.node, node.address) for node in nodes if node.kind == "bourse"]
-        near = [
-            (node.node, node.address) for node in nodes if node.kind == "bourse" and node.zone == self.settings.zone
-        ]
+        near = [(node.node, node.address) for node in nodes if node.kind == "bourse" and node.zone == zone]
         proxies = [
-            (node.node, node.address)
-            for node in nodes
-            if node.kind == "stall" and (not near or node.zone == self.settings.zone)
+            (node.node, node.address) for node in nodes if node.kind == "stall" and (not near or node.zone == zone)
         ]
         parents = select_parents(
             node=self.settings.name, proxies=proxies, roots=near or roots, fan_out=FAN_OUT, root_fan_out=ROOT_FAN_OUT
         )
         parents += [address for _, address in roots if address not in parents]
-        self.parents_of = view
-        self.parents = parents + [seed for seed in self.settings.seeds if seed not in parents]
-        return self.parents
+        self._parents_of = view
+        self._parent_addresses = parents + [seed for seed in self.settings.seeds if seed not in parents]
+        return self._parent_addresses
 
     def apply_settings(self, settings: SidecarSettings) -> None:
-        """Takes up what may change under a running stall: whom to turn to, and the figures it keeps."""
+        """Apply what may change while the process runs: seeds, retry limits, key lifetime, grace and drain time."""
         self.counters.record_event("params revised", seeds=settings.seeds)
-        # Its own addresses are where its doors stand open: those stay until the next start.
+        # Its own addresses are where it listens: those stay until the next start.
         self.settings = self.sidecar_settings = msgspec.structs.replace(
             self.sidecar_settings,
             seeds=settings.seeds,
@@ -260,17 +278,27 @@
         core.upstream.drain_timeout = timedelta(seconds=settings.drain_seconds)
 
     async def wind_down(self, *, quiet: timedelta, most: timedelta) -> None:
-        """Planned stop: says so at once, goes on with all that comes, and ends once nothing has come for a while."""
+        """Stop as planned: say so at once, go on with all that comes, and end once nothing has come for a while.
+
+        Args:
+            quiet: how long no client may have called.
+            most: how long this may take at most.
+        """
         began = self.asked_at = self.runtime.now()
         self.feed(StopRequested())
-        # The server beside goes on being reached from everywhere; only the door must fall quiet.
+        # The local server goes on being reached from everywhere; only the own clients must stay away.
         while self.runtime.now() - began < most * OPEN_SHARE and not (
             self.runtime.now() - self.asked_at >= quiet and not self.core.pending_count()
         ):
-            await asyncio.sleep(self.tick.total_seconds())
+            await asyncio.sleep(self.timings.tick.total_seconds())
         self.feed(CloseRequested())
         while self.runtime.now() - began < most and not self.core.idle():
-            await asyncio.sleep(self.tick.total_seconds())
+            await asyncio.sleep(self.timings.tick.total_seconds())
         if count := self.core.pending_count():
             self.counters.record_event("requests ended with the grace", count=count)
             self.feed(GraceExpired())
+
+
+def _was_unreachable(result: Result) -> bool:
+    """Whether a call failed before anything was sent."""
+    return not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
--- a/packages/sidecar/src/hoistsaddle/sidecar/service.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/service.py
@@ -1,4 +1,4 @@
-"""A proxy that serves items as a service of the house: node, server line and door, opened and closed in order."""
+"""The sidecar as a service: node, connections to the local server and listeners, opened and closed in order."""
 
 import asyncio
 from datetime import timedelta
@@ -20,7 +20,7 @@
 
 KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
 CONNECT_TIMEOUT = milliseconds(350)
-# A stopping proxy ends once nobody has called its door for so long: the platform then sends its clients elsewhere.
+# A stopping sidecar ends once no client has called for so long: the platform then sends its clients elsewhere.
 QUIET = milliseconds(500)
 # What closing the handlers may take of the grace.
 CLOSING_SHARE = 0.15
@@ -31,12 +31,16 @@
 
 
 class SidecarService(Service):
+    """One sidecar process."""
+
     def __init__(self, *, settings: SidecarSettings, header_names: HeaderNames | None = None) -> None:
+        """Make the service; `header_names` are a platform's own, if it has such."""
         super().__init__()
         self.sidecar_settings = settings
         self.header_names = header_names or HeaderNames()
 
     async def start(self) -> None:
+        """Open everything: the node first, so that a request that comes can be forwarded."""
         settings = self.sidecar_settings
         runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
         self.server_connections = ServerConnectionPool(
@@ -45,7 +49,7 @@
         self.node = SidecarNode(settings=settings, runtime=runtime, serve=self.server_connections.serve)
         self.server_connections.counters = self.node.counters
         await self.node.start()
-        self.door = await open_listener(
+        self.listener = await open_listener(
             address=settings.door,
             handler=IngressHandler(node=self.node, header_names=self.header_names).handle,
             idle=timedelta(seconds=60),
@@ -54,10 +58,11 @@
         self.start_event.set()
 
     async def open_admin_listeners(self) -> list[web.BaseRunner]:
-        """Where readiness is asked and health is reported, in the product's words unless a platform has its own."""
+        """Listen for readiness checks and health reports, in the product's form unless a platform has its own."""
         return [*await AdminApi(node=self.node, settings=self.sidecar_settings).open()]
 
     async def stop(self, exception: Exception | None = None) -> None:
+        """Shut down gracefully, within the grace that the settings give."""
         grace = self.grace()
         closing = grace * CLOSING_SHARE
         await self.node.wind_down(quiet=QUIET, most=grace - closing)
@@ -68,12 +73,12 @@
             logger.warning("{}: a handler did not close in its time", self.sidecar_settings.name)
 
     def grace(self) -> timedelta:
-        """How long a stop may take, as the settings have it now."""
+        """Return how long a stop may take, as the settings have it now."""
         return timedelta(seconds=self.node.sidecar_settings.grace_seconds)
 
     async def _close(self, *, wait: timedelta) -> None:
         await asyncio.gather(
-            close_listener(self.door, wait=wait), *(runner.cleanup() for runner in self.admin_listeners)
+            close_listener(self.listener, wait=wait), *(runner.cleanup() for runner in self.admin_listeners)
         )
         await self.node.stop()
         self.server_connections.close()
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
@@ -5,8 +5,8 @@
 from collections import deque
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.sidecar.header_pairs import pack_pairs, unpack_pairs
 from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
-from hoistsaddle.sidecar.server_connections import pack_pairs, unpack_pairs
 from hoistsaddle.testbed.emulator.environment import Environment
 from hoistsaddle.testbed.emulator.history import HeartbeatAcknowledged, RequestArrived, RunEnded, RunStarted
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
--- a/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
@@ -29,10 +29,11 @@
 from hoistsaddle.raft.core import LEADER
 from hoistsaddle.registry.controller import Controller
 from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.header_pairs import pack_pairs
 from hoistsaddle.sidecar.listener import IngressHandler, close_listener, open_listener
 from hoistsaddle.sidecar.messages import HealthReported, Reply, RequestArrived, RunOnServer, ServerAnswered
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.sidecar.server_connections import ServerConnectionPool, pack_pairs
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 from hoistsaddle.statemachine.commands import LEVEL, NoteNode, NoteServer
 from hoistsaddle.statemachine.state import GONE, READY
 from hoistsaddle.testbed.scale.clock import ScaleRuntime, make_loop, mesh_seconds
@@ -166,7 +167,7 @@
                 len(view.item_revisions) >= items
                 and alive >= nodes
                 and node.core.has_lease()
-                and node.health_acknowledged[1] == READY
+                and node.health.acknowledged[1] == READY
             ):
                 well += 1
         return {"settled": well, "of": len(self.nodes)}
--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -257,7 +257,7 @@
         handler = IngressHandler(node=self.node, header_names=HEADER_NAMES).handle
         self.handler = await open_listener(address=f"127.0.0.1:{self.ports['handler']}", handler=handler)
         self.ports["handler"] = self.handler.addresses[0][1]
-        self.ticking = asyncio.ensure_future(self.node._ticks())
+        self.ticking = asyncio.ensure_future(self.node._run_ticks())
 
     def tell(self) -> None:
         """What its server and the core told it."""
@@ -288,7 +288,7 @@
             wire.hold()
 
     def thaw(self) -> None:
-        self.ticking = asyncio.ensure_future(self.node._ticks())
+        self.ticking = asyncio.ensure_future(self.node._run_ticks())
         for wire in self.wires():
             wire.release()
 
--- a/tests/test_membership_polling.py
+++ b/tests/test_membership_polling.py
@@ -9,7 +9,7 @@
 from testtools.matchers import Equals
 
 from hoistsaddle.common.settings import SidecarSettings
-from hoistsaddle.proxy.node import MOST_LATE_POLLS
+from hoistsaddle.proxy.configuration_poller import MAX_LATE_POLLS
 from hoistsaddle.rpc.connection import silent_at
 from hoistsaddle.rpc.messages import PollAnswer, PollCall
 from hoistsaddle.sidecar.node import SidecarNode
@@ -63,7 +63,7 @@
     async def scenario() -> None:
         node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
         try:
-            await node._poll()
+            await node.poller.run()
         except asyncio.CancelledError:
             pass
 
@@ -87,7 +87,7 @@
         async def scenario() -> SidecarNode:
             node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
             said = [
-                await node._poll_once(address, within=node.poll_span)
+                await node.poller.poll_once(address, within=node.poller.timeout)
                 for address in (FIRST, SECOND, SECOND, SECOND, FIRST)
             ]
             self.assertThat(said, Equals(["renewed", "same", "same", "same", "renewed"]))
@@ -119,20 +119,20 @@
             told.append(address)
             if address != FIRST:
                 raise asyncio.CancelledError
-            self.assertThat(within > node.poll_span, Equals(True))
+            self.assertThat(within > node.poller.timeout, Equals(True))
             await slow.wait()
             return Success(PollAnswer("", "m", 7, timedelta(seconds=0.2)))
 
         script.call = call
         node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
-        node.poll_span = timedelta(milliseconds=1)
+        node.poller.timeout = timedelta(milliseconds=1)
 
         async def scenario() -> None:
-            said = await node._poll_in_time(FIRST)
-            self.assertThat((said, node.relay.copy.revision, len(node.late_polls)), Equals(("missed", -1, 1)))
+            said = await node.poller.poll(FIRST)
+            self.assertThat((said, node.relay.copy.revision, len(node.poller.late_polls)), Equals(("missed", -1, 1)))
             slow.set()
-            await asyncio.wait(node.late_polls)
-            self.assertThat((node.relay.copy.revision, node.late_polls), Equals((7, set())))
+            await asyncio.wait(node.poller.late_polls)
+            self.assertThat((node.relay.copy.revision, node.poller.late_polls), Equals((7, set())))
 
         asyncio.run(scenario())
 
@@ -142,20 +142,22 @@
 
         async def call(address: str, message: PollCall, *, within: timedelta, still: object = None) -> Result:
             spans.append(within)
-            if within > node.poll_span:
+            if within > node.poller.timeout:
                 await asyncio.Event().wait()
             return Failure(silent_at(address))
 
         script.call = call
         node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
-        node.poll_span = timedelta(milliseconds=1)
+        node.poller.timeout = timedelta(milliseconds=1)
 
         async def scenario() -> None:
-            for _ in range(MOST_LATE_POLLS + 3):
-                self.assertThat(await node._poll_in_time(FIRST), Equals("missed"))
+            for _ in range(MAX_LATE_POLLS + 3):
+                self.assertThat(await node.poller.poll(FIRST), Equals("missed"))
 
         asyncio.run(scenario())
-        self.assertThat([within > node.poll_span for within in spans], Equals([True] * MOST_LATE_POLLS + [False] * 3))
+        self.assertThat(
+            [within > node.poller.timeout for within in spans], Equals([True] * MAX_LATE_POLLS + [False] * 3)
+        )
 
 
 class Parents(TestCase):
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -235,7 +235,7 @@
             node.feed = feed
             for number in range(int(seconds * 50)):
                 asked[number] = loop.time() - 1000.0
-                asyncio.ensure_future(node._ask_hold(SubmitHold(number, Tick(1))))
+                asyncio.ensure_future(node.submit_hold(SubmitHold(number, Tick(1))))
                 await asyncio.sleep(0.02)
             await asyncio.sleep(2.0)
 
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -7,9 +7,10 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
+from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.proxy.freeze_detector import FROZEN_GAP, FreezeDetector
 from hoistsaddle.proxy.messages import NOT_RUN
-from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
 from hoistsaddle.rpc.frame_ages import OFFSET_SPAN, Ages, CallAge
 from hoistsaddle.sidecar.messages import ForwardArrived, ForwardRequest, RequestArrived, RunOnServer
 from sidecar_bench import SidecarBench
@@ -142,11 +143,11 @@
             return self.timestamp
 
     def unread(self, *, ticked: float, thawed: float, stood: float, now: float) -> float:
-        node: Any = ProxyNode.__new__(ProxyNode)
-        node.runtime = self.Clock()
-        node.runtime.timestamp = seconds(now)
-        node.ticked_at, node.thawed_at, node.stood = seconds(ticked), seconds(thawed), seconds(stood)
-        return node.unread().total_seconds()
+        clock: Any = self.Clock()
+        clock.timestamp = seconds(now)
+        freezes = FreezeDetector(runtime=clock, counters=Counters(owner="s-1"))
+        freezes.ticked_at, freezes.thawed_at, freezes.stood = seconds(ticked), seconds(thawed), seconds(stood)
+        return freezes.unread().total_seconds()
 
     def test_it_is_told_before_and_after_the_tick_that_sees_it(self) -> None:
         gap = FROZEN_GAP.total_seconds()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -96,7 +96,7 @@
             service.node = SimpleNamespace(
                 sidecar_settings=SimpleNamespace(grace_seconds=8.0), wind_down=wind_down, stop=closed.append
             )
-            service.door, service.admin_listeners = Runner(), [Runner()]
+            service.listener, service.admin_listeners = Runner(), [Runner()]
             began = asyncio.get_running_loop().time()
             stop = asyncio.ensure_future(service.stop())
             while not stop.done():
--- a/tests/test_sidecar_listener.py
+++ b/tests/test_sidecar_listener.py
@@ -15,9 +15,9 @@
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.items import LimitsItem
 from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.header_pairs import pack_pairs, unpack_pairs
 from hoistsaddle.sidecar.listener import IngressHandler, close_listener, open_listener
 from hoistsaddle.sidecar.messages import Reply, RequestArrived
-from hoistsaddle.sidecar.server_connections import pack_pairs, unpack_pairs
 from stepped_clock import EventCounter, run_stepped, step
 
 
--- a/tests/test_sidecar_server_connections.py
+++ b/tests/test_sidecar_server_connections.py
@@ -15,10 +15,11 @@
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.rpc.messages import ForwardCall
-from hoistsaddle.sidecar import server_connections
+from hoistsaddle.sidecar import server_connection, server_connections
 from hoistsaddle.sidecar.header_names import HeaderNames
+from hoistsaddle.sidecar.header_pairs import pack_pairs, unpack_pairs
 from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
-from hoistsaddle.sidecar.server_connections import ServerConnectionPool, pack_pairs, unpack_pairs
+from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 from stepped_clock import EventCounter, run_stepped, step
 
 ID = "X-Hoistsaddle-Send"
@@ -371,7 +372,7 @@
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
             kept = line.kept[0]
-            self.assertThat(kept.keeps, Equals(0.6))
+            self.assertThat(kept.keep_seconds, Equals(0.6))
             await step(0.61)
             await self.send(line, raw, "s2")
             self.assertThat(raw.connections, Equals(2))
@@ -384,10 +385,10 @@
     def test_not_beyond_the_houses_own_span_where_the_server_says_nothing(self) -> None:
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
-            await step(server_connections.KEPT_SECONDS - 0.5)
+            await step(server_connection.KEPT_SECONDS - 0.5)
             await self.send(line, raw, "s2")
             self.assertThat(raw.connections, Equals(1))
-            await step(server_connections.KEPT_SECONDS)
+            await step(server_connection.KEPT_SECONDS)
             await self.send(line, raw, "s3")
             self.assertThat(raw.connections, Equals(2))
 
@@ -486,7 +487,7 @@
             await self.send(line, raw, "s0", repeatable=True)
             second = asyncio.ensure_future(self.send(line, raw, "s1", repeatable=True))
             await raw.requests.reach(2)
-            await step(server_connections.STALE_SPAN * 2)
+            await step(server_connections.STALE_SECONDS * 2)
             go.set()
             self.assertMissed(await second, ErrorKind.ANSWER_BROKEN)
             self.assertThat([each.send for each in raw.asked], Equals(["s0", "s1"]))
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -36,7 +36,7 @@
             feed=self.feed,
             asked_at=self.timestamp,
             counters=Counters(owner="s-1"),
-            tick=SidecarNode.tick,
+            timings=SidecarNode.timings,
         )
 
     def feed(self, event: tuple) -> None:
@@ -74,7 +74,7 @@
         stopping = WindDownBench(busy=True, works=timedelta(seconds=1.5))
         took = stopping.run()
         closed = stopping.told[1][1]
-        self.assertThat(closed <= MOST * OPEN_SHARE + SidecarNode.tick, Equals(True), str(closed))
+        self.assertThat(closed <= MOST * OPEN_SHARE + SidecarNode.timings.tick, Equals(True), str(closed))
         self.assertThat(took < MOST, Equals(True), str(took))
 
     def test_a_closing_proxy_turns_new_ones_back_and_ends_what_it_took(self) -> None:
@@ -97,7 +97,7 @@
             [name for name, _ in stopping.told],
             Equals([StopRequested.__name__, CloseRequested.__name__, GraceExpired.__name__]),
         )
-        self.assertThat(MOST <= took <= MOST + SidecarNode.tick, Equals(True), str(took))
+        self.assertThat(MOST <= took <= MOST + SidecarNode.timings.tick, Equals(True), str(took))
 
     def test_each_request_left_is_told_what_is_known_of_it(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
