--- a/packages/config/src/hoistsaddle/config/items.py
+++ b/packages/config/src/hoistsaddle/config/items.py
@@ -84,7 +84,7 @@
     kind: Kind
     revision: int
     item: dict
-    said: bytes = b""
+    source: bytes = msgspec.field(name="said", default=b"")
 
 
 class ItemDeletion(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -126,16 +126,16 @@
     return value
 
 
-def content_digest(*, body: bytes, said: bytes) -> bytes:
+def content_digest(*, body: bytes, source: bytes) -> bytes:
     """By what two settings under one revision are told apart: what they mean, and what is given back of them.
 
     The order of a text's fields and its spaces are no content. A text that isn't JSON counts byte for byte.
     """
     try:
-        said = msgspec.json.encode(_plain(msgspec.json.decode(said)), order="sorted")
+        source = msgspec.json.encode(_plain(msgspec.json.decode(source)), order="sorted")
     except (msgspec.MsgspecError, ValueError, OverflowError, RecursionError):
         pass
-    return hashlib.blake2b(len(body).to_bytes(8) + body + said, digest_size=DIGEST_BYTES).digest()
+    return hashlib.blake2b(len(body).to_bytes(8) + body + source, digest_size=DIGEST_BYTES).digest()
 
 
 # What a drop is instead of a setting: the same for every name, and like no setting's.
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -53,8 +53,9 @@
     WriteCall,
 )
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.commands import LEVEL, Outcome, pack_command, unpack_outcome
-from hoistsaddle.statemachine.state import GONE, READY, WARDEN
+from hoistsaddle.statemachine.commands import LEVEL, Outcome
+from hoistsaddle.statemachine.encoding import pack_command, tag_of, unpack_outcome
+from hoistsaddle.statemachine.state import GONE, NODE_MONITOR_ROLE, READY
 from hoistsaddle.statemachine.view import read_view
 
 TICK = milliseconds(50)
@@ -264,7 +265,7 @@
 
     async def _ask_hold(self, ask: SubmitHold) -> None:
         """Asks one registry after the other; while none grants anything, one call at a time for all keys here."""
-        self.counters.add(f"holds.{type(ask.command).__name__}")
+        self.counters.add(f"holds.{tag_of(ask.command)}")
         call = WriteCall(self.settings.name, (pack_command(ask.command),))
         deadline = self.runtime.now() + HOLD_SPAN
         outcome: Outcome | None = None
@@ -484,7 +485,7 @@
                 self.relay.copy.revision,
                 self.level,
             )
-            duty = self.core.view.duties.get(WARDEN)
+            duty = self.core.view.singleton_roles.get(NODE_MONITOR_ROLE)
             warden = self.core.view.nodes.get(duty.node) if duty is not None else None
             addresses = ([warden.address] if warden is not None and turn == 0 else []) + self.registries
             self.health_due.clear()
--- a/packages/registry/src/hoistsaddle/registry/controller.py
+++ b/packages/registry/src/hoistsaddle/registry/controller.py
@@ -27,8 +27,8 @@
 from hoistsaddle.rpc.messages import UNSET, BootstrapAnswer, BootstrapCall, ReadAnswer, StatusAnswer, StatusCall
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import PatchItems
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import data_plane_items
 from hoistsaddle.statemachine.view import read_view
 from hoistsaddle.store.service import Store
 
@@ -92,7 +92,7 @@
         state = core.state
         if core.leader > 0:
             self.writer.leader = core.leader
-        if state.news == self.relay.copy.revision:
+        if state.data_plane_revision == self.relay.copy.revision:
             was_fresh = self.relay.fresh(now=self.runtime.now())
             self.relay.renewed(asked=heard, epoch=state.epoch)
             if not was_fresh and self.relay.fresh(now=self.runtime.now()):
@@ -105,7 +105,7 @@
         if not self.relay.confirmed(
             asked=heard,
             mesh=state.mesh,
-            revision=state.news,
+            revision=state.data_plane_revision,
             items=items,
             expected_digests=digests_of(items),
             epoch=state.epoch,
@@ -290,9 +290,9 @@
             self.settings.desk,
             self.settings.standing_sign_off,
             pack_patch(patch),
-            span=math.ceil(self.settings.resend_seconds),
+            resend_seconds=math.ceil(self.settings.resend_seconds),
             # What its sender can know of was logged by now.
-            seen=self.store.runner.core.state.offset,
+            seen_offset=self.store.runner.core.state.offset,
         )
         match await registry.writer.write(command, within=timedelta(seconds=self.settings.write_seconds)):
             case Failure(error):
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 from typing import Any
 
-from hoistsaddle.statemachine.commands import NoteNode, NoteServer, Purge, TakeDuty
-from hoistsaddle.statemachine.state import GONE, WARDEN
+from hoistsaddle.statemachine.commands import AcquireSingletonRole, Purge, RegisterNode, RegisterServer
+from hoistsaddle.statemachine.state import GONE, NODE_MONITOR_ROLE
 from hoistsaddle.statemachine.view import View
 
 PURGE_INTERVAL = timedelta(seconds=30)
@@ -39,14 +39,14 @@
             # Without a fresh lease this node can't know whose turn it is, and after a freeze it heard nobody.
             self.active_since = None
             return []
-        duty = view.duties.get(WARDEN)
+        duty = view.singleton_roles.get(NODE_MONITOR_ROLE)
         first = min([*live_registries, self.node])
         if first != self.node:
             self.active_since = None
             return []
         if duty is None or duty.node != self.node:
             self.active_since = None
-            return [TakeDuty(WARDEN, self.node, (duty.epoch if duty else 0) + 1)]
+            return [AcquireSingletonRole(NODE_MONITOR_ROLE, self.node, (duty.epoch if duty else 0) + 1)]
         if self.active_since is None:
             # Proxies get a full span to be heard by their new warden before any is called gone.
             self.active_since = now
@@ -54,7 +54,7 @@
         for server in view.servers.values():
             if server.state != GONE and self._is_silent(server.proxy, now=now):
                 commands.append(
-                    NoteServer(
+                    RegisterServer(
                         server.proxy,
                         server.service,
                         server.instance,
@@ -69,7 +69,7 @@
         for node in view.nodes.values():
             if node.kind == "stall" and node.state != GONE and self._is_silent(node.node, now=now):
                 commands.append(
-                    NoteNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
+                    RegisterNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
                 )
         states = [server.state for server in view.servers.values()] + [node.state for node in view.nodes.values()]
         if (
--- a/packages/registry/src/hoistsaddle/registry/operator_actions.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_actions.py
@@ -14,14 +14,14 @@
 from hoistsaddle.statemachine.commands import (
     AbortBundle,
     AdvanceBundle,
-    ChangeOperator,
     Command,
     DrainServer,
-    DropOperator,
     Outcome,
+    ProposeOperatorChange,
     SignBundle,
-    SignOperator,
+    SignOperatorChange,
     SubmitBundle,
+    WithdrawOperatorChange,
 )
 
 if TYPE_CHECKING:
@@ -96,17 +96,19 @@
 
     async def change_operator(self, *, operator: str, name: str, digest: str, request: str) -> Result[dict, MeshError]:
         """One operator's half; it has no effect before a second person signs it."""
-        command = ChangeOperator(request, operator, name, digest)
+        command = ProposeOperatorChange(request, operator, name, digest)
         return await self._write_and_report(command, operator, "operator change proposed")
 
     async def sign_operator(self, *, operator: str, name: str, change: str, request: str) -> Result[dict, MeshError]:
         """Every call's token is looked up by a confirmed read, so what is committed is in force everywhere."""
         return await self._write_and_report(
-            SignOperator(request, operator, name, change), operator, "operator change signed"
+            SignOperatorChange(request, operator, name, change), operator, "operator change signed"
         )
 
     async def drop_operator(self, *, operator: str, name: str, request: str) -> Result[dict, MeshError]:
-        return await self._write_and_report(DropOperator(request, operator, name), operator, "operator change dropped")
+        return await self._write_and_report(
+            WithdrawOperatorChange(request, operator, name), operator, "operator change dropped"
+        )
 
     async def _write_and_report(self, command: Command, operator: str, kind: str) -> Result[dict, MeshError]:
         match await self._write(command):
--- a/packages/registry/src/hoistsaddle/registry/service.py
+++ b/packages/registry/src/hoistsaddle/registry/service.py
@@ -39,17 +39,9 @@
     WriteCall,
 )
 from hoistsaddle.rpc.runtime import RealRuntime, Runtime
-from hoistsaddle.statemachine.commands import (
-    LEVEL,
-    ClaimHold,
-    NoteNode,
-    NoteServer,
-    ReleaseHold,
-    SettleHold,
-    pack_outcome,
-    unpack_command,
-)
-from hoistsaddle.statemachine.state import GONE, WARDEN, NodeRecord
+from hoistsaddle.statemachine.commands import LEVEL, ClaimKey, CompleteKey, RegisterNode, RegisterServer, ReleaseKey
+from hoistsaddle.statemachine.encoding import pack_outcome, tag_of, unpack_command
+from hoistsaddle.statemachine.state import GONE, NODE_MONITOR_ROLE, NodeRecord
 from hoistsaddle.statemachine.view import View, read_view
 
 READ_INTERVAL = milliseconds(100)
@@ -212,7 +204,7 @@
     async def _write_for_proxy(self, payloads: tuple[bytes, ...]) -> WriteAnswer:
         for payload in payloads:
             # Proxies may hold keys and nothing else; all other writes have callers of their own here.
-            if not isinstance(unpack_command(payload), ClaimHold | SettleHold | ReleaseHold):
+            if not isinstance(unpack_command(payload), ClaimKey | CompleteKey | ReleaseKey):
                 return WriteAnswer(str(ErrorKind.NOT_ALLOWED), -1)
         left = KEY_WRITE_TIMEOUT - timedelta(seconds=call_age().age)
         if left <= timedelta():
@@ -230,7 +222,7 @@
         return WriteAnswer("", self.writer.leader, tuple(outcomes))
 
     async def _route_health(self, call: HealthCall) -> HealthAnswer:
-        duty = self.view.duties.get(WARDEN)
+        duty = self.view.singleton_roles.get(NODE_MONITOR_ROLE)
         if duty is not None and duty.node != self.node:
             # The warden must hear every heartbeat; one step of forwarding helps a proxy that doesn't know it yet.
             address = self.peers.get(int(duty.node.rpartition("-")[2]), "")
@@ -254,8 +246,15 @@
             call.incarnation,
             "alive",
         ):
-            note = NoteNode(
-                call.node, "stall", call.address, call.zone, call.incarnation, "alive", seen=call.seen, level=call.level
+            note = RegisterNode(
+                call.node,
+                "stall",
+                call.address,
+                call.zone,
+                call.incarnation,
+                "alive",
+                seen_revision=call.seen,
+                level=call.level,
             )
             match await self.writer.write(note, within=WRITE_TIMEOUT):
                 case Success(outcome) if not outcome.error and not outcome.detail.get("old"):
@@ -275,7 +274,7 @@
             or (server.service, server.instance, server.address, server.zone, server.state, server.incarnation)
             != reported
         ):
-            command = NoteServer(
+            command = RegisterServer(
                 call.node,
                 call.service_name,
                 call.instance,
@@ -284,7 +283,7 @@
                 call.state,
                 call.serial,
                 call.incarnation,
-                seen=call.seen,
+                seen_revision=call.seen,
             )
             match await self.writer.write(command, within=WRITE_TIMEOUT):
                 case Success(outcome) if not outcome.error:
@@ -310,14 +309,14 @@
             known = self.view.nodes.get(self.node)
             if self.relay.fresh(now=self.runtime.now()) and (known is None or known.incarnation != self.incarnation):
                 await self.writer.write(
-                    NoteNode(
+                    RegisterNode(
                         self.node,
                         "bourse",
                         self.settings.listen,
                         self.settings.zone,
                         self.incarnation,
                         "alive",
-                        seen=self.relay.copy.revision,
+                        seen_revision=self.relay.copy.revision,
                         level=self.level,
                     ),
                     within=WRITE_TIMEOUT,
@@ -337,11 +336,11 @@
                     case Success(outcome) if not outcome.error:
                         self.counters.record_event(
                             "duty done",
-                            what=type(command).__name__,
+                            what=tag_of(command),
                             about=getattr(command, "proxy", "") or getattr(command, "node", ""),
                         )
                     case Success(outcome):
-                        self.counters.record_event("duty refused", what=type(command).__name__, mishap=outcome.error)
+                        self.counters.record_event("duty refused", what=tag_of(command), mishap=outcome.error)
             if commands:
                 await self.refresh(within=milliseconds(500))
             if self.node_monitor.should_raise_level(view=self.view, level=self.level, now=now):
--- a/packages/statemachine/src/hoistsaddle/statemachine/apply.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/apply.py
@@ -1,157 +1,152 @@
-"""One record applied to the state: the same on every replica, or a refusal to go on."""
+"""Applies one record of the log to the state: the same on every replica, or a rejection on which the replica stops."""
 
 import hashlib
 from collections.abc import Callable
 from datetime import timedelta
 
 from hoistsaddle.common.clock import to_microseconds
-from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.statemachine import bundles, deduplication, fleet, idempotency, items, operators
+from hoistsaddle.statemachine import bundles, deduplication, fleet, idempotency, items, operators, voters
 from hoistsaddle.statemachine.commands import (
     LEVEL,
     LEVEL_OF,
     AbortBundle,
+    AcquireSingletonRole,
     AddVoter,
     AdvanceBundle,
-    ChangeOperator,
-    ClaimHold,
+    ClaimKey,
     Command,
+    CompleteKey,
     DrainServer,
-    DropOperator,
-    DropVoter,
-    LeaderNote,
-    NoteNode,
-    NoteServer,
+    LeaderChange,
     Outcome,
     PatchItems,
+    ProposeOperatorChange,
     Purge,
     RaiseLevel,
-    ReleaseHold,
+    RegisterNode,
+    RegisterServer,
+    ReleaseKey,
+    RemoveVoter,
     ReplaceVoter,
-    SettleHold,
     SignBundle,
-    SignOperator,
+    SignOperatorChange,
     SubmitBundle,
-    SwapVoter,
-    TakeDuty,
     Tick,
-    unpack_command,
+    UpdateVoter,
+    WithdrawOperatorChange,
 )
-from hoistsaddle.statemachine.state import State, refuse
+from hoistsaddle.statemachine.encoding import tag_of, unpack_command
+from hoistsaddle.statemachine.errors import LevelTooLow, OtherRelease, RequestReused
+from hoistsaddle.statemachine.state import State, StoredOutcome
 
 Applied = tuple[State, Outcome]
 
 
-def _once(state: State, request: str, operator: str, payload: bytes, applied: Callable[[State], Applied]) -> Applied:
-    """An operator's request forwarded twice is applied once and answered alike."""
-    known = state.outcomes.get(request)
-    digest = hashlib.sha256(payload).hexdigest() if state.level > 1 else ""
-    if known is not None:
-        if digest and len(known) > 2 and known[2] != digest:
-            # Two calls that share an id by accident: neither may pass for the other.
-            return state, refuse(
-                ErrorKind.REQUEST_REUSED,
-                "Another call had this request id.",
-                "Send the call with an id of its own; repeat one only with the call it was made for.",
-                "X-Request-Id",
-            )
-        return state, Outcome(*known[1])
-    if unknown := operators.reject_unknown_operator(state, operator):
-        return state, unknown
-    state, outcome = applied(state)
-    kept = [to_microseconds(state.stamp), list(outcome), *([digest] if digest else [])]
-    return state._replace(outcomes=state.outcomes.set(request, kept)), outcome
-
-
 def apply(
     state: State, *, offset: int, epoch: int, stamp: timedelta, payload: bytes, supported: int = LEVEL
 ) -> Applied:
-    """A refusal of kind "other-release" means that this release can't apply the record: it must not go on."""
+    """The state after the record at an offset, and what the record came to.
+
+    Args:
+        state: The state after the record before it.
+        offset: The record's offset in the log.
+        epoch: The epoch of the leader that appended it.
+        stamp: The leader's mesh time when it did. Mesh time never goes back, whatever a record says.
+        payload: The encoded command.
+        supported: The highest release level that this process supports.
+
+    Returns:
+        The state and the outcome. OtherRelease as an outcome means that this release can't apply the record: the state
+        is unchanged, and the replica must not go on.
+    """
     command = unpack_command(payload)
     if command is None or (isinstance(command, RaiseLevel) and command.level > supported):
         level = f" level {command.level}" if isinstance(command, RaiseLevel) else ""
-        return state, refuse(
-            ErrorKind.OTHER_RELEASE,
-            f"The record at offset {offset} is of another release{level}.",
-            "Install a release that knows it on this machine; the others go on.",
-        )
-    # The stamp never goes back, whatever a record says.
-    state = _sweep(state._replace(offset=offset, epoch=epoch, stamp=max(stamp, state.stamp)))
+        return state, OtherRelease(f"The record at offset {offset} is of another release{level}.")
+    state = _expire(state._replace(offset=offset, epoch=epoch, mesh_time=max(stamp, state.mesh_time)))
     needed = LEVEL_OF.get(type(command), 1)
     if state.level < needed:
-        return state, refuse(
-            ErrorKind.RELEASE_LEVEL,
-            f"{type(command).__name__} needs release level {needed}, the mesh is at {state.level}.",
-            "Install the newer release on every machine; the level then rises by itself.",
-        )
+        return state, LevelTooLow(f"{tag_of(command)} needs release level {needed}, the mesh is at {state.level}.")
     return _apply(state, command, offset, payload)
 
 
-def _sweep(state: State) -> State:
-    swept = idempotency.sweep(state)
-    return (
-        deduplication.expire_patches(swept)
-        if swept.swept != state.swept and swept.level >= deduplication.DEDUPLICATION_LEVEL
-        else swept
-    )
+def _expire(state: State) -> State:
+    expired = idempotency.expire(state)
+    if expired.expired_at != state.expired_at and expired.level >= deduplication.DEDUPLICATION_LEVEL:
+        return deduplication.expire_patches(expired)
+    return expired
 
 
 def _apply(state: State, command: Command, offset: int, payload: bytes) -> Applied:
-    def once(request: str, operator: str, work: Callable[..., Applied]) -> Applied:
-        return _once(state, request, operator, payload, lambda held: work(held, command, offset))
-
     match command:
-        case LeaderNote() | Tick():
+        case LeaderChange() | Tick():
             return state, Outcome()
-        case SwapVoter(replica=replica, old=old, new=new):
-            if state.voters.get(replica) != old:
-                return state, refuse(ErrorKind.UNSURE, "The voter was swapped already.", "Read the voters.", "replica")
-            return state._replace(voters=state.voters.set(replica, new), news=offset), Outcome()
-        case AddVoter(replica=replica, incarnation=incarnation):
-            if replica in state.voters:
-                return state, refuse(ErrorKind.UNSURE, "It is a voter already.", "Read the voters.", "replica")
-            return state._replace(voters=state.voters.set(replica, incarnation), news=offset), Outcome()
-        case DropVoter(replica=replica, incarnation=incarnation):
-            if state.voters.get(replica) != incarnation or len(state.voters) < 2:
-                return state, refuse(ErrorKind.UNSURE, "It is no voter.", "Read the voters.", "replica")
-            return state._replace(voters=state.voters.delete(replica), news=offset), Outcome()
-        case ReplaceVoter(replica=replica, incarnation=incarnation, successor=successor):
-            if state.voters.get(replica) != incarnation or successor in state.voters:
-                return state, refuse(ErrorKind.UNSURE, "The voters have changed.", "Read the voters.", "replica")
-            voters = state.voters.delete(replica).set(successor, command.successor_incarnation)
-            return state._replace(voters=voters, news=offset), Outcome()
-        case PatchItems():
-            return items.patch(state, command, offset)
-        case SubmitBundle(request=request, author=author):
-            return once(request, author, bundles.submit)
-        case SignBundle(request=request, signer=signer):
-            return once(request, signer, bundles.sign)
-        case AdvanceBundle(request=request, operator=operator):
-            return once(request, operator, bundles.advance)
-        case AbortBundle(request=request, operator=operator):
-            return once(request, operator, bundles.abort)
-        case DrainServer(request=request, operator=operator):
-            return once(request, operator, fleet.drain)
-        case ChangeOperator(request=request, operator=operator):
-            return once(request, operator, operators.change)
-        case SignOperator(request=request, signer=signer):
-            return once(request, signer, operators.sign)
-        case DropOperator(request=request, operator=operator):
-            return once(request, operator, operators.drop)
-        case NoteServer():
+        case ClaimKey():
+            return idempotency.claim(state, command)
+        case CompleteKey():
+            return idempotency.complete(state, command)
+        case ReleaseKey():
+            return idempotency.release(state, command)
+        case RegisterServer():
             return fleet.register_server(state, command, offset)
-        case NoteNode():
+        case RegisterNode():
             return fleet.register_node(state, command, offset)
-        case TakeDuty():
+        case AcquireSingletonRole():
             return fleet.acquire_singleton_role(state, command, offset)
         case Purge():
             return fleet.purge(state, command, offset)
         case RaiseLevel():
             return fleet.raise_level(state, command, offset)
-        case ClaimHold():
-            return idempotency.claim(state, command)
-        case SettleHold():
-            return idempotency.settle(state, command)
-        case ReleaseHold():
-            return idempotency.release(state, command)
-    raise AssertionError(f"no rule for {type(command).__name__}")
+        case PatchItems():
+            return items.patch(state, command, offset)
+        case UpdateVoter():
+            return voters.update(state, command, offset)
+        case AddVoter():
+            return voters.add(state, command, offset)
+        case RemoveVoter():
+            return voters.remove(state, command, offset)
+        case ReplaceVoter():
+            return voters.replace(state, command, offset)
+    return _apply_operators_command(state, command, offset, payload)
+
+
+def _apply_operators_command(state: State, command: Command, offset: int, payload: bytes) -> Applied:
+    """Applies a command of an operator, which carries the id of the operator's request."""
+    match command:
+        case SubmitBundle(request=request, author=operator):
+            rule: Callable[..., Applied] = bundles.submit
+        case SignBundle(request=request, signer=operator):
+            rule = bundles.sign
+        case AdvanceBundle(request=request, operator=operator):
+            rule = bundles.advance
+        case AbortBundle(request=request, operator=operator):
+            rule = bundles.abort
+        case DrainServer(request=request, operator=operator):
+            rule = fleet.drain
+        case ProposeOperatorChange(request=request, operator=operator):
+            rule = operators.propose
+        case SignOperatorChange(request=request, signer=operator):
+            rule = operators.sign
+        case WithdrawOperatorChange(request=request, operator=operator):
+            rule = operators.withdraw
+        case _:
+            raise AssertionError(f"no rule for {type(command).__name__}")
+    return _apply_once(state, request, operator, payload, lambda before: rule(before, command, offset))
+
+
+def _apply_once(
+    state: State, request: str, operator: str, payload: bytes, apply_rule: Callable[[State], Applied]
+) -> Applied:
+    """Applies an operator's request the first time it is met, and answers a repeat of it with the same outcome."""
+    known = state.outcomes.get(request)
+    digest = hashlib.sha256(payload).hexdigest() if state.level > 1 else ""
+    if known is not None:
+        if digest and known.command_digest and known.command_digest != digest:
+            # Two requests that share an id by accident: neither may be answered with the other's outcome.
+            return state, RequestReused("Another call had this request id.")
+        return state, known.outcome
+    if (rejection := operators.reject_unknown_operator(state, operator)) is not None:
+        return state, rejection
+    state, outcome = apply_rule(state)
+    stored = StoredOutcome(to_microseconds(state.mesh_time), outcome, digest)
+    return state._replace(outcomes=state.outcomes.set(request, stored)), outcome
--- a/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
@@ -1,11 +1,22 @@
-"""What the log makes of bundles: drafts, sign-offs, stages, and what is taken back."""
+"""What the log makes of bundles: drafts, sign-offs, roll-out stage by stage, and aborts."""
 
 from returns.result import Failure, Success
 
-from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.config.bundle import digest_of, read_bundle
+from hoistsaddle.config.bundle import Bundle, digest_of, read_bundle
 from hoistsaddle.statemachine.commands import AbortBundle, AdvanceBundle, Outcome, SignBundle, SubmitBundle
 from hoistsaddle.statemachine.deduplication import DEDUPLICATION_LEVEL
+from hoistsaddle.statemachine.errors import (
+    BundleConflict,
+    BundleDuplicate,
+    BundleSelfSigned,
+    BundleStale,
+    BundleUnknown,
+    BundleWrongBase,
+    BundleWrongPhase,
+    LevelTooLow,
+    OutcomeForgotten,
+    rejection_of,
+)
 from hoistsaddle.statemachine.state import (
     ABORTED,
     DRAFT,
@@ -15,264 +26,220 @@
     ROLLING,
     BundleRecord,
     State,
-    bundle_of,
-    refusal_of,
-    refuse,
+    bundle_in,
 )
 
 
 def submit(state: State, command: SubmitBundle, offset: int) -> tuple[State, Outcome]:
+    """Takes a bundle as a draft."""
     match read_bundle(command.text):
         case Failure(error):
-            return state, refusal_of(error)
+            return state, rejection_of(error)
         case Success(bundle):
-            pass
+            return _submit(state, command, bundle, offset)
+
+
+def _submit(state: State, command: SubmitBundle, bundle: Bundle, offset: int) -> tuple[State, Outcome]:
     if bundle.level() > state.level:
-        return state, refuse(
-            ErrorKind.RELEASE_LEVEL,
-            f"It needs release level {bundle.level()}, the mesh is at {state.level}.",
-            "Install the newer release on every machine; the level then rises by itself.",
-            "visitor",
+        return state, LevelTooLow(
+            f"It needs release level {bundle.level()}, the mesh is at {state.level}.", field="visitor"
         )
     digest = digest_of(command.text)
     known = state.bundles.get(bundle.number)
     if known is not None:
         return state, _existing_bundle_outcome(state, known, command.author, digest)
-    if (unsure := _forgotten(state, bundle.number)) is not None:
-        return state, unsure
-    newest = max([number for number, entry in state.bundles.items() if entry.phase != DRAFT], default=0)
+    if (rejection := _reject_forgotten(state, bundle.number)) is not None:
+        return state, rejection
+    newest = _newest_signed(state)
     if bundle.number <= newest:
-        return state, refuse(
-            ErrorKind.BUNDLE_STALE,
-            f"Bundle {newest} was signed already.",
-            f"Number it above {newest} and base it on {state.in_force}.",
-            "number",
+        return state, BundleStale(
+            f"Bundle {newest} was signed already.", f"Number it above {newest} and base it on {state.in_force}."
         )
     if bundle.based_on != state.in_force:
-        return state, refuse(
-            ErrorKind.BUNDLE_WRONG_BASE,
-            f"It is based on {bundle.based_on}, but {state.in_force} is in force.",
-            f"Rework it on top of {state.in_force}.",
-            "based_on",
-        )
-    entry = BundleRecord(bundle.number, bundle.based_on, command.author, "", command.text, digest, DRAFT, 0, offset)
-    bundles = state.bundles.set(bundle.number, entry)
-    # The log keeps so many; older ones are in git.
-    spare = sorted(
-        (each.offset, number)
-        for number, each in bundles.items()
-        if number not in (state.in_force, state.rolling, bundle.number)
-    )
-    for _, number in spare[: max(0, len(bundles) - MAX_BUNDLES)]:
+        return state, _wrong_base(state, bundle.based_on)
+    draft = BundleRecord(bundle.number, bundle.based_on, command.author, "", command.text, digest, DRAFT, 0, offset)
+    return _add_draft(state, draft), Outcome(detail={"number": bundle.number, "digest": digest})
+
+
+def _add_draft(state: State, draft: BundleRecord) -> State:
+    """Adds a draft, and drops the oldest bundles beyond MAX_BUNDLES."""
+    bundles = state.bundles.set(draft.number, draft)
+    in_use = (state.in_force, state.rolling, draft.number)
+    unused = sorted((each.offset, number) for number, each in bundles.items() if number not in in_use)
+    for _, number in unused[: max(0, len(bundles) - MAX_BUNDLES)]:
         bundles = bundles.delete(number)
-    return state._replace(bundles=bundles), Outcome(detail={"number": bundle.number, "digest": digest})
+    return state._replace(bundles=bundles)
+
+
+def _newest_signed(state: State) -> int:
+    """The highest number of a bundle that was signed; 0 for none."""
+    return max((number for number, each in state.bundles.items() if each.phase != DRAFT), default=0)
+
+
+def _wrong_base(state: State, based_on: int) -> Outcome:
+    return BundleWrongBase(
+        f"It is based on {based_on}, but {state.in_force} is in force.", f"Rework it on top of {state.in_force}."
+    )
 
 
 def _existing_bundle_outcome(state: State, known: BundleRecord, author: str, digest: str) -> Outcome:
-    """What a submission gets whose number is taken."""
+    """What a submission gets whose number is in use."""
     if known.digest == digest and known.author == author and state.level >= DEDUPLICATION_LEVEL:
-        # Its answer was lost: what was taken is confirmed again, whatever became of it since.
+        # Its answer was lost: it is confirmed again, whatever became of the bundle since.
         return Outcome(detail={"number": known.number, "digest": digest, "phase": known.phase})
     if known.digest == digest:
-        return refuse(
-            ErrorKind.BUNDLE_DUPLICATE,
-            f"Bundle {known.number} was submitted before and is {known.phase}.",
-            "Nothing to do: read its status.",
-            "number",
-        )
+        return BundleDuplicate(f"Bundle {known.number} was submitted before and is {known.phase}.")
     if known.phase != DRAFT:
-        return refuse(
-            ErrorKind.BUNDLE_STALE,
-            f"Bundle {known.number} is {known.phase} with other content.",
-            "Take the next free number.",
-            "number",
-        )
-    return refuse(
-        ErrorKind.BUNDLE_CONFLICT,
-        f"{known.author} submitted another bundle {known.number}.",
-        "Take the next free number.",
-        "number",
-    )
+        return BundleStale(f"Bundle {known.number} is {known.phase} with other content.")
+    return BundleConflict(f"{known.author} submitted another bundle {known.number}.")
 
 
-def _forgotten(state: State, number: int) -> Outcome | None:
-    """The answer where a bundle may have been taken and pushed out by newer ones: neither yes nor no."""
+def _reject_forgotten(state: State, number: int) -> Outcome | None:
+    """The rejection where a bundle may have been accepted and dropped for newer ones: neither yes nor no."""
     if state.level < DEDUPLICATION_LEVEL or len(state.bundles) < MAX_BUNDLES or number >= min(state.bundles):
         return None
-    return refuse(
-        ErrorKind.ORDER_UNSURE,
+    return OutcomeForgotten(
         f"Bundle {number} is older than all that are kept: whether it was taken isn't known any more.",
         "Read the time line; a new change takes the next free number.",
-        "number",
+        field="number",
     )
 
 
 def sign(state: State, command: SignBundle, offset: int) -> tuple[State, Outcome]:
-    entry = state.bundles.get(command.number)
-    if entry is None and (unsure := _forgotten(state, command.number)) is not None:
-        return state, unsure
-    if entry is None:
-        return state, refuse(
-            ErrorKind.BUNDLE_UNKNOWN, f"There is no bundle {command.number}.", "Submit it first.", "number"
-        )
-    if entry.digest != command.digest:
-        return state, refuse(
-            ErrorKind.BUNDLE_CONFLICT,
+    """Signs a draft off and starts its roll-out."""
+    bundle = state.bundles.get(command.number)
+    if bundle is None:
+        return state, _reject_forgotten(state, command.number) or BundleUnknown(f"There is no bundle {command.number}.")
+    if bundle.digest != command.digest:
+        return state, BundleConflict(
             f"The digest signed is not bundle {command.number}'s.",
             "Read the bundle again and sign what you read.",
-            "digest",
-        )
-    if state.level >= DEDUPLICATION_LEVEL and entry.signer == command.signer:
-        return state, _confirmed(state, entry)
-    if entry.phase != DRAFT:
-        return state, refuse(
-            ErrorKind.BUNDLE_WRONG_PHASE,
-            f"Bundle {command.number} is {entry.phase}.",
-            "Only a draft can be signed.",
-            "number",
-        )
-    if entry.author == command.signer:
-        return state, refuse(
-            ErrorKind.BUNDLE_SELF_SIGNED,
-            f"{command.signer} wrote bundle {command.number}.",
-            "A second person must sign it.",
-            "signer",
-        )
-    if (refusal := _reject_out_of_order(state, entry)) is not None:
-        return state, refusal
-    state = state._replace(
-        bundles=state.bundles.set(entry.number, entry._replace(signer=command.signer, phase=ROLLING, offset=offset)),
-        rolling=entry.number,
-    )
-    return stage(state, entry.number, offset)
-
-
-def _reject_out_of_order(state: State, entry: BundleRecord) -> Outcome | None:
-    """The refusal of a draft that can't follow what is in force or rolling."""
+            field="digest",
+        )
+    if state.level >= DEDUPLICATION_LEVEL and bundle.signer == command.signer:
+        return state, _progress_outcome(bundle)
+    if bundle.phase != DRAFT:
+        return state, BundleWrongPhase(f"Bundle {command.number} is {bundle.phase}.", "Only a draft can be signed.")
+    if bundle.author == command.signer:
+        return state, BundleSelfSigned(f"{command.signer} wrote bundle {command.number}.")
+    if (rejection := _reject_out_of_order(state, bundle)) is not None:
+        return state, rejection
+    signed = bundle._replace(signer=command.signer, phase=ROLLING, offset=offset)
+    state = state._replace(bundles=state.bundles.set(bundle.number, signed), rolling=bundle.number)
+    return _advance_stage(state, bundle.number, offset)
+
+
+def _reject_out_of_order(state: State, bundle: BundleRecord) -> Outcome | None:
+    """The rejection of a draft that can't follow the bundle that is in force or rolling out."""
     if state.rolling:
-        return refuse(
-            ErrorKind.BUNDLE_CONFLICT,
-            f"Bundle {state.rolling} is rolling out.",
-            f"Finish or abort {state.rolling} first.",
-            "number",
-        )
-    if entry.based_on != state.in_force:
-        return refuse(
-            ErrorKind.BUNDLE_WRONG_BASE,
-            f"It is based on {entry.based_on}, but {state.in_force} is in force.",
-            f"Rework it on top of {state.in_force}.",
-            "based_on",
-        )
-    if state.level > 1 and _renames_held(state, entry.number):
-        return refuse(
-            ErrorKind.RELEASE_LEVEL,
+        return BundleConflict(f"Bundle {state.rolling} is rolling out.", f"Finish or abort {state.rolling} first.")
+    if bundle.based_on != state.in_force:
+        return _wrong_base(state, bundle.based_on)
+    if state.level > 1 and _renames_held(state, bundle.number):
+        return LevelTooLow(
             "Keys held since before the release level rose are known by the names of entries this bundle renames.",
             "Sign it once they have expired, in ten minutes at most.",
-            "entries",
-        )
-    # An older draft must not follow a newer bundle: numbers only go up.
-    newest = max([number for number, each in state.bundles.items() if each.phase != DRAFT], default=0)
-    if entry.number < newest:
-        return refuse(
-            ErrorKind.BUNDLE_STALE, f"Bundle {newest} was signed already.", f"Number it above {newest}.", "number"
+            field="entries",
         )
+    # Numbers only go up: an older draft can't follow a newer bundle.
+    newest = _newest_signed(state)
+    if bundle.number < newest:
+        return BundleStale(f"Bundle {newest} was signed already.", f"Number it above {newest}.")
     return None
 
 
 def _renames_held(state: State, number: int) -> bool:
+    """Whether a bundle renames a route under whose name a key may be held since release level 1."""
     if all(hold.bucket for hold in state.holds.values()):
         return False
-    after, before = bundle_of(state, number), bundle_of(state, state.in_force)
-    if before is None:
+    if not state.in_force:
         return False
-    names = {(method, each.path): each.name for each in after.entries for method in each.methods}
-    held = {(method, each.path): each.name for each in before.entries if each.once for method in each.methods}
-    return any(names.get(way, name) != name for way, name in held.items())
+    after, before = bundle_in(state.bundles[number]), bundle_in(state.bundles[state.in_force])
+    names = {(method, route.path): route.name for route in after.entries for method in route.methods}
+    held = {(method, route.path): route.name for route in before.entries if route.once for method in route.methods}
+    return any(names.get(method_and_path, name) != name for method_and_path, name in held.items())
 
 
-def _confirmed(state: State, entry: BundleRecord) -> Outcome:
-    """What a call gets that was taken before and comes again: how far its bundle is, and no step further."""
-    stages = bundle_of(state, entry.number).rollout()
+def _progress_outcome(bundle: BundleRecord) -> Outcome:
+    """What a repeat of an accepted request gets: how far its bundle is, and no step further."""
+    stages = bundle_in(bundle).rollout()
     return Outcome(
         detail={
-            "number": entry.number,
-            "stage": entry.stage,
+            "number": bundle.number,
+            "stage": bundle.stage,
             "stages": len(stages),
-            "name": stages[entry.stage - 1].name,
-            "offset": entry.offset,
-            "phase": entry.phase,
+            "name": stages[bundle.stage - 1].name,
+            "offset": bundle.offset,
+            "phase": bundle.phase,
         }
     )
 
 
-def stage(state: State, number: int, offset: int) -> tuple[State, Outcome]:
-    """Moves the rolling bundle one stage on; after the last stage it is in force."""
-    entry = state.bundles[number]
-    stages = bundle_of(state, number).rollout()
-    stage = entry.stage + 1
-    done = stage >= len(stages)
-    bundles = state.bundles.set(number, entry._replace(stage=stage, phase=IN_FORCE if done else ROLLING, offset=offset))
-    if done:
+def _advance_stage(state: State, number: int, offset: int) -> tuple[State, Outcome]:
+    """Moves the rolling bundle one stage on; with the last stage it is in force."""
+    bundle = state.bundles[number]
+    stages = bundle_in(bundle).rollout()
+    stage = bundle.stage + 1
+    is_last = stage >= len(stages)
+    phase = IN_FORCE if is_last else ROLLING
+    bundles = state.bundles.set(number, bundle._replace(stage=stage, phase=phase, offset=offset))
+    if is_last:
         if state.in_force:
-            bundles = bundles.set(state.in_force, bundles[state.in_force]._replace(phase=REPLACED, offset=offset))
+            replaced = bundles[state.in_force]._replace(phase=REPLACED, offset=offset)
+            bundles = bundles.set(state.in_force, replaced)
         state = state._replace(in_force=number, rolling=0)
-    return state._replace(bundles=bundles, news=offset), Outcome(
-        detail={
-            "number": number,
-            "stage": stage,
-            "stages": len(stages),
-            "name": stages[stage - 1].name,
-            "offset": offset,
-        }
-    )
+    detail = {
+        "number": number,
+        "stage": stage,
+        "stages": len(stages),
+        "name": stages[stage - 1].name,
+        "offset": offset,
+    }
+    return state._replace(bundles=bundles, data_plane_revision=offset), Outcome(detail=detail)
 
 
 def advance(state: State, command: AdvanceBundle, offset: int) -> tuple[State, Outcome]:
-    entry = state.bundles.get(command.number)
-    if entry is None and (unsure := _forgotten(state, command.number)) is not None:
-        return state, unsure
-    if entry is not None and command.operator in entry.advanced_by[command.from_stage - 1 : command.from_stage]:
-        return state, _confirmed(state, entry)
-    if entry is None or entry.phase != ROLLING:
-        return state, refuse(
-            ErrorKind.BUNDLE_WRONG_PHASE,
-            f"Bundle {command.number} is {entry.phase if entry else 'unknown'}.",
-            "Only a rolling bundle advances.",
-            "number",
-        )
-    # Two desks advancing at once must not skip a stage unseen.
-    if entry.stage != command.from_stage:
-        return state, refuse(
-            ErrorKind.BUNDLE_WRONG_PHASE,
-            f"Bundle {command.number} is in stage {entry.stage}, not {command.from_stage}.",
+    """Moves a rolling bundle from the stage that the operator saw to the next."""
+    bundle = state.bundles.get(command.number)
+    if bundle is None and (rejection := _reject_forgotten(state, command.number)) is not None:
+        return state, rejection
+    if bundle is not None and command.operator in bundle.advanced_by[command.from_stage - 1 : command.from_stage]:
+        return state, _progress_outcome(bundle)
+    if bundle is None or bundle.phase != ROLLING:
+        return state, BundleWrongPhase(
+            f"Bundle {command.number} is {bundle.phase if bundle else 'unknown'}.", "Only a rolling bundle advances."
+        )
+    # Two operators who advance it at once must not skip a stage.
+    if bundle.stage != command.from_stage:
+        return state, BundleWrongPhase(
+            f"Bundle {command.number} is in stage {bundle.stage}, not {command.from_stage}.",
             "Read its status and advance from there.",
-            "from_stage",
+            field="from_stage",
         )
     if state.level >= DEDUPLICATION_LEVEL:
-        # Stages passed below that level are nobody's.
-        before = (*entry.advanced_by, *[""] * (entry.stage - 1 - len(entry.advanced_by)))
-        moved = entry._replace(advanced_by=(*before, command.operator))
-        state = state._replace(bundles=state.bundles.set(entry.number, moved))
-    return stage(state, command.number, offset)
+        # Who passed a stage below that level is not known.
+        before = (*bundle.advanced_by, *[""] * (bundle.stage - 1 - len(bundle.advanced_by)))
+        advanced = bundle._replace(advanced_by=(*before, command.operator))
+        state = state._replace(bundles=state.bundles.set(bundle.number, advanced))
+    return _advance_stage(state, command.number, offset)
 
 
 def abort(state: State, command: AbortBundle, offset: int) -> tuple[State, Outcome]:
-    entry = state.bundles.get(command.number)
-    if entry is None and (unsure := _forgotten(state, command.number)) is not None:
-        return state, unsure
-    if entry is not None and entry.phase == ABORTED and entry.aborted_by == command.operator:
-        return state, Outcome(detail={"number": command.number, "offset": entry.offset})
-    if entry is None or entry.phase not in (DRAFT, ROLLING):
-        return state, refuse(
-            ErrorKind.BUNDLE_WRONG_PHASE,
-            f"Bundle {command.number} is {entry.phase if entry else 'unknown'}.",
+    """Withdraws a draft or a rolling bundle; what was in force before stays in force."""
+    bundle = state.bundles.get(command.number)
+    if bundle is None and (rejection := _reject_forgotten(state, command.number)) is not None:
+        return state, rejection
+    if bundle is not None and bundle.phase == ABORTED and bundle.aborted_by == command.operator:
+        return state, Outcome(detail={"number": command.number, "offset": bundle.offset})
+    if bundle is None or bundle.phase not in (DRAFT, ROLLING):
+        return state, BundleWrongPhase(
+            f"Bundle {command.number} is {bundle.phase if bundle else 'unknown'}.",
             "Only a draft or rolling bundle is aborted; replace one in force with a new bundle.",
-            "number",
         )
     rolling = 0 if state.rolling == command.number else state.rolling
     aborted_by = command.operator if state.level >= DEDUPLICATION_LEVEL else ""
-    aborted = entry._replace(phase=ABORTED, offset=offset, aborted_by=aborted_by)
+    aborted = bundle._replace(phase=ABORTED, offset=offset, aborted_by=aborted_by)
+    revision = offset if bundle.phase == ROLLING else state.data_plane_revision
     bundles = state.bundles.set(command.number, aborted)
-    return state._replace(
-        bundles=bundles, rolling=rolling, news=offset if entry.phase == ROLLING else state.news
-    ), Outcome(detail={"number": command.number, "offset": offset})
+    state = state._replace(bundles=bundles, rolling=rolling, data_plane_revision=revision)
+    return state, Outcome(detail={"number": command.number, "offset": offset})
--- a/packages/statemachine/src/hoistsaddle/statemachine/commands.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/commands.py
@@ -1,43 +1,50 @@
-"""What the log's records say. Each is a tagged tuple; the tag is the tuple's name.
+"""The commands that the replicated log holds, and the outcome of applying one.
 
-They are stored as named fields, so that a newer release may add fields with defaults. What a newer release does with
-them must wait for the release level at which every process knows them: see docs/design/releases.md.
+A command is an immutable record. What a newer release's command or field does has to wait for the release level at
+which every process knows it: see docs/design/releases.md. How commands are encoded, and under which names, is the
+affair of encoding.py: classes and fields here may be renamed, their order and defaults may not change.
 """
 
 from datetime import timedelta
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-import msgspec
 
+class LeaderChange(NamedTuple):
+    """The first record of a new leader's epoch; committing it commits what came before (KIP-595, LeaderChange)."""
 
-class LeaderNote(NamedTuple):
     leader: int
 
 
 class Tick(NamedTuple):
+    """Carries the leader's clock into the log while nothing else is appended."""
+
     leader: int
 
 
-class SwapVoter(NamedTuple):
+class UpdateVoter(NamedTuple):
+    """A voter whose disk was replaced: the same replica under another incarnation."""
+
     replica: int
     old: str
     new: str
 
 
 class AddVoter(NamedTuple):
-    """One more voter: a disk that has caught up joins those that decide."""
+    """One more voter, whose replica has caught up."""
 
     replica: int
     incarnation: str
 
 
-class DropVoter(NamedTuple):
+class RemoveVoter(NamedTuple):
+    """One voter less."""
+
     replica: int
     incarnation: str
 
 
 class ReplaceVoter(NamedTuple):
-    """One voter out and a whole, caught-up successor in, in one step: the number of voters never sinks."""
+    """One voter out and a caught-up successor in, in one step: the number of voters never falls."""
 
     replica: int
     incarnation: str
@@ -46,26 +53,30 @@
 
 
 class PatchItems(NamedTuple):
-    """Part of a configuration: items with revisions of their own, one numbered bundle under a standing sign-off."""
+    """A change of some configuration items, each with its own revision; approved by a standing sign-off."""
 
     request: str
     author: str
     signer: str
     patch: bytes
-    # Seconds of mesh time for which it may still be sent again; 0 for RESEND_KEPT.
-    span: int = 0
-    # The offset up to which its taker had applied the log when the call arrived: what was logged since can't have been
-    # known to whoever sent it. -1 from a release that doesn't say.
-    seen: int = -1
+    # Seconds of mesh time for which the sender may send it again; 0 for RESEND_WINDOW.
+    resend_seconds: int = 0
+    # The offset up to which its receiver had applied the log when the call arrived: whoever sent it can't have known
+    # of anything logged since. -1 from a release that doesn't tell.
+    seen_offset: int = -1
 
 
 class SubmitBundle(NamedTuple):
+    """A new bundle as a draft."""
+
     request: str
     author: str
     text: str
 
 
 class SignBundle(NamedTuple):
+    """A second person's sign-off of a draft, by its digest; it starts the roll-out."""
+
     request: str
     signer: str
     number: int
@@ -73,6 +84,8 @@
 
 
 class AdvanceBundle(NamedTuple):
+    """Moves a rolling bundle from one stage to the next."""
+
     request: str
     operator: str
     number: int
@@ -80,80 +93,100 @@
 
 
 class AbortBundle(NamedTuple):
+    """Withdraws a bundle that is a draft or rolling out."""
+
     request: str
     operator: str
     number: int
 
 
-class NoteServer(NamedTuple):
+class RegisterServer(NamedTuple):
+    """A server's state, as its proxy or the liveness monitor reports it."""
+
     proxy: str
     service: str
     instance: str
     address: str
     zone: str
     state: str
+    # Counts the reports of one incarnation of the proxy.
     serial: int
     incarnation: str
-    duty_epoch: int = 0
-    # Why a warden and an operator both write marks: an operator's mark outlives the server's own "ready".
+    # The epoch of the singleton role under which the monitor reports; 0 from the proxy itself.
+    role_epoch: int = 0
+    # Kept for its place in the encoding; drain marks are set by DrainServer.
     operator: str = ""
-    # The newest revision the reporter had seen: a late report can't have seen what came after it.
-    seen: int = -1
+    # The newest configuration revision the reporter had seen.
+    seen_revision: int = -1
 
 
 class DrainServer(NamedTuple):
+    """Sets or clears an operator's drain mark on the server beside a proxy."""
+
     request: str
     operator: str
     proxy: str
     drain: bool
 
 
-class NoteNode(NamedTuple):
+class RegisterNode(NamedTuple):
+    """A node's address and state, as the node or the liveness monitor reports it."""
+
     node: str
     kind: str
     address: str
     zone: str
     incarnation: str
     state: str
-    duty_epoch: int = 0
-    seen: int = -1
-    # The highest release level its process supports.
+    role_epoch: int = 0
+    seen_revision: int = -1
+    # The highest release level that the node's process supports.
     level: int = 1
 
 
-class TakeDuty(NamedTuple):
-    duty: str
+class AcquireSingletonRole(NamedTuple):
+    """Takes a role that one node at a time holds; the epoch is its fencing token, one above the former holder's."""
+
+    role: str
     node: str
     epoch: int
 
 
-class ClaimHold(NamedTuple):
+class ClaimKey(NamedTuple):
+    """Claims an idempotency key before its request is run."""
+
     scope: str
     claim: str
     proxy: str
     body_digest: str
-    # Who calls, method, path and key; by what the client is known, and a digest of that; for the display, the entry.
+    # A digest of caller, method, path and key: claims in one bucket may be the same client's.
     bucket: str = ""
-    by: str = ""
-    who: str = ""
-    entry: str = ""
-    # Seconds of mesh time the key stays held; 0 for the rule of old.
-    span: int = 0
-    # A claim that its holder has given up for good: this one takes its place.
-    after: str = ""
+    # What identifies the client ("credentials", or a declared header or cookie), and a digest of its value.
+    identified_by: str = ""
+    client_digest: str = ""
+    # The route's name, for display.
+    route: str = ""
+    # Seconds of mesh time for which the key is held; 0 for UNSETTLED_HOLD_TIMEOUT.
+    hold_seconds: int = 0
+    # A claim that its holder has given up: this one replaces it.
+    replaced_claim: str = ""
+
 
+class CompleteKey(NamedTuple):
+    """Stores the answer of a claimed key's request, for repeats of the request."""
 
-class SettleHold(NamedTuple):
     scope: str
     claim: str
     status: int
     headers: dict[str, str]
     body: bytes
-    # False when the answer went over its cap: the hold then keeps only that the run is done.
-    kept: bool
+    # False when the answer exceeded its limit: then only the completion is stored.
+    answer_kept: bool
 
 
-class ReleaseHold(NamedTuple):
+class ReleaseKey(NamedTuple):
+    """Gives a claimed key back: its request did not run."""
+
     scope: str
     claim: str
 
@@ -165,13 +198,13 @@
 
 
 class Purge(NamedTuple):
-    """Forgets servers and nodes that have been gone for long."""
+    """Removes servers and nodes that have been gone for GONE_RETENTION."""
 
-    duty_epoch: int
+    role_epoch: int
 
 
-class ChangeOperator(NamedTuple):
-    """One operator's half of a change among the operators; an empty digest removes the one named."""
+class ProposeOperatorChange(NamedTuple):
+    """One operator's half of adding, renewing or removing another; an empty token digest removes."""
 
     request: str
     operator: str
@@ -179,7 +212,7 @@
     digest: str
 
 
-class SignOperator(NamedTuple):
+class SignOperatorChange(NamedTuple):
     """A second person's half of it; change is the digest of what was proposed."""
 
     request: str
@@ -188,8 +221,8 @@
     change: str
 
 
-class DropOperator(NamedTuple):
-    """Takes a proposed change among the operators back."""
+class WithdrawOperatorChange(NamedTuple):
+    """Withdraws a proposed change among the operators."""
 
     request: str
     operator: str
@@ -197,87 +230,65 @@
 
 
 Command = (
-    LeaderNote
+    LeaderChange
     | Tick
-    | SwapVoter
+    | UpdateVoter
     | AddVoter
-    | DropVoter
+    | RemoveVoter
     | ReplaceVoter
     | PatchItems
     | SubmitBundle
     | SignBundle
     | AdvanceBundle
     | AbortBundle
-    | NoteServer
+    | RegisterServer
     | DrainServer
-    | NoteNode
-    | TakeDuty
-    | ClaimHold
-    | SettleHold
-    | ReleaseHold
+    | RegisterNode
+    | AcquireSingletonRole
+    | ClaimKey
+    | CompleteKey
+    | ReleaseKey
     | RaiseLevel
     | Purge
-    | ChangeOperator
-    | SignOperator
-    | DropOperator
+    | ProposeOperatorChange
+    | SignOperatorChange
+    | WithdrawOperatorChange
 )
-# The highest release level this release supports, and the commands that came with each level above the first.
+# The highest release level that this release supports.
 LEVEL = 4
+# The release level that each command came with, where that is above the first.
 LEVEL_OF: dict[type, int] = {
     Purge: 2,
-    ChangeOperator: 2,
-    SignOperator: 2,
-    DropOperator: 2,
+    ProposeOperatorChange: 2,
+    SignOperatorChange: 2,
+    WithdrawOperatorChange: 2,
     AddVoter: 3,
-    DropVoter: 3,
+    RemoveVoter: 3,
     PatchItems: 3,
     ReplaceVoter: 4,
 }
-COMMANDS: dict[str, Any] = {kind.__name__: kind for kind in Command.__args__}
-_encoder = msgspec.msgpack.Encoder()
-# Fields whose encoded name differs from their name here. The encoded names are on disk and stay.
-ENCODED_FIELDS = {"proxy": "stall"}
-DECODED_FIELDS = {encoded: field for field, encoded in ENCODED_FIELDS.items()}
+# How long a key is held after its answer was stored, and before.
+SETTLED_HOLD_TIMEOUT = timedelta(seconds=75)
+UNSETTLED_HOLD_TIMEOUT = timedelta(minutes=10)
+# How long the outcome of an operator's request is kept for repeats of it.
+OUTCOME_RETENTION = timedelta(minutes=10)
+# How long a patch may be sent again where it names no time of its own.
+RESEND_WINDOW = timedelta(minutes=10)
+# How often the state is searched for what has expired.
+EXPIRY_INTERVAL = timedelta(seconds=5)
+# Longer than any lease, hold or retry that could still refer to a server or node that is gone.
+GONE_RETENTION = timedelta(minutes=10)
 
 
 class Outcome(NamedTuple):
-    """What applying one record came to; error is empty when it was taken."""
+    """What applying one command came to. Encoded by position, and kept in the state for repeated requests.
+
+    error is the kind of error as a string, empty when the command was accepted. field names the part of the request
+    that the error is about; detail holds what an accepted command reports back.
+    """
 
     error: str = ""
     message: str = ""
     remedy: str = ""
     field: str = ""
     detail: dict = {}
-
-
-def pack_command(command: Command) -> bytes:
-    fields = {ENCODED_FIELDS.get(field, field): value for field, value in command._asdict().items()}
-    return _encoder.encode([type(command).__name__, fields])
-
-
-def unpack_command(payload: bytes) -> Command | None:
-    name, fields = msgspec.msgpack.decode(payload)
-    kind = COMMANDS.get(name)
-    # None is a newer release's command. Passing over it would let replicas differ: whoever meets one must stop.
-    if kind is None:
-        return None
-    known = {DECODED_FIELDS.get(encoded, encoded): value for encoded, value in fields.items()}
-    return kind(**{field: value for field, value in known.items() if field in kind._fields})
-
-
-def pack_outcome(outcome: Outcome) -> bytes:
-    return _encoder.encode(list(outcome))
-
-
-def unpack_outcome(data: bytes) -> Outcome:
-    return Outcome(*msgspec.msgpack.decode(data))
-
-
-SETTLED_HOLD_TIMEOUT = timedelta(seconds=75)
-UNSETTLED_HOLD_TIMEOUT = timedelta(minutes=10)
-OUTCOME_RETENTION = timedelta(minutes=10)
-# Seconds an order may still be sent again where its taker names no span.
-RESEND_WINDOW = timedelta(minutes=10)
-EXPIRY_INTERVAL = timedelta(seconds=5)
-# Longer than any lease, any hold and any memory of a send that could still refer to a server or node.
-GONE_RETENTION = timedelta(minutes=10)
--- a/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
@@ -1,7 +1,7 @@
-"""What the log knows of orders that may come more than once: the same one again, or another under the same revision.
+"""Patches that come more than once: the same one again, or another content under the same revision.
 
-What was taken is never refused; what was refused never counts; one revision of an item has one content. Where the log
-no longer knows, it says so and gives neither answer.
+An accepted patch is never rejected later, a rejected one is never accepted later, and one revision of an item has one
+content. Where the log no longer knows which it was, it says so (OutcomeForgotten) in place of either answer.
 """
 
 import hashlib
@@ -9,160 +9,162 @@
 from typing import NamedTuple
 
 from hoistsaddle.common.clock import to_microseconds
-from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.items import DROPPED_DIGEST, ValidatedPatch, content_digest, key_of, pack_item
 from hoistsaddle.statemachine.commands import RESEND_WINDOW, Outcome, PatchItems
+from hoistsaddle.statemachine.errors import ItemConflict, OutcomeForgotten
 from hoistsaddle.statemachine.revision_history import (
     AcceptedRevision,
     RevisionHistory,
     RevisionStatus,
-    forget,
-    meet,
-    remember,
+    compare_revision,
+    prune,
+    record_revision,
 )
-from hoistsaddle.statemachine.state import RejectedPatch, State, refuse
+from hoistsaddle.statemachine.state import RejectedPatch, State
 
-# From this release level on the log remembers orders.
+# From this release level on the log remembers patches.
 DEDUPLICATION_LEVEL = 4
-# Refused patches whose copies are still told apart; the oldest go first.
+# Rejected patches that are remembered; the oldest are dropped first.
 MAX_REJECTED_PATCHES = 256
 
 
 class PatchedItem(NamedTuple):
-    """One item of an order: what it names, and its content under that revision."""
+    """One item of a patch: its key, and its content under that revision."""
 
     key: str
     revision: int
     digest: bytes
-    # Where it stands in the patch.
+    # Its place in the patch.
     field: str
 
 
 class PatchCheck(NamedTuple):
-    """What an order meets: the refusal it gets, if any, and what is to be remembered of it."""
+    """The rejection that a patch gets, if any, and the items to remember if it is accepted."""
 
-    refusal: Outcome | None
-    remembered: tuple[PatchedItem, ...] = ()
+    rejection: Outcome | None
+    items: tuple[PatchedItem, ...] = ()
 
 
 def _patched_items(checked: ValidatedPatch) -> list[PatchedItem]:
-    ordered = [
+    patched = [
         PatchedItem(
             key_of(upsert.kind, item.name),
             upsert.revision,
-            content_digest(body=pack_item(item), said=upsert.said),
+            content_digest(body=pack_item(item), source=upsert.source),
             f"sets[{place}]",
         )
         for place, (upsert, item) in enumerate(checked.sets)
     ]
-    ordered += [
+    patched += [
         PatchedItem(key_of(each.kind, each.name), each.revision, DROPPED_DIGEST, f"drops[{place}]")
         for place, each in enumerate(checked.drops)
     ]
-    return ordered
+    return patched
 
 
 def _revision_history(state: State, key: str) -> RevisionHistory | None:
-    known = state.memories.get(key)
+    known = state.revision_histories.get(key)
     if known is not None or key not in state.items:
         return known
-    # Taken before the log remembered: of what it overtook nothing is known.
-    entry = state.items[key]
-    digest = DROPPED_DIGEST if entry.dropped else content_digest(body=entry.body, said=entry.said)
-    return RevisionHistory((AcceptedRevision(entry.revision, digest, 0),), entry.revision - 1)
+    # Accepted below DEDUPLICATION_LEVEL: nothing is known of the revisions before it.
+    item = state.items[key]
+    digest = DROPPED_DIGEST if item.dropped else content_digest(body=item.body, source=item.source)
+    return RevisionHistory((AcceptedRevision(item.revision, digest, 0),), item.revision - 1)
 
 
 def _conflict(item: PatchedItem, *, where: str) -> Outcome:
     kind, _, name = item.key.partition(":")
-    return refuse(
-        ErrorKind.ITEM_CONFLICT,
+    return ItemConflict(
         f"Revision {item.revision} of {kind} {name} has another content {where}; nothing of the patch counts.",
-        "Read the items, and send the change under a higher revision of its own.",
-        item.field,
+        field=item.field,
     )
 
 
-def _unsure(message: str, field: str = "") -> Outcome:
-    return refuse(
-        ErrorKind.ORDER_UNSURE,
-        message,
-        "Read the items: what is missing there, send under a higher revision.",
-        field,
+def _forgotten(message: str, *, field: str = "") -> Outcome:
+    return OutcomeForgotten(
+        message, "Read the items: what is missing there, send under a higher revision.", field=field
     )
 
 
-def check_order(state: State, command: PatchItems, checked: ValidatedPatch) -> PatchCheck:
-    """Whether this order may count, by what is remembered of its items and of itself."""
+def check_duplicate(state: State, command: PatchItems, checked: ValidatedPatch) -> PatchCheck:
+    """Whether a patch may be accepted, by what is remembered of its items and of itself."""
     if state.level < DEDUPLICATION_LEVEL:
         return PatchCheck(None)
-    ordered = _patched_items(checked)
-    within: dict[tuple[str, int], bytes] = {}
-    for item in ordered:
-        if within.setdefault((item.key, item.revision), item.digest) != item.digest:
-            return PatchCheck(_conflict(item, where="in the same patch"))
-    met = [
-        (item, meet(_revision_history(state, item.key), revision=item.revision, digest=item.digest)) for item in ordered
+    patched = _patched_items(checked)
+    if (conflict := _conflict_within(patched)) is not None:
+        return PatchCheck(conflict)
+    statuses = [
+        compare_revision(_revision_history(state, item.key), revision=item.revision, digest=item.digest)
+        for item in patched
     ]
-    for item, meeting in met:
-        if meeting is RevisionStatus.OTHER:
+    for item, status in zip(patched, statuses, strict=True):
+        if status is RevisionStatus.OTHER:
             return PatchCheck(_conflict(item, where="already"))
-    for item, meeting in met:
-        if meeting is RevisionStatus.FORGOTTEN:
+    for item, status in zip(patched, statuses, strict=True):
+        if status is RevisionStatus.FORGOTTEN:
             kind, _, name = item.key.partition(":")
-            return PatchCheck(
-                _unsure(f"Revision {item.revision} of {kind} {name} was overtaken too long ago to be told.", item.field)
-            )
-    refused = state.refusals.get(call_digest(command))
-    if (
-        refused is not None
-        and command.seen < refused.offset
-        and any(each is not RevisionStatus.TAKEN for _, each in met)
-    ):
-        # This copy set out before the refusal was logged: its sender was told, or will be, that it doesn't count.
-        return PatchCheck(_unsure("An older copy of a patch that was refused since: it doesn't count any more."))
-    return PatchCheck(None, tuple(ordered))
-
-
-def call_digest(command: PatchItems) -> str:
+            message = f"Revision {item.revision} of {kind} {name} was overtaken too long ago to be told."
+            return PatchCheck(_forgotten(message, field=item.field))
+    rejected = state.rejected_patches.get(patch_digest(command))
+    is_new = any(status is not RevisionStatus.ACCEPTED for status in statuses)
+    if rejected is not None and command.seen_offset < rejected.offset and is_new:
+        # This copy was sent before the rejection was logged, so its sender was told, or will be, that it is rejected.
+        return PatchCheck(_forgotten("An older copy of a patch that was refused since: it doesn't count any more."))
+    return PatchCheck(None, tuple(patched))
+
+
+def _conflict_within(patched: list[PatchedItem]) -> Outcome | None:
+    digests: dict[tuple[str, int], bytes] = {}
+    for item in patched:
+        if digests.setdefault((item.key, item.revision), item.digest) != item.digest:
+            return _conflict(item, where="in the same patch")
+    return None
+
+
+def patch_digest(command: PatchItems) -> str:
+    """What a copy of a patch is recognised by."""
     return hashlib.sha256(command.patch).hexdigest()
 
 
-def _until(state: State, command: PatchItems) -> int:
-    span = timedelta(seconds=command.span) if command.span > 0 else RESEND_WINDOW
-    return to_microseconds(state.stamp + span)
+def _resent_until(state: State, command: PatchItems) -> int:
+    """Microseconds of mesh time up to which the patch may be sent again."""
+    window = timedelta(seconds=command.resend_seconds) if command.resend_seconds > 0 else RESEND_WINDOW
+    return to_microseconds(state.mesh_time + window)
 
 
-def remember_order(state: State, command: PatchItems, check: PatchCheck) -> State:
-    """What was taken just now, or once more: its contents stay known for as long as it may be sent again."""
-    if not check.remembered:
+def record_accepted(state: State, command: PatchItems, check: PatchCheck) -> State:
+    """Remembers the contents of a patch that is accepted, for as long as it may be sent again."""
+    if not check.items:
         return state
-    now, until = to_microseconds(state.stamp), _until(state, command)
-    memories = state.memories.mutate()
-    for item in sorted(check.remembered):
-        known = memories.get(item.key) or _revision_history(state, item.key)
-        if known is None or known.taken[-1][:2] != (item.revision, item.digest):
-            memories[item.key] = remember(known, revision=item.revision, digest=item.digest, now=now, until=until)
-    return state._replace(memories=memories.finish())
+    now, until = to_microseconds(state.mesh_time), _resent_until(state, command)
+    histories = state.revision_histories.mutate()
+    for item in sorted(check.items):
+        known = histories.get(item.key) or _revision_history(state, item.key)
+        if known is None or known.accepted[-1][:2] != (item.revision, item.digest):
+            histories[item.key] = record_revision(
+                known, revision=item.revision, digest=item.digest, now=now, until=until
+            )
+    return state._replace(revision_histories=histories.finish())
 
 
-def remember_refusal(state: State, command: PatchItems, offset: int) -> State:
-    """A refusal for what stood now: a copy that set out before it must not count once something else stands."""
+def record_rejection(state: State, command: PatchItems, offset: int) -> State:
+    """Remembers a rejection against the present state, so that an older copy isn't accepted against a later one."""
     if state.level < DEDUPLICATION_LEVEL:
         return state
-    refusals = state.refusals.set(call_digest(command), RejectedPatch(offset, _until(state, command)))
-    if len(refusals) > MAX_REJECTED_PATCHES:
-        refusals = refusals.delete(min(refusals, key=lambda digest: refusals[digest].offset))
-    return state._replace(refusals=refusals)
+    rejected = state.rejected_patches.set(patch_digest(command), RejectedPatch(offset, _resent_until(state, command)))
+    if len(rejected) > MAX_REJECTED_PATCHES:
+        rejected = rejected.delete(min(rejected, key=lambda digest: rejected[digest].offset))
+    return state._replace(rejected_patches=rejected)
 
 
 def expire_patches(state: State) -> State:
     """Forgets what nobody can send again."""
-    now = to_microseconds(state.stamp)
-    memories, refusals = state.memories.mutate(), state.refusals.mutate()
-    for key, memory in state.memories.items():
-        if (left := forget(memory, now=now)) is not memory:
-            memories[key] = left
-    for digest, refusal in state.refusals.items():
-        if refusal.kept_until <= now:
-            del refusals[digest]
-    return state._replace(memories=memories.finish(), refusals=refusals.finish())
+    now = to_microseconds(state.mesh_time)
+    histories, rejected = state.revision_histories.mutate(), state.rejected_patches.mutate()
+    for key, history in state.revision_histories.items():
+        if (pruned := prune(history, now=now)) is not history:
+            histories[key] = pruned
+    for digest, rejection in state.rejected_patches.items():
+        if rejection.kept_until <= now:
+            del rejected[digest]
+    return state._replace(revision_histories=histories.finish(), rejected_patches=rejected.finish())
--- a/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
@@ -1,56 +1,50 @@
-"""What the log makes of servers, nodes and duties: reports, marks, lives, and forgetting what is gone."""
+"""What the log makes of servers, nodes and singleton roles: reports, drain marks, fencing, and purging what is gone."""
 
 from immutables import Map
 
 from hoistsaddle.common.clock import to_microseconds
-from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.statemachine.commands import (
     GONE_RETENTION,
+    AcquireSingletonRole,
     DrainServer,
-    NoteNode,
-    NoteServer,
     Outcome,
     Purge,
     RaiseLevel,
-    TakeDuty,
+    RegisterNode,
+    RegisterServer,
+)
+from hoistsaddle.statemachine.errors import ReleaseTooOld, ServerUnknown, StaleRoleEpoch
+from hoistsaddle.statemachine.state import (
+    GONE,
+    NODE_MONITOR_ROLE,
+    NodeRecord,
+    ServerRecord,
+    SingletonRoleRecord,
+    State,
 )
-from hoistsaddle.statemachine.state import GONE, WARDEN, NodeRecord, ServerRecord, SingletonRoleRecord, State, refuse
 
 
-def _reject_stale_epoch(state: State, duty: str, epoch: int) -> Outcome | None:
-    entry = state.duties.get(duty)
-    if epoch and (entry is None or epoch < entry.epoch):
-        return refuse(
-            ErrorKind.DUTY_EPOCH_OLD,
-            f"Duty {duty} is held under epoch {entry.epoch if entry else 0}, not {epoch}.",
-            "Another node has taken over: stop.",
-            "duty_epoch",
-        )
+def _reject_stale_epoch(state: State, epoch: int) -> Outcome | None:
+    """The rejection of a node monitor whose role another node has acquired since; epoch 0 is no monitor's."""
+    role = state.singleton_roles.get(NODE_MONITOR_ROLE)
+    current = role.epoch if role is not None else 0
+    if epoch and (role is None or epoch < current):
+        return StaleRoleEpoch(f"Duty {NODE_MONITOR_ROLE} is held under epoch {current}, not {epoch}.")
     return None
 
 
-def register_server(state: State, command: NoteServer, offset: int) -> tuple[State, Outcome]:
-    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
-        return state, refused
+def register_server(state: State, command: RegisterServer, offset: int) -> tuple[State, Outcome]:
+    """Takes a report about a server, unless a later one was taken before."""
+    if (rejection := _reject_stale_epoch(state, command.role_epoch)) is not None:
+        return state, rejection
     known = state.servers.get(command.proxy)
-    node = state.nodes.get(command.proxy)
-    # A report from an earlier life of the proxy, or an earlier report of this life, must not undo a later one.
-    former = node is not None and node.incarnation != command.incarnation
-    earlier = known is not None and known.incarnation == command.incarnation and command.serial < known.serial
-    # The warden's "gone" is about the very report it saw last; whatever came since is news to it.
-    outdated = (
-        command.duty_epoch > 0
-        and known is not None
-        and (known.incarnation, known.serial) != (command.incarnation, command.serial)
-    )
-    # What was forgotten can't be brought back by a report from before: its reporter hadn't seen the forgetting.
-    forgotten = state.level > 1 and (node is None or (known is None and _predates_purge(state, command)))
-    if former or earlier or outdated or forgotten:
+    if _is_outdated(state, command, known):
         return state, Outcome(
             detail={"old": True, "state": known.state if known else "", "serial": known.serial if known else 0}
         )
+    # A drain mark is about the instance, and ends with it.
     drained_by = known.drained_by if known is not None and known.instance == command.instance else ""
-    entry = ServerRecord(
+    server = ServerRecord(
         command.proxy,
         command.service,
         command.instance,
@@ -63,46 +57,55 @@
         offset,
         _timestamp(state),
     )
-    if known is not None and known._replace(offset=offset, serial=command.serial, changed=entry.changed) == entry:
+    if known is not None and known._replace(offset=offset, serial=command.serial, changed=server.changed) == server:
         return state, Outcome(detail={"state": known.state, "serial": known.serial})
-    return state._replace(servers=state.servers.set(command.proxy, entry), news=offset), Outcome(
-        detail={"state": command.state, "serial": command.serial}
-    )
+    state = state._replace(servers=state.servers.set(command.proxy, server), data_plane_revision=offset)
+    return state, Outcome(detail={"state": command.state, "serial": command.serial})
+
+
+def _is_outdated(state: State, command: RegisterServer, known: ServerRecord | None) -> bool:
+    """Whether a report about a server was overtaken by what the state knows."""
+    node = state.nodes.get(command.proxy)
+    # From an earlier incarnation of the proxy.
+    if node is not None and node.incarnation != command.incarnation:
+        return True
+    if known is not None:
+        if known.incarnation == command.incarnation and command.serial < known.serial:
+            return True
+        # The node monitor's "gone" is about the very report that it saw last.
+        seen = (command.incarnation, command.serial)
+        if command.role_epoch > 0 and (known.incarnation, known.serial) != seen:
+            return True
+    # A report can't bring back what was purged after its reporter last looked.
+    return state.level > 1 and (node is None or (known is None and _predates_purge(state, command)))
 
 
 def drain(state: State, command: DrainServer, offset: int) -> tuple[State, Outcome]:
+    """Sets or clears the drain mark of a server."""
     known = state.servers.get(command.proxy)
     if known is None or known.state == GONE:
-        return state, refuse(
-            ErrorKind.NO_SERVER,
-            f"No server is known beside {command.proxy}.",
-            "Read the servers back and name one of them.",
-            "stall",
-        )
+        return state, ServerUnknown(f"No server is known beside {command.proxy}.")
     drained_by = command.operator if command.drain else ""
-    entry = known._replace(drained_by=drained_by, offset=offset, changed=_timestamp(state))
-    return state._replace(servers=state.servers.set(command.proxy, entry), news=offset), Outcome(
-        detail={"stall": command.proxy, "instance": known.instance, "offset": offset}
-    )
+    server = known._replace(drained_by=drained_by, offset=offset, changed=_timestamp(state))
+    state = state._replace(servers=state.servers.set(command.proxy, server), data_plane_revision=offset)
+    return state, Outcome(detail={"stall": command.proxy, "instance": known.instance, "offset": offset})
 
 
-def register_node(state: State, command: NoteNode, offset: int) -> tuple[State, Outcome]:
-    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
-        return state, refused
+def register_node(state: State, command: RegisterNode, offset: int) -> tuple[State, Outcome]:
+    """Takes a report about a node, unless a later one was taken before."""
+    if (rejection := _reject_stale_epoch(state, command.role_epoch)) is not None:
+        return state, rejection
     known = state.nodes.get(command.node)
-    # "Gone" said of an earlier life says nothing of the present one.
+    # That an earlier incarnation is gone says nothing of the present one.
     if known is not None and command.state == GONE and known.incarnation != command.incarnation:
         return state, Outcome(detail={"old": True})
     if state.level > 1 and command.state != GONE and command.level < state.level:
-        return state, refuse(
-            ErrorKind.RELEASE_OLD,
-            f"{command.node} supports release level {command.level}, the mesh is at {state.level}.",
-            "Install a release that supports the mesh's level.",
-            "level",
+        return state, ReleaseTooOld(
+            f"{command.node} supports release level {command.level}, the mesh is at {state.level}."
         )
     if state.level > 1 and _is_stale_report(state, command, known):
         return state, Outcome(detail={"old": True})
-    entry = NodeRecord(
+    node = NodeRecord(
         command.node,
         command.kind,
         command.address,
@@ -112,34 +115,34 @@
         offset,
         _timestamp(state),
     )
-    if known is not None and known._replace(offset=offset, changed=entry.changed) == entry:
+    if known is not None and known._replace(offset=offset, changed=node.changed) == node:
         return state, Outcome()
-    return state._replace(nodes=state.nodes.set(command.node, entry), news=offset), Outcome()
+    return state._replace(nodes=state.nodes.set(command.node, node), data_plane_revision=offset), Outcome()
 
 
 def _timestamp(state: State) -> int:
-    # Below level 2 nobody keeps it, so that former releases build the same state.
-    return to_microseconds(state.stamp) if state.level > 1 else 0
+    # Not kept below level 2, so that former releases build the same state.
+    return to_microseconds(state.mesh_time) if state.level > 1 else 0
 
 
-def _predates_purge(state: State, command: NoteServer | NoteNode) -> bool:
-    return command.seen < state.purged
+def _predates_purge(state: State, command: RegisterServer | RegisterNode) -> bool:
+    return command.seen_revision < state.purge_offset
 
 
-def _is_stale_report(state: State, command: NoteNode, known: NodeRecord | None) -> bool:
-    """A late report: of what was forgotten since, or of a life that another one has followed since."""
+def _is_stale_report(state: State, command: RegisterNode, known: NodeRecord | None) -> bool:
+    """Whether a report is about a node that was purged since, or an incarnation that another one has followed."""
     if known is None:
         return command.state == GONE or _predates_purge(state, command)
-    return known.incarnation != command.incarnation and command.seen < known.offset
+    return known.incarnation != command.incarnation and command.seen_revision < known.offset
 
 
 def purge(state: State, command: Purge, offset: int) -> tuple[State, Outcome]:
-    """Forgets what has been gone for so long that no lease, hold or memory of a send refers to it any more."""
-    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
-        return state, refused
-    least = to_microseconds(state.stamp - GONE_RETENTION)
-    servers = [key for key, entry in state.servers.items() if entry.state == GONE and entry.changed <= least]
-    nodes = [key for key, entry in state.nodes.items() if entry.state == GONE and entry.changed <= least]
+    """Removes what has been gone for so long that no lease, hold or retry refers to it any more."""
+    if (rejection := _reject_stale_epoch(state, command.role_epoch)) is not None:
+        return state, rejection
+    latest = to_microseconds(state.mesh_time - GONE_RETENTION)
+    servers = [key for key, server in state.servers.items() if server.state == GONE and server.changed <= latest]
+    nodes = [key for key, node in state.nodes.items() if node.state == GONE and node.changed <= latest]
     if not servers and not nodes:
         return state, Outcome(detail={"servers": [], "nodes": []})
     kept_servers, kept_nodes = state.servers.mutate(), state.nodes.mutate()
@@ -147,32 +150,36 @@
         del kept_servers[key]
     for key in nodes:
         del kept_nodes[key]
-    state = state._replace(servers=kept_servers.finish(), nodes=kept_nodes.finish(), purged=offset, news=offset)
+    state = state._replace(
+        servers=kept_servers.finish(), nodes=kept_nodes.finish(), purge_offset=offset, data_plane_revision=offset
+    )
     return state, Outcome(detail={"servers": sorted(servers), "nodes": sorted(nodes)})
 
 
 def raise_level(state: State, command: RaiseLevel, offset: int) -> tuple[State, Outcome]:
+    """Raises the release level; a lower one changes nothing."""
     if command.level <= state.level:
         return state, Outcome(detail={"level": state.level})
-    # What is gone already counts as gone from now on: nothing is forgotten sooner for having been gone before.
-    stamp = to_microseconds(state.stamp)
-    servers = Map({key: entry._replace(changed=stamp) for key, entry in state.servers.items()})
-    nodes = Map({key: entry._replace(changed=stamp) for key, entry in state.nodes.items()})
-    state = state._replace(level=command.level, raised=offset, news=offset, servers=servers, nodes=nodes)
+    # What is gone already counts as gone from now on: when it went was not kept below level 2.
+    now = to_microseconds(state.mesh_time)
+    servers = Map({key: server._replace(changed=now) for key, server in state.servers.items()})
+    nodes = Map({key: node._replace(changed=now) for key, node in state.nodes.items()})
+    state = state._replace(
+        level=command.level, level_offset=offset, data_plane_revision=offset, servers=servers, nodes=nodes
+    )
     return state, Outcome(detail={"level": command.level})
 
 
-def acquire_singleton_role(state: State, command: TakeDuty, offset: int) -> tuple[State, Outcome]:
-    known = state.duties.get(command.duty)
-    epoch = known.epoch if known else 0
+def acquire_singleton_role(state: State, command: AcquireSingletonRole, offset: int) -> tuple[State, Outcome]:
+    """Gives a singleton role to a node that knows the epoch of its last holder."""
+    known = state.singleton_roles.get(command.role)
+    epoch = known.epoch if known is not None else 0
     if command.epoch != epoch + 1:
-        return state, refuse(
-            ErrorKind.DUTY_EPOCH_OLD,
-            f"Duty {command.duty} is at epoch {epoch}.",
+        return state, StaleRoleEpoch(
+            f"Duty {command.role} is at epoch {epoch}.",
             "Read the duty and ask again if it is still free.",
-            "epoch",
+            field="epoch",
         )
-    entry = SingletonRoleRecord(command.duty, command.node, command.epoch, offset)
-    return state._replace(duties=state.duties.set(command.duty, entry), news=offset), Outcome(
-        detail={"epoch": command.epoch}
-    )
+    role = SingletonRoleRecord(command.role, command.node, command.epoch, offset)
+    roles = state.singleton_roles.set(command.role, role)
+    return state._replace(singleton_roles=roles, data_plane_revision=offset), Outcome(detail={"epoch": command.epoch})
--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -1,44 +1,47 @@
-"""What the log makes of keys that must run once: claims, answers kept, keys given back, and their expiry."""
+"""What the log makes of idempotency keys: claims, stored answers, released keys, and their expiry.
+
+A key's request must run once. Whoever is about to run it claims the key; a repeat of the request meets the claim, or
+the answer that was stored for it. Holds expire by mesh time, so they do on every replica alike and never early.
+"""
 
 from datetime import timedelta
 
 from hoistsaddle.common.clock import from_microseconds, to_microseconds
-from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.statemachine.commands import (
     EXPIRY_INTERVAL,
     OUTCOME_RETENTION,
     SETTLED_HOLD_TIMEOUT,
     UNSETTLED_HOLD_TIMEOUT,
-    ClaimHold,
+    ClaimKey,
+    CompleteKey,
     Outcome,
-    ReleaseHold,
-    SettleHold,
+    ReleaseKey,
 )
-from hoistsaddle.statemachine.state import CLAIMED, SETTLED, Hold, State, refuse
+from hoistsaddle.statemachine.errors import KeyClientUnsure, KeyHeld, KeyOtherBody, ReleaseTooOld
+from hoistsaddle.statemachine.state import CLAIMED, SETTLED, KeyHold, State
 
+# What identifies a client that no bundle declares a header or cookie for; encoded.
 BY_CREDENTIALS = "credentials"
+# What a claim or release came to, in the outcome's detail; on the wire.
+GRANTED = "granted"
+RELEASED = "released"
+KEPT = "kept"
 
 
-def _hold_timeout(command: ClaimHold) -> timedelta:
-    return timedelta(seconds=command.span) if command.span else UNSETTLED_HOLD_TIMEOUT
+def _hold_timeout(command: ClaimKey) -> timedelta:
+    return timedelta(seconds=command.hold_seconds) if command.hold_seconds else UNSETTLED_HOLD_TIMEOUT
 
 
-def _live(state: State, scope: str) -> Hold | None:
+def _active_hold(state: State, scope: str) -> KeyHold | None:
     hold = state.holds.get(scope)
-    # Expiry is judged against mesh time: the same on every replica, never early.
-    return None if hold is None or from_microseconds(hold.expires) <= state.stamp else hold
+    return None if hold is None or from_microseconds(hold.expires) <= state.mesh_time else hold
 
 
-def _meet(hold: Hold, scope: str, command: ClaimHold) -> Outcome:
+def _repeat_outcome(hold: KeyHold, scope: str, command: ClaimKey) -> Outcome:
     """What the same client's next claim of a held key gets."""
     if hold.body_digest != command.body_digest:
-        return refuse(
-            ErrorKind.KEY_OTHER_BODY,
-            "The key was used with another body.",
-            "Use a new Idempotency-Key for a new request.",
-            "Idempotency-Key",
-        )
+        return KeyOtherBody("The key was used with another body.")
     if hold.phase == SETTLED:
         return Outcome(
             detail={
@@ -46,128 +49,127 @@
                 "status": hold.status,
                 "headers": hold.headers,
                 "body": hold.body,
-                "kept": hold.kept,
+                "kept": hold.answer_kept,
             }
         )
-    # The same claim forwarded twice is one claim. Who holds it is told, as its answer may be kept there.
-    phase = "granted" if hold.claim == command.claim else CLAIMED
+    # The same claim forwarded twice is one claim. The holder is named, as the answer may be kept there.
+    phase = GRANTED if hold.claim == command.claim else CLAIMED
     return Outcome(detail={"phase": phase, "scope": scope, "claim": hold.claim, "stall": hold.proxy})
 
 
-def _told_apart(hold: Hold, command: ClaimHold) -> bool:
-    """Surely two clients: both are known by the same declared mark, and the marks differ.
+def _are_distinct_clients(hold: KeyHold, command: ClaimKey) -> bool:
+    """Whether hold and claim are certainly two clients': identified by the same header or cookie, with two values.
 
-    Credentials are no such mark: another token may be the same client's renewed one.
+    Credentials don't tell: another token may be the same client's renewed one.
     """
-    return hold.by == command.by != BY_CREDENTIALS and hold.who != command.who
+    same_kind = hold.identified_by == command.identified_by != BY_CREDENTIALS
+    return same_kind and hold.client_digest != command.client_digest
 
 
-def hold_handle(command: ClaimHold) -> str:
-    """Under what the log holds it: it hangs on nothing that a bundle, a renewed credential or a new address changes."""
-    # An operation known by its key alone has nobody to be told apart, and its bucket for a handle.
-    return digest_of("\0".join((command.bucket, command.by, command.who))) if command.who else command.bucket
+def hold_handle(command: ClaimKey) -> str:
+    """The scope under which a claim is held: nothing that a new bundle, credential or address changes is part of it."""
+    if not command.client_digest:
+        # An operation that its key alone identifies: nobody is to be told apart.
+        return command.bucket
+    return digest_of("\0".join((command.bucket, command.identified_by, command.client_digest)))
 
 
-def claim(state: State, command: ClaimHold) -> tuple[State, Outcome]:
+def claim(state: State, command: ClaimKey) -> tuple[State, Outcome]:
+    """Grants a claim, or answers with what the key is held for."""
     if state.level < 2:
         return _claim_by_scope(state, command)
     if not command.bucket:
-        return state, refuse(
-            ErrorKind.RELEASE_OLD,
-            "The claim doesn't say by what its visitor is known.",
-            "Install a release that supports the mesh's level.",
-            "level",
-        )
-    before = _live(state, command.scope)
+        return state, ReleaseTooOld("The claim doesn't say by what its visitor is known.")
+    before = _active_hold(state, command.scope)
     if before is not None and not before.bucket:
-        # Held under level 1 by this very client and entry: its effect goes on.
-        return state, _meet(before, command.scope, command)
+        # Held since level 1 for this very client and route.
+        return state, _repeat_outcome(before, command.scope, command)
     others = []
     for scope in state.buckets.get(command.bucket, ()):
-        if (hold := _live(state, scope)) is None:
+        hold = _active_hold(state, scope)
+        if hold is None:
             continue
-        if (hold.by, hold.who) == (command.by, command.who):
-            if command.after and hold.claim == command.after and hold.phase == CLAIMED:
-                # Its holder has told that nothing ran under it and nothing will.
-                moved = hold._replace(
-                    claim=command.claim,
-                    proxy=command.proxy,
-                    expires=to_microseconds(state.stamp + _hold_timeout(command)),
-                )
-                state = state._replace(holds=state.holds.set(scope, moved))
-                return state, Outcome(detail={"phase": "granted", "scope": scope})
-            return state, _meet(hold, scope, command)
+        if (hold.identified_by, hold.client_digest) == (command.identified_by, command.client_digest):
+            return _claim_again(state, scope, hold, command)
         others.append((scope, hold))
-    if not all(_told_apart(hold, command) for _, hold in others):
-        return state, refuse(
-            ErrorKind.KEY_CLIENT_UNSURE,
+    if not all(_are_distinct_clients(hold, command) for _, hold in others):
+        return state, KeyClientUnsure(
             "The key is held for this request, and nothing shows whether the same visitor sent it; nothing ran now.",
             "Repeat it with the credentials it was first sent with, or use a new key if it is another request;"
             " a bundle may declare by what visitors are known.",
-            "Idempotency-Key",
         )
     handle = hold_handle(command)
-    expires = to_microseconds(state.stamp + _hold_timeout(command))
-    hold = Hold(
+    buckets = state.buckets.set(command.bucket, (*(scope for scope, _ in others), handle))
+    state = state._replace(holds=state.holds.set(handle, _new_hold(state, command)), buckets=buckets)
+    return state, Outcome(detail={"phase": GRANTED, "scope": handle})
+
+
+def _claim_again(state: State, scope: str, hold: KeyHold, command: ClaimKey) -> tuple[State, Outcome]:
+    """The same client's next claim; it replaces one that its holder has given up."""
+    if not (command.replaced_claim and hold.claim == command.replaced_claim and hold.phase == CLAIMED):
+        return state, _repeat_outcome(hold, scope, command)
+    expires = to_microseconds(state.mesh_time + _hold_timeout(command))
+    moved = hold._replace(claim=command.claim, proxy=command.proxy, expires=expires)
+    state = state._replace(holds=state.holds.set(scope, moved))
+    return state, Outcome(detail={"phase": GRANTED, "scope": scope})
+
+
+def _new_hold(state: State, command: ClaimKey) -> KeyHold:
+    return KeyHold(
         command.claim,
         command.proxy,
         command.body_digest,
         CLAIMED,
-        expires,
+        to_microseconds(state.mesh_time + _hold_timeout(command)),
         0,
         {},
         b"",
         False,
         command.bucket,
-        command.by,
-        command.who,
-        command.entry,
+        command.identified_by,
+        command.client_digest,
+        command.route,
     )
-    buckets = state.buckets.set(command.bucket, (*(scope for scope, _ in others), handle))
-    state = state._replace(holds=state.holds.set(handle, hold), buckets=buckets)
-    return state, Outcome(detail={"phase": "granted", "scope": handle})
 
 
-def _claim_by_scope(state: State, command: ClaimHold) -> tuple[State, Outcome]:
+def _claim_by_scope(state: State, command: ClaimKey) -> tuple[State, Outcome]:
     """The rule of release level 1, kept until every process knows the next one."""
-    known = _live(state, command.scope)
+    known = _active_hold(state, command.scope)
     if known is not None:
-        return state, _meet(known, command.scope, command)
-    expires = to_microseconds(state.stamp + UNSETTLED_HOLD_TIMEOUT)
-    hold = Hold(command.claim, command.proxy, command.body_digest, CLAIMED, expires, 0, {}, b"", False)
-    return state._replace(holds=state.holds.set(command.scope, hold)), Outcome(
-        detail={"phase": "granted", "scope": command.scope}
-    )
+        return state, _repeat_outcome(known, command.scope, command)
+    expires = to_microseconds(state.mesh_time + UNSETTLED_HOLD_TIMEOUT)
+    hold = KeyHold(command.claim, command.proxy, command.body_digest, CLAIMED, expires, 0, {}, b"", False)
+    state = state._replace(holds=state.holds.set(command.scope, hold))
+    return state, Outcome(detail={"phase": GRANTED, "scope": command.scope})
 
 
-def settle(state: State, command: SettleHold) -> tuple[State, Outcome]:
+def complete(state: State, command: CompleteKey) -> tuple[State, Outcome]:
+    """Stores the answer of a claimed key's request; a repeat of the command changes nothing."""
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim:
-        return state, refuse(
-            ErrorKind.KEY_HELD, "The hold is not this claim's any more.", "Report the answer as unknown.", "claim"
-        )
+        return state, KeyHeld("The hold is not this claim's any more.")
     if known.phase == SETTLED:
         return state, Outcome(detail={"phase": SETTLED})
-    expires = to_microseconds(state.stamp + SETTLED_HOLD_TIMEOUT)
     hold = known._replace(
         phase=SETTLED,
-        expires=expires,
+        expires=to_microseconds(state.mesh_time + SETTLED_HOLD_TIMEOUT),
         status=command.status,
         headers=command.headers,
         body=command.body,
-        kept=command.kept,
+        answer_kept=command.answer_kept,
     )
     return state._replace(holds=state.holds.set(command.scope, hold)), Outcome(detail={"phase": SETTLED})
 
 
-def release(state: State, command: ReleaseHold) -> tuple[State, Outcome]:
+def release(state: State, command: ReleaseKey) -> tuple[State, Outcome]:
+    """Gives a claimed key back; one with an answer, or with another claim, stays held."""
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim or known.phase == SETTLED:
-        return state, Outcome(detail={"phase": "kept"})
-    return _forget(state, (command.scope,)), Outcome(detail={"phase": "released"})
+        return state, Outcome(detail={"phase": KEPT})
+    return _remove_holds(state, (command.scope,)), Outcome(detail={"phase": RELEASED})
 
 
-def _forget(state: State, scopes: tuple[str, ...]) -> State:
+def _remove_holds(state: State, scopes: tuple[str, ...]) -> State:
     holds, buckets = state.holds.mutate(), state.buckets.mutate()
     for scope in scopes:
         bucket = holds.pop(scope).bucket
@@ -181,13 +183,15 @@
     return state._replace(holds=holds.finish(), buckets=buckets.finish())
 
 
-def sweep(state: State) -> State:
-    if state.stamp - state.swept < EXPIRY_INTERVAL:
+def expire(state: State) -> State:
+    """Removes holds and stored outcomes that have expired; looks for them every EXPIRY_INTERVAL."""
+    if state.mesh_time - state.expired_at < EXPIRY_INTERVAL:
         return state
-    stamp = to_microseconds(state.stamp)
-    state = _forget(state, tuple(scope for scope, hold in state.holds.items() if hold.expires <= stamp))
+    now = to_microseconds(state.mesh_time)
+    state = _remove_holds(state, tuple(scope for scope, hold in state.holds.items() if hold.expires <= now))
+    latest = now - to_microseconds(OUTCOME_RETENTION)
     outcomes = state.outcomes.mutate()
-    for request, kept in state.outcomes.items():
-        if kept[0] + to_microseconds(OUTCOME_RETENTION) <= stamp:
+    for request, stored in state.outcomes.items():
+        if stored.stored_at <= latest:
             del outcomes[request]
-    return state._replace(outcomes=outcomes.finish(), swept=state.stamp)
+    return state._replace(outcomes=outcomes.finish(), expired_at=state.mesh_time)
--- a/packages/statemachine/src/hoistsaddle/statemachine/reports.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/reports.py
@@ -1,4 +1,7 @@
-"""The whole configuration read back, as operators see it. Made from one state, so every part is of one moment."""
+"""What operators read back: the configuration, items, keys and operators, each report made from one state.
+
+The keys of the reports are part of the operators' interface; they don't change with the names of the records.
+"""
 
 from datetime import timedelta
 
@@ -7,127 +10,149 @@
 from hoistsaddle.common.clock import to_microseconds
 from hoistsaddle.config.items import unpack_item
 from hoistsaddle.statemachine.commands import GONE_RETENTION
-from hoistsaddle.statemachine.state import GONE, IN_FORCE, READY, ROLLING, State, bundle_of
-
-# A proxy that hasn't heard of a mark holds a lease no longer than this; the daemons' params may set another span.
+from hoistsaddle.statemachine.operators import kind_of_change
+from hoistsaddle.statemachine.state import (
+    CLAIMED,
+    GONE,
+    IN_FORCE,
+    READY,
+    ROLLING,
+    SETTLED,
+    BundleRecord,
+    ItemRecord,
+    KeyHold,
+    ServerRecord,
+    SingletonRoleRecord,
+    State,
+    bundle_in,
+)
+
+# A proxy that hasn't learnt of a drain mark holds a lease no longer than this, unless its settings say otherwise.
 LEASE = timedelta(seconds=1.5)
-
-
-def _bundle(state: State, number: int) -> dict:
-    entry = state.bundles[number]
-    bundle = bundle_of(state, number)
-    return {
-        "number": number,
-        "based_on": entry.based_on,
-        "phase": entry.phase,
-        "stage": entry.stage,
-        "stages": [stage.name for stage in bundle.rollout()],
-        "author": entry.author,
-        "signer": entry.signer,
-        "digest": entry.digest,
-        "offset": entry.offset,
-        "note": bundle.note,
-    }
-
-
-def _server(state: State, proxy: str) -> dict:
-    """A server under the field names that operators' programs read."""
-    return {"stall" if field == "proxy" else field: value for field, value in state.servers[proxy]._asdict().items()}
+PATCHES_SHOWN = 10
+# Characters of a key's scope by which it is shown.
+KEY_CHARACTERS = 12
 
 
 def state_report(state: State) -> dict:
-    active_bundles = [number for number, entry in state.bundles.items() if entry.phase in (IN_FORCE, ROLLING)]
+    """The whole configuration and the nodes of the mesh."""
+    active_bundles = [number for number, bundle in state.bundles.items() if bundle.phase in (IN_FORCE, ROLLING)]
     return {
         "mesh": state.mesh,
         "release_level": state.level,
         "operators": sorted(state.operators),
         "offset": state.offset,
-        "mesh_time_seconds": to_microseconds(state.stamp) / 1e6,
+        "mesh_time_seconds": to_microseconds(state.mesh_time) / 1e6,
         "in_force": state.in_force,
         "rolling": state.rolling,
-        "bundles": [_bundle(state, number) for number in sorted(state.bundles)],
+        "bundles": [_bundle_report(state.bundles[number]) for number in sorted(state.bundles)],
         "texts": {str(number): state.bundles[number].text for number in sorted(active_bundles)},
-        "servers": [_server(state, proxy) for proxy in sorted(state.servers)],
+        "servers": [_server_report(state.servers[proxy]) for proxy in sorted(state.servers)],
         "nodes": [state.nodes[node]._asdict() for node in sorted(state.nodes)],
-        "duties": [state.duties[duty]._asdict() for duty in sorted(state.duties)],
+        "duties": [_role_report(state.singleton_roles[role]) for role in sorted(state.singleton_roles)],
         "voters": [{"replica": replica, "incarnation": state.voters[replica]} for replica in sorted(state.voters)],
         "holds": {
-            "claimed": sum(hold.phase == "claimed" for hold in state.holds.values()),
-            "settled": sum(hold.phase == "settled" for hold in state.holds.values()),
+            "claimed": sum(hold.phase == CLAIMED for hold in state.holds.values()),
+            "settled": sum(hold.phase == SETTLED for hold in state.holds.values()),
         },
     }
 
 
-PATCHES_SHOWN = 10
+def _bundle_report(record: BundleRecord) -> dict:
+    bundle = bundle_in(record)
+    return {
+        "number": record.number,
+        "based_on": record.based_on,
+        "phase": record.phase,
+        "stage": record.stage,
+        "stages": [stage.name for stage in bundle.rollout()],
+        "author": record.author,
+        "signer": record.signer,
+        "digest": record.digest,
+        "offset": record.offset,
+        "note": bundle.note,
+    }
+
+
+def _server_report(server: ServerRecord) -> dict:
+    return {("stall" if field == "proxy" else field): value for field, value in server._asdict().items()}
+
+
+def _role_report(role: SingletonRoleRecord) -> dict:
+    return {"duty": role.role, "node": role.node, "epoch": role.epoch, "offset": role.offset}
 
 
 def items_report(state: State) -> dict:
-    """The items that stand, in the product's own words, and the newest patches with who answers for them."""
+    """The items in force, and the newest patches with who answers for them."""
     patches = [state.patches[number] for number in sorted(state.patches, reverse=True)[:PATCHES_SHOWN]]
+    items = sorted(state.items.items())
     return {
         "offset": state.offset,
-        "items": [
-            {
-                "kind": key.partition(":")[0],
-                "revision": entry.revision,
-                "item": msgspec.to_builtins(unpack_item(key.partition(":")[0], entry.body)),
-            }
-            for key, entry in sorted(state.items.items())
-            if not entry.dropped
-        ],
-        "dropped": {key: entry.revision for key, entry in sorted(state.items.items()) if entry.dropped},
+        "items": [_item_report(key, item) for key, item in items if not item.dropped],
+        "dropped": {key: item.revision for key, item in items if item.dropped},
         "patches": [{**patch._asdict(), "changed": list(patch.changed)} for patch in patches],
     }
 
 
-def _left(since: int, span: timedelta, now: int) -> float | None:
-    return max(0.0, round((since + to_microseconds(span) - now) / 1e6, 1)) if since else None
+def _item_report(key: str, item: ItemRecord) -> dict:
+    kind, _, _ = key.partition(":")
+    return {"kind": kind, "revision": item.revision, "item": msgspec.to_builtins(unpack_item(kind, item.body))}
 
 
 def holds_report(state: State) -> dict:
-    """The keys held at this moment of mesh time, with the time each has left. Scopes are digests; no answers go out."""
-    now = to_microseconds(state.stamp)
-    holds = [
-        {
-            "key": scope[:12],
-            "entry": hold.entry,
-            "phase": hold.phase,
-            "stall": hold.proxy,
-            "seconds_left": round((hold.expires - now) / 1e6, 1),
-        }
-        for scope, hold in state.holds.items()
-        if hold.expires > now
-    ]
+    """The keys that are held and the servers that leave, with the mesh time that each has left.
+
+    Scopes are shortened digests; no answers are shown.
+    """
+    now = to_microseconds(state.mesh_time)
+    holds = [_hold_report(scope, hold, now) for scope, hold in state.holds.items() if hold.expires > now]
     leaving = [
-        {
-            "stall": server.proxy,
-            "service": server.service,
-            "instance": server.instance,
-            "why": f"drained by {server.drained_by}" if server.drained_by else server.state,
-            # Below release level 2 the log doesn't keep when.
-            "no_new_work_in_seconds": _left(server.changed, LEASE, now),
-            "forgotten_in_seconds": _left(server.changed, GONE_RETENTION, now) if server.state == GONE else None,
-        }
-        for server in state.servers.values()
-        if server.drained_by or server.state != READY
+        _leaving_report(server, now) for server in state.servers.values() if server.drained_by or server.state != READY
     ]
-    leaving.sort(key=lambda each: each["stall"])
     return {
         "mesh_time_seconds": now / 1e6,
-        "leaving": leaving,
-        "keys": sorted(holds, key=lambda hold: (hold["seconds_left"], hold["key"])),
+        "leaving": sorted(leaving, key=lambda each: each["stall"]),
+        "keys": sorted(holds, key=lambda each: (each["seconds_left"], each["key"])),
+    }
+
+
+def _hold_report(scope: str, hold: KeyHold, now: int) -> dict:
+    return {
+        "key": scope[:KEY_CHARACTERS],
+        "entry": hold.route,
+        "phase": hold.phase,
+        "stall": hold.proxy,
+        "seconds_left": round((hold.expires - now) / 1e6, 1),
     }
 
 
+def _leaving_report(server: ServerRecord, now: int) -> dict:
+    return {
+        "stall": server.proxy,
+        "service": server.service,
+        "instance": server.instance,
+        "why": f"drained by {server.drained_by}" if server.drained_by else server.state,
+        "no_new_work_in_seconds": _seconds_left(server.changed, LEASE, now),
+        "forgotten_in_seconds": _seconds_left(server.changed, GONE_RETENTION, now) if server.state == GONE else None,
+    }
+
+
+def _seconds_left(since: int, duration: timedelta, now: int) -> float | None:
+    """Seconds until a duration since a change has passed; None below release level 2, where changes have no time."""
+    if not since:
+        return None
+    return max(0.0, round((since + to_microseconds(duration) - now) / 1e6, 1))
+
+
 def operators_report(state: State) -> dict:
-    """The operators, and the changes among them that wait for a second person. No digest of a token goes out."""
+    """The operators, and the changes among them that wait for a second signature. No token's digest is shown."""
     changes = [
         {
             "name": name,
-            "what": "remove" if not digest else "renew" if name in state.operators else "add",
-            "proposed_by": proposer,
-            "change": change,
+            "what": kind_of_change(state, name, proposed.token_digest),
+            "proposed_by": proposed.proposer,
+            "change": proposed.change,
         }
-        for name, (digest, proposer, change) in sorted(state.changes.items())
+        for name, proposed in sorted(state.operator_changes.items())
     ]
     return {"operators": sorted(state.operators), "changes": changes}
--- a/packages/statemachine/src/hoistsaddle/statemachine/revision_history.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/revision_history.py
@@ -1,84 +1,99 @@
-"""Which content each revision of an item was taken with, for as long as its order may still be sent again.
+"""Which content each revision of an item was accepted with, for as long as its patch may be sent again.
 
-One revision of an item has one content. What prevails shows only the newest; an order whose answer was lost may come
-again when its revision has been overtaken, and so may another one under the same revision that was refused. The memory
-tells them apart. It is built by the log alone, in mesh time, so it is the same on every replica.
+One revision of an item has one content. The items in force show only the newest; a patch whose answer was lost may be
+sent again after its revision was superseded, and so may another one under the same revision that was rejected. The
+history tells them apart. The log alone builds it, in mesh time, so it is the same on every replica.
 """
 
 from enum import Enum
 from typing import NamedTuple
 
-# Revisions of one name whose contents are kept; of those beyond, nothing certain can be said any more. At 30 bytes
-# each, a name that changes without end takes 4 KB of every snapshot.
+# Revisions of one name that are kept. At 30 bytes each, a name that changes without end takes 4 KB of every snapshot.
 MAX_REVISIONS = 128
 
 
 class AcceptedRevision(NamedTuple):
-    """One revision as it was taken."""
+    """One revision as it was accepted."""
 
     revision: int
     digest: bytes
-    # Microseconds of mesh time; of no account while it is the name's newest.
+    # Microseconds of mesh time; not used for the name's newest revision.
     kept_until: int
 
 
 class RevisionHistory(NamedTuple):
-    """What is known of one name's revisions. The last of them is the one that prevails."""
+    """What is known of one name's revisions, in ascending order. The last one is in force."""
 
-    taken: tuple[AcceptedRevision, ...]
-    # The highest revision of those taken and forgotten since; -1 while all are known.
-    forgotten: int = -1
+    accepted: tuple[AcceptedRevision, ...]
+    # The highest revision that was accepted and pruned since; -1 while all are known.
+    pruned: int = -1
 
 
 class RevisionStatus(Enum):
-    """What an item's revision and content meet."""
+    """How a revision with its content compares with the history of its name."""
 
-    # Above all that was taken: it prevails.
+    # Above all that was accepted.
     NEWEST = "newest"
-    # Taken before, with this content.
-    TAKEN = "taken"
-    # Taken before, with another content.
+    # Accepted before, with this content.
+    ACCEPTED = "accepted"
+    # Accepted before, with another content.
     OTHER = "other"
-    # Overtaken before it came, and certainly taken with no other content: it counts, and changes nothing.
-    OVERTAKEN = "overtaken"
-    # Overtaken, and what it was taken with isn't known any more.
+    # Below the newest, and certainly never accepted with another content: it is accepted and changes nothing.
+    SUPERSEDED = "superseded"
+    # Below the newest, and pruned: what it was accepted with is no longer known.
     FORGOTTEN = "forgotten"
 
 
-def meet(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
-    if memory is None or revision > memory.taken[-1].revision:
+def compare_revision(history: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
+    """How a revision with the digest of its content compares with a name's history; None for a new name."""
+    if history is None or revision > history.accepted[-1].revision:
         return RevisionStatus.NEWEST
-    known = next((each for each in memory.taken if each.revision == revision), None)
+    known = next((each for each in history.accepted if each.revision == revision), None)
     if known is not None:
-        return RevisionStatus.TAKEN if known.digest == digest else RevisionStatus.OTHER
-    return RevisionStatus.FORGOTTEN if revision <= memory.forgotten else RevisionStatus.OVERTAKEN
+        return RevisionStatus.ACCEPTED if known.digest == digest else RevisionStatus.OTHER
+    return RevisionStatus.FORGOTTEN if revision <= history.pruned else RevisionStatus.SUPERSEDED
 
 
-def remember(memory: RevisionHistory | None, *, revision: int, digest: bytes, now: int, until: int) -> RevisionHistory:
-    """The memory with this revision in it: its span begins with each copy that comes, and when it is overtaken."""
-    if memory is None:
+def record_revision(
+    history: RevisionHistory | None, *, revision: int, digest: bytes, now: int, until: int
+) -> RevisionHistory:
+    """The history with an accepted revision in it.
+
+    The time for which a revision is kept starts anew with each copy of its patch, and when it is superseded.
+
+    Args:
+        history: What is known of the name; None for a new one.
+        revision: The accepted revision.
+        digest: The digest of its content.
+        now: Microseconds of mesh time.
+        until: Microseconds of mesh time up to which the patch may be sent again.
+    """
+    if history is None:
         return RevisionHistory((AcceptedRevision(revision, digest, until),))
-    newest = memory.taken[-1].revision
+    newest = history.accepted[-1].revision
     if revision > newest:
-        # What prevailed until now may have been acknowledged a moment ago.
+        # The patch that was in force until now may have been acknowledged just before.
         before = tuple(
             each._replace(kept_until=max(each.kept_until, until)) if each.revision == newest else each
-            for each in memory.taken
+            for each in history.accepted
         )
-        taken = (*before, AcceptedRevision(revision, digest, until))
+        accepted = (*before, AcceptedRevision(revision, digest, until))
     else:
-        kept = max((each.kept_until for each in memory.taken if each.revision == revision), default=0)
-        others = (each for each in memory.taken if each.revision != revision)
-        taken = tuple(sorted((*others, AcceptedRevision(revision, digest, max(kept, until)))))
-    return forget(memory._replace(taken=taken), now=now)
-
-
-def forget(memory: RevisionHistory, *, now: int) -> RevisionHistory:
-    """The memory without what is past its span or beyond the bound. What prevails is always kept."""
-    past, newest = memory.taken[:-1], memory.taken[-1]
-    kept = tuple(each for each in past if each.kept_until > now)[-(MAX_REVISIONS - 1) :]
-    if len(kept) == len(past):
-        return memory
-    known = {each.revision for each in kept}
-    lost = max(each.revision for each in past if each.revision not in known)
-    return RevisionHistory((*kept, newest), max(memory.forgotten, lost))
+        kept_until = max((each.kept_until for each in history.accepted if each.revision == revision), default=0)
+        others = (each for each in history.accepted if each.revision != revision)
+        accepted = tuple(sorted((*others, AcceptedRevision(revision, digest, max(kept_until, until)))))
+    return prune(history._replace(accepted=accepted), now=now)
+
+
+def prune(history: RevisionHistory, *, now: int) -> RevisionHistory:
+    """The history without what has expired or exceeds MAX_REVISIONS; the very same where nothing goes.
+
+    The newest revision is always kept.
+    """
+    older, newest = history.accepted[:-1], history.accepted[-1]
+    kept = tuple(each for each in older if each.kept_until > now)[-(MAX_REVISIONS - 1) :]
+    if len(kept) == len(older):
+        return history
+    kept_revisions = {each.revision for each in kept}
+    pruned = max(each.revision for each in older if each.revision not in kept_revisions)
+    return RevisionHistory((*kept, newest), max(history.pruned, pruned))
--- /dev/null
+++ b/packages/statemachine/src/hoistsaddle/statemachine/voters.py
@@ -0,0 +1,37 @@
+"""What the log's changes of voters make of the state. Each is rejected where the voters are not as it expects."""
+
+from hoistsaddle.statemachine.commands import AddVoter, Outcome, RemoveVoter, ReplaceVoter, UpdateVoter
+from hoistsaddle.statemachine.errors import VotersChanged
+from hoistsaddle.statemachine.state import State
+
+
+def update(state: State, command: UpdateVoter, offset: int) -> tuple[State, Outcome]:
+    """Gives a voter another incarnation."""
+    if state.voters.get(command.replica) != command.old:
+        return state, VotersChanged("The voter was swapped already.")
+    voters = state.voters.set(command.replica, command.new)
+    return state._replace(voters=voters, data_plane_revision=offset), Outcome()
+
+
+def add(state: State, command: AddVoter, offset: int) -> tuple[State, Outcome]:
+    """Adds a replica to the voters."""
+    if command.replica in state.voters:
+        return state, VotersChanged("It is a voter already.")
+    voters = state.voters.set(command.replica, command.incarnation)
+    return state._replace(voters=voters, data_plane_revision=offset), Outcome()
+
+
+def remove(state: State, command: RemoveVoter, offset: int) -> tuple[State, Outcome]:
+    """Removes a replica from the voters; the last one stays."""
+    if state.voters.get(command.replica) != command.incarnation or len(state.voters) < 2:
+        return state, VotersChanged("It is no voter.")
+    voters = state.voters.delete(command.replica)
+    return state._replace(voters=voters, data_plane_revision=offset), Outcome()
+
+
+def replace(state: State, command: ReplaceVoter, offset: int) -> tuple[State, Outcome]:
+    """Removes one replica from the voters and adds another in its place."""
+    if state.voters.get(command.replica) != command.incarnation or command.successor in state.voters:
+        return state, VotersChanged("The voters have changed.")
+    voters = state.voters.delete(command.replica).set(command.successor, command.successor_incarnation)
+    return state._replace(voters=voters, data_plane_revision=offset), Outcome()
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
@@ -148,7 +148,7 @@
 
 
 def _content(entry) -> str | None:
-    return None if entry.dropped else entry.said.decode()
+    return None if entry.dropped else entry.source.decode()
 
 
 async def orders_sent_again(complete: SimulatedDeployment) -> None:
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -324,7 +324,7 @@
 
 
 def _contents_are_not_compared():
-    return mock.patch("hoistsaddle.statemachine.items.check_order", lambda *needs: PatchCheck(None))
+    return mock.patch("hoistsaddle.statemachine.items.check_duplicate", lambda *needs: PatchCheck(None))
 
 
 def _valid_orders_are_refused():
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -33,15 +33,15 @@
 
 
 def _newest_revision_alone():
-    plain = revision_history.meet
+    plain = revision_history.compare_revision
 
     def patched(memory, *, revision: int, digest: bytes):
-        overtaken = memory is not None and revision < memory.taken[-1].revision
+        overtaken = memory is not None and revision < memory.accepted[-1].revision
         return (
-            revision_history.RevisionStatus.OVERTAKEN if overtaken else plain(memory, revision=revision, digest=digest)
+            revision_history.RevisionStatus.SUPERSEDED if overtaken else plain(memory, revision=revision, digest=digest)
         )
 
-    return mock.patch("hoistsaddle.statemachine.deduplication.meet", patched)
+    return mock.patch("hoistsaddle.statemachine.deduplication.compare_revision", patched)
 
 
 def _every_claim_granted():
@@ -124,7 +124,11 @@
 
 def _other_credentials_other_client():
     return mock.patch.object(
-        idempotency, "_told_apart", lambda hold, command: (hold.by, hold.who) != (command.by, command.who)
+        idempotency,
+        "_are_distinct_clients",
+        lambda hold, command: (
+            (hold.identified_by, hold.client_digest) != (command.identified_by, command.client_digest)
+        ),
     )
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -193,7 +193,7 @@
 
     def test_what_stands_is_given_back_word_for_word(self) -> None:
         patch = self.read(FIRST)
-        stands = [(each.kind, each.item.get("name", LIMITS), each.revision, each.said) for each in patch.sets]
+        stands = [(each.kind, each.item.get("name", LIMITS), each.revision, each.source) for each in patch.sets]
         told = write_items(stands).decode()
         for said in (ROUTE, KEYED, *SERVICES, CONSTRAINTS):
             self.assertThat(told, Contains(said))
@@ -204,7 +204,7 @@
     def test_fields_of_an_item_that_mean_nothing_here_come_back_too(self) -> None:
         odd = ROUTE.replace('"rank":2', '"rank" : 2, "note":{"a":[1,2.50]}')
         patch = self.read(f'{{"apply":{{"route_table":[{odd}]}}}}')
-        self.assertThat(write_items([(ENTRY, "r", 7, patch.sets[0].said)]).decode(), Contains(odd))
+        self.assertThat(write_items([(ENTRY, "r", 7, patch.sets[0].source)]).decode(), Contains(odd))
 
     def test_nothing_stands(self) -> None:
         self.assertThat(json.loads(write_items([])), Equals({"route_table": [], "services": []}))
--- a/tests/test_statemachine_encoding.py
+++ b/tests/test_statemachine_encoding.py
@@ -12,10 +12,12 @@
 from testtools.matchers import Equals
 
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import COMMANDS, pack_command, pack_outcome, unpack_command
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
+from hoistsaddle.statemachine.encoding import COMMANDS, pack_command, pack_outcome, unpack_command
 from hoistsaddle.statemachine.reports import holds_report, items_report, operators_report, state_report
-from hoistsaddle.statemachine.state import State, data_plane_items, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, initial_state
 
 FIXTURES = Path(__file__).parent / "fixtures" / "release-9c419a2"
 
--- a/tests/test_statemachine_patches.py
+++ b/tests/test_statemachine_patches.py
@@ -25,11 +25,12 @@
     SignBundle,
     SubmitBundle,
     Tick,
-    pack_command,
 )
 from hoistsaddle.statemachine.deduplication import MAX_REJECTED_PATCHES
-from hoistsaddle.statemachine.revision_history import MAX_REVISIONS, RevisionHistory, RevisionStatus, meet
-from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.revision_history import MAX_REVISIONS, RevisionHistory, RevisionStatus, compare_revision
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state
 from orders_model import CHECKS, ORDERS, WAIT, ModelOrder, explore
 from test_kip_630 import VOTERS, Bench
 
@@ -64,7 +65,7 @@
             self.state,
             offset=self.state.offset + 1,
             epoch=1,
-            stamp=self.state.stamp + timedelta(seconds=later),
+            stamp=self.state.mesh_time + timedelta(seconds=later),
             payload=pack_command(command),
         )
         return outcome
@@ -85,14 +86,17 @@
     def test_another_content_under_a_taken_revision_is_refused_whole(self) -> None:
         log = Log()
         log.patch(service(), entry(revision=5))
-        before = log.state.items, log.state.patches, log.state.news, log.state.memories
+        before = log.state.items, log.state.patches, log.state.data_plane_revision, log.state.revision_histories
         outcome = log.patch(entry("other"), entry(revision=5, rank=9))
         self.assertThat((outcome.error, outcome.field), Equals((str(ErrorKind.ITEM_CONFLICT), "sets[1]")))
         self.assertThat(outcome.message, Contains("Revision 5 of entry pay"))
         self.assertThat(outcome.remedy, Contains("higher revision"))
         dropped = log.patch(service("new"), drops=(ItemDeletion(ENTRY, 5, "pay"),))
         self.assertThat((dropped.error, dropped.field), Equals((str(ErrorKind.ITEM_CONFLICT), "drops[0]")))
-        self.assertThat((log.state.items, log.state.patches, log.state.news, log.state.memories), Equals(before))
+        self.assertThat(
+            (log.state.items, log.state.patches, log.state.data_plane_revision, log.state.revision_histories),
+            Equals(before),
+        )
         # Its own content is confirmed as often as it comes, beside something new too.
         self.assertThat(log.patch(service(), entry(revision=5)).detail["number"], Equals(0))
         self.assertThat(log.patch(entry(revision=5), service("new")).detail["changed"], Equals(["service:new"]))
@@ -119,9 +123,9 @@
         said = b'{"name": "a", "n": 3, "list": [1.0, {"x": true}]}'
         same = b'{"list":[1,{"x":true}],\n "n":3.0,"name":"a"}'
         other = b'{"list":[1,{"x":false}],"n":3,"name":"a"}'
-        self.assertThat(content_digest(body=b"b", said=said), Equals(content_digest(body=b"b", said=same)))
+        self.assertThat(content_digest(body=b"b", source=said), Equals(content_digest(body=b"b", source=same)))
         digests = {
-            content_digest(body=body, said=text) for body in (b"b", b"c") for text in (said, other, b"no json", b"")
+            content_digest(body=body, source=text) for body in (b"b", b"c") for text in (said, other, b"no json", b"")
         }
         self.assertThat(len(digests), Equals(8))
         log = Log()
@@ -170,7 +174,7 @@
             self.assertThat(
                 (outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ORDER_UNSURE), True)), outcome.message
             )
-        self.assertThat(log.state.memories["entry:pay"].forgotten, Equals(5))
+        self.assertThat(log.state.revision_histories["entry:pay"].pruned, Equals(5))
         self.assertThat(log.patch(entry(revision=7)).detail["changed"], Equals(["entry:pay"]))
 
     def test_the_memory_has_a_bound_and_what_it_cut_is_not_refused(self) -> None:
@@ -178,9 +182,9 @@
         log.patch(service())
         for revision in range(1, 2 * MAX_REVISIONS):
             log.patch(entry(revision=revision, rank=revision))
-            log.state = log.state._replace(stamp=timedelta(seconds=5))
-        memory = log.state.memories["entry:pay"]
-        self.assertThat((len(memory.taken), memory.forgotten), Equals((MAX_REVISIONS, MAX_REVISIONS - 1)))
+            log.state = log.state._replace(mesh_time=timedelta(seconds=5))
+        memory = log.state.revision_histories["entry:pay"]
+        self.assertThat((len(memory.accepted), memory.pruned), Equals((MAX_REVISIONS, MAX_REVISIONS - 1)))
         for revision, answer in ((MAX_REVISIONS - 1, "order-unsure"), (MAX_REVISIONS, ""), (MAX_REVISIONS + 9, "")):
             self.assertThat(log.patch(entry(revision=revision, rank=revision)).error, Equals(answer))
         self.assertThat(log.patch(entry(revision=MAX_REVISIONS, rank=0)).error, Equals("item-conflict"))
@@ -191,17 +195,21 @@
         log.patch(entry("lost", parts=[{"service": "nobody"}]))
         for revision in range(2, 9):
             log.patch(entry(revision=revision))
-        self.assertThat((len(log.state.memories["entry:pay"].taken), len(log.state.refusals)), Equals((8, 1)))
+        self.assertThat(
+            (len(log.state.revision_histories["entry:pay"].accepted), len(log.state.rejected_patches)), Equals((8, 1))
+        )
         log.wait(2 * SPAN)
-        self.assertThat((len(log.state.memories["entry:pay"].taken), len(log.state.refusals)), Equals((1, 0)))
+        self.assertThat(
+            (len(log.state.revision_histories["entry:pay"].accepted), len(log.state.rejected_patches)), Equals((1, 0))
+        )
 
     def test_refusals_are_bounded(self) -> None:
         log = Log()
         for number in range(MAX_REJECTED_PATCHES + 7):
             log.patch(entry(f"lost-{number}"))
-            log.state = log.state._replace(stamp=timedelta(seconds=5))
-        self.assertThat(len(log.state.refusals), Equals(MAX_REJECTED_PATCHES))
-        self.assertThat(min(each.offset for each in log.state.refusals.values()), Equals(8))
+            log.state = log.state._replace(mesh_time=timedelta(seconds=5))
+        self.assertThat(len(log.state.rejected_patches), Equals(MAX_REJECTED_PATCHES))
+        self.assertThat(min(each.offset for each in log.state.rejected_patches.values()), Equals(8))
 
 
 class Copies(TestCase):
@@ -235,25 +243,25 @@
 
 
 def forgets_at_once(memory: RevisionHistory, *, now: int) -> RevisionHistory:
-    if len(memory.taken) == 1:
+    if len(memory.accepted) == 1:
         return memory
-    return RevisionHistory(memory.taken[-1:], max(memory.forgotten, memory.taken[-2].revision))
+    return RevisionHistory(memory.accepted[-1:], max(memory.pruned, memory.accepted[-2].revision))
 
 
 def confirms_the_forgotten(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
-    found = meet(memory, revision=revision, digest=digest)
-    return RevisionStatus.OVERTAKEN if found is RevisionStatus.FORGOTTEN else found
+    found = compare_revision(memory, revision=revision, digest=digest)
+    return RevisionStatus.SUPERSEDED if found is RevisionStatus.FORGOTTEN else found
 
 
 def refuses_the_forgotten(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
-    found = meet(memory, revision=revision, digest=digest)
+    found = compare_revision(memory, revision=revision, digest=digest)
     return RevisionStatus.OTHER if found is RevisionStatus.FORGOTTEN else found
 
 
 def knows_the_newest_alone(memory: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
     """Refuses an equal revision's other content, and confirms what is lower: the first thought of a mend."""
-    found = meet(memory, revision=revision, digest=digest)
-    return found if memory is None or revision >= memory.taken[-1].revision else RevisionStatus.OVERTAKEN
+    found = compare_revision(memory, revision=revision, digest=digest)
+    return found if memory is None or revision >= memory.accepted[-1].revision else RevisionStatus.SUPERSEDED
 
 
 class Model(TestCase):
@@ -273,19 +281,19 @@
         races = (*ORDERS[:3], WAIT)
         late = ORDERS[4:7]
         injected_faults: tuple[tuple[Any, str, Any, tuple[ModelOrder, ...], str], ...] = (
-            (deduplication, "meet", knows_the_newest_alone, races, "one_content"),
-            (deduplication, "meet", confirms_the_forgotten, races, "one_content"),
-            (deduplication, "meet", refuses_the_forgotten, races, "accepted_never_refused"),
-            (deduplication, "forget", forgets_at_once, races, "accepted_never_refused"),
-            (items, "remember_refusal", lambda state, command, offset: state, late, "refused_never_counts"),
-            (items, "remember_order", lambda state, command, check: state, races, "accepted_never_refused"),
+            (deduplication, "compare_revision", knows_the_newest_alone, races, "one_content"),
+            (deduplication, "compare_revision", confirms_the_forgotten, races, "one_content"),
+            (deduplication, "compare_revision", refuses_the_forgotten, races, "accepted_never_refused"),
+            (deduplication, "prune", forgets_at_once, races, "accepted_never_refused"),
+            (items, "record_rejection", lambda state, command, offset: state, late, "refused_never_counts"),
+            (items, "record_accepted", lambda state, command, check: state, races, "accepted_never_refused"),
             (items, "_prevails", lambda state, key, revision: True, races, "highest_stands"),
         )
         for module, name, planted, some, wanted in injected_faults:
             with ExitStack() as stack:
                 stack.enter_context(mock.patch.object(module, name, planted))
-                if name == "forget":
-                    stack.enter_context(mock.patch("hoistsaddle.statemachine.revision_history.forget", planted))
+                if name == "prune":
+                    stack.enter_context(mock.patch("hoistsaddle.statemachine.revision_history.prune", planted))
                 found = explore(orders=some, depth=4, level=4).broken
             self.assertThat(sorted(found), Contains(wanted), f"{name}: {found}")
         self.assertThat(len(CHECKS), Equals(4))
