--- a/packages/statemachine/src/hoistsaddle/statemachine/apply.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/apply.py
@@ -5,6 +5,7 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import to_microseconds
+from hoistsaddle.common.errors import OtherRelease
 from hoistsaddle.statemachine import bundles, deduplication, fleet, idempotency, items, operators, voters
 from hoistsaddle.statemachine.commands import (
     LEVEL,
@@ -36,7 +37,7 @@
     WithdrawOperatorChange,
 )
 from hoistsaddle.statemachine.encoding import tag_of, unpack_command
-from hoistsaddle.statemachine.errors import LevelTooLow, OtherRelease, RequestReused
+from hoistsaddle.statemachine.errors import LevelTooLow, RequestReused, reject
 from hoistsaddle.statemachine.state import State, StoredOutcome
 
 Applied = tuple[State, Outcome]
@@ -62,11 +63,18 @@
     command = unpack_command(payload)
     if command is None or (isinstance(command, RaiseLevel) and command.level > supported):
         level = f" level {command.level}" if isinstance(command, RaiseLevel) else ""
-        return state, OtherRelease(f"The record at offset {offset} is of another release{level}.")
+        return state, reject(
+            OtherRelease(
+                f"The record at offset {offset} is of another release{level}.",
+                remedy="Install a release that knows it on this machine; the others go on.",
+            )
+        )
     state = _expire(state._replace(offset=offset, epoch=epoch, mesh_time=max(stamp, state.mesh_time)))
     needed = LEVEL_OF.get(type(command), 1)
     if state.level < needed:
-        return state, LevelTooLow(f"{tag_of(command)} needs release level {needed}, the mesh is at {state.level}.")
+        return state, reject(
+            LevelTooLow(f"{tag_of(command)} needs release level {needed}, the mesh is at {state.level}.")
+        )
     return _apply(state, command, offset, payload)
 
 
@@ -143,7 +151,7 @@
     if known is not None:
         if digest and known.command_digest and known.command_digest != digest:
             # Two requests that share an id by accident: neither may be answered with the other's outcome.
-            return state, RequestReused("Another call had this request id.")
+            return state, reject(RequestReused("Another call had this request id.", field="X-Request-Id"))
         return state, known.outcome
     if (rejection := operators.reject_unknown_operator(state, operator)) is not None:
         return state, rejection
--- a/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
@@ -2,21 +2,11 @@
 
 from returns.result import Failure, Success
 
+from hoistsaddle.common.errors import BundleConflict, BundleDuplicate, BundleStale, BundleUnknown, BundleWrongBase
 from hoistsaddle.config.bundle import Bundle, digest_of, read_bundle
 from hoistsaddle.statemachine.commands import AbortBundle, AdvanceBundle, Outcome, SignBundle, SubmitBundle
 from hoistsaddle.statemachine.deduplication import DEDUPLICATION_LEVEL
-from hoistsaddle.statemachine.errors import (
-    BundleConflict,
-    BundleDuplicate,
-    BundleSelfSigned,
-    BundleStale,
-    BundleUnknown,
-    BundleWrongBase,
-    BundleWrongPhase,
-    LevelTooLow,
-    OutcomeForgotten,
-    rejection_of,
-)
+from hoistsaddle.statemachine.errors import BundleSelfSigned, BundleWrongPhase, LevelTooLow, OutcomeForgotten, reject
 from hoistsaddle.statemachine.state import (
     ABORTED,
     DRAFT,
@@ -34,15 +24,15 @@
     """Takes a bundle as a draft."""
     match read_bundle(command.text):
         case Failure(error):
-            return state, rejection_of(error)
+            return state, reject(error)
         case Success(bundle):
             return _submit(state, command, bundle, offset)
 
 
 def _submit(state: State, command: SubmitBundle, bundle: Bundle, offset: int) -> tuple[State, Outcome]:
     if bundle.level() > state.level:
-        return state, LevelTooLow(
-            f"It needs release level {bundle.level()}, the mesh is at {state.level}.", field="visitor"
+        return state, reject(
+            LevelTooLow(f"It needs release level {bundle.level()}, the mesh is at {state.level}.", field="visitor")
         )
     digest = digest_of(command.text)
     known = state.bundles.get(bundle.number)
@@ -52,8 +42,12 @@
         return state, rejection
     newest = _newest_signed(state)
     if bundle.number <= newest:
-        return state, BundleStale(
-            f"Bundle {newest} was signed already.", f"Number it above {newest} and base it on {state.in_force}."
+        return state, reject(
+            BundleStale(
+                f"Bundle {newest} was signed already.",
+                remedy=f"Number it above {newest} and base it on {state.in_force}.",
+                field="number",
+            )
         )
     if bundle.based_on != state.in_force:
         return state, _wrong_base(state, bundle.based_on)
@@ -77,8 +71,12 @@
 
 
 def _wrong_base(state: State, based_on: int) -> Outcome:
-    return BundleWrongBase(
-        f"It is based on {based_on}, but {state.in_force} is in force.", f"Rework it on top of {state.in_force}."
+    return reject(
+        BundleWrongBase(
+            f"It is based on {based_on}, but {state.in_force} is in force.",
+            remedy=f"Rework it on top of {state.in_force}.",
+            field="based_on",
+        )
     )
 
 
@@ -88,20 +86,24 @@
         # Its answer was lost: it is confirmed again, whatever became of the bundle since.
         return Outcome(detail={"number": known.number, "digest": digest, "phase": known.phase})
     if known.digest == digest:
-        return BundleDuplicate(f"Bundle {known.number} was submitted before and is {known.phase}.")
+        return reject(
+            BundleDuplicate(f"Bundle {known.number} was submitted before and is {known.phase}.", field="number")
+        )
     if known.phase != DRAFT:
-        return BundleStale(f"Bundle {known.number} is {known.phase} with other content.")
-    return BundleConflict(f"{known.author} submitted another bundle {known.number}.")
+        return reject(BundleStale(f"Bundle {known.number} is {known.phase} with other content.", field="number"))
+    return reject(BundleConflict(f"{known.author} submitted another bundle {known.number}.", field="number"))
 
 
 def _reject_forgotten(state: State, number: int) -> Outcome | None:
     """The rejection where a bundle may have been accepted and dropped for newer ones: neither yes nor no."""
     if state.level < DEDUPLICATION_LEVEL or len(state.bundles) < MAX_BUNDLES or number >= min(state.bundles):
         return None
-    return OutcomeForgotten(
-        f"Bundle {number} is older than all that are kept: whether it was taken isn't known any more.",
-        "Read the time line; a new change takes the next free number.",
-        field="number",
+    return reject(
+        OutcomeForgotten(
+            f"Bundle {number} is older than all that are kept: whether it was taken isn't known any more.",
+            remedy="Read the time line; a new change takes the next free number.",
+            field="number",
+        )
     )
 
 
@@ -109,19 +111,27 @@
     """Signs a draft off and starts its roll-out."""
     bundle = state.bundles.get(command.number)
     if bundle is None:
-        return state, _reject_forgotten(state, command.number) or BundleUnknown(f"There is no bundle {command.number}.")
+        return state, _reject_forgotten(state, command.number) or reject(
+            BundleUnknown(f"There is no bundle {command.number}.", field="number")
+        )
     if bundle.digest != command.digest:
-        return state, BundleConflict(
-            f"The digest signed is not bundle {command.number}'s.",
-            "Read the bundle again and sign what you read.",
-            field="digest",
+        return state, reject(
+            BundleConflict(
+                f"The digest signed is not bundle {command.number}'s.",
+                remedy="Read the bundle again and sign what you read.",
+                field="digest",
+            )
         )
     if state.level >= DEDUPLICATION_LEVEL and bundle.signer == command.signer:
         return state, _progress_outcome(bundle)
     if bundle.phase != DRAFT:
-        return state, BundleWrongPhase(f"Bundle {command.number} is {bundle.phase}.", "Only a draft can be signed.")
+        return state, reject(
+            BundleWrongPhase(
+                f"Bundle {command.number} is {bundle.phase}.", remedy="Only a draft can be signed.", field="number"
+            )
+        )
     if bundle.author == command.signer:
-        return state, BundleSelfSigned(f"{command.signer} wrote bundle {command.number}.")
+        return state, reject(BundleSelfSigned(f"{command.signer} wrote bundle {command.number}.", field="signer"))
     if (rejection := _reject_out_of_order(state, bundle)) is not None:
         return state, rejection
     signed = bundle._replace(signer=command.signer, phase=ROLLING, offset=offset)
@@ -132,19 +142,29 @@
 def _reject_out_of_order(state: State, bundle: BundleRecord) -> Outcome | None:
     """The rejection of a draft that can't follow the bundle that is in force or rolling out."""
     if state.rolling:
-        return BundleConflict(f"Bundle {state.rolling} is rolling out.", f"Finish or abort {state.rolling} first.")
+        return reject(
+            BundleConflict(
+                f"Bundle {state.rolling} is rolling out.",
+                remedy=f"Finish or abort {state.rolling} first.",
+                field="number",
+            )
+        )
     if bundle.based_on != state.in_force:
         return _wrong_base(state, bundle.based_on)
     if state.level > 1 and _renames_held(state, bundle.number):
-        return LevelTooLow(
-            "Keys held since before the release level rose are known by the names of entries this bundle renames.",
-            "Sign it once they have expired, in ten minutes at most.",
-            field="entries",
+        return reject(
+            LevelTooLow(
+                "Keys held since before the release level rose are known by the names of entries this bundle renames.",
+                remedy="Sign it once they have expired, in ten minutes at most.",
+                field="entries",
+            )
         )
     # Numbers only go up: an older draft can't follow a newer bundle.
     newest = _newest_signed(state)
     if bundle.number < newest:
-        return BundleStale(f"Bundle {newest} was signed already.", f"Number it above {newest}.")
+        return reject(
+            BundleStale(f"Bundle {newest} was signed already.", remedy=f"Number it above {newest}.", field="number")
+        )
     return None
 
 
@@ -206,15 +226,20 @@
     if bundle is not None and command.operator in bundle.advanced_by[command.from_stage - 1 : command.from_stage]:
         return state, _progress_outcome(bundle)
     if bundle is None or bundle.phase != ROLLING:
-        return state, BundleWrongPhase(
-            f"Bundle {command.number} is {bundle.phase if bundle else 'unknown'}.", "Only a rolling bundle advances."
+        return state, reject(
+            BundleWrongPhase(
+                f"Bundle {command.number} is {bundle.phase if bundle else 'unknown'}.",
+                remedy="Only a rolling bundle advances.",
+                field="number",
+            )
         )
     # Two operators who advance it at once must not skip a stage.
     if bundle.stage != command.from_stage:
-        return state, BundleWrongPhase(
-            f"Bundle {command.number} is in stage {bundle.stage}, not {command.from_stage}.",
-            "Read its status and advance from there.",
-            field="from_stage",
+        return state, reject(
+            BundleWrongPhase(
+                f"Bundle {command.number} is in stage {bundle.stage}, not {command.from_stage}.",
+                field="from_stage",
+            )
         )
     if state.level >= DEDUPLICATION_LEVEL:
         # Who passed a stage below that level is not known.
@@ -232,9 +257,12 @@
     if bundle is not None and bundle.phase == ABORTED and bundle.aborted_by == command.operator:
         return state, Outcome(detail={"number": command.number, "offset": bundle.offset})
     if bundle is None or bundle.phase not in (DRAFT, ROLLING):
-        return state, BundleWrongPhase(
-            f"Bundle {command.number} is {bundle.phase if bundle else 'unknown'}.",
-            "Only a draft or rolling bundle is aborted; replace one in force with a new bundle.",
+        return state, reject(
+            BundleWrongPhase(
+                f"Bundle {command.number} is {bundle.phase if bundle else 'unknown'}.",
+                remedy="Only a draft or rolling bundle is aborted; replace one in force with a new bundle.",
+                field="number",
+            )
         )
     rolling = 0 if state.rolling == command.number else state.rolling
     aborted_by = command.operator if state.level >= DEDUPLICATION_LEVEL else ""
--- a/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
@@ -11,7 +11,7 @@
 from hoistsaddle.common.clock import to_microseconds
 from hoistsaddle.config.items import DROPPED_DIGEST, ValidatedPatch, content_digest, key_of, pack_item
 from hoistsaddle.statemachine.commands import RESEND_WINDOW, Outcome, PatchItems
-from hoistsaddle.statemachine.errors import ItemConflict, OutcomeForgotten
+from hoistsaddle.statemachine.errors import ItemConflict, OutcomeForgotten, reject
 from hoistsaddle.statemachine.revision_history import (
     AcceptedRevision,
     RevisionHistory,
@@ -74,16 +74,16 @@
 
 def _conflict(item: PatchedItem, *, where: str) -> Outcome:
     kind, _, name = item.key.partition(":")
-    return ItemConflict(
-        f"Revision {item.revision} of {kind} {name} has another content {where}; nothing of the patch counts.",
-        field=item.field,
+    return reject(
+        ItemConflict(
+            f"Revision {item.revision} of {kind} {name} has another content {where}; nothing of the patch counts.",
+            field=item.field,
+        )
     )
 
 
 def _forgotten(message: str, *, field: str = "") -> Outcome:
-    return OutcomeForgotten(
-        message, "Read the items: what is missing there, send under a higher revision.", field=field
-    )
+    return reject(OutcomeForgotten(message, field=field))
 
 
 def check_duplicate(state: State, command: PatchItems, checked: ValidatedPatch) -> PatchCheck:
--- a/packages/statemachine/src/hoistsaddle/statemachine/errors.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/errors.py
@@ -1,224 +1,131 @@
-"""Rejections: the outcomes of commands that the state machine turned down, one class for each kind of error.
+"""The errors for which the state machine rejects commands, beside those that other packages make too.
 
-A rejection carries its kind, the usual remedy and the field that it is about; whoever rejects gives the message. All
-of it is kept in the state with the outcomes of operators' requests, so texts are part of the log's result: replicas of
-two releases only agree while they stay the same.
+A rejected command's error is its outcome, and outcomes of operators' requests are kept in the state. So the texts are
+part of what the log makes: replicas of two releases build equal states only while messages and remedies stay the same.
 """
 
-from typing import ClassVar, Self
-
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import ErrorKind, MeshError, NoServer, OutcomeUnknown, TypedError
 from hoistsaddle.statemachine.commands import Outcome
 
-INSTALL_EVERYWHERE = "Install the newer release on every machine; the level then rises by itself."
-
-
-class Rejection(Outcome):
-    """The outcome of a command that was turned down and changed nothing.
-
-    Args:
-        message: What is wrong.
-        remedy: What to do about it, where that isn't the usual remedy of the kind.
-        field: The part of the request that it is about, where that isn't the usual one.
-    """
-
-    kind: ClassVar[ErrorKind]
-    usual_remedy: ClassVar[str] = ""
-    usual_field: ClassVar[str] = ""
-
-    def __new__(cls, message: str, remedy: str = "", *, field: str | None = None) -> Self:
-        return super().__new__(
-            cls, str(cls.kind), message, remedy or cls.usual_remedy, cls.usual_field if field is None else field, {}
-        )
 
+def reject(error: MeshError) -> Outcome:
+    """The outcome of a command that is rejected for an error."""
+    return Outcome(str(error.kind), error.message, error.remedy, error.field)
 
-class OtherRelease(Rejection):
-    """The record is of a newer release: this replica must stop before it."""
 
-    kind = ErrorKind.OTHER_RELEASE
-    usual_remedy = "Install a release that knows it on this machine; the others go on."
+# -- releases and requests ---------------------------------------------------------------------------------------------
 
 
-class LevelTooLow(Rejection):
+class LevelTooLow(TypedError):
     """The mesh's release level doesn't allow it yet."""
 
-    kind = ErrorKind.RELEASE_LEVEL
-    usual_remedy = INSTALL_EVERYWHERE
+    KIND = ErrorKind.RELEASE_LEVEL
+    REMEDY = "Install the newer release on every machine; the level then rises by itself."
 
 
-class ReleaseTooOld(Rejection):
+class ReleaseTooOld(TypedError):
     """The sender's release doesn't support the mesh's level."""
 
-    kind = ErrorKind.RELEASE_OLD
-    usual_remedy = "Install a release that supports the mesh's level."
-    usual_field = "level"
-
-
-class RequestReused(Rejection):
-    """Two different requests with one id."""
-
-    kind = ErrorKind.REQUEST_REUSED
-    usual_remedy = "Send the call with an id of its own; repeat one only with the call it was made for."
-    usual_field = "X-Request-Id"
-
-
-class RequestBroken(Rejection):
-    """The request can't be read."""
-
-    kind = ErrorKind.REQUEST_BROKEN
-
-
-class VotersChanged(Rejection):
-    """A change of voters that another one came before."""
-
-    kind = ErrorKind.UNSURE
-    usual_remedy = "Read the voters."
-    usual_field = "replica"
-
+    KIND = ErrorKind.RELEASE_OLD
+    REMEDY = "Install a release that supports the mesh's level."
 
-class BundleStale(Rejection):
-    """The bundle's number is too low, or taken by other content."""
 
-    kind = ErrorKind.BUNDLE_STALE
-    usual_remedy = "Take the next free number."
-    usual_field = "number"
+class RequestReused(TypedError):
+    """Two different requests came with one id."""
 
+    KIND = ErrorKind.REQUEST_REUSED
+    REMEDY = "Send the call with an id of its own; repeat one only with the call it was made for."
 
-class BundleWrongBase(Rejection):
-    """The bundle is based on one that isn't in force."""
 
-    kind = ErrorKind.BUNDLE_WRONG_BASE
-    usual_field = "based_on"
+class OutcomeForgotten(TypedError):
+    """Whether a request was accepted before is no longer known, so the answer is neither yes nor no."""
 
+    KIND = ErrorKind.ORDER_UNSURE
+    REMEDY = "Read the items: what is missing there, send under a higher revision."
 
-class BundleDuplicate(Rejection):
-    """The very bundle was submitted before."""
 
-    kind = ErrorKind.BUNDLE_DUPLICATE
-    usual_remedy = "Nothing to do: read its status."
-    usual_field = "number"
+class VotersChanged(OutcomeUnknown):
+    """The voters are not as a change of them expects: another one came before it."""
 
+    REMEDY = "Read the voters."
 
-class BundleConflict(Rejection):
-    """Another bundle stands in the way."""
 
-    kind = ErrorKind.BUNDLE_CONFLICT
-    usual_remedy = "Take the next free number."
-    usual_field = "number"
+# -- bundles and items -------------------------------------------------------------------------------------------------
 
 
-class BundleUnknown(Rejection):
-    """There is no such bundle."""
-
-    kind = ErrorKind.BUNDLE_UNKNOWN
-    usual_remedy = "Submit it first."
-    usual_field = "number"
-
-
-class BundleWrongPhase(Rejection):
+class BundleWrongPhase(TypedError):
     """The bundle's phase or stage doesn't allow the step."""
 
-    kind = ErrorKind.BUNDLE_WRONG_PHASE
-    usual_field = "number"
-
-
-class BundleSelfSigned(Rejection):
-    """Author and signer are the same person."""
-
-    kind = ErrorKind.BUNDLE_SELF_SIGNED
-    usual_remedy = "A second person must sign it."
-    usual_field = "signer"
-
-
-class ItemBroken(Rejection):
-    """An item that is wrong beside the others."""
+    KIND = ErrorKind.BUNDLE_WRONG_PHASE
+    REMEDY = "Read its status and advance from there."
 
-    kind = ErrorKind.ITEM_BROKEN
 
+class BundleSelfSigned(TypedError):
+    """A bundle's author and signer are the same person."""
 
-class ItemConflict(Rejection):
-    """Another content under a revision that was accepted before."""
+    KIND = ErrorKind.BUNDLE_SELF_SIGNED
+    REMEDY = "A second person must sign it."
 
-    kind = ErrorKind.ITEM_CONFLICT
-    usual_remedy = "Read the items, and send the change under a higher revision of its own."
 
+class ItemConflict(TypedError):
+    """Another content came under a revision that was accepted before."""
 
-class OutcomeForgotten(Rejection):
-    """The log no longer knows whether the request was accepted before, so it says neither yes nor no."""
+    KIND = ErrorKind.ITEM_CONFLICT
+    REMEDY = "Read the items, and send the change under a higher revision of its own."
 
-    kind = ErrorKind.ORDER_UNSURE
 
+# -- operators ---------------------------------------------------------------------------------------------------------
 
-class OperatorUnknown(Rejection):
-    """The caller is no operator (any more)."""
 
-    kind = ErrorKind.OPERATOR_UNKNOWN
-    usual_remedy = "Have two operators add the name."
-    usual_field = "Authorization"
-
-
-class OperatorConflict(Rejection):
+class OperatorConflict(TypedError):
     """The change of an operator doesn't fit the operators or changes that are known."""
 
-    kind = ErrorKind.OPERATOR_CONFLICT
-    usual_field = "name"
+    KIND = ErrorKind.OPERATOR_CONFLICT
+    REMEDY = "Read the operators."
 
 
-class TooFewOperators(Rejection):
+class TooFewOperators(TypedError):
     """Removing this operator would leave nobody to sign for the other."""
 
-    kind = ErrorKind.OPERATOR_LAST
-    usual_remedy = "Add another first: an author and a signer must differ."
-    usual_field = "name"
-
-
-class OperatorSelfSigned(Rejection):
-    """Proposer and signer are the same person."""
+    KIND = ErrorKind.OPERATOR_LAST
+    REMEDY = "Add another first: an author and a signer must differ."
 
-    kind = ErrorKind.OPERATOR_SELF_SIGNED
-    usual_remedy = "A second person must sign it."
-    usual_field = "signer"
 
+class OperatorSelfSigned(TypedError):
+    """A change's proposer and signer are the same person."""
 
-class StaleRoleEpoch(Rejection):
-    """The sender lost the singleton role: another node holds it under a higher epoch."""
+    KIND = ErrorKind.OPERATOR_SELF_SIGNED
+    REMEDY = "A second person must sign it."
 
-    kind = ErrorKind.DUTY_EPOCH_OLD
-    usual_remedy = "Another node has taken over: stop."
-    usual_field = "duty_epoch"
 
+# -- servers, nodes and keys -------------------------------------------------------------------------------------------
 
-class ServerUnknown(Rejection):
-    """There is no such server."""
 
-    kind = ErrorKind.NO_SERVER
-    usual_remedy = "Read the servers back and name one of them."
-    usual_field = "stall"
+class StaleRoleEpoch(TypedError):
+    """The sender lost its singleton role: another node holds it under a higher epoch."""
 
+    KIND = ErrorKind.DUTY_EPOCH_OLD
+    REMEDY = "Another node has taken over: stop."
 
-class KeyOtherBody(Rejection):
-    """The idempotency key is held for a request with another body."""
-
-    kind = ErrorKind.KEY_OTHER_BODY
-    usual_remedy = "Use a new Idempotency-Key for a new request."
-    usual_field = "Idempotency-Key"
 
+class ServerUnknown(NoServer):
+    """The mesh knows no such server."""
 
-class KeyClientUnsure(Rejection):
-    """The key is held, and nothing shows whether for the same client."""
+    REMEDY = "Read the servers back and name one of them."
 
-    kind = ErrorKind.KEY_CLIENT_UNSURE
-    usual_field = "Idempotency-Key"
 
+class KeyOtherBody(TypedError):
+    """The idempotency key is held for a request with another body."""
 
-class KeyHeld(Rejection):
-    """The key is held by another claim."""
+    KIND = ErrorKind.KEY_OTHER_BODY
+    REMEDY = "Use a new Idempotency-Key for a new request."
 
-    kind = ErrorKind.KEY_HELD
-    usual_remedy = "Report the answer as unknown."
-    usual_field = "claim"
 
+class KeyClientUnsure(TypedError):
+    """The idempotency key is held, and nothing shows whether for the same client."""
 
-def rejection_of(error: MeshError) -> Outcome:
-    """The outcome of a command whose text an earlier check turned down."""
-    return Outcome(str(error.kind), error.message, error.remedy, error.field)
+    KIND = ErrorKind.KEY_CLIENT_UNSURE
+    REMEDY = (
+        "Repeat it with the credentials it was first sent with, or use a new key if it is another request;"
+        " a bundle may declare by what visitors are known."
+    )
--- a/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
@@ -13,7 +13,7 @@
     RegisterNode,
     RegisterServer,
 )
-from hoistsaddle.statemachine.errors import ReleaseTooOld, ServerUnknown, StaleRoleEpoch
+from hoistsaddle.statemachine.errors import ReleaseTooOld, ServerUnknown, StaleRoleEpoch, reject
 from hoistsaddle.statemachine.state import (
     GONE,
     NODE_MONITOR_ROLE,
@@ -29,7 +29,9 @@
     role = state.singleton_roles.get(NODE_MONITOR_ROLE)
     current = role.epoch if role is not None else 0
     if epoch and (role is None or epoch < current):
-        return StaleRoleEpoch(f"Duty {NODE_MONITOR_ROLE} is held under epoch {current}, not {epoch}.")
+        return reject(
+            StaleRoleEpoch(f"Duty {NODE_MONITOR_ROLE} is held under epoch {current}, not {epoch}.", field="duty_epoch")
+        )
     return None
 
 
@@ -84,7 +86,7 @@
     """Sets or clears the drain mark of a server."""
     known = state.servers.get(command.proxy)
     if known is None or known.state == GONE:
-        return state, ServerUnknown(f"No server is known beside {command.proxy}.")
+        return state, reject(ServerUnknown(f"No server is known beside {command.proxy}.", field="stall"))
     drained_by = command.operator if command.drain else ""
     server = known._replace(drained_by=drained_by, offset=offset, changed=_timestamp(state))
     state = state._replace(servers=state.servers.set(command.proxy, server), data_plane_revision=offset)
@@ -100,8 +102,10 @@
     if known is not None and command.state == GONE and known.incarnation != command.incarnation:
         return state, Outcome(detail={"old": True})
     if state.level > 1 and command.state != GONE and command.level < state.level:
-        return state, ReleaseTooOld(
-            f"{command.node} supports release level {command.level}, the mesh is at {state.level}."
+        return state, reject(
+            ReleaseTooOld(
+                f"{command.node} supports release level {command.level}, the mesh is at {state.level}.", field="level"
+            )
         )
     if state.level > 1 and _is_stale_report(state, command, known):
         return state, Outcome(detail={"old": True})
@@ -175,10 +179,12 @@
     known = state.singleton_roles.get(command.role)
     epoch = known.epoch if known is not None else 0
     if command.epoch != epoch + 1:
-        return state, StaleRoleEpoch(
-            f"Duty {command.role} is at epoch {epoch}.",
-            "Read the duty and ask again if it is still free.",
-            field="epoch",
+        return state, reject(
+            StaleRoleEpoch(
+                f"Duty {command.role} is at epoch {epoch}.",
+                remedy="Read the duty and ask again if it is still free.",
+                field="epoch",
+            )
         )
     role = SingletonRoleRecord(command.role, command.node, command.epoch, offset)
     roles = state.singleton_roles.set(command.role, role)
--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -7,6 +7,7 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import from_microseconds, to_microseconds
+from hoistsaddle.common.errors import KeyInUse
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.statemachine.commands import (
     EXPIRY_INTERVAL,
@@ -18,7 +19,7 @@
     Outcome,
     ReleaseKey,
 )
-from hoistsaddle.statemachine.errors import KeyClientUnsure, KeyHeld, KeyOtherBody, ReleaseTooOld
+from hoistsaddle.statemachine.errors import KeyClientUnsure, KeyOtherBody, ReleaseTooOld, reject
 from hoistsaddle.statemachine.state import CLAIMED, SETTLED, KeyHold, State
 
 # What identifies a client that no bundle declares a header or cookie for; encoded.
@@ -41,7 +42,7 @@
 def _repeat_outcome(hold: KeyHold, scope: str, command: ClaimKey) -> Outcome:
     """What the same client's next claim of a held key gets."""
     if hold.body_digest != command.body_digest:
-        return KeyOtherBody("The key was used with another body.")
+        return reject(KeyOtherBody("The key was used with another body.", field="Idempotency-Key"))
     if hold.phase == SETTLED:
         return Outcome(
             detail={
@@ -79,7 +80,7 @@
     if state.level < 2:
         return _claim_by_scope(state, command)
     if not command.bucket:
-        return state, ReleaseTooOld("The claim doesn't say by what its visitor is known.")
+        return state, reject(ReleaseTooOld("The claim doesn't say by what its visitor is known.", field="level"))
     before = _active_hold(state, command.scope)
     if before is not None and not before.bucket:
         # Held since level 1 for this very client and route.
@@ -93,10 +94,11 @@
             return _claim_again(state, scope, hold, command)
         others.append((scope, hold))
     if not all(_are_distinct_clients(hold, command) for _, hold in others):
-        return state, KeyClientUnsure(
-            "The key is held for this request, and nothing shows whether the same visitor sent it; nothing ran now.",
-            "Repeat it with the credentials it was first sent with, or use a new key if it is another request;"
-            " a bundle may declare by what visitors are known.",
+        return state, reject(
+            KeyClientUnsure(
+                "The key is held for this request, and nothing shows whether the same visitor sent it; nothing ran now.",
+                field="Idempotency-Key",
+            )
         )
     handle = hold_handle(command)
     buckets = state.buckets.set(command.bucket, (*(scope for scope, _ in others), handle))
@@ -147,7 +149,9 @@
     """Stores the answer of a claimed key's request; a repeat of the command changes nothing."""
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim:
-        return state, KeyHeld("The hold is not this claim's any more.")
+        return state, reject(
+            KeyInUse("The hold is not this claim's any more.", remedy="Report the answer as unknown.", field="claim")
+        )
     if known.phase == SETTLED:
         return state, Outcome(detail={"phase": SETTLED})
     hold = known._replace(
--- a/packages/statemachine/src/hoistsaddle/statemachine/items.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/items.py
@@ -5,11 +5,12 @@
 
 from returns.result import Failure, Success
 
+from hoistsaddle.common.errors import InvalidItem
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.config.items import SERVICE, RouteItem, ValidatedPatch, key_of, pack_item, read_patch
 from hoistsaddle.statemachine.commands import Outcome, PatchItems
 from hoistsaddle.statemachine.deduplication import check_duplicate, record_accepted, record_rejection
-from hoistsaddle.statemachine.errors import ItemBroken, rejection_of
+from hoistsaddle.statemachine.errors import reject
 from hoistsaddle.statemachine.state import MAX_BUNDLES, ItemRecord, PatchRecord, State
 
 # Stands for an item that isn't there: every revision is above its own.
@@ -23,7 +24,7 @@
     """
     match read_patch(command.patch):
         case Failure(error):
-            return state, rejection_of(error)
+            return state, reject(error)
         case Success(checked):
             return _apply_patch(state, command, checked, offset)
 
@@ -84,9 +85,11 @@
             key = key_of(SERVICE, part.service)
             known = changed.get(key) or state.items.get(key)
             if part.service not in declared and (known is None or known.dropped):
-                return ItemBroken(
-                    f"Entry {item.name} names service {part.service}, which nobody declared.",
-                    "Declare the service in the same patch or before it.",
-                    field=f"sets[{place}].parts",
+                return reject(
+                    InvalidItem(
+                        f"Entry {item.name} names service {part.service}, which nobody declared.",
+                        remedy="Declare the service in the same patch or before it.",
+                        field=f"sets[{place}].parts",
+                    )
                 )
     return None
--- a/packages/statemachine/src/hoistsaddle/statemachine/operators.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/operators.py
@@ -2,15 +2,10 @@
 
 import re
 
+from hoistsaddle.common.errors import InvalidRequest, OperatorUnknown
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.statemachine.commands import Outcome, ProposeOperatorChange, SignOperatorChange, WithdrawOperatorChange
-from hoistsaddle.statemachine.errors import (
-    OperatorConflict,
-    OperatorSelfSigned,
-    OperatorUnknown,
-    RequestBroken,
-    TooFewOperators,
-)
+from hoistsaddle.statemachine.errors import OperatorConflict, OperatorSelfSigned, TooFewOperators, reject
 from hoistsaddle.statemachine.state import OperatorChange, State
 
 # An author and a signer must differ.
@@ -35,18 +30,20 @@
     """The rejection of whoever was removed from the operators before the command was applied."""
     if state.level < 2 or name in state.operators:
         return None
-    return OperatorUnknown(f"{name} is no operator.")
+    return reject(
+        OperatorUnknown(f"{name} is no operator.", remedy="Have two operators add the name.", field="Authorization")
+    )
 
 
 def _reject_conflict(state: State, name: str, digest: str) -> Outcome | None:
     others = {known for other, known in state.operators.items() if other != name}
     if digest and digest in others:
         # One token for two names would let one person be both author and signer.
-        return OperatorConflict("Another operator has this token.", "Give a new token.", field="digest")
+        return reject(OperatorConflict("Another operator has this token.", remedy="Give a new token.", field="digest"))
     if not digest and name not in state.operators:
-        return OperatorConflict(f"{name} is no operator.", "Read the operators.")
+        return reject(OperatorConflict(f"{name} is no operator.", field="name"))
     if not digest and len(state.operators) <= MIN_OPERATORS:
-        return TooFewOperators(f"Only {len(state.operators)} operators are left.")
+        return reject(TooFewOperators(f"Only {len(state.operators)} operators are left.", field="name"))
     return None
 
 
@@ -60,11 +57,15 @@
 def propose(state: State, command: ProposeOperatorChange, offset: int) -> tuple[State, Outcome]:
     """Notes a change for a second operator to sign; it takes the place of an earlier one of the same name."""
     if not is_operator_name(command.name):
-        return state, RequestBroken(
-            "That is no operator's name.", "Use lower-case letters, digits, . and -.", field="name"
+        return state, reject(
+            InvalidRequest(
+                "That is no operator's name.", remedy="Use lower-case letters, digits, . and -.", field="name"
+            )
         )
     if command.digest and not is_digest(command.digest):
-        return state, RequestBroken("That is no digest.", "Give sha256 of the token, hex.", field="digest")
+        return state, reject(
+            InvalidRequest("That is no digest.", remedy="Give sha256 of the token, hex.", field="digest")
+        )
     if (rejection := _reject_conflict(state, command.name, command.digest)) is not None:
         return state, rejection
     change = digest_of(f"{offset} {command.name} {command.digest}")[:CHANGE_DIGITS]
@@ -78,13 +79,15 @@
     """Puts a proposed change in force."""
     proposed = state.operator_changes.get(command.name)
     if proposed is None or proposed.change != command.change:
-        return state, OperatorConflict(
-            f"No such change of {command.name} is proposed.",
-            "Read the proposed changes and sign what you read.",
-            field="change",
+        return state, reject(
+            OperatorConflict(
+                f"No such change of {command.name} is proposed.",
+                remedy="Read the proposed changes and sign what you read.",
+                field="change",
+            )
         )
     if proposed.proposer == command.signer:
-        return state, OperatorSelfSigned(f"{proposed.proposer} proposed it.")
+        return state, reject(OperatorSelfSigned(f"{proposed.proposer} proposed it.", field="signer"))
     # Checked again, as the operators may have changed since it was proposed.
     digest = proposed.token_digest
     rejection = reject_unknown_operator(state, proposed.proposer) or _reject_conflict(state, command.name, digest)
@@ -98,6 +101,8 @@
 def withdraw(state: State, command: WithdrawOperatorChange, offset: int) -> tuple[State, Outcome]:
     """Withdraws a proposed change."""
     if command.name not in state.operator_changes:
-        return state, OperatorConflict(f"No change of {command.name} is proposed.", "Nothing to do.")
+        return state, reject(
+            OperatorConflict(f"No change of {command.name} is proposed.", remedy="Nothing to do.", field="name")
+        )
     state = state._replace(operator_changes=state.operator_changes.delete(command.name))
     return state, Outcome(detail={"name": command.name, "offset": offset})
--- a/packages/statemachine/src/hoistsaddle/statemachine/voters.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/voters.py
@@ -1,14 +1,14 @@
 """What the log's changes of voters make of the state. Each is rejected where the voters are not as it expects."""
 
 from hoistsaddle.statemachine.commands import AddVoter, Outcome, RemoveVoter, ReplaceVoter, UpdateVoter
-from hoistsaddle.statemachine.errors import VotersChanged
+from hoistsaddle.statemachine.errors import VotersChanged, reject
 from hoistsaddle.statemachine.state import State
 
 
 def update(state: State, command: UpdateVoter, offset: int) -> tuple[State, Outcome]:
     """Gives a voter another incarnation."""
     if state.voters.get(command.replica) != command.old:
-        return state, VotersChanged("The voter was swapped already.")
+        return state, reject(VotersChanged("The voter was swapped already.", field="replica"))
     voters = state.voters.set(command.replica, command.new)
     return state._replace(voters=voters, data_plane_revision=offset), Outcome()
 
@@ -16,7 +16,7 @@
 def add(state: State, command: AddVoter, offset: int) -> tuple[State, Outcome]:
     """Adds a replica to the voters."""
     if command.replica in state.voters:
-        return state, VotersChanged("It is a voter already.")
+        return state, reject(VotersChanged("It is a voter already.", field="replica"))
     voters = state.voters.set(command.replica, command.incarnation)
     return state._replace(voters=voters, data_plane_revision=offset), Outcome()
 
@@ -24,7 +24,7 @@
 def remove(state: State, command: RemoveVoter, offset: int) -> tuple[State, Outcome]:
     """Removes a replica from the voters; the last one stays."""
     if state.voters.get(command.replica) != command.incarnation or len(state.voters) < 2:
-        return state, VotersChanged("It is no voter.")
+        return state, reject(VotersChanged("It is no voter.", field="replica"))
     voters = state.voters.delete(command.replica)
     return state._replace(voters=voters, data_plane_revision=offset), Outcome()
 
@@ -32,6 +32,6 @@
 def replace(state: State, command: ReplaceVoter, offset: int) -> tuple[State, Outcome]:
     """Removes one replica from the voters and adds another in its place."""
     if state.voters.get(command.replica) != command.incarnation or command.successor in state.voters:
-        return state, VotersChanged("The voters have changed.")
+        return state, reject(VotersChanged("The voters have changed.", field="replica"))
     voters = state.voters.delete(command.replica).set(command.successor, command.successor_incarnation)
     return state._replace(voters=voters, data_plane_revision=offset), Outcome()
