--- /dev/null
+++ b/tests/test_former_release.py
@@ -0,0 +1,313 @@
+"""Data folders that release 9c419a2 left on disk: this release reads them, writes the same bytes, and goes on in them.
+
+fixtures/release-9c419a2/made.txt says how the folders were made. The JSON file beside each folder records what that
+release read back from it, in encoded form, so that no name of a class or an attribute is part of the comparison.
+"""
+
+import asyncio
+import contextlib
+import hashlib
+import json
+import random
+import shutil
+import sqlite3
+import tempfile
+from collections import deque
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+from testtools import TestCase
+from testtools.matchers import Contains, Equals, GreaterThan
+
+from hoistsaddle.common.clock import to_microseconds
+from hoistsaddle.common.counters import Counters
+from hoistsaddle.config.items import SERVICE, ItemUpsert, Patch, pack_patch
+from hoistsaddle.raft.checkpoint import checkpoint_file_name, pack_checkpoint
+from hoistsaddle.raft.disk import Disk
+from hoistsaddle.raft.disk_jobs import DiskJobs
+from hoistsaddle.raft.events import Boot, RaftTimings
+from hoistsaddle.raft.runner import TICK, RaftRunner
+from hoistsaddle.statemachine.apply import apply
+from hoistsaddle.statemachine.commands import (
+    COMMANDS,
+    LEVEL,
+    ClaimHold,
+    Outcome,
+    PatchItems,
+    SettleHold,
+    pack_command,
+    unpack_command,
+)
+from hoistsaddle.statemachine.digests import digests_of
+from hoistsaddle.statemachine.state import State, data_plane_items, pack_state, unpack_state
+from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
+
+FIXTURES = Path(__file__).parent / "fixtures" / "release-9c419a2"
+CONTROLLERS = ("controller", "checkpointed", "first-level")
+FOLDERS = (*CONTROLLERS, "voters")
+INCARNATION = "0123456789abcdef"
+# Of simulated time.
+MAX_SECONDS = 30.0
+Write = Callable[[Any], Awaitable[Outcome]]
+# What a state has from release level 4 on; the checkpoint of the folder "checkpointed" is of that level.
+NEWEST_PARTS = {"memories", "refusals"}
+
+
+def recorded(name: str) -> dict[str, Any]:
+    """What the former release read back from a folder."""
+    return json.loads((FIXTURES / f"{name}.json").read_text())
+
+
+def to_plain(value: Any) -> Any:
+    """Encoded values as JSON has them: bytes in hexadecimal, keys as text."""
+    match value:
+        case bytes():
+            return value.hex()
+        case dict():
+            return {key.hex() if isinstance(key, bytes) else str(key): to_plain(each) for key, each in value.items()}
+        case list() | tuple():
+            return [to_plain(each) for each in value]
+    return value
+
+
+def content_of(state: State) -> dict[str, Any]:
+    """A state as it is encoded, and what of it the data plane is sent."""
+    packed = pack_state(state)
+    distributed = data_plane_items(state)
+    return {
+        "sha256": hashlib.sha256(packed).hexdigest(),
+        "parts": to_plain(msgspec.msgpack.decode(packed)),
+        "distributed": {
+            key: [offset, hashlib.sha256(value).hexdigest()] for key, (offset, value) in distributed.items()
+        },
+        "distributed_digests": list(digests_of(distributed)),
+    }
+
+
+def replay(boot: Boot) -> tuple[State, list[list]]:
+    """The state after the whole log, and each record's outcome after its offset."""
+    state, outcomes = boot.state, []
+    for record in boot.records:
+        if record.offset > state.offset:
+            state, outcome = apply(
+                state, offset=record.offset, epoch=record.epoch, stamp=record.stamp, payload=record.payload
+            )
+            outcomes.append([record.offset, *to_plain(outcome)])
+    return state, outcomes
+
+
+def layout_of(folder: Path) -> dict[str, list]:
+    """The database's file, its tables with their columns, and the names of the facts."""
+    files = sorted(path.name for path in folder.iterdir() if path.is_file())
+    with contextlib.closing(sqlite3.connect(folder / files[0])) as connection:
+        tables = connection.execute("SELECT sql FROM sqlite_master WHERE type = 'table' ORDER BY name").fetchall()
+        facts = connection.execute("SELECT name FROM facts ORDER BY name").fetchall()
+    return {"files": files, "tables": tables, "facts": facts}
+
+
+class FolderCase(TestCase):
+    """Copies of the former release's folders, so that the fixture stays as it is."""
+
+    def copy(self, name: str) -> Path:
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        return Path(shutil.copytree(FIXTURES / name, Path(temporary.name) / name))
+
+    def boot(self, name: str) -> Boot:
+        disk = Disk(folder=self.copy(name), replica=recorded(name)["replica"])
+        self.addCleanup(disk.close)
+        boot = disk.boot()
+        self.assertThat(disk.remarks, Equals([]))
+        return boot
+
+
+class Reading(FolderCase):
+    def test_identity_vote_and_voters_are_read_as_they_were_left(self) -> None:
+        for name in FOLDERS:
+            boot, former = self.boot(name), recorded(name)
+            read = {
+                "replica": boot.replica,
+                "incarnation": boot.incarnation,
+                "epoch": boot.epoch,
+                "vote": boot.vote,
+                "voters": boot.voters,
+                "mesh": boot.mesh,
+                "begin": boot.begin,
+                "checkpoint": boot.checkpoint,
+                "committed": boot.committed,
+            }
+            self.assertThat(to_plain(read), Equals({key: former[key] for key in read}), name)
+            self.assertThat(boot.catching, Equals(False), name)
+
+    def test_every_record_of_the_log_is_there(self) -> None:
+        for name in FOLDERS:
+            rows = [
+                [
+                    record.offset,
+                    record.epoch,
+                    to_microseconds(record.stamp),
+                    msgspec.msgpack.decode(record.payload)[0],
+                    hashlib.sha256(record.payload).hexdigest(),
+                ]
+                for record in self.boot(name).records
+            ]
+            self.assertThat(rows, Equals(recorded(name)["records"]), name)
+
+    def test_each_checkpoint_holds_the_former_releases_state(self) -> None:
+        for name in FOLDERS:
+            self.assertThat(content_of(self.boot(name).state), Equals(recorded(name)["checkpoint_state"]), name)
+        # Else a checkpoint of the newest level would be none of what is read here.
+        self.assertThat(NEWEST_PARTS - set(recorded("checkpointed")["checkpoint_state"]["parts"]), Equals(set()))
+
+    def test_every_record_has_the_former_releases_outcome_and_state(self) -> None:
+        for name in FOLDERS:
+            state, outcomes = replay(self.boot(name))
+            former = recorded(name)
+            self.assertThat(outcomes, Equals(former["outcomes"]), name)
+            self.assertThat(content_of(state), Equals(former["last_state"]), name)
+        self.assertThat(replay(self.boot("controller"))[0], Equals(replay(self.boot("checkpointed"))[0]))
+
+
+class Writing(FolderCase):
+    def test_every_kind_of_command_is_encoded_in_the_same_bytes(self) -> None:
+        seen = set()
+        for name in FOLDERS:
+            for record in self.boot(name).records:
+                command = unpack_command(record.payload)
+                seen.add(msgspec.msgpack.decode(record.payload)[0])
+                self.assertThat(pack_command(command), Equals(record.payload), f"{name} {record.offset}")
+        self.assertThat(seen, Equals(set(COMMANDS)))
+
+    def test_every_checkpoint_is_written_in_the_same_bytes_under_the_same_name(self) -> None:
+        for name in FOLDERS:
+            boot = self.boot(name)
+            data = pack_checkpoint(checkpoint_id=boot.checkpoint, state=boot.state)
+            self.assertThat(
+                {checkpoint_file_name(boot.checkpoint): hashlib.sha256(data).hexdigest()},
+                Equals(recorded(name)["checkpoint_files"]),
+                name,
+            )
+
+    def test_a_state_that_was_read_is_the_state_that_was_packed(self) -> None:
+        for name in FOLDERS:
+            state, _ = replay(self.boot(name))
+            self.assertThat(unpack_state(pack_state(state)), Equals(state), name)
+
+
+class ImmediateDiskWorker:
+    """Does the disk's jobs on the event loop: a thread beside it would let simulated time run ahead."""
+
+    def __init__(self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters) -> None:
+        self.jobs = DiskJobs(disk=disk, counters=counters)
+        self.report = report
+        self.waiting: deque[tuple] = deque()
+
+    def put(self, job: tuple) -> None:
+        self.waiting.append(job)
+        asyncio.get_running_loop().call_soon(self._work)
+
+    def _work(self) -> None:
+        if self.waiting and (report := self.jobs.do_next(self.waiting)) is not None:
+            self.report(report)
+
+    def stop(self) -> bool:
+        while self.waiting:
+            self.jobs.do_next(self.waiting)
+        return True
+
+
+class GoingOn(FolderCase):
+    """The only voter of a folder leads again, writes, takes a checkpoint, stops, and is opened once more."""
+
+    def play(self, folder: Path, work: Callable[[RaftRunner, Write], Awaitable[State]]) -> State:
+        """Runs one start of the replica in simulated time; `work` gets it as a leader, and a way to write a command."""
+        loop = SimulatedTimeLoop()
+        runner = RaftRunner(
+            disk=Disk(folder=folder, replica=1),
+            addresses={1: "at-1"},
+            timings=RaftTimings(checkpoint_records=4),
+            counters=Counters(owner="former"),
+            runtime=SimpleNamespace(now=loop.now, random=random.Random(1), rpc_client=None),
+            make_worker=ImmediateDiskWorker,
+        )
+
+        async def write(command: Any) -> Outcome:
+            result = await runner.propose((pack_command(command),))
+            self.assertThat(result.error, Equals(""))
+            return result.outcomes[0]
+
+        async def run() -> State:
+            runner.start()
+            while runner.core.role != "leader":
+                await asyncio.sleep(TICK.total_seconds())
+            # A read is answered once all that was committed before is applied.
+            self.assertThat((await runner.read()).error, Equals(""))
+            try:
+                return await work(runner, write)
+            finally:
+                await runner.stop()
+
+        async def run_in_time() -> State:
+            # A replica that can't apply its log answers nothing.
+            async with asyncio.timeout(MAX_SECONDS):
+                return await run()
+
+        asyncio.set_event_loop(loop)
+        try:
+            return loop.run_until_complete(run_in_time())
+        finally:
+            loop.close()
+            asyncio.set_event_loop(None)
+
+    def test_it_writes_on_and_opens_again(self) -> None:
+        for name in CONTROLLERS:
+            folder, former = self.copy(name), recorded(name)
+            layout = layout_of(folder)
+            before = former["last_state"]["parts"]
+
+            async def first(runner: RaftRunner, write: Write, before: dict = before) -> State:
+                state = runner.core.state
+                self.assertThat((state.mesh, runner.core.incarnation), Equals((before["mesh"], INCARNATION)))
+                self.assertThat(state.offset, GreaterThan(before["offset"] - 1))
+                while runner.core.state.level < LEVEL:
+                    result = await runner.raise_level(runner.core.state.level + 1)
+                    self.assertThat(result.error, Equals(""))
+                offset = runner.core.state.offset
+                patch = pack_patch(Patch([ItemUpsert(SERVICE, 9, {"name": "added"}, b"as said")], []))
+                outcome = await write(PatchItems("after-1", "desk", "standing", patch, 600, offset))
+                self.assertThat((outcome.error, outcome.detail["changed"]), Equals(("", ["service:added"])))
+                claim = ClaimHold("scope", "claim", "proxy-1", "body", "bucket-9", "credentials", "who", "pay", 300)
+                scope = (await write(claim)).detail["scope"]
+                self.assertThat((await write(SettleHold(scope, "claim", 200, {}, b"new", True))).error, Equals(""))
+                for number in range(8):
+                    await write(claim._replace(claim=f"claim-{number}", bucket=f"bucket-{number}"))
+                return runner.core.state
+
+            async def second(runner: RaftRunner, write: Write) -> State:
+                return runner.core.state
+
+            left = self.play(folder, first)
+            self.assertThat(layout_of(folder), Equals(layout), name)
+            newest = max(path.name for path in (folder / "checkpoints").iterdir())
+            self.assertThat(newest, GreaterThan(max(former["checkpoint_files"])), name)
+            found = self.play(folder, second)
+            self.assertThat(
+                (found.offset >= left.offset, found.epoch > left.epoch, found.level), Equals((True, True, LEVEL)), name
+            )
+            # Its own note as the leader is all that came since.
+            self.assertThat(
+                found._replace(offset=left.offset, epoch=left.epoch, stamp=left.stamp, swept=left.swept),
+                Equals(left),
+                name,
+            )
+            self.assertThat(list(found.items), Contains("service:added"), name)
+            self.assertThat(sorted(found.voters.items()), Equals([(1, INCARNATION)]), name)
+            for kept in ("servers", "nodes", "bundles", "operators"):
+                self.assertThat(
+                    [str(key) for key, _ in sorted(getattr(found, kept).items())],
+                    Equals([str(key) for key, _ in before[kept]]),
+                    f"{name} {kept}",
+                )
