--- a/tests/controller_deployment.py
+++ b/tests/controller_deployment.py
@@ -12,10 +12,11 @@
 from aiohttp import web
 
 # It only ends a run that hangs: processes may be slow on a busy machine.
-LONGEST = 90.0
+MAX_SECONDS = 90.0
 
 
 def free_ports(count: int, *, host: str = "127.0.0.1") -> list[int]:
+    """Ports that were free a moment ago."""
     sockets = [socket.socket() for _ in range(count)]
     for each in sockets:
         each.bind((host, 0))
@@ -44,15 +45,15 @@
                 sys.executable, "-m", "hoistsaddle.cli", kind, str(path), stdout=log, stderr=log
             )
 
-    async def start_controller(self, place: int, *, cold: bool) -> None:
+    async def start_controller(self, index: int, *, cold: bool) -> None:
         registry, store, operators = self.ports
         await self.launch(
-            f"market-{place}",
+            f"market-{index}",
             "market",
             {
-                "host": self.hosts[place],
+                "host": self.hosts[index],
                 "zone": "a",
-                "data_folder": str(self.folder / f"data-{place}"),
+                "data_folder": str(self.folder / f"data-{index}"),
                 "seeds": list(self.hosts),
                 "cold_start": cold,
                 "bourse_port": registry,
@@ -63,7 +64,7 @@
         )
 
     async def start_sidecar(self, number: int) -> tuple[str, str, str]:
-        listen, door, side, server = (f"127.0.0.1:{port}" for port in free_ports(4))
+        listen, ingress, admin, server = (f"127.0.0.1:{port}" for port in free_ports(4))
         await self.launch(
             f"stall-{number}",
             "broker",
@@ -71,31 +72,31 @@
                 "name": f"stall-{number}",
                 "zone": "a",
                 "listen": listen,
-                "door": door,
-                "vitals_door": side,
-                "ready_door": side,
+                "door": ingress,
+                "vitals_door": admin,
+                "ready_door": admin,
                 "seeds": [f"{host}:{self.ports[0]}" for host in self.hosts],
                 "service": "ledger",
                 "server": server,
                 "grace_seconds": 3,
             },
         )
-        return door, side, server
+        return ingress, admin, server
 
-    def doors(self) -> list[str]:
+    def operator_addresses(self) -> list[str]:
         return [f"{host}:{self.ports[2]}" for host in self.hosts]
 
     async def command(self, *arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "hoistsaddle.cli", *arguments,
-            env={**os.environ, "HOISTSADDLE_DOORS": " ".join(self.doors())},
+            env={**os.environ, "HOISTSADDLE_DOORS": " ".join(self.operator_addresses())},
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
         )  # fmt: skip
-        said, _ = await process.communicate()
-        return process.returncode or 0, said.decode()
+        output, _ = await process.communicate()
+        return process.returncode or 0, output.decode()
 
     async def serve(self, address: str) -> web.ServerRunner:
-        """A server in the wording of the mesh: it gives each answer back under the request's own id."""
+        """A server as the mesh expects one: each answer carries the id of its request."""
 
         async def handle(request: web.BaseRequest) -> web.Response:
             self.runs.append(f"{request.method} {request.path}")
@@ -115,21 +116,21 @@
         codes = {}
         for name, process in self.processes.items():
             try:
-                codes[name] = await asyncio.wait_for(process.wait(), LONGEST)
+                codes[name] = await asyncio.wait_for(process.wait(), MAX_SECONDS)
             except TimeoutError:
                 process.kill()
                 codes[name] = await process.wait()
         return codes
 
 
-async def until(work: Any, *, seconds: float = LONGEST) -> Any:
-    """Asks again until it holds: a process gives no event to wait on."""
+async def until(work: Any, *, seconds: float = MAX_SECONDS) -> Any:
+    """Calls `work` until its result is truthy: a process gives no event to wait on."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + seconds
     while True:
-        told = await work()
-        if told:
-            return told
+        result = await work()
+        if result:
+            return result
         if loop.time() > deadline:
             raise AssertionError(f"still not after {seconds} s")
         await asyncio.sleep(0.1)
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the product, one or more for each rule of the arcade, and the day on which each must be caught."""
+"""Faults injected into the product, one or more for each rule of the emulator, and the day that must show each."""
 
 import random
 from collections.abc import Callable
@@ -360,7 +360,7 @@
         slow = milliseconds(600000) if len(starts) > 3 else milliseconds(500)
         return RaftTimings(election_timeout_min=slow, election_timeout_max=slow * 1.5, **needs)
 
-    return mock.patch.object(controller, "Pace", timings)
+    return mock.patch.object(controller, "RaftTimings", timings)
 
 
 def _some_answers_raise():
--- a/tests/emulator_witness.py
+++ b/tests/emulator_witness.py
@@ -1,4 +1,4 @@
-"""Days of the emulator under the eye of a witness: what each machine hands out, against what was committed by then."""
+"""Days of the emulator with a witness: what each machine hands out is compared with what was committed by then."""
 
 import asyncio
 import bisect
@@ -26,13 +26,13 @@
 
 
 class CommittedRevisions:
-    """Which revision of the news was committed when: by what any core machine has applied."""
+    """When each revision of the configuration was committed: by what any core machine has applied."""
 
     def __init__(self) -> None:
         self.timestamps: list[float] = []
         self.revisions: list[int] = []
 
-    def note(self, now: float, revision: int) -> None:
+    def record(self, now: float, revision: int) -> None:
         if not self.revisions or revision > self.revisions[-1]:
             self.timestamps.append(now)
             self.revisions.append(revision)
@@ -43,20 +43,24 @@
 
 
 class WitnessReport(NamedTuple):
+    """What the emulator's rules and the witness found on one day."""
+
     broken: dict[str, list[str]]
-    # What was handed out as younger than it was, and machines that went back.
+    # Copies handed out as fresher than they were, and machines that went back to an older one.
     overstated: list[str]
     back: list[str]
-    # Sidecar to the longest time for which its word was older than a lease, with nothing wrong with its own machine.
+    # Sidecar to the longest time for which its copy was stale, with nothing wrong with its own machine.
     longest: dict[str, float]
     calls: Counter[str]
     octets: Counter[str]
     events: list[tuple[float, str, str, dict]]
-    # Answers of control doors to proper orders at each machine: (moment, machine, status, seconds it took).
-    told: list[tuple[float, str, int, float]]
+    # Answers of the control interface to valid changes: (time, machine, status, seconds it took).
+    control_answers: list[tuple[float, str, int, float]]
 
 
 class WatchedEmulator(Emulator):
+    """An emulator that samples the committed revision and counts calls from `count_from` seconds on."""
+
     def __init__(self, *, count_from: float, **needs: Any) -> None:
         super().__init__(**needs)
         self.committed_revisions = CommittedRevisions()
@@ -65,8 +69,8 @@
         self.longest: dict[str, float] = {}
         self.calls: Counter[str] = Counter()
         self.octets: Counter[str] = Counter()
-        self.told: list[tuple[float, str, int, float]] = []
-        self.held: dict[int, tuple[int, int]] = {}
+        self.control_answers: list[tuple[float, str, int, float]] = []
+        self.positions: dict[int, tuple[int, int]] = {}
         self.count_from = count_from
         self.began = self.now()
         self.world.on_call = self._count
@@ -80,11 +84,11 @@
     async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any:
         began = self.now()
         answer = await super().control(machine, method, path, body, within=within)
-        self.told.append((began, machine, 0 if answer is None else answer.status, self.now() - began))
+        self.control_answers.append((began, machine, 0 if answer is None else answer.status, self.now() - began))
         return answer
 
-    def handed_out(self, relay: Relay, answer: PollAnswer, *, now: float) -> None:
-        """A relay's answer that says how old its word is: nothing newer may have been committed by then."""
+    def check_answer(self, relay: Relay, answer: PollAnswer, *, now: float) -> None:
+        """A relay's answer says how old its copy is: nothing newer may have been committed by then."""
         if answer.error:
             return
         at = relay.lease_start.total_seconds() - SLACK_SECONDS
@@ -102,18 +106,18 @@
                 if hasattr(process.node, "store"):
                     core = process.node.store.runner.core
                     if core is not None:
-                        self.committed_revisions.note(self.now(), core.state.news)
+                        self.committed_revisions.record(self.now(), core.state.news)
                 else:
                     self._check_relay(process)
             await asyncio.sleep(WITNESS_INTERVAL_SECONDS)
 
     def _check_relay(self, process: Process) -> None:
         relay = process.node.relay
-        held = (relay.copy.revision, getattr(relay, "epoch", 0))
-        before = self.held.get(process.number, held)
-        if held[0] < before[0] or held[1] < before[1]:
-            self.back.append(f"{process.machine.name} went back from {before} to {held}")
-        self.held[process.number] = held
+        position = (relay.copy.revision, getattr(relay, "epoch", 0))
+        before = self.positions.get(process.number, position)
+        if position[0] < before[0] or position[1] < before[1]:
+            self.back.append(f"{process.machine.name} went back from {before} to {position}")
+        self.positions[process.number] = position
         if (
             not process.life.frozen
             and relay.lease_start is not None
@@ -123,54 +127,54 @@
             self.longest[process.machine.name] = max(self.longest.get(process.machine.name, 0.0), age)
 
     async def play(self) -> None:
-        looking = self.create_task(self.witness())
+        witnessing = self.create_task(self.witness())
         await super().play()
         # A witness that ended early saw nothing: its day shows nothing either.
-        if looking.done():
-            looking.result()
+        if witnessing.done():
+            witnessing.result()
 
 
 def watch(day: Day, *, count_from: float = 0.0) -> WitnessReport:
     """Plays one day and gives what the rules and the witness found."""
     logger.disable("hoistsaddle")
-    # For good: what a killed life never awaited may be found long after.
+    # For good: what a killed incarnation never awaited may be found long after.
     warnings.filterwarnings("ignore", message="coroutine '.*' was never awaited", category=RuntimeWarning)
-    loop, burial = SimulatedTimeLoop(), SimulatedTimeLoop()
+    loop, cleanup_loop = SimulatedTimeLoop(), SimulatedTimeLoop()
     asyncio.set_event_loop(loop)
     plain = Relay.answer
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-watched-") as folder:
-        environment = WatchedEmulator(count_from=count_from, day=day, loop=loop, folder=Path(folder))
+        emulator = WatchedEmulator(count_from=count_from, day=day, loop=loop, folder=Path(folder))
 
         def answer(relay: Relay, *arguments: Any, **named: Any) -> PollAnswer:
             given = plain(relay, *arguments, **named)
-            environment.handed_out(relay, given, now=environment.now())
+            emulator.check_answer(relay, given, now=emulator.now())
             return given
 
         try:
             with mock.patch.object(Relay, "answer", answer):
-                loop.run_until_complete(environment.play())
+                loop.run_until_complete(emulator.play())
         finally:
-            for process in environment.processes.values():
+            for process in emulator.processes.values():
                 process.kill()
-            for task in environment.tasks:
+            for task in emulator.tasks:
                 task.cancel()
             loop.close()
-            # What killed lives left unfinished is collected now, and what its last lines start meets no later test.
-            asyncio.set_event_loop(burial)
+            # What killed incarnations left unfinished is collected now, so that it disturbs no later test.
+            asyncio.set_event_loop(cleanup_loop)
             gc.collect()
-        environment.processes.clear()
+        emulator.processes.clear()
         gc.collect()
-        burial.close()
+        cleanup_loop.close()
         asyncio.set_event_loop(None)
         logger.enable("hoistsaddle")
-        broken = {rule: found for rule, found in check(environment.history, day).items() if found}
+        broken = {rule: found for rule, found in check(emulator.history, day).items() if found}
         return WitnessReport(
             broken,
-            environment.overstated,
-            environment.back,
-            environment.longest,
-            environment.calls,
-            environment.octets,
-            environment.events,
-            environment.told,
+            emulator.overstated,
+            emulator.back,
+            emulator.longest,
+            emulator.calls,
+            emulator.octets,
+            emulator.events,
+            emulator.control_answers,
         )
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes for one test, with callers."""
+"""A small deployment of real processes for one test, with clients that send load."""
 
 import asyncio
 import random
@@ -14,6 +14,8 @@
 
 
 def on_fleet(scenario: Callable[[Fleet, Load], Coroutine], **needs) -> Fleet:
+    """Plays a scenario on the deployment "thimble"; needs are the fleet's options. Gives the fleet, stopped."""
+
     async def run(folder: Path) -> Fleet:
         async with Fleet(deployment=THIMBLE, folder=folder, **needs) as fleet:
             await fleet.start()
--- a/tests/orders_model.py
+++ b/tests/orders_model.py
@@ -1,9 +1,9 @@
-"""Orders as the operators know them, told apart from what the log makes of them.
+"""Operators' changes of items as a model, independent of the state machine that it checks.
 
-A small space is gone through whole: two operators' orders in every sequence of copies, with resends, drops, copies
-that set out before a refusal, spans that pass, and a snapshot before each record. Which of them the log gets, and in
+A small space is explored exhaustively: two operators' changes in every sequence of copies, with resends, drops, copies
+sent before a refusal, resend windows that pass, and a snapshot before each record. Which of them the log gets, and in
 which order, is what lost answers, cut-off leaders and changes of the leader come to: a copy is logged, again, or never.
-Every answer is taken for one that arrived, so whatever holds of all of them holds when some are lost.
+Every answer counts as received, so whatever holds of all of them holds when some are lost.
 """
 
 from collections.abc import Callable, Iterator
@@ -73,17 +73,17 @@
 
 
 class PatchAnswer(NamedTuple):
-    """What an order was told, and at which offset."""
+    """What a change was answered, and at which offset."""
 
     offset: int
     answer: str
 
 
 class Path(NamedTuple):
-    """One sequence of records: the state it came to, and all that was answered on the way."""
+    """One sequence of records: the state it leads to, and all answers on the way."""
 
     state: State
-    told: tuple[tuple[ModelOrder, PatchAnswer], ...] = ()
+    answers: tuple[tuple[ModelOrder, PatchAnswer], ...] = ()
     # The offset of the newest wait.
     waited: int = 0
 
@@ -111,17 +111,17 @@
     stamp = state.stamp + timedelta(seconds=STEP)
     payload = order.payload(seen=path.state.offset)
     state, outcome = apply(state, offset=offset, epoch=1, stamp=stamp, payload=payload)
-    return path._replace(state=state, told=(*path.told, (order, PatchAnswer(offset, answer_of(outcome)))))
+    return path._replace(state=state, answers=(*path.answers, (order, PatchAnswer(offset, answer_of(outcome)))))
 
 
-# -- what must hold of every path -------------------------------------------------------------------------------------
+# -- invariants of every path -------------------------------------------------------------------------------------
 
 
 def one_content(path: Path, before: Path) -> str:
     """One revision of an item is confirmed with one content."""
     contents: dict[tuple[str, int], set[str | None]] = {}
-    for order, told in path.told:
-        if told.answer == CONFIRMED:
+    for order, answer in path.answers:
+        if answer.answer == CONFIRMED:
             for key, revision, content in order.items:
                 contents.setdefault((key, revision), set()).add(content)
     twice = {place: found for place, found in contents.items() if len(found) > 1}
@@ -130,29 +130,29 @@
 
 def accepted_never_refused(path: Path, before: Path) -> str:
     """What was confirmed once is confirmed again, or, when all spans are over, left without a clear answer."""
-    if len(path.told) == len(before.told):
+    if len(path.answers) == len(before.answers):
         return ""
-    order, told = path.told[-1]
-    confirmed = [each.offset for other, each in before.told if other.name == order.name and each.answer == CONFIRMED]
-    if confirmed and told.answer == REFUSED:
+    order, answer = path.answers[-1]
+    confirmed = [each.offset for other, each in before.answers if other.name == order.name and each.answer == CONFIRMED]
+    if confirmed and answer.answer == REFUSED:
         return f"{order.name} was confirmed and is refused"
-    if confirmed and max(confirmed) > path.waited and told.answer != CONFIRMED:
-        return f"{order.name} was confirmed a moment ago and is {told.answer}"
+    if confirmed and max(confirmed) > path.waited and answer.answer != CONFIRMED:
+        return f"{order.name} was confirmed a moment ago and is {answer.answer}"
     return ""
 
 
 def refused_never_counts(path: Path, before: Path) -> str:
     """What was refused isn't confirmed by a copy that had set out before; an order made anew may be."""
-    if len(path.told) == len(before.told):
+    if len(path.answers) == len(before.answers):
         return ""
-    order, told = path.told[-1]
-    earlier = [each for other, each in before.told if other.name == order.name]
+    order, answer = path.answers[-1]
+    earlier = [each for other, each in before.answers if other.name == order.name]
     # A copy of one that was taken since, by an order made anew, is that order's.
     refused = bool(earlier) and earlier[-1].answer == REFUSED
     renewed = not order.early and order.name == "entry"
     # For as long as its copies may be under way.
     lately = bool(earlier) and (order.name != "entry" or earlier[-1].offset > path.waited)
-    if refused and lately and told.answer == CONFIRMED and not renewed:
+    if refused and lately and answer.answer == CONFIRMED and not renewed:
         return f"{order.name} was refused and is confirmed"
     return ""
 
@@ -160,8 +160,8 @@
 def highest_stands(path: Path, before: Path) -> str:
     """Of each name stands the highest revision that was confirmed, as it was sent; nothing of what was not."""
     wanted: dict[str, tuple[int, str | None]] = {}
-    for order, told in path.told:
-        if told.answer == CONFIRMED:
+    for order, answer in path.answers:
+        if answer.answer == CONFIRMED:
             for key, revision, content in order.items:
                 if revision > wanted.get(key, (-1, None))[0]:
                     wanted[key] = (revision, content)
@@ -196,7 +196,7 @@
         for each in CHECKS:
             if each.__name__ not in broken and (found := each(path, before)):
                 steps = ", ".join(
-                    f"{order.name}{'' if order.early else ' anew'}: {told.answer}" for order, told in path.told
+                    f"{order.name}{'' if order.early else ' anew'}: {answer.answer}" for order, answer in path.answers
                 )
                 broken[each.__name__] = f"{found} [{steps}; waited at {path.waited}]"
     return Explored(depth, states, broken)
--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -1,4 +1,7 @@
-"""Sidecars' cores on one bench: their lines, log and servers are played, and every command is kept for the checks."""
+"""Several sidecars' cores joined without I/O: network, log and servers are modelled, every command is recorded.
+
+A test sends requests at one sidecar (its ingress), lets modelled servers answer or fail, and moves the clock.
+"""
 
 import random
 from datetime import timedelta
@@ -55,20 +58,20 @@
     return RouteItem(**{**values, **changes})
 
 
-def pace_of(seconds: float, *, deviation: float = 0.0) -> LatencyEstimate:
-    """A pace well known."""
-    pace = LatencyEstimate()
-    pace.count = 100
-    pace.mean, pace.deviation = timedelta(seconds=seconds), timedelta(seconds=deviation)
-    return pace
+def latency_of(seconds: float, *, deviation: float = 0.0) -> LatencyEstimate:
+    """A latency estimate that rests on many samples."""
+    estimate = LatencyEstimate()
+    estimate.count = 100
+    estimate.mean, estimate.deviation = timedelta(seconds=seconds), timedelta(seconds=deviation)
+    return estimate
 
 
 def server_of(name: str) -> ServerRecord:
-    return ServerRecord(name, "ledger", f"i-{name}", f"plant-{name}", "a", READY, 1, "life", "", 1)
+    return ServerRecord(name, "ledger", f"i-{name}", f"server-{name}", "a", READY, 1, "life", "", 1)
 
 
 class SidecarBench:
-    """Some proxies, each with a server of one service, over one log."""
+    """Some sidecars, each with a server of one service, over one log."""
 
     def __init__(
         self,
@@ -82,9 +85,9 @@
         names = names or ("s-1", "s-2", "s-3")
         self.timestamp = timedelta(seconds=100)
         self.log: State = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
-        # Whether the core answers about keys.
+        # Whether the core answers claims of keys.
         self.core_up = True
-        # Proxies that give no answer at all, and those whose ports refuse.
+        # Sidecars that give no answer at all, and those whose ports refuse.
         self.silent: set[str] = set()
         self.refusing: set[str] = set()
         # Whether each sidecar has heard from the core just now.
@@ -93,11 +96,11 @@
         self.replies: dict[int, Reply] = {}
         self.answers: dict[int, Any] = {}
         # What runs on servers now.
-        self.serves: dict[tuple[str, int], RunOnServer] = {}
-        # What was broken off on a server, as its client had left.
+        self.runs: dict[tuple[str, int], RunOnServer] = {}
+        # Runs that were cancelled, as their client had disconnected.
         self.aborted: list[RunOnServer] = []
         self._pending_requests: dict[tuple[str, int], tuple[str, int]] = {}
-        self._recalls: dict[tuple[str, int], tuple[str, int]] = {}
+        self._claim_queries: dict[tuple[str, int], tuple[str, int]] = {}
         self.tickets = 0
         items: dict[str, Any] = {f"entry:{each.name}": each for each in entries or tuple(entry(name) for name in KINDS)}
         items["service:ledger"] = ServiceItem("ledger")
@@ -122,7 +125,7 @@
             ),
             seed=random.Random(seed),
             now=self.timestamp,
-            server=f"plant-{name}",
+            server=f"server-{name}",
             drain_span=timedelta(seconds=2),
             further_percent=20,
             further_margin=margin,
@@ -131,6 +134,7 @@
         )
 
     def show(self, view: View) -> None:
+        """Every sidecar applies this configuration."""
         self.view = view
         for name in self.cores:
             self.feed(name, ConfigurationChanged(view))
@@ -138,10 +142,11 @@
     def health(self, name: str, *, state: str = READY, room: int = 2, instance: str = "") -> None:
         self.feed(
             name,
-            HealthReported("ledger", instance or f"i-{name}", f"plant-{name}", state, room, timedelta()),
+            HealthReported("ledger", instance or f"i-{name}", f"server-{name}", state, room, timedelta()),
         )
 
     def pass_time(self, seconds: float, *, step: float = 0.02, beats: bool = True) -> None:
+        """Ticks every core in steps; beats: the servers go on reporting themselves ready."""
         until = self.timestamp + timedelta(seconds=seconds)
         while self.timestamp < until:
             self.timestamp += timedelta(seconds=step)
@@ -150,13 +155,13 @@
                     core.server = core.server._replace(heard=self.timestamp)
                 self.feed(name, Ticked())
 
-    # -- what is asked -----------------------------------------------------------------------------------------------
+    # -- requests -----------------------------------------------------------------------------------------------
 
     def ask(
         self,
         path: str = "/read/x",
         *,
-        door: str = "s-1",
+        ingress: str = "s-1",
         key: str = "",
         budget: float | None = 3.0,
         body: bytes = b"",
@@ -167,39 +172,40 @@
         ticket = self.tickets
         budget_span = None if budget is None else timedelta(seconds=budget)
         self.feed(
-            door,
+            ingress,
             RequestArrived(ticket, "POST", host, path, b"", header_bytes, body, budget_span, key, f"try-{ticket}"),
         )
         return ticket
 
-    def leave(self, ticket: int, *, door: str = "s-1") -> None:
+    def disconnect(self, ticket: int, *, ingress: str = "s-1") -> None:
         """The client of this request closes its connection."""
-        self.feed(door, ClientDisconnected(ticket))
+        self.feed(ingress, ClientDisconnected(ticket))
 
     def arrive(self, name: str, call: Any) -> int:
-        """A deal straight to a proxy, its answer kept under the ticket."""
+        """A forwarded request straight to a sidecar; its answer is kept under the ticket."""
         self.tickets += 1
         ticket = self.tickets
         self.feed(name, ForwardArrived(ticket, call))
         return ticket
 
-    # -- what the servers do -----------------------------------------------------------------------------------------
+    # -- servers -----------------------------------------------------------------------------------------
 
     def finish(self, *, status: int = 200, body: bytes = b"done", not_run: bool = False, at: str = "") -> RunOnServer:
-        """The oldest run, or the oldest at this proxy, ends."""
-        name, number = next(key for key in self.serves if not at or key[0] == at)
-        serve = self.serves.pop((name, number))
+        """The oldest run, or the oldest at this sidecar, ends."""
+        name, number = next(key for key in self.runs if not at or key[0] == at)
+        run = self.runs.pop((name, number))
         self.feed(name, ServerAnswered(number, status, b"", body, not_run))
-        return serve
+        return run
 
     def lose(self, *, unsent: bool = False, at: str = "") -> RunOnServer:
-        name, number = next(key for key in self.serves if not at or key[0] == at)
-        serve = self.serves.pop((name, number))
+        """The oldest run, or the oldest at this sidecar, fails; unsent: before its request was written."""
+        name, number = next(key for key in self.runs if not at or key[0] == at)
+        run = self.runs.pop((name, number))
         kind = ErrorKind.UNREACHABLE if unsent else ErrorKind.SILENT
         self.feed(name, ServerFailed(number, unsent, MeshError(kind, "no answer", "ask")))
-        return serve
+        return run
 
-    # -- carrying out ------------------------------------------------------------------------------------------------
+    # -- commands ------------------------------------------------------------------------------------------------
 
     def feed(self, name: str, event: tuple) -> None:
         if self.leased:
@@ -222,20 +228,20 @@
                     self._pending_requests[target, self.tickets] = (name, number)
                     self.feed(target, ForwardArrived(self.tickets, call))
             case AnswerForward(ticket=ticket, answer=answer):
-                assert ticket not in self.answers, "two answers to one deal"
+                assert ticket not in self.answers, "two answers to one forwarded request"
                 self.answers[ticket] = answer
                 if (name, ticket) in self._pending_requests:
                     source, number = self._pending_requests.pop((name, ticket))
                     self.feed(source, ForwardAnswered(number, answer))
             case RunOnServer(number=number):
-                self.serves[name, number] = command
+                self.runs[name, number] = command
             case Abandon(address=address, call=call):
                 target = address.removeprefix("at-")
                 if target not in self.silent and target not in self.refusing:
                     self.tickets += 1
                     self.feed(target, AbandonArrived(self.tickets, call))
             case CancelRun(number=number):
-                self.aborted.append(self.serves.pop((name, number)))
+                self.aborted.append(self.runs.pop((name, number)))
             case SubmitHold(number=number, command=record):
                 self.feed(name, HoldAnswered(number, self.write(record) if self.core_up else None))
             case QueryClaim(number=number, address=address, call=call):
@@ -244,13 +250,14 @@
                     self.feed(name, ClaimQueryAnswered(number, None))
                 else:
                     self.tickets += 1
-                    self._recalls[holder, self.tickets] = (name, number)
+                    self._claim_queries[holder, self.tickets] = (name, number)
                     self.feed(holder, ClaimQueryArrived(self.tickets, call))
             case AnswerClaimQuery(ticket=ticket, answer=answer):
-                source, number = self._recalls.pop((name, ticket))
+                source, number = self._claim_queries.pop((name, ticket))
                 self.feed(source, ClaimQueryAnswered(number, answer))
 
     def write(self, record: Any) -> Any:
+        """Commits a record to the modelled log; gives its outcome."""
         self.log, outcome = apply(
             self.log,
             offset=self.log.offset + 1,
@@ -261,4 +268,5 @@
         return outcome
 
     def sent(self, kind: type = ForwardRequest) -> list[Any]:
+        """Every command of this kind so far."""
         return [command for _, command in self.commands if isinstance(command, kind)]
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 # Real time. It only ends a run that hangs, whose sockets say nothing more.
-LONGEST_SILENCE = 30.0
+MAX_SILENT_SECONDS = 30.0
 
 
 class _Selector(selectors.DefaultSelector):
@@ -16,14 +16,16 @@
     def select(self, timeout: float | None = None) -> list:
         if timeout is not None and timeout <= 0:
             return super().select(0)
-        end = time.monotonic() + LONGEST_SILENCE
+        end = time.monotonic() + MAX_SILENT_SECONDS
         while (left := end - time.monotonic()) > 0:
-            if told := super().select(left):
-                return told
-        raise AssertionError(f"nothing happened for {LONGEST_SILENCE} s, and only a step would make a timer due")
+            if ready := super().select(left):
+                return ready
+        raise AssertionError(f"nothing happened for {MAX_SILENT_SECONDS} s, and only a step would make a timer due")
 
 
 class SteppedLoop(asyncio.SelectorEventLoop):
+    """Real sockets, and a clock that only `step` moves."""
+
     def __init__(self) -> None:
         # A whole number, so that sums with whole seconds and halves are exact.
         self.current_seconds = 1000.0
@@ -49,12 +51,13 @@
 
 
 def run_stepped(work: Coroutine[Any, Any, Any]) -> Any:
+    """Runs a coroutine on a SteppedLoop of its own."""
     with asyncio.Runner(loop_factory=SteppedLoop) as runner:
         return runner.run(work)
 
 
 class EventCounter:
-    """Waits until something was noted so many times."""
+    """Counts events, and lets a test wait until so many were counted."""
 
     def __init__(self) -> None:
         self.count = 0
--- a/tests/test_emulator_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -84,9 +84,11 @@
                     self.assertThat(longest, LessThan(BOUNDS["contact_s"]), f"{name}: {sidecar}")
             # A frozen machine says nothing at all; every other one answers an order before its sender moves on.
             if "frozen" not in name:
-                self.assertThat([told for told in each.told if told[3] >= 1.0 or not told[2]], Equals([]), name)
-            self.assertThat({status for _, _, status, _ in each.told} - {200, 503, 0}, Equals(set()), name)
-            self.assertThat(sum(told[2] == 200 for told in each.told), GreaterThan(len(CHANGES)), name)
+                self.assertThat(
+                    [answer for answer in each.control_answers if answer[3] >= 1.0 or not answer[2]], Equals([]), name
+                )
+            self.assertThat({status for _, _, status, _ in each.control_answers} - {200, 503, 0}, Equals(set()), name)
+            self.assertThat(sum(answer[2] == 200 for answer in each.control_answers), GreaterThan(len(CHANGES)), name)
 
     def test_the_witness_sees_a_core_machine_that_takes_old_for_new(self) -> None:
         with ProcessPoolExecutor(1) as pool:
@@ -100,10 +102,10 @@
         machines = len(NO_MAJORITY.site.sidecars) + 1
         span = NO_MAJORITY.seconds + 5.0 - COUNT_FROM + 5.0
         # The lost don't come back; what the machines send each other that isn't a request's own way.
-        control = {kind: count for kind, count in told.calls.items() if kind != "DealCall"}
+        control = {kind: count for kind, count in told.calls.items() if kind != "ForwardCall"}
         self.assertThat(sum(control.values()) / machines / span, LessThan(12.0), str(control))
         self.assertThat(control["WriteCall"] / machines / span, LessThan(4.0), str(control))
-        octets = sum(size for kind, size in told.octets.items() if kind != "DealCall")
+        octets = sum(size for kind, size in told.octets.items() if kind != "ForwardCall")
         self.assertThat(octets / machines / span, LessThan(3000), str(dict(told.octets)))
 
 
@@ -161,7 +163,7 @@
             self.assertThat([found for seed in range(40) for found in self.walk(seed)], GreaterThan([]))
 
 
-class HealthReported(TestCase):
+class StaleRegistry(TestCase):
     def test_a_registry_without_fresh_news_notes_nothing_and_says_so(self) -> None:
         """Its copy still shows the server as it is told; the log may have called it gone since."""
         relay = Relay(node="bourse-1", incarnation="life", lease_span=timedelta(seconds=1.5))
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -118,7 +118,7 @@
         self.assertThat(failed, Equals([]))
         self.assertThat(ran, GreaterThan(35))
         there = {path.stem for path in (ROOT / "docs" / "operators").glob("*.md")}
-        # The list of calls has no commands; tests/test_fleet_hardships.py sends each of its calls.
+        # The list of calls has no commands; tests/test_fleet_faults.py sends each of its calls.
         self.assertThat(there - set(PAGES) - {"founding", "api", "platform"}, Equals(set(CONTROLLER_PAGES)))
         # What that page tells runs under the platform alone, so it may hold no commands that nobody tries.
         self.assertThat(commands_of(ROOT / "docs" / "operators" / "platform.md"), Equals([]))
@@ -134,7 +134,7 @@
                     return (await controllers.command("ready"))[0] == 0
 
                 await until(ready)
-                shell = Shell(folder=folder, doors=controllers.doors(), proxies=[])
+                shell = Shell(folder=folder, doors=controllers.operator_addresses(), proxies=[])
                 for page in CONTROLLER_PAGES:
                     path = ROOT / "docs" / "operators" / f"{page}.md"
                     # The first patch stands on the page as the file it would be in git.
--- a/tests/test_sidecar_attempt_follower.py
+++ b/tests/test_sidecar_attempt_follower.py
@@ -180,12 +180,12 @@
             ticket, sent, follow = self.broken("/pay/x", key=f"k{number}", budget=0.5)
             self.fleet.pass_time(0.6)
             self.assertThat(self.fleet.replies[ticket].status, Equals(504))
-            again = self.fleet.ask("/pay/x", key=f"k{number}", door="s-3")
+            again = self.fleet.ask("/pay/x", key=f"k{number}", ingress="s-3")
             self.assertThat(self.fleet.replies[again].status, Equals(409))
             if answer is not None:
                 answer = answer._replace(send=sent.call.send)
             self.fleet.feed("s-1", Followed(follow.number, answer))
-            again = self.fleet.ask("/pay/x", key=f"k{number}", door="s-3")
+            again = self.fleet.ask("/pay/x", key=f"k{number}", ingress="s-3")
             self.assertThat(self.fleet.replies[again].status, Equals(status))
 
     def test_a_key_whose_attempt_was_turned_away_late_is_free(self) -> None:
@@ -197,7 +197,7 @@
         self.assertThat(self.fleet.replies[ticket].status, Equals(504))
         not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
         self.fleet.feed("s-1", ForwardAnswered(sent.number, not_run))
-        again = self.fleet.ask("/pay/x", key="k", door="s-3")
+        again = self.fleet.ask("/pay/x", key="k", ingress="s-3")
         self.fleet.finish(body=b"paid")
         self.assertThat((self.fleet.replies[again].body, len(self.fleet.sent(RunOnServer))), Equals((b"paid", 1)))
 
@@ -210,12 +210,12 @@
         self.fleet.timestamp += SECOND
         self.fleet.feed("s-1", Followed(follow.number, not_run))
         self.assertThat((self.fleet.replies[ticket].status, len(self.fleet.sent(ForwardRequest))), Equals((504, count)))
-        again = self.fleet.ask("/pay/x", key="k", door="s-3")
+        again = self.fleet.ask("/pay/x", key="k", ingress="s-3")
         self.assertThat(self.fleet.replies[again].status, Equals(503))
         ticket, sent, follow = self.broken("/pay/x", key="other", budget=0.5)
         self.fleet.pass_time(0.6)
         self.fleet.feed("s-1", Followed(follow.number, not_run._replace(send=sent.call.send)))
-        again = self.fleet.ask("/pay/x", key="other", door="s-3")
+        again = self.fleet.ask("/pay/x", key="other", ingress="s-3")
         self.assertThat(self.fleet.replies[again].status, Equals(503))
 
 
--- a/tests/test_sidecar_client_gone.py
+++ b/tests/test_sidecar_client_gone.py
@@ -12,10 +12,10 @@
         fleet = SidecarBench("s-1", room=1)
         first = fleet.ask("/read/x")
         second = fleet.ask("/read/y")
-        self.assertThat(len(fleet.serves), Equals(1))
-        fleet.leave(first)
+        self.assertThat(len(fleet.runs), Equals(1))
+        fleet.disconnect(first)
         self.assertThat([serve.call.path for serve in fleet.aborted], Equals([b"/read/x"]))
-        self.assertThat([serve.call.path for serve in fleet.serves.values()], Equals([b"/read/y"]))
+        self.assertThat([serve.call.path for serve in fleet.runs.values()], Equals([b"/read/y"]))
         fleet.finish()
         self.assertThat((first in fleet.replies, fleet.replies[second].status), Equals((False, 200)))
 
@@ -23,7 +23,7 @@
         fleet = SidecarBench("s-1", room=1)
         fleet.ask("/read/x")
         waiting = fleet.ask("/read/y")
-        fleet.leave(waiting)
+        fleet.disconnect(waiting)
         fleet.finish()
         self.assertThat(
             ([each.call.path for each in fleet.sent(RunOnServer)], fleet.aborted), Equals(([b"/read/x"], []))
@@ -32,23 +32,23 @@
     def test_what_may_not_be_repeated_goes_on(self) -> None:
         for path in ("/post/x", "/pack/x"):
             fleet = SidecarBench("s-1")
-            fleet.leave(fleet.ask(path))
-            self.assertThat((fleet.sent(Abandon), fleet.aborted, len(fleet.serves)), Equals(([], [], 1)), path)
+            fleet.disconnect(fleet.ask(path))
+            self.assertThat((fleet.sent(Abandon), fleet.aborted, len(fleet.runs)), Equals(([], [], 1)), path)
 
     def test_work_under_a_key_goes_on_and_its_repeat_gets_the_answer(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
-        fleet.leave(fleet.ask("/pay/x", key="k"))
+        fleet.disconnect(fleet.ask("/pay/x", key="k"))
         fleet.finish(body=b"paid")
-        again = fleet.ask("/pay/x", key="k", door="s-2")
+        again = fleet.ask("/pay/x", key="k", ingress="s-2")
         self.assertThat((fleet.replies[again].status, fleet.replies[again].body), Equals((200, b"paid")))
         self.assertThat(len(fleet.sent(RunOnServer)), Equals(1))
 
     def test_an_attempt_whose_sidecar_does_not_hear_of_it_is_not_sent_again(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
         ticket = fleet.ask("/read/x")
-        (name, _), *_ = fleet.serves
+        (name, _), *_ = fleet.runs
         fleet.silent.add(name)
-        fleet.leave(ticket)
+        fleet.disconnect(ticket)
         fleet.finish()
         self.assertThat((len(fleet.sent(ForwardRequest)), fleet.cores["s-1"].pending_requests), Equals((1, {})))
 
@@ -56,5 +56,5 @@
         fleet = SidecarBench("s-1")
         ticket = fleet.ask("/read/x")
         fleet.finish()
-        fleet.leave(ticket)
+        fleet.disconnect(ticket)
         self.assertThat((fleet.sent(Abandon), fleet.replies[ticket].status), Equals(([], 200)))
--- a/tests/test_sidecar_ingress.py
+++ b/tests/test_sidecar_ingress.py
@@ -22,7 +22,7 @@
 from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold
 from hoistsaddle.statemachine.state import WINDING_DOWN
 from hoistsaddle.statemachine.view import View
-from sidecar_bench import KINDS, SidecarBench, entry, pace_of
+from sidecar_bench import KINDS, SidecarBench, entry, latency_of
 
 
 class Case(TestCase):
@@ -38,7 +38,7 @@
         fleet = SidecarBench(*names, margin=margin, **needs)
         for name in fleet.cores:
             for _ in range(2):
-                fleet.ask(door=name)
+                fleet.ask(ingress=name)
                 fleet.finish()
                 fleet.pass_time(13, step=0.5)
         fleet.commands.clear()
@@ -135,8 +135,8 @@
         fleet = SidecarBench(room=1)
         for name, core in fleet.cores.items():
             # Each runs one that takes long.
-            core.latencies["read"] = pace_of(3.5)
-            fleet.ask(door=name, budget=4.0)
+            core.latencies["read"] = latency_of(3.5)
+            fleet.ask(ingress=name, budget=4.0)
         timestamp = fleet.timestamp
         ticket = fleet.ask(budget=3.0)
         reply = self.replied(fleet, ticket)
@@ -146,7 +146,7 @@
         told = [self.replied(fleet, fleet.ask(budget=3.0)).retry_after for _ in range(20)]
         self.assertThat((min(told) >= timedelta(seconds=0.3), max(told) <= timedelta(seconds=1)), Equals((True, True)))
         self.assertThat(len(set(told)) > 10, Equals(True))
-        self.assertThat(len(fleet.serves), Equals(3))
+        self.assertThat(len(fleet.runs), Equals(3))
 
     def test_no_server_at_all(self) -> None:
         fleet = SidecarBench()
@@ -167,7 +167,7 @@
         fleet = SidecarBench()
         fleet.refusing = {"s-2", "s-3"}
         for _ in range(6):
-            ticket = fleet.ask("/post/x", door="s-1")
+            ticket = fleet.ask("/post/x", ingress="s-1")
             self.assertThat(fleet.finish().call.target, Equals("s-1"))
             self.assertThat(self.status(fleet, ticket), Equals(200))
         fleet.show(fleet.view._replace(servers={k: v for k, v in fleet.view.servers.items() if k != "s-1"}))
@@ -217,8 +217,8 @@
     def test_further_sends_stay_within_their_bound(self) -> None:
         fleet = self.with_room(margin=9)
         for _ in range(60):
-            fleet.ask(door="s-1")
-            while fleet.serves:
+            fleet.ask(ingress="s-1")
+            while fleet.runs:
                 fleet.lose()
         further = sum(each.call.ordinal > 1 for each in fleet.sent())
         self.assertThat((further > 3, further <= 60 * 0.2 + 9), Equals((True, True)), str(further))
@@ -238,7 +238,7 @@
         self.assertThat(self.replied(fleet, ticket)[1:4], Equals((200, b"", b"second")))
         ticket = fleet.ask("/post/x")
         fleet.finish(status=500, body=b"only")
-        self.assertThat((self.status(fleet, ticket), len(fleet.serves)), Equals((500, 0)))
+        self.assertThat((self.status(fleet, ticket), len(fleet.runs)), Equals((500, 0)))
         none = SidecarBench(margin=0)
         ticket = none.ask()
         none.finish(status=500, body=b"sorry")
@@ -266,13 +266,13 @@
         ticket = fleet.ask("/pay/x", key="k")
         fleet.feed("s-1", ClientDisconnected(ticket))
         fleet.finish(body=b"first")
-        again = fleet.ask("/pay/x", door="s-2", key="k")
+        again = fleet.ask("/pay/x", ingress="s-2", key="k")
         self.assertThat(self.replied(fleet, again).body, Equals(b"first"))
 
 
 class Keys(Case):
-    def pay(self, fleet: SidecarBench, door: str = "s-1", *, key: str = "k", **changes: Any) -> int:
-        return fleet.ask("/pay/x", door=door, key=key, **changes)
+    def pay(self, fleet: SidecarBench, ingress: str = "s-1", *, key: str = "k", **changes: Any) -> int:
+        return fleet.ask("/pay/x", ingress=ingress, key=key, **changes)
 
     def test_nothing_is_sent_before_the_claim_is_committed(self) -> None:
         fleet = SidecarBench()
@@ -286,9 +286,9 @@
         fleet = SidecarBench()
         first = self.pay(fleet)
         fleet.finish(status=201, body=b"paid")
-        for door in fleet.cores:
+        for ingress in fleet.cores:
             for _ in range(2):
-                reply = self.replied(fleet, self.pay(fleet, door))
+                reply = self.replied(fleet, self.pay(fleet, ingress))
                 self.assertThat(reply[1:], Equals(fleet.replies[first][1:]))
         self.assertThat(len(fleet.sent(RunOnServer)), Equals(1))
         # Another key is another operation.
@@ -305,11 +305,11 @@
     def test_while_it_is_in_work_a_repeat_is_told_so(self) -> None:
         fleet = SidecarBench()
         self.pay(fleet)
-        for door in fleet.cores:
-            reply = self.replied(fleet, self.pay(fleet, door))
+        for ingress in fleet.cores:
+            reply = self.replied(fleet, self.pay(fleet, ingress))
             self.assertThat((reply.status, reply.error.kind), Equals((409, ErrorKind.KEY_HELD)))
             self.assertThat(reply.retry_after, Not(Is(None)))
-        self.assertThat(len(fleet.serves), Equals(1))
+        self.assertThat(len(fleet.runs), Equals(1))
 
     def test_a_freed_key_is_taken_over_by_the_next(self) -> None:
         fleet = SidecarBench(room=1)
@@ -332,9 +332,9 @@
         self.assertThat(self.status(fleet, self.pay(fleet)), Equals(503))
         self.assertThat(len(fleet.log.holds), Equals(1))
         fleet.show(fleet.view._replace(servers=servers))
-        for door, status in (("s-2", 200), ("s-3", 200)):
-            again = self.pay(fleet, door)
-            if fleet.serves:
+        for ingress, status in (("s-2", 200), ("s-3", 200)):
+            again = self.pay(fleet, ingress)
+            if fleet.runs:
                 fleet.finish(body=b"paid")
             self.assertThat((self.status(fleet, again), fleet.replies[again].body), Equals((status, b"paid")))
         self.assertThat(len(fleet.sent(RunOnServer)), Equals(1))
@@ -343,8 +343,8 @@
         fleet = SidecarBench()
         self.pay(fleet)
         fleet.lose()
-        for door in fleet.cores:
-            reply = self.replied(fleet, self.pay(fleet, door))
+        for ingress in fleet.cores:
+            reply = self.replied(fleet, self.pay(fleet, ingress))
             self.assertThat(
                 (reply.status, reply.error.kind, reply.retry_after is None), Equals((503, ErrorKind.SILENT, False))
             )
@@ -508,13 +508,15 @@
                         name = dice.choice(tuple(KINDS))
                         key = f"k{dice.randrange(40)}" if name == "pay" else ""
                         budget = dice.choice((0.1, 0.5, 2.0))
-                        ticket = fleet.ask(f"/{name}/x", door=dice.choice(tuple(fleet.cores)), key=key, budget=budget)
+                        ticket = fleet.ask(
+                            f"/{name}/x", ingress=dice.choice(tuple(fleet.cores)), key=key, budget=budget
+                        )
                         asked[ticket] = (name, key)
-                    case "finish" if fleet.serves:
+                    case "finish" if fleet.runs:
                         fleet.finish(body=f"run {len(fleet.commands)}".encode())
-                    case "full" if fleet.serves:
+                    case "full" if fleet.runs:
                         fleet.finish(status=503, not_run=True)
-                    case "lose" if fleet.serves:
+                    case "lose" if fleet.runs:
                         fleet.lose()
                     case "time":
                         fleet.pass_time(dice.choice((0.02, 0.1, 0.4)))
@@ -525,10 +527,10 @@
                     case "leave":
                         fleet.health(dice.choice(tuple(fleet.cores)), state=dice.choice((WINDING_DOWN, "ready")))
             fleet.core_up = True
-            while fleet.serves:
+            while fleet.runs:
                 fleet.finish()
             fleet.pass_time(5)
-            while fleet.serves:
+            while fleet.runs:
                 fleet.finish()
             self.check(fleet, asked, seed)
 
--- a/tests/test_sidecar_key_answers.py
+++ b/tests/test_sidecar_key_answers.py
@@ -17,8 +17,8 @@
         super().setUp()
         self.fleet = SidecarBench()
 
-    def pay(self, door: str = "s-1", *, key: str = "k", **changes: Any) -> int:
-        return self.fleet.ask("/pay/x", door=door, key=key, **changes)
+    def pay(self, ingress: str = "s-1", *, key: str = "k", **changes: Any) -> int:
+        return self.fleet.ask("/pay/x", ingress=ingress, key=key, **changes)
 
     def told(self, ticket: int) -> Reply:
         self.assertThat(self.fleet.replies.get(ticket), Not(Is(None)))
@@ -74,8 +74,8 @@
         self.pay()
         self.fleet.finish(body=b"paid")
         self.restart("s-1")
-        for door in ("s-2", "s-1"):
-            reply = self.told(self.pay(door))
+        for ingress in ("s-2", "s-1"):
+            reply = self.told(self.pay(ingress))
             self.assertThat((reply.status, reply.error.kind, self.runs()), Equals((503, ErrorKind.SILENT, 1)))
 
     def test_restarted_before_it_sent_anything_its_claim_still_holds(self) -> None:
@@ -161,15 +161,15 @@
         self.fleet.finish(body=b"paid")
         for name in list(self.fleet.cores):
             self.restart(name)
-        for door in self.fleet.cores:
-            self.assertThat((self.told(self.pay(door)).status, self.runs()), Equals((503, 1)))
+        for ingress in self.fleet.cores:
+            self.assertThat((self.told(self.pay(ingress)).status, self.runs()), Equals((503, 1)))
 
     def test_lost_before_its_answer_it_is_not_run_again(self) -> None:
         self.pay()
         for name in list(self.fleet.cores):
             self.restart(name)
-        for door in self.fleet.cores:
-            self.assertThat((self.told(self.pay(door)).status, self.runs()), Equals((503, 1)))
+        for ingress in self.fleet.cores:
+            self.assertThat((self.told(self.pay(ingress)).status, self.runs()), Equals((503, 1)))
 
     def test_a_word_of_the_holders_that_comes_too_late_answers_nobody(self) -> None:
         self.pay()
--- a/tests/test_sidecar_upstream.py
+++ b/tests/test_sidecar_upstream.py
@@ -13,7 +13,7 @@
 from hoistsaddle.sidecar.messages import AnswerForward, RunOnServer
 from hoistsaddle.sidecar.upstream import LatencyEstimate
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
-from sidecar_bench import SidecarBench, pace_of
+from sidecar_bench import SidecarBench, latency_of
 
 NAME = "s-1"
 
@@ -59,33 +59,33 @@
             self.pending()
             self.fleet.pass_time(seconds)
             self.fleet.finish()
-        self.core.latencies["read"] = pace_of(seconds)
+        self.core.latencies["read"] = latency_of(seconds)
         self.fleet.commands.clear()
 
     def started(self) -> list[str]:
         return [serve.call.send for serve in self.fleet.sent(RunOnServer)]
 
     def test_the_server_works_on_so_many_at_a_time(self) -> None:
-        self.core.latencies["read"] = pace_of(0.05)
+        self.core.latencies["read"] = latency_of(0.05)
         tickets = [self.pending() for _ in range(5)]
-        self.assertThat(len(self.fleet.serves), Equals(2))
+        self.assertThat(len(self.fleet.runs), Equals(2))
         for left in (2, 2, 2, 1, 0):
             self.fleet.finish()
-            self.assertThat(len(self.fleet.serves), Equals(left))
+            self.assertThat(len(self.fleet.runs), Equals(left))
         self.assertThat([self.told(ticket).outcome for ticket in tickets], Equals([ANSWERED] * 5))
 
     def test_more_room_is_used_as_soon_as_the_server_tells_of_it(self) -> None:
         for _ in range(5):
             self.pending()
         self.fleet.health(NAME, room=4)
-        self.assertThat(len(self.fleet.serves), Equals(4))
+        self.assertThat(len(self.fleet.runs), Equals(4))
         # Less room stops nothing that runs, and starts nothing.
         self.fleet.health(NAME, room=1)
         self.fleet.finish()
-        self.assertThat(len(self.fleet.serves), Equals(3))
+        self.assertThat(len(self.fleet.runs), Equals(3))
 
     def test_what_waits_goes_by_rank_and_then_by_when_it_is_due(self) -> None:
-        self.core.latencies["read"] = pace_of(0.05)
+        self.core.latencies["read"] = latency_of(0.05)
         self.pending()
         self.pending()
         for rank, aim in ((2, 2.0), (0, 3.0), (1, 1.5), (0, 2.5), (1, 1.0)):
@@ -110,7 +110,7 @@
     def test_a_free_server_is_tried_even_if_it_is_usually_late(self) -> None:
         self.learn(2.0)
         self.assertThat(self.told(self.pending(aim=0.2, budget=3.0)), Equals(None))
-        self.assertThat(len(self.fleet.serves), Equals(1))
+        self.assertThat(len(self.fleet.runs), Equals(1))
 
     def test_what_waited_in_vain_is_told_so_while_it_waits(self) -> None:
         self.learn(0.4)
@@ -127,7 +127,7 @@
 
     def test_what_most_runs_keep_within_must_fit(self) -> None:
         """Admitted by the mean alone, half of a full line would be late."""
-        self.core.latencies["read"] = pace_of(0.4, deviation=0.15)
+        self.core.latencies["read"] = latency_of(0.4, deviation=0.15)
         self.pending()
         self.pending()
         # Starts in 0.4 s and is mostly done within 0.15 s more than the usual 0.4.
@@ -136,7 +136,7 @@
 
     def test_a_short_wait_turns_nobody_away(self) -> None:
         """A slow server takes one that will probably be late rather than stand idle between two arrivals."""
-        self.core.latencies["read"] = pace_of(0.4, deviation=0.2)
+        self.core.latencies["read"] = latency_of(0.4, deviation=0.2)
         self.pending()
         self.pending()
         self.fleet.pass_time(0.25)
@@ -146,8 +146,8 @@
 
     def test_a_run_far_shorter_than_usual_may_use_its_budget(self) -> None:
         """It is another server's call: turned away, it costs that server's whole run."""
-        self.core.latencies["read"] = pace_of(0.4)
-        self.core.latencies["peek"] = pace_of(0.04)
+        self.core.latencies["read"] = latency_of(0.4)
+        self.core.latencies["peek"] = latency_of(0.04)
         self.core.usual.mean = timedelta(seconds=0.3)
         self.pending()
         self.pending()
@@ -171,7 +171,7 @@
         self.assertThat(pace.mean, Equals(timedelta(seconds=0.3)))
 
     def test_the_line_is_bounded(self) -> None:
-        self.core.latencies["read"] = pace_of(0.05)
+        self.core.latencies["read"] = latency_of(0.05)
         tickets = [self.pending(budget=900, aim=900) for _ in range(60)]
         self.assertThat(self.core.load(), Equals(52))
         self.assertThat(self.refused(tickets[-1]), Equals(ErrorKind.QUEUE_FULL))
@@ -288,32 +288,32 @@
             self.core, room = self.fleet.cores[NAME], 3
             tickets = []
             for _ in range(400):
-                most = max(room, len(self.fleet.serves))
+                most = max(room, len(self.fleet.runs))
                 match dice.choices(["deal", "finish", "lose", "time", "room", "leave"], weights=[40, 25, 5, 25, 2, 2])[
                     0
                 ]:
                     case "deal":
                         budget = dice.choice((0.0, 0.05, 0.3, 1.0, 3.0))
                         tickets.append(self.pending(budget=budget, aim=budget / 2, rank=dice.randrange(3)))
-                    case "finish" if self.fleet.serves:
+                    case "finish" if self.fleet.runs:
                         self.fleet.finish(not_run=dice.random() < 0.1)
-                    case "lose" if self.fleet.serves:
+                    case "lose" if self.fleet.runs:
                         self.fleet.lose()
                     case "time":
                         self.fleet.pass_time(dice.choice((0.02, 0.1, 0.4)))
                     case "room":
                         room = dice.randint(1, 4)
-                        most = max(room, len(self.fleet.serves))
+                        most = max(room, len(self.fleet.runs))
                         self.fleet.health(NAME, room=room)
                     case "leave":
                         self.fleet.health(NAME, state=WINDING_DOWN, room=room)
                         self.fleet.pass_time(0.1)
                         self.fleet.health(NAME, room=room)
-                self.assertThat(len(self.fleet.serves) <= most, Equals(True), str(seed))
-            while self.fleet.serves:
+                self.assertThat(len(self.fleet.runs) <= most, Equals(True), str(seed))
+            while self.fleet.runs:
                 self.fleet.finish()
             self.fleet.pass_time(4)
-            while self.fleet.serves:
+            while self.fleet.runs:
                 self.fleet.finish()
             # The bench itself refuses a second answer.
             self.assertThat([ticket for ticket in tickets if ticket not in self.fleet.answers], Equals([]))
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -79,9 +79,9 @@
 
     def test_a_closing_proxy_turns_new_ones_back_and_ends_what_it_took(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
-        before = fleet.ask(door="s-1", budget=3.0)
+        before = fleet.ask(ingress="s-1", budget=3.0)
         fleet.cores["s-1"].handle(CloseRequested(), now=fleet.timestamp)
-        after = fleet.ask(door="s-1", budget=3.0)
+        after = fleet.ask(ingress="s-1", budget=3.0)
         reply = fleet.replies[after]
         self.assertThat((reply.status, reply.error.kind), Equals((503, ErrorKind.WINDING_DOWN)))
         self.assertThat(before in fleet.replies, Equals(False))
