--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -135,6 +135,8 @@
 
 
 class InjectedFault(NamedTuple):
+    """A deliberate breakage: the rules that must find it, and the day on which it is played."""
+
     name: str
     # All of them have to see it.
     rules: tuple[str, ...]
@@ -213,9 +215,9 @@
 
 
 def _some_entries_unknown():
-    plain, draw = ItemConfiguration.select_entry, random.Random(1)
+    plain, rng = ItemConfiguration.select_entry, random.Random(1)
     return mock.patch.object(
-        ItemConfiguration, "select_entry", lambda self, **needs: None if draw.random() < 0.3 else plain(self, **needs)
+        ItemConfiguration, "select_entry", lambda self, **needs: None if rng.random() < 0.3 else plain(self, **needs)
     )
 
 
@@ -364,10 +366,10 @@
 
 
 def _some_answers_raise():
-    plain, draw = IngressHandler._respond, random.Random(1)
+    plain, rng = IngressHandler._respond, random.Random(1)
 
     def raising(self: IngressHandler, answer: Reply):
-        if draw.random() < 0.05:
+        if rng.random() < 0.05:
             raise RuntimeError("planted")
         return plain(self, answer)
 
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the code, one for each line of "What must never happen", and where each must be caught."""
+"""Faults injected into the code, one for each line of "What must never happen", and where each must be caught."""
 
 import contextlib
 from collections.abc import Callable
@@ -24,6 +24,8 @@
 
 
 class InjectedFault(NamedTuple):
+    """A deliberate breakage: the line that must catch it, and where it is played."""
+
     name: str
     line: str
     deployment: str
@@ -176,8 +178,8 @@
     plain = service.state_report
 
     def short(state) -> dict:
-        setup = plain(state)
-        return {**setup, "texts": {number: text[:-1] for number, text in setup["texts"].items()}}
+        report = plain(state)
+        return {**report, "texts": {number: text[:-1] for number, text in report["texts"].items()}}
 
     return mock.patch.object(service, "state_report", short)
 
@@ -197,7 +199,7 @@
 
     def first(state) -> dict:
         kept.append(plain(state))
-        return next((setup for setup in kept if setup["in_force"]), kept[-1])
+        return next((report for report in kept if report["in_force"]), kept[-1])
 
     return mock.patch.object(service, "state_report", first)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's own names and formats, as its pages have them: settings, configuration, and doors."""
+"""The platform adapter: settings, configuration items and HTTP handlers in the platform's own names and formats."""
 
 import asyncio
 import json
@@ -78,6 +78,8 @@
 
 
 class PlatformHeaders(TestCase):
+    """Settings and header names, read from the platform's environment."""
+
     def read(self, **changes: Any) -> Settings:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "boot.json"
@@ -157,6 +159,8 @@
 
 
 class ConfigItems(TestCase):
+    """Configuration in the platform's format, translated to items and back."""
+
     def read(self, body: str | bytes) -> Patch:
         return read_call(body.encode() if isinstance(body, str) else body).unwrap()
 
@@ -289,7 +293,7 @@
 
 
 class Request:
-    """As much of a request as the doors look at."""
+    """As much of a request as the handlers read."""
 
     def __init__(self, method: str, path: str, body: bytes = b"") -> None:
         self.method = method
@@ -338,6 +342,8 @@
 
 
 class Heartbeats(TestCase):
+    """What a server's heartbeats tell its sidecar."""
+
     def setUp(self) -> None:
         super().setUp()
         self.node = Node()
@@ -410,6 +416,8 @@
 
 
 class Ready(TestCase):
+    """The readiness check."""
+
     def test_200_or_503_with_when_to_come_back(self) -> None:
         node = Node()
         self.assertThat(answered(ready_door(node, Request("GET", "/-/ready"))).status, Equals(200))
@@ -419,6 +427,8 @@
 
 
 class Operators(TestCase):
+    """Configuration calls of the platform's operators."""
+
     def call(self, controller: Controller, method: str = "PATCH", body: str = FIRST, path: str = "/-/config") -> Any:
         return answered(ConfigurationHandler(controller=controller).handle(Request(method, path, body.encode())))
 
--- a/tests/test_benchdays.py
+++ b/tests/test_benchdays.py
@@ -1,4 +1,4 @@
-"""Days of our own for the users' bench: what a drawn day holds, and that a seed always gives the same one."""
+"""Generated days for the users' bench: what a day contains, and that a seed always gives the same one."""
 
 import tempfile
 import tomllib
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Wall clocks jump at Brindlefield, so nothing may decide by one."""
+"""Wall clocks jump at Brindlefield, so no daemon may read one."""
 
 import ast
 from pathlib import Path
--- a/tests/test_config_bundles.py
+++ b/tests/test_config_bundles.py
@@ -1,4 +1,4 @@
-"""Bundles are checked whole: each broken one is refused with the field it breaks."""
+"""Bundles are validated completely: each invalid one is rejected with the field that is wrong."""
 
 from returns.result import Failure, Success
 from testtools import TestCase
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The users' platform in simulated time: days that must hold, and for each rule a planted fault that must be caught.
+"""The users' platform in simulated time: days without a violation, and for each rule an injected fault that it finds.
 
 The seeds are fixed here; more of them: `hoistsaddle fleet hunt --seeds 1-40`.
 """
@@ -42,7 +42,7 @@
 
 
 class EmulatorDays(TestCase):
-    def test_days_of_the_plants_hold_without_them(self) -> None:
+    def test_days_of_the_injected_faults_hold_without_them(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(zip(DAYS, pool.map(broken, DAYS.values()), strict=True))
         self.assertThat(found, Equals({name: {} for name in DAYS}))
@@ -59,27 +59,27 @@
         self.assertThat(first, Equals(again))
         # Each process hashes names with a secret of its own, so an order taken from a set or a map shows here.
         code = (
-            "from hoistsaddle.testbed.emulator.hunt import Hunted, carry_out\n"
-            "print(carry_out(Hunted(1, small=True, only=(0, 1, 2))).digest)"
+            "from hoistsaddle.testbed.emulator.hunt import DayCase, carry_out\n"
+            "print(carry_out(DayCase(1, small=True, only=(0, 1, 2))).digest)"
         )
         for secret in ("1", "2"):
-            said = subprocess.run(
+            output = subprocess.run(
                 [sys.executable, "-c", code],
                 env={**os.environ, "PYTHONHASHSEED": secret},
                 capture_output=True,
                 text=True,
                 check=True,
             ).stdout
-            self.assertThat(said.strip(), Equals(first.digest))
+            self.assertThat(output.strip(), Equals(first.digest))
 
 
 class EmulatorFaults(TestCase):
-    def test_every_rule_has_a_plant(self) -> None:
+    def test_every_rule_has_an_injected_fault(self) -> None:
         self.assertThat(
             {rule for injected_fault in INJECTED_FAULTS for rule in injected_fault.rules}, Equals(set(RULES))
         )
 
-    def test_every_plant_is_caught(self) -> None:
+    def test_every_injected_fault_is_caught(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = pool.map(rules_missed, range(len(INJECTED_FAULTS)))
             missed = dict(zip((injected_fault.name for injected_fault in INJECTED_FAULTS), found, strict=True))
@@ -88,9 +88,9 @@
 
 class PlatformChanges(TestCase):
     def test_a_service_named_beside_a_split_is_checked_too(self) -> None:
-        """The arcade's seed 52: such an order was acknowledged, though nobody knew the service."""
+        """The emulator's seed 52: such a change was acknowledged, though nobody had declared the service."""
         samples = adapter("samples")
-        told = samples.route(
+        route = samples.route(
             name="r",
             host="h",
             prefix="/r/",
@@ -102,7 +102,7 @@
             sends=1,
             revision=3,
         )
-        patch = adapter("config_items").read_call(samples.call(routes=[{**told, "service": "nobody"}])).unwrap()
+        patch = adapter("config_items").read_call(samples.call(routes=[{**route, "service": "nobody"}])).unwrap()
         state = initial_state(mesh="m", voters={}, operators={}, level=LEVEL)
         services = samples.call(services=[samples.service(name=name, revision=1) for name in ("known", "other")])
 
--- a/tests/test_emulator_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -1,6 +1,6 @@
-"""A core machine cut off, frozen or with a stalled disk for twenty seconds: nothing goes back or passes for newer.
+"""A core machine partitioned, frozen or with a hanging disk for twenty seconds: no copy goes back or counts as fresher.
 
-Whole days of the emulator with the program's own classes, under a witness that knows what was committed when.
+Full days of the emulator with the programs' own classes, and a witness that knows what was committed when.
 """
 
 import asyncio
@@ -110,7 +110,7 @@
 
 
 class Parents(TestCase):
-    """News of one log through any parent, in any order of arrival: a copy only goes forward."""
+    """Updates of one log through any parent, in any order of arrival: a copy only goes forward."""
 
     def relay(self, name: str) -> Relay:
         return Relay(node=name, incarnation="life", lease_span=timedelta(seconds=1.5))
@@ -165,7 +165,7 @@
 
 class StaleRegistry(TestCase):
     def test_a_registry_without_fresh_news_notes_nothing_and_says_so(self) -> None:
-        """Its copy still shows the server as it is told; the log may have called it gone since."""
+        """Its copy still shows the server as reported; the log may have recorded it as gone since."""
         relay = Relay(node="bourse-1", incarnation="life", lease_span=timedelta(seconds=1.5))
         relay.confirmed(asked=timedelta(seconds=1), mesh="m", revision=1, items={})
         node = SimpleNamespace(address="10.0.0.1:1", zone="z", incarnation="life", state="alive")
--- a/tests/test_emulator_disks.py
+++ b/tests/test_emulator_disks.py
@@ -1,4 +1,4 @@
-"""Folders of the emulator after a loss of power: what a sync covers stays, every other name goes its own way."""
+"""Folders of the emulator after a power loss: what a sync covers stays, every other file is kept or lost on its own."""
 
 import os
 import random
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes. What is checked here doesn't hang on the machine's speed; moments are checked in simulated time."""
+"""Real processes. What is checked here doesn't depend on the machine's speed; timing is checked in simulated time."""
 
 import asyncio
 import sys
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""Real processes again: half-closed connections, cut lines, stalled disks, planned stops, and garbage on every call."""
+"""Real processes under faults: half-closed connections, partitions, hanging disks, planned stops, malformed calls."""
 
 import asyncio
 import tempfile
--- a/tests/test_injected_faults.py
+++ b/tests/test_injected_faults.py
@@ -1,4 +1,4 @@
-"""Each checker is seen to fail: a fault planted in the code must be caught by the line it breaks."""
+"""Each checker is seen to fail: a fault injected into the code must be caught by the line it breaks."""
 
 import os
 import sys
@@ -35,10 +35,10 @@
 
 
 class InjectedFaults(TestCase):
-    def test_every_line_has_a_plant(self) -> None:
+    def test_every_line_has_an_injected_fault(self) -> None:
         self.assertThat({injected_fault.line for injected_fault in INJECTED_FAULTS}, Equals(set(CHECKERS)))
 
-    def test_every_plant_is_caught(self) -> None:
+    def test_every_injected_fault_is_caught(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(
                 zip(
--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -70,7 +70,7 @@
 
 
 class Bench:
-    """One core on a bench: its writes are synced at once, the rest is kept to be looked at."""
+    """One core without I/O: its writes are synced at once, every other command is recorded."""
 
     def __init__(self, *, replica: int = 1, boot: Boot | None = None) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={})
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""News, leases, repair and membership, on their cores."""
+"""Configuration updates, leases, anti-entropy and failure detection, on their cores without I/O."""
 
 import random
 from datetime import timedelta
@@ -44,6 +44,8 @@
 
 
 class Leases(TestCase):
+    """How long a copy may be used, and what renews it."""
+
     def test_a_lease_counts_from_the_polls_sending_minus_the_parents_age(self) -> None:
         root, child = relay("root"), relay("child")
         root.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
@@ -82,6 +84,8 @@
 
 
 class Repair(TestCase):
+    """Anti-entropy: damaged or missing items are found by digests and fetched."""
+
     def test_only_ranges_that_differ_travel_and_damage_is_mended(self) -> None:
         root, child = relay("root"), relay("child")
         root.confirmed(asked=at(1), mesh="m", revision=5, items=items(200))
@@ -135,8 +139,8 @@
         self.assertThat(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)).error, Equals("wrong-mesh"))
 
 
-class Changes(TestCase):
-    """What was set or removed since a child's revision travels alone; whole ranges are for those that can't be told."""
+class IncrementalUpdates(TestCase):
+    """Only what was set or removed since a child's revision is sent; complete ranges go where that isn't known."""
 
     def confirm(self, root: Relay, revision: int, found: dict[str, tuple[int, bytes]]) -> None:
         root.confirmed(asked=at(revision), mesh="m", revision=revision, items=found, expected_digests=digests_of(found))
@@ -268,7 +272,7 @@
             self.assertThat(told_changes > 20, Equals(True), f"seed {seed}: {told_changes}")
 
 
-class Tree(TestCase):
+class DistributionTree(TestCase):
     def test_everyone_has_a_way_to_a_root_and_no_parent_feeds_many(self) -> None:
         roots = [(f"bourse-{number}", f"root-{number}") for number in range(3)]
         proxies = [(f"stall-{number:02d}", f"at-{number:02d}") for number in range(40)]
@@ -286,7 +290,7 @@
         self.assertThat(max(feeds.values()), Equals(2))
 
 
-class Members(TestCase):
+class FailureDetection(TestCase):
     def member(self, name: str, *, count: int = 0, state: str = ALIVE) -> MemberState:
         return MemberState(name, "stall", f"at-{name}", "a", f"life-{name}", count, state)
 
--- a/tests/test_membership_polling.py
+++ b/tests/test_membership_polling.py
@@ -1,4 +1,4 @@
-"""How a proxy goes on from one parent to the next: on a script of answers, without lines."""
+"""How a sidecar changes from one parent to the next, against scripted answers."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 
 class ScriptedRuntime:
-    """A runtime whose lines answer polls from a list of lease starts; None is no answer."""
+    """A runtime whose RPC client answers polls from a list of lease starts; None is no answer."""
 
     def __init__(self, starts: list[float | None]) -> None:
         self.starts = list(starts)
@@ -71,7 +71,7 @@
     return script.asked
 
 
-class OlderNews(TestCase):
+class OlderUpdates(TestCase):
     def test_it_is_refused_counted_and_its_sender_named(self) -> None:
         """A parent that was cut off comes back with what it held: nothing of it counts, and it is told once."""
         script = ScriptedRuntime([99.9, 100.2, 100.5, 100.8, 101.1])
@@ -108,7 +108,7 @@
 
 
 class LateAnswers(TestCase):
-    """On a link where packets wait longer than a poll's span, an answer that comes late still counts."""
+    """On a link whose delay exceeds the poll's timeout, an answer that comes late still counts."""
 
     def test_the_next_parent_is_asked_and_the_late_answer_is_taken(self) -> None:
         script = ScriptedRuntime([])
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -1,4 +1,4 @@
-"""The model check: walks and small spaces hold, each check finds its injected fault, the modelled disk is like ours."""
+"""The model checker: walks and small spaces hold, each rule finds its injected fault, the modelled disk is faithful."""
 
 import tempfile
 from collections import defaultdict
@@ -108,7 +108,7 @@
         self.assertThat(walk.take(Step(StepKind.WIPE, 1)), Equals(True))
 
 
-class Found(TestCase):
+class RegressionWalks(TestCase):
     """Walks that once broke a rule, as small as they could be made; later code may go another way on them."""
 
     def test_a_successor_votes_before_it_has_the_record_that_makes_it_a_voter(self) -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's forecast against what really moves, in simulated time."""
+"""The planner's forecast compared with the traffic that moves, in simulated time."""
 
 import asyncio
 from collections import Counter
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy's core on a bench: what it answers, and when."""
+"""The proxy's core without I/O: what it answers, and when."""
 
 import random
 from datetime import timedelta
@@ -140,6 +140,8 @@
 
 
 class Ingress(TestCase):
+    """The side that takes a client's request."""
+
     def test_the_queue_is_bounded_and_overflow_is_told_at_once(self) -> None:
         bench = Bench(fresh=False, backlog=5)
         tickets = [bench.ask() for _ in range(8)]
@@ -339,6 +341,8 @@
 
 
 class Target(TestCase):
+    """The side that works on a forwarded request."""
+
     def test_a_send_runs_once_however_often_it_comes(self) -> None:
         bench = Bench(name="stall-3")
         for ticket in (1, 2):
--- a/tests/test_raft_catch_up.py
+++ b/tests/test_raft_catch_up.py
@@ -1,4 +1,4 @@
-"""A replica that was away: what it keeps while it pulls, what the leader keeps for it, and that rounds end."""
+"""A replica that was away: what it keeps while it fetches a snapshot, and what the leader retains for it."""
 
 from datetime import timedelta
 
@@ -43,7 +43,7 @@
 
 
 class Behind(Bench):
-    """Replica 2 with nine records of epoch 1, three of them agreed, sent to the checkpoint of a leader of epoch 3."""
+    """Replica 2 with nine records of epoch 1, three of them committed, sent to a checkpoint of epoch 3's leader."""
 
     def __init__(self) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={})
@@ -85,7 +85,7 @@
         return call.fetch_offset, call.fetch_epoch, call.complete
 
 
-class WhileItPulls(TestCase):
+class WhileFetchingASnapshot(TestCase):
     def test_it_stays_whole_with_all_that_it_acknowledged(self) -> None:
         bench = Behind()
         bench.piece(continues=True)
@@ -184,7 +184,7 @@
         )
 
 
-class PartedLogs(TestCase):
+class DivergedLogs(TestCase):
     def test_one_that_parts_below_the_begin_offset_is_sent_to_the_checkpoint(self) -> None:
         """Cut off as a leader, with a tail of its own that reaches past where the others' log begins by now."""
         bench = Bench().lead()
@@ -236,7 +236,7 @@
         self.assertThat(len(parted.sent(FetchCall)), Equals(fetches + 1))
 
 
-class WhatTheLeaderKeeps(TestCase):
+class LeaderRetention(TestCase):
     def pulled_from(self) -> Bench:
         bench = Bench().lead()
         bench.write(6)
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -1,4 +1,4 @@
-"""Every mix of kept and lost files that a loss of power may leave, at every moment of a data folder's life."""
+"""Every combination of kept and lost files that a power loss may leave, at every step of a data folder's history."""
 
 import itertools
 import shutil
@@ -84,7 +84,7 @@
 
 
 class InjectedFaults(_Case):
-    """The model is worth what it finds: each of these breaks one step that the disk rests on."""
+    """Each of these faults removes one step that the disk relies on, and the model must find it."""
 
     def found(self, findings: Findings) -> str:
         return "; ".join(each.problem for each in findings.broken)
@@ -115,8 +115,8 @@
         self.assertThat(self.found(findings), Contains("a log that parts from its checkpoint"))
 
 
-class TheModelItself(TestCase):
-    """What the pages say of files, on the model that is to keep it."""
+class FileSystemModel(TestCase):
+    """The modelled file system itself keeps what its specification says."""
 
     def left(self, *operations) -> set[tuple]:
         model = FolderModel(files={"old": b"was"})
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -1,4 +1,4 @@
-"""Losses one after the other: replacements, wiped disks, planned leaves, each whole within half of the settling span.
+"""Successive losses: replacements, wiped disks, planned leaves, each complete within half of the settle timeout.
 
 Fault histories over cores with a modelled network, disk and processor (coremesh). Where it matters the processor has
 0.245 of a core and a sync takes 2 ms.
@@ -49,7 +49,7 @@
     return node.up and node.core.complete and leader and node.core.last.offset >= leader.core.high_watermark
 
 
-class Spans(TestCase):
+class ReplacementTimeouts(TestCase):
     def test_the_span_follows_from_the_settings(self) -> None:
         for settle, losses, milliseconds_given in ((4, 1, 1000), (6, 1, 1500), (6, 2, 1000), (4, 2, 700), (1, 1, 700)):
             span = replacement_timeout_for(settle=timedelta(seconds=settle), losses=losses)
@@ -313,7 +313,7 @@
             self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
 
 
-class CompleteDays(TestCase):
+class RegressionDays(TestCase):
     """The two days of the review after which nobody led any more (finding 13), by the losses in them."""
 
     def replaced(self, mesh: CoreMesh, fresh: int, *, planned: bool, leader: bool) -> None:
--- a/tests/test_raft_state_age.py
+++ b/tests/test_raft_state_age.py
@@ -1,4 +1,4 @@
-"""The controller: how old its replica's state may be said to be."""
+"""How old the state of a controller's replica may be reported to be."""
 
 import random
 from datetime import timedelta
--- a/tests/test_raft_voter_changes.py
+++ b/tests/test_raft_voter_changes.py
@@ -1,4 +1,4 @@
-"""Voters after a start: which sets must agree when the log holds changes that this life hasn't applied yet."""
+"""Voters after a restart: which sets must agree while the log holds changes that aren't applied yet."""
 
 import random
 import tempfile
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -1,4 +1,4 @@
-"""Voters that come and go by the log: growth, replacement, the majorities that count, and replicas nobody knows of."""
+"""Membership changes through the log: growth, replacement, the majorities that count, and unknown replicas."""
 
 import random
 from datetime import timedelta
--- a/tests/test_registry_bootstrap.py
+++ b/tests/test_registry_bootstrap.py
@@ -1,4 +1,4 @@
-"""Founding without a person: who may, when, and what a seed that is down or a founder that dies leaves behind."""
+"""Automatic bootstrap: who may, when, and what an absent seed or a founder that crashes leaves behind."""
 
 from datetime import timedelta
 
@@ -27,7 +27,7 @@
 
 
 class Bench:
-    """A core that boots: what each replica would answer is given, and the duty is asked on and on."""
+    """A bootstrap against modelled replicas, driven by repeated calls."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         return [command for command in self.commands if isinstance(command, FoundReplicas)]
 
 
-class WhoMayFound(TestCase):
+class BootstrapEligibility(TestCase):
     def test_the_first_seed_of_a_cold_start_does(self) -> None:
         bench = Bench().go_on(span=2)
         call = BootstrapCall("mesh", {seed: f"life-{seed}" for seed in SEEDS}, {}, LEVEL)
@@ -106,7 +106,7 @@
         self.assertThat(bench.duty.duty, Is(False))
 
 
-class HowItFounds(TestCase):
+class BootstrapProcedure(TestCase):
     def test_as_many_voters_as_the_losses_ask_for_of_the_seeds_there_are(self) -> None:
         for losses, voters in ((0, {11}), (1, {11, 12, 13}), (2, {11, 12, 13})):
             bench = Bench(losses=losses).go_on(span=2)
@@ -159,8 +159,8 @@
         self.assertThat(bench.duty.duty, Is(False))
 
 
-class FounderThatDies(TestCase):
-    """It told its own disk first: whatever it told others is known from that."""
+class BootstrapCrash(TestCase):
+    """The founder wrote to its own disk first: from that it knows whatever it sent to others."""
 
     def test_before_it_told_anyone_it_founds_anew_on_blank_disks(self) -> None:
         again = Bench().go_on(span=2)
--- a/tests/test_registry_controller.py
+++ b/tests/test_registry_controller.py
@@ -1,4 +1,4 @@
-"""Items through the product's own interface: texts, settings, commands, and real processes that found themselves."""
+"""Items through the product's own interface: patch texts, settings, commands, and real processes that bootstrap."""
 
 import asyncio
 import json
@@ -69,7 +69,7 @@
 """
 
 
-class Texts(TestCase):
+class PatchTexts(TestCase):
     def test_tables_become_items_with_revisions(self) -> None:
         patch = read_text(FIRST + SECOND).unwrap()
         self.assertThat(
@@ -225,7 +225,7 @@
             self.assertThat(counters.read()["counts"]["happening.patch refused"], Equals(1))
 
 
-class Watching(TestCase):
+class EventLines(TestCase):
     def test_the_new_happenings_are_told_in_words(self) -> None:
         for kind, detail, words in (
             ("bundle patched", {"number": 4, "items": 2, "author": "desk", "signer": "ben"}, "signed by ben"),
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -1,4 +1,4 @@
-"""The writer at a machine that reaches no leader: it answers inside the asker's span, truly, and sends little."""
+"""The writer at a machine that reaches no leader: it answers truly within the caller's timeout and sends little."""
 
 import asyncio
 import gc
@@ -36,7 +36,7 @@
 
 
 class ScriptedRpcClient:
-    """Answers by a rule of address and moment; None is silence."""
+    """Answers by a rule of address and time; None is no answer."""
 
     def __init__(self, *, loop: SimulatedTimeLoop, rule: Answer) -> None:
         self.loop = loop
@@ -86,7 +86,7 @@
     return kind, (writer.runtime.now() - began).total_seconds()
 
 
-class Promptness(TestCase):
+class CallerTimeouts(TestCase):
     def test_an_order_at_silent_machines_is_told_within_its_span(self) -> None:
         kind, spent = run(lambda address, now: None, lambda writer, rpc_client: timed(writer, within=0.5))
         self.assertThat((kind, round(spent, 3)), Equals((ErrorKind.UNSURE, 0.5)))
@@ -122,7 +122,7 @@
 
 
 class WithoutALeader(TestCase):
-    """Finding 14: each batch was sent again every 20 ms, six at a time, for as long as nobody led."""
+    """Finding 14: each batch was resent every 20 ms, six at a time, for as long as there was no leader."""
 
     def test_few_calls_go_out_whatever_waits(self) -> None:
         span = 20.0
--- a/tests/test_rpc_connections.py
+++ b/tests/test_rpc_connections.py
@@ -1,6 +1,6 @@
-"""Lines between processes: pulses that tell a silent machine from a slow one, and calls that never leave home.
+"""Connections between processes: keep-alives that tell a silent machine from a slow one, and calls within one process.
 
-The clock stands still but for a test's own steps: nothing here depends on how busy the machine is.
+The clock moves only by a test's own steps: nothing here depends on how busy the machine is.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class CountedTraffic(Traffic):
-    """A line's counts, and a way to wait for them."""
+    """A connection's traffic counts, and a way to wait for them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,7 +42,7 @@
 
 
 class RawPeer:
-    """A peer that reads whole frames and answers as the test says."""
+    """A peer that reads complete frames and answers as the test says."""
 
     def __init__(self, behave: Callable[[int, Any, asyncio.StreamWriter], Awaitable[None]]) -> None:
         self.behave = behave
@@ -84,6 +84,8 @@
 
 
 class KeepAlives(TestCase):
+    """Pings that tell a slow peer from a silent one."""
+
     def call(self, rpc_client: RpcClient, address: str, *, within: float = 3000.0) -> asyncio.Future:
         return asyncio.ensure_future(rpc_client.call(address, CALL, within=timedelta(seconds=within)))
 
@@ -247,6 +249,8 @@
 
 
 class LocalCalls(TestCase):
+    """Calls to an address of the same process."""
+
     def test_a_call_to_an_address_of_ones_own_never_touches_the_network(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient()
@@ -320,7 +324,7 @@
 
 
 class ThinLinks(TestCase):
-    """Large calls fill a thin link: a line whose bytes go on is alive, and a connection may take long to open."""
+    """Large calls fill a slow link: a connection whose bytes go on is alive, and one may take long to open."""
 
     def test_a_line_is_given_up_only_once_its_bytes_stand_still(self) -> None:
         waiting = [10000]
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -1,4 +1,4 @@
-"""How old a call is that is read only now, and what is left of its time."""
+"""How long a call has waited when it is read, and what remains of its timeout."""
 
 import random
 from datetime import timedelta
@@ -19,7 +19,7 @@
     return timedelta(seconds=amount)
 
 
-class OfFrames(TestCase):
+class FrameAges(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.connect(1)
@@ -133,7 +133,7 @@
         self.assertThat([each.call.budget for each in fleet.sent(ForwardRequest)], Equals([seconds(3), seconds(2)]))
 
 
-class Standstill(TestCase):
+class EventLoopPauses(TestCase):
     class Clock:
         timestamp = seconds(100)
 
--- a/tests/test_rpc_messages.py
+++ b/tests/test_rpc_messages.py
@@ -1,4 +1,4 @@
-"""The tuples and mesh.thrift say the same, and every message survives the way through thrift."""
+"""The message classes match mesh.thrift, and every message survives encoding and decoding."""
 
 from datetime import timedelta
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
-"""The scale command, small: hollow proxies beside a real core, the cores' slopes, and what they are counted by.
+"""The scale command on a small scale: hollow proxies beside a real core, the cores' slopes, and how they are counted.
 
-Nothing here holds a time against a limit: how long it took is what the command measures.
+No duration is compared with a limit here: durations are what the command measures.
 """
 
 import asyncio
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A process that was told to stop is gone by the end of its grace, whatever hangs."""
+"""A process that is asked to stop has ended by the end of its grace period, whatever hangs."""
 
 import asyncio
 import signal
@@ -31,7 +31,7 @@
 """
 
 
-class Last(TestCase):
+class Watchdog(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.slept: list[float] = []
@@ -56,12 +56,12 @@
         self.assertThat(self.slept, Equals([8 * GRACE_FRACTION]))
 
     def test_the_signal_arms_it_and_still_stops_the_process(self) -> None:
-        told: list[int] = []
-        before = signal.signal(signal.SIGUSR2, lambda number, _: told.append(number))
+        received: list[int] = []
+        before = signal.signal(signal.SIGUSR2, lambda number, _: received.append(number))
         self.addCleanup(signal.signal, signal.SIGUSR2, before)
         self.last.watch(signal.SIGUSR2)
         signal.raise_signal(signal.SIGUSR2)
-        self.assertThat((self.left.wait(30), told), Equals((True, [signal.SIGUSR2])))
+        self.assertThat((self.left.wait(30), received), Equals((True, [signal.SIGUSR2])))
 
     def test_an_orderly_stop_is_over_before_it(self) -> None:
         self.assertThat(1 - CLOSING_SHARE + CLOSING_SHARE * CLOSING_BOUND < GRACE_FRACTION, Equals(True))
@@ -78,7 +78,7 @@
         self.assertThat(said, Contains("not finished within its grace"))
 
 
-class Stop(TestCase):
+class GracefulStop(TestCase):
     def test_a_handler_that_never_closes_is_left(self) -> None:
         closed: list[str] = []
 
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -1,6 +1,6 @@
-"""Every pair of fault and link, for every kind of route, at both moments: no answer to the wrong caller, no second run.
+"""Every pair of fault and link, for every kind of route, at both times: no answer to the wrong caller, no second run.
 
-Whole sidecars on real sockets; the clock is stepped, so no result hangs on how busy the machine is.
+Complete sidecars on real sockets; the clock is stepped, so no result depends on how busy the machine is.
 """
 
 import asyncio
--- a/tests/test_sidecar_attempt_follower.py
+++ b/tests/test_sidecar_attempt_follower.py
@@ -1,4 +1,4 @@
-"""What a target's sidecar says of an attempt whose connection broke, and what the entry makes of it."""
+"""What a target's sidecar reports of an attempt whose connection broke, and what the ingress makes of it."""
 
 import random
 from datetime import timedelta
@@ -27,7 +27,7 @@
 
 
 class Case(TestCase):
-    """s-1 is the entry, s-2 the target; their line is the test's."""
+    """s-1 is the ingress, s-2 the target; the test plays the connection between them."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -62,7 +62,7 @@
         return self.fleet.answers[ticket].outcome
 
 
-class TheTarget(Case):
+class TargetReports(Case):
     def test_one_that_runs_is_answered_to_both_when_it_ends(self) -> None:
         _, sent, follow = self.broken()
         first = self.arrive(sent.call)
@@ -119,7 +119,7 @@
         self.assertThat(self.outcome(self.arrive(follow.call)), Equals(NOT_RUN))
 
 
-class TheEntry(Case):
+class IngressFollows(Case):
     def test_only_what_may_not_be_repeated_is_followed(self) -> None:
         self.fleet.silent = {"s-2"}
         self.fleet.ask("/read/x")
@@ -219,7 +219,7 @@
         self.assertThat(self.fleet.replies[again].status, Equals(503))
 
 
-class Memory(TestCase):
+class AttemptMemory(TestCase):
     def test_what_is_long_over_is_forgotten(self) -> None:
         taken = ReceivedAttempts()
         for number in range(100):
--- a/tests/test_sidecar_client_gone.py
+++ b/tests/test_sidecar_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that leaves: what nobody waits for stops, but for what may not be repeated and for work under a key."""
+"""A client that disconnects: its work is cancelled unless it may not be repeated or runs under a key."""
 
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_sidecar_ingress.py
+++ b/tests/test_sidecar_ingress.py
@@ -1,4 +1,4 @@
-"""The entry's side of a proxy: what it sends where, how often, and what a key's every repeat is told."""
+"""A sidecar's ingress: what it forwards where, how often, and what each repeat of a key is answered."""
 
 import random
 from datetime import timedelta
@@ -45,7 +45,7 @@
         return fleet
 
 
-class Admitting(Case):
+class Admission(Case):
     def test_not_declared_is_no_word_of_a_configuration_that_may_have_been_overtaken(self) -> None:
         fleet = SidecarBench()
         fleet.pass_time(0.1)
@@ -103,7 +103,7 @@
         self.assertThat({each.call.service_name for each in fleet.sent()}, Equals({"ledger"}))
 
 
-class Selecting(Case):
+class ServerSelection(Case):
     def test_a_server_that_leaves_or_proxies_that_are_gone_get_nothing(self) -> None:
         fleet = SidecarBench(room=500)
         servers = dict(fleet.view.servers)
@@ -130,7 +130,7 @@
         self.assertThat(max(counts) - min(counts) <= 6, Equals(True), str(counts))
 
 
-class RefusedAtOnce(Case):
+class ImmediateRejection(Case):
     def test_nobody_can_take_it(self) -> None:
         fleet = SidecarBench(room=1)
         for name, core in fleet.cores.items():
@@ -180,7 +180,7 @@
         self.assertThat(fleet.sent(RunOnServer), Equals([]))
 
 
-class Uncertain(Case):
+class UncertainOutcomes(Case):
     def test_once_per_send_is_never_sent_twice(self) -> None:
         for path in ("/post/x", "/pack/x", "/pay/x"):
             fleet = self.with_room()
--- a/tests/test_sidecar_key_answers.py
+++ b/tests/test_sidecar_key_answers.py
@@ -1,4 +1,4 @@
-"""What a keyed request's repeat is told after each loss, and that it never runs twice: rows of the design's table."""
+"""What the repeat of a keyed request is answered after each loss, and that it never runs twice: the design's table."""
 
 from typing import Any
 
@@ -49,7 +49,7 @@
         self.fleet.health(name)
 
 
-class TheHolder(Case):
+class ClaimHolder(Case):
     def test_frozen_it_says_nothing_and_the_repeat_runs_nowhere(self) -> None:
         self.pay()
         self.fleet.finish(body=b"paid")
@@ -98,7 +98,7 @@
         self.assertThat((self.told(late).status, self.runs()), Equals((503, 1)))
 
 
-class TwoSides(Case):
+class TwoIngresses(Case):
     def test_a_claim_at_the_cut_off_side_and_its_repeat_at_the_other(self) -> None:
         """Only one of them can be committed, and nothing is sent before that."""
         write, waiting = self.fleet.write, []
@@ -130,7 +130,7 @@
         self.assertThat((self.told(first).body, self.told(second).status, self.runs()), Equals((b"paid", 409, 1)))
 
 
-class TheLog(Case):
+class ClaimLog(Case):
     def test_a_leader_change_between_claim_and_commit_makes_no_second_claim(self) -> None:
         """The copy at the former leader and the one asked again are both committed: one claim, one run."""
         write, first = self.fleet.write, []
--- a/tests/test_sidecar_listener.py
+++ b/tests/test_sidecar_listener.py
@@ -1,4 +1,4 @@
-"""The door of a proxy that serves items, against a raw client."""
+"""A sidecar's HTTP listener, against a raw client."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -22,7 +22,7 @@
 
 
 class Node:
-    """Answers as the test says, and keeps what was asked."""
+    """Answers as the test says, and records the requests."""
 
     def __init__(self) -> None:
         self.asked: list[RequestArrived] = []
--- a/tests/test_sidecar_server_connections.py
+++ b/tests/test_sidecar_server_connections.py
@@ -1,6 +1,6 @@
-"""Kept connections to a server, against a small raw one that does everything a server shouldn't.
+"""Pooled connections to a server, against a small raw one that does everything a server shouldn't.
 
-The clock stands still but for a test's own steps: nothing here depends on how busy the machine is.
+The clock moves only by a test's own steps: nothing here depends on how busy the machine is.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class RawServer:
-    """A TCP server that reads whole requests and does with each connection as the test says."""
+    """A TCP server that reads complete requests and treats each connection as the test says."""
 
     def __init__(self, behave: Callable[["ServerRequest"], Awaitable[None]]) -> None:
         self.behave = behave
--- a/tests/test_sidecar_server_selection.py
+++ b/tests/test_sidecar_server_selection.py
@@ -1,4 +1,4 @@
-"""What an entry's core reads out of a view once: open servers by service, and its part of the further sends."""
+"""What an ingress derives from a configuration: available servers by service, and its share of the retry budget."""
 
 import random
 from datetime import timedelta
@@ -54,7 +54,7 @@
     return found
 
 
-class Selecting(TestCase):
+class ServerSelection(TestCase):
     def test_a_new_view_counts_with_the_next_request(self) -> None:
         state = make_state(SIZE)
         core = core_with(view_of(state))
--- a/tests/test_sidecar_upstream.py
+++ b/tests/test_sidecar_upstream.py
@@ -1,4 +1,4 @@
-"""The counter's side of a proxy: what its server works on, what waits, and what is refused at once."""
+"""A sidecar's upstream side: what its server works on, what is queued, and what is rejected at once."""
 
 import random
 from datetime import timedelta
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -1,4 +1,4 @@
-"""A proxy that stops: it serves until its door is quiet, and keeps time to finish what it took if it never is."""
+"""Graceful shutdown of a sidecar: it serves until its listener is idle, and keeps time to finish what it accepted."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -85,7 +85,7 @@
         reply = fleet.replies[after]
         self.assertThat((reply.status, reply.error.kind), Equals((503, ErrorKind.WINDING_DOWN)))
         self.assertThat(before in fleet.replies, Equals(False))
-        while fleet.serves:
+        while fleet.runs:
             fleet.finish()
         self.assertThat(fleet.replies[before].status, Equals(200))
 
--- a/tests/test_simulated_failures.py
+++ b/tests/test_simulated_failures.py
@@ -1,4 +1,4 @@
-"""Every failure the brief names, caused in simulated time under load; every line of "What must never happen" checked.
+"""Every failure that docs/brief.md names, in simulated time under load; every line of "What must never happen" checked.
 
 The seeds are fixed here; a longer run takes more of them: `hoistsaddle fleet simulate --seeds 1-100`.
 """
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -1,4 +1,4 @@
-"""The state machine's fences: epochs, lives, serials, and repeats."""
+"""Fencing in the state machine: epochs, incarnations, serials, and repeated commands."""
 
 from datetime import timedelta
 
--- a/tests/test_statemachine_items.py
+++ b/tests/test_statemachine_items.py
@@ -1,4 +1,4 @@
-"""Items: what a patch may say, and what the log makes of it."""
+"""Items: how a patch is validated, and what the state machine makes of it."""
 
 import random
 from datetime import timedelta
@@ -58,7 +58,7 @@
     return ItemUpsert(LIMITS, revision, changes, b"limits as said")
 
 
-class Checks(TestCase):
+class PatchValidation(TestCase):
     def refusal(self, patch: Patch) -> tuple[str, str]:
         match check_patch(patch):
             case Failure(error):
@@ -130,7 +130,7 @@
             self.assertThat(isinstance(read_patch(data), Failure), Equals(True), repr(data))
 
 
-class LookUps(TestCase):
+class RouteLookup(TestCase):
     def configuration_of(self, *entries: RouteItem) -> ItemConfiguration:
         return ItemConfiguration(items={f"entry:{each.name}": each for each in entries})
 
--- a/tests/test_statemachine_patches.py
+++ b/tests/test_statemachine_patches.py
@@ -1,4 +1,4 @@
-"""Orders that come more than once: one revision of an item has one content, and no clear answer is ever taken back."""
+"""Patches that arrive more than once: a revision of an item has one content, and no definite answer is taken back."""
 
 from contextlib import ExitStack
 from datetime import timedelta
@@ -81,7 +81,7 @@
         return {key: item.revision for key, item in self.state.items.items() if not item.dropped}
 
 
-class OneContent(TestCase):
+class ContentConflicts(TestCase):
     def test_another_content_under_a_taken_revision_is_refused_whole(self) -> None:
         log = Log()
         log.patch(service(), entry(revision=5))
@@ -150,7 +150,7 @@
         self.assertThat(log.stands()["entry:pay"], Equals(9))
 
 
-class Spans(TestCase):
+class ResendWindows(TestCase):
     def test_when_the_span_is_over_neither_is_confirmed_and_neither_refused(self) -> None:
         log = Log()
         winner, loser = entry(revision=5, rank=1), entry(revision=5, rank=2)
@@ -257,7 +257,7 @@
 
 
 class Model(TestCase):
-    """Each sequence of orders, copies and waits, up to a length."""
+    """Each sequence of changes, copies and waits, up to a length."""
 
     def test_every_sequence_holds(self) -> None:
         small = explore(orders=(*ORDERS, WAIT), depth=4, level=4)
@@ -325,7 +325,7 @@
 
 
 class OrderBench(Bench):
-    """A core of three at level 4 to which orders come."""
+    """A core of three replicas at level 4 that receives changes."""
 
     def __init__(self) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={}, level=4)
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -1,4 +1,4 @@
-"""Release levels, what is forgotten, keys by client, operators: the log's newer rules, one record at a time."""
+"""Release levels, purges, keys by client, operators: the rules of later levels, one record at a time."""
 
 import random
 from datetime import timedelta
--- a/tests/test_store_start.py
+++ b/tests/test_store_start.py
@@ -1,4 +1,4 @@
-"""A store whose disk refuses its start stays and says so; and what a store says of its own vote."""
+"""A store whose disk refuses its start keeps trying and reports it; and the role that a store reports."""
 
 import asyncio
 import errno
@@ -38,8 +38,8 @@
     def test_a_full_or_failing_disk_is_tried_again_and_told_once(self) -> None:
         full, failing = OSError(errno.ENOSPC, "no room"), OSError(errno.EIO, "the ledger can't be used now")
         counters, tried, spent = self.start(full, failing, full, full)
-        told = [each["kind"] for each in counters.events(after=0)["happenings"]]
-        self.assertThat((tried, told), Equals((5, ["disk refuses the start"])))
+        events = [each["kind"] for each in counters.events(after=0)["happenings"]]
+        self.assertThat((tried, events), Equals((5, ["disk refuses the start"])))
         # 0.1, 0.2, 0.4 and 0.8 s.
         self.assertThat(round(spent, 3), Equals(1.5))
 
@@ -47,7 +47,7 @@
         self.assertThat(lambda: self.start(OSError("another release wrote it")), raises(OSError))
 
 
-class OwnStanding(TestCase):
+class ReportedRole(TestCase):
     """Two of three disks lost at once: a swap that was logged and can't commit gives nobody a vote."""
 
     def role(self, *, voters: dict[int, str], is_voter: bool = True) -> str:
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""The pinned lint, as part of the one test command."""
+"""The pinned formatter, linter and type checker, as part of the one test command."""
 
 import subprocess
 import sys
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes: founding, a bundle signed by a second person, a client's request answered."""
+"""The shortest path through real processes: bootstrap, a bundle signed by a second person, a client's request."""
 
 import asyncio
 import random
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage leaves as Parquet and CSV under one schema, and adds up to what the callers asked."""
+"""Usage is exported as Parquet and CSV under one schema, and adds up to what the callers requested."""
 
 import tempfile
 from collections import Counter
