--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -18,9 +18,9 @@
 
 ROOT = Path(__file__).parent.parent
 THIMBLE = DEPLOYMENTS["thimble"]
-PAGES = ("bundles", "draining", "planning", "people", "watching", "replacing-core-machines", "releases")
+PAGES = ("bundles", "draining", "planning", "operator-changes", "watching", "replacing-core-machines", "releases")
 # Run against markets, which found themselves.
-MARKET_PAGES = ("items", "market")
+MARKET_PAGES = ("items", "controllers")
 # One that goes on until it is interrupted, as a person would.
 ENDLESS = re.compile(r"hoistsaddle watch(?!.*--seconds)")
 DAEMON = re.compile(r"(?:\S+=\S+ )?hoistsaddle (fleet|store|registry|proxy|controller|sidecar) ")
