--- a/tests/test_docs_references.py
+++ b/tests/test_docs_references.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parent.parent
 # They tell what was seen at their time, with the names of that time.
-HISTORY = ("docs/incidents/", "docs/measurements.md", "docs/glossary.md")
+HISTORY = ("docs/incidents/", "docs/measurements.md")
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 # `tests/test_x.py`, `raft/core.py`, `adapter/headers.py`, `rpc/mesh.thrift`, with or without a function behind it.
 NAMED_FILE = re.compile(r"(?<![\w/.-])((?:[a-z_]+/)+[a-z_0-9]+\.(?:py|thrift|toml|sh))\b")
@@ -45,7 +45,9 @@
         self.assertThat([each for page, text in current.items() for each in unknown_files(page, text)], Equals([]))
 
     def test_the_checks_see_what_is_wrong(self) -> None:
-        self.assertThat(broken_links("docs/style.md", "[a](architecture.md) [b](gone.md)"), Equals(["docs/style.md: gone.md"]))
+        self.assertThat(
+            broken_links("docs/style.md", "[a](architecture.md) [b](gone.md)"), Equals(["docs/style.md: gone.md"])
+        )
         self.assertThat(
             unknown_files("docs/style.md", "`raft/core.py`, `raft/gone.py` (`f`), `test_layout.Layout`, `test_gone`"),
             Equals(["docs/style.md: raft/gone.py", "docs/style.md: tests/test_gone.py"]),
