--- a/tests/test_former_release.py
+++ b/tests/test_former_release.py
@@ -293,7 +293,9 @@
             )
             # Its own note as the leader is all that came since.
             self.assertThat(
-                found._replace(offset=left.offset, epoch=left.epoch, stamp=left.stamp, swept=left.swept),
+                found._replace(
+                    offset=left.offset, epoch=left.epoch, mesh_time=left.mesh_time, expired_at=left.expired_at
+                ),
                 Equals(left),
                 name,
             )
