--- a/packages/proxy/src/hoistsaddle/proxy/health_reporter.py
+++ b/packages/proxy/src/hoistsaddle/proxy/health_reporter.py
@@ -13,7 +13,7 @@
 from hoistsaddle.proxy.registry_addresses import RegistryAddresses
 from hoistsaddle.rpc.messages import HealthAnswer, HealthCall
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.state import READY, WARDEN
+from hoistsaddle.statemachine.state import NODE_MONITOR_ROLE, READY
 
 REPORT_TIMEOUT = milliseconds(900)
 
@@ -109,6 +109,6 @@
 
     def _watcher(self) -> list[str]:
         """Return the address of the node that watches the fleet, if that is known."""
-        role = self._core.view.duties.get(WARDEN)
+        role = self._core.view.singleton_roles.get(NODE_MONITOR_ROLE)
         node = self._core.view.nodes.get(role.node) if role is not None else None
         return [node.address] if node is not None else []
--- a/packages/proxy/src/hoistsaddle/proxy/hold_client.py
+++ b/packages/proxy/src/hoistsaddle/proxy/hold_client.py
@@ -12,7 +12,8 @@
 from hoistsaddle.proxy.registry_addresses import RegistryAddresses
 from hoistsaddle.rpc.messages import WriteAnswer, WriteCall
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold, SettleHold, pack_command, unpack_outcome
+from hoistsaddle.statemachine.commands import ClaimKey, CompleteKey, Outcome, ReleaseKey
+from hoistsaddle.statemachine.encoding import pack_command, tag_of, unpack_outcome
 
 # How long one command is tried at all, and how long one registry gets for it: the next may not be frozen.
 SUBMIT_TIMEOUT = milliseconds(1500)
@@ -51,13 +52,13 @@
         # Set when the probe under way has ended.
         self._probed = asyncio.Event()
 
-    async def submit(self, command: ClaimHold | SettleHold | ReleaseHold) -> Outcome | None:
+    async def submit(self, command: ClaimKey | CompleteKey | ReleaseKey) -> Outcome | None:
         """Submit one command.
 
         Returns:
             What the log made of it; None if no registry answered in time.
         """
-        self._counters.add(f"holds.{type(command).__name__}")
+        self._counters.add(f"holds.{tag_of(command)}")
         call = WriteCall(self._core.settings.name, (pack_command(command),))
         deadline = self._runtime.now() + SUBMIT_TIMEOUT
         outcome: Outcome | None = None
--- a/packages/proxy/src/hoistsaddle/proxy/hold_releases.py
+++ b/packages/proxy/src/hoistsaddle/proxy/hold_releases.py
@@ -5,12 +5,12 @@
 
 from hoistsaddle.proxy.core_state import CoreState
 from hoistsaddle.proxy.messages import SubmitHold
-from hoistsaddle.statemachine.commands import Outcome, ReleaseHold
+from hoistsaddle.statemachine.commands import Outcome, ReleaseKey
 
 
 class _Retry(NamedTuple):
     due: timedelta
-    command: ReleaseHold
+    command: ReleaseKey
     deadline: timedelta
 
 
@@ -28,18 +28,18 @@
         self._state = state
         self._retry_interval = retry_interval
         self._timeout = timeout
-        self._submitted: dict[int, tuple[ReleaseHold, timedelta]] = {}
+        self._submitted: dict[int, tuple[ReleaseKey, timedelta]] = {}
         self._retries: list[_Retry] = []
 
     def __bool__(self) -> bool:
         """Whether any submitted release waits for its answer."""
         return bool(self._submitted)
 
-    def submit(self, command: ReleaseHold) -> None:
+    def submit(self, command: ReleaseKey) -> None:
         """Submit a release now."""
         self._submit(command, self._state.now + self._timeout)
 
-    def schedule(self, command: ReleaseHold) -> None:
+    def schedule(self, command: ReleaseKey) -> None:
         """Submit a release after the retry interval, as the log is slow or out of reach now."""
         now = self._state.now
         self._retries.append(_Retry(now + self._retry_interval, command, now + self._timeout))
@@ -67,7 +67,7 @@
             else:
                 self._retries.append(retry)
 
-    def _submit(self, command: ReleaseHold, deadline: timedelta) -> None:
+    def _submit(self, command: ReleaseKey, deadline: timedelta) -> None:
         number = self._state.next_number()
         self._submitted[number] = (command, deadline)
         self._state.out.append(SubmitHold(number, command))
--- a/packages/sidecar/src/hoistsaddle/sidecar/core.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/core.py
@@ -7,10 +7,9 @@
 import random
 from datetime import timedelta
 
-from hoistsaddle.common.errors import MeshError
+from hoistsaddle.common.errors import MeshError, NoConfiguration, ShuttingDown
 from hoistsaddle.proxy.core_state import CoreSettings, CoreState, LocalServer
 from hoistsaddle.proxy.messages import ConfigurationChanged, HoldAnswered, LeaseRenewed, StopRequested, Ticked
-from hoistsaddle.sidecar.errors import AwaitingConfiguration, NotReady
 from hoistsaddle.sidecar.ingress import IngressCore
 from hoistsaddle.sidecar.messages import (
     AbandonArrived,
@@ -150,9 +149,9 @@
     def ready(self) -> MeshError | None:
         """Return why the platform should send nothing here, if so. A configuration stays in force without a core."""
         if self.stopping:
-            return NotReady("This proxy is stopping.")
+            return ShuttingDown("This proxy is stopping.", remedy="Send new work elsewhere.")
         if self.view.items is None:
-            return AwaitingConfiguration("No configuration is in force here yet.")
+            return NoConfiguration("No configuration is in force here yet.", remedy="Wait for the core's news.")
         return None
 
     def pending_count(self) -> int:
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -7,27 +7,26 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import ZERO, milliseconds
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import (
+    BodyTooLarge,
+    DeadlineExceeded,
+    ErrorKind,
+    KeyInUse,
+    LeaseExpired,
+    MeshError,
+    NoConfiguration,
+    NoResponse,
+    NoRoute,
+    NoServer,
+    ShuttingDown,
+    Unreachable,
+)
 from hoistsaddle.config.items import IDEMPOTENT, ONCE_PER_KEY, RouteItem, hold_timeout
 from hoistsaddle.proxy.core_state import CoreState
-from hoistsaddle.proxy.errors import NoServerAvailable
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN
 from hoistsaddle.rpc.messages import AbandonCall, ForwardAnswer, ForwardCall
 from hoistsaddle.sidecar.attempt_follower import AttemptFollower, AttemptOutcome
-from hoistsaddle.sidecar.errors import (
-    AttemptRejected,
-    BodyTooLarge,
-    ConfigurationOutdated,
-    DeadlineExceeded,
-    Draining,
-    HeadersTooLarge,
-    KeyInProgress,
-    KeyOutcomeUnknown,
-    NoAnswer,
-    NoRoute,
-    NotConfigured,
-    ProxyUnreachable,
-)
+from hoistsaddle.sidecar.errors import HeadersTooLarge, KeyOutcomeUnknown, attempt_rejected
 from hoistsaddle.sidecar.key_claims import (
     KeyAnswered,
     KeyBusy,
@@ -102,22 +101,22 @@
         # What lay unread while this process stood still has less left than it says.
         deadline = now + (DEFAULT_BUDGET if event.budget is None else event.budget) - event.unread
         if self._state.closing:
-            return self._reject_arrival(event, deadline, Draining("This proxy is about to end."))
+            return self._reject_arrival(event, deadline, ShuttingDown("This proxy is about to end."))
         items = self._state.view.items
         if items is None:
-            return self._reject_arrival(event, deadline, NotConfigured("No configuration is in force here yet."))
+            return self._reject_arrival(event, deadline, NoConfiguration("No configuration is in force here yet."))
         path = event.path.partition("?")[0]
         route = items.select_entry(host=event.host, path=path)
         if route is None and not self._state.has_lease():
             # It may have been added since: "not declared" is true of now alone, and this configuration is older.
-            outdated = ConfigurationOutdated("No such entry in a configuration that may have been overtaken.")
-            return self._reject_arrival(event, deadline, outdated)
+            message = "No such entry in a configuration that may have been overtaken."
+            return self._reject_arrival(event, deadline, LeaseExpired(message, remedy="Come back."))
         if route is None:
             return self._refuse_arrival(event, 404, NoRoute(f"No entry for {event.host} {path[:80]}."))
         if event.header_bytes > items.limits.header_bytes:
             return self._refuse_arrival(event, 431, HeadersTooLarge("The headers are over their limit."))
         if len(event.body) > items.limits.body_bytes:
-            return self._refuse_arrival(event, 413, BodyTooLarge("The body is over its limit."))
+            return self._refuse_arrival(event, 413, BodyTooLarge("The body is over its limit.", field="body"))
         request = PendingRequest(
             event=event,
             route=route,
@@ -213,7 +212,7 @@
             return self._attempt_rejected(request, ErrorKind(answer.error))
         request.attempts += 1
         if answer.outcome != ANSWERED or answer.attempt_id != request.attempt_id:
-            return self._attempt_uncertain(request, NoAnswer("The server gave no whole answer."))
+            return self._attempt_uncertain(request, NoResponse("The server gave no whole answer."))
         if answer.status < SERVER_ERROR_STATUS:
             self.servers.answer_received(request.target, request.route.name, answer)
         elif request.route.kind == IDEMPOTENT:
@@ -232,7 +231,7 @@
         if event.unsent:
             # No connection was made, so nothing can arrive later either.
             request.excluded.add(request.target)
-            request.last_error = ProxyUnreachable(f"{request.target} takes no connection.")
+            request.last_error = Unreachable(f"{request.target} takes no connection.", remedy="Come back.")
             return self._place(request)
         follows = request.route.kind != IDEMPOTENT and request.target_incarnation
         if follows and self._state.now < request.deadline:
@@ -262,7 +261,7 @@
     def _attempt_rejected(self, request: PendingRequest, kind: ErrorKind) -> None:
         """Nothing ran: another server's sidecar may take it."""
         request.excluded.add(request.target)
-        request.last_error = AttemptRejected(kind, request.target)
+        request.last_error = attempt_rejected(kind, proxy=request.target)
         if kind == ErrorKind.SERVER_FULL:
             # It did arrive at a server, which counts as an attempt though nothing ran.
             request.attempts += 1
@@ -273,7 +272,7 @@
 
     def _attempt_unanswered(self, request: PendingRequest) -> None:
         request.attempts += 1
-        self._attempt_uncertain(request, NoAnswer(f"{request.target} gave no answer."))
+        self._attempt_uncertain(request, NoResponse(f"{request.target} gave no answer."))
 
     def _attempt_uncertain(self, request: PendingRequest, error: MeshError) -> None:
         """It may have run: only an idempotent request is sent again."""
@@ -294,7 +293,7 @@
             case KeyAnswered(request, answer):
                 self._reply(request, answer.status, headers=answer.headers, body=answer.body)
             case KeyBusy(request):
-                busy = KeyInProgress("The first request with this key is still working.")
+                busy = KeyInUse("The first request with this key is still working.", remedy="Ask again shortly.")
                 self._reply(request, 409, error=busy, retry_after=self._retry_after(request.deadline))
             case KeyLost(request):
                 # This repeat ran nowhere and never will, which is all that 503 says; of the first it says nothing.
@@ -312,7 +311,7 @@
             return self._answer(request, request.server_failure)
         if request.uncertain:
             return self._answer_unknown(request)
-        error = request.last_error or NoServerAvailable(f"No server of {request.service} takes work.")
+        error = request.last_error or NoServer(f"No server of {request.service} takes work.")
         return self._reject(request, error)
 
     def _reject(self, request: PendingRequest, error: MeshError) -> None:
@@ -333,15 +332,15 @@
     def _answer_unknown(self, request: PendingRequest) -> None:
         self.keys.record_unknown(request)
         status = 504 if self._state.now >= request.deadline else 502
-        self._reply(request, status, error=request.last_error or NoAnswer("No answer came within its time."))
+        self._reply(request, status, error=request.last_error or NoResponse("No answer came within its time."))
 
     def _expire(self, request: PendingRequest) -> None:
-        self._end(request, DeadlineExceeded("Its time ran out before it was sent."))
+        self._end(request, DeadlineExceeded("Its time ran out before it was sent.", remedy="Give it more time."))
 
     def end_all(self) -> None:
         """Answer every request, as the process ends: a closed connection would tell its clients nothing."""
         for request in list(self.requests.requests.values()):
-            self._end(request, Draining("This sidecar ends now."))
+            self._end(request, ShuttingDown("This sidecar ends now."))
 
     def _end(self, request: PendingRequest, unsent: MeshError) -> None:
         """Give the final answer now, whatever is still under way; `unsent` is why if nothing was sent."""
--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -10,16 +10,15 @@
 from typing import NamedTuple
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import MeshError
+from hoistsaddle.common.errors import MeshError, NoLeader
 from hoistsaddle.proxy.client_identity import digest_of_parts
 from hoistsaddle.proxy.core_state import CoreState
-from hoistsaddle.proxy.errors import LogUnavailable
 from hoistsaddle.proxy.hold_releases import HoldReleases
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN, SubmitHold
 from hoistsaddle.rpc.messages import ClaimQueryAnswer, ClaimQueryCall, ForwardAnswer
 from hoistsaddle.sidecar.messages import AnswerClaimQuery, ClaimQueryAnswered, ClaimQueryArrived, QueryClaim
 from hoistsaddle.sidecar.request_table import PendingRequest, RequestTable
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.idempotency import hold_handle
 from hoistsaddle.statemachine.state import GONE
 
@@ -107,7 +106,7 @@
         self._requests = requests
         self.key_lifetime = key_lifetime
         # Claims submitted to the log by the call's number, and queries to the claim's sidecar to the request's ticket.
-        self.submitted: dict[int, ClaimHold] = {}
+        self.submitted: dict[int, ClaimKey] = {}
         self._queries: dict[int, int] = {}
         self._claim_retries: list[tuple[timedelta, int]] = []
         self.releases = HoldReleases(state=state, retry_interval=RELEASE_RETRY_INTERVAL, timeout=RELEASE_TIMEOUT)
@@ -130,8 +129,8 @@
         command = self.submitted[number] = self._claim_command(request)
         self._state.out.append(SubmitHold(number, command))
 
-    def _claim_command(self, request: PendingRequest) -> ClaimHold:
-        return ClaimHold(
+    def _claim_command(self, request: PendingRequest) -> ClaimKey:
+        return ClaimKey(
             request.scope,
             request.claim,
             self._state.settings.name,
@@ -305,10 +304,10 @@
             self._release(command)
         else:
             # The log didn't answer in time, so it is busy or away: nothing that isn't urgent is submitted now.
-            self.releases.schedule(ReleaseHold(hold_handle(command), command.claim))
+            self.releases.schedule(ReleaseKey(hold_handle(command), command.claim))
 
-    def _release(self, command: ClaimHold) -> None:
-        self.releases.submit(ReleaseHold(hold_handle(command), command.claim))
+    def _release(self, command: ClaimKey) -> None:
+        self.releases.submit(ReleaseKey(hold_handle(command), command.claim))
 
     def _record_of(self, request: PendingRequest) -> ClaimRecord | None:
         return self.records.get(request.claim) if request.claimed else None
@@ -326,4 +325,4 @@
 
 
 def _unavailable(request: PendingRequest) -> KeyRefused:
-    return KeyRefused(request, LogUnavailable("No core machine could hold the key."))
+    return KeyRefused(request, NoLeader("No core machine could hold the key."))
--- a/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
@@ -14,7 +14,7 @@
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import split_address
-from hoistsaddle.sidecar.errors import ServerAnswerMissing, ServerNotReached
+from hoistsaddle.sidecar.errors import server_answer_missing, server_not_reached
 from hoistsaddle.sidecar.header_names import HeaderNames
 from hoistsaddle.sidecar.header_pairs import pack_pairs, unpack_pairs
 from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
@@ -172,11 +172,11 @@
 
     def _unsent(self, command: RunOnServer, kind: ErrorKind) -> ServerFailed:
         self.counters.add(f"server.unsent.{kind}")
-        return ServerFailed(command.number, True, ServerNotReached(kind))
+        return ServerFailed(command.number, True, server_not_reached(kind))
 
     def _missed(self, command: RunOnServer, kind: ErrorKind) -> ServerFailed:
         self.counters.add(f"server.{kind}")
-        return ServerFailed(command.number, False, ServerAnswerMissing(kind))
+        return ServerFailed(command.number, False, server_answer_missing(kind))
 
     async def _answer(self, connection: ServerConnection, client_attempt_id: str) -> tuple[RawResponseMessage, bytes]:
         """Return the answer under this id. One under another's stands in its place and belongs to nobody."""
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy's core on a bench: what it answers, and when."""
+"""The proxy's core without I/O: what it answers, and when."""
 
 import random
 from datetime import timedelta
@@ -33,7 +33,7 @@
     Ticked,
 )
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold, SettleHold
+from hoistsaddle.statemachine.commands import ClaimKey, CompleteKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.state import NodeRecord, ServerRecord
 from hoistsaddle.statemachine.view import View
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
@@ -143,6 +143,8 @@
 
 
 class Ingress(TestCase):
+    """The side that takes a client's request."""
+
     def test_the_queue_is_bounded_and_overflow_is_told_at_once(self) -> None:
         bench = Bench(fresh=False, backlog=5)
         tickets = [bench.ask() for _ in range(8)]
@@ -256,7 +258,7 @@
         bench.feed(ForwardFailed(bench.newest(ForwardRequest).number, False))
         self.assertThat((bench.answer(ticket).outcome, bench.answer(ticket).status), Equals(("unknown", 504)))
         # It may have run, so its key stays held.
-        self.assertThat(isinstance(bench.newest(SubmitHold).command, ClaimHold), Equals(True))
+        self.assertThat(isinstance(bench.newest(SubmitHold).command, ClaimKey), Equals(True))
 
     def test_nothing_is_sent_before_the_claim_is_committed(self) -> None:
         bench = Bench()
@@ -297,7 +299,7 @@
         )
         # A grant that comes after the answer is given back, and nothing is sent under it.
         bench.feed(HoldAnswered(claim.number, Outcome(detail={"phase": "granted"})))
-        self.assertThat((type(bench.newest(SubmitHold).command), bench.count(ForwardRequest)), Equals((ReleaseHold, 0)))
+        self.assertThat((type(bench.newest(SubmitHold).command), bench.count(ForwardRequest)), Equals((ReleaseKey, 0)))
 
     def test_a_claim_granted_too_late_is_given_back(self) -> None:
         bench = Bench()
@@ -311,7 +313,7 @@
         released = bench.newest(SubmitHold).command
         self.assertThat(
             (bench.count(SubmitHold) - before, type(released), released.claim),
-            Equals((1, ReleaseHold, claim.command.claim)),
+            Equals((1, ReleaseKey, claim.command.claim)),
         )
         self.assertThat(bench.count(ForwardRequest), Equals(0))
 
@@ -351,6 +353,8 @@
 
 
 class Target(TestCase):
+    """The side that works on a forwarded request."""
+
     def test_a_send_runs_once_however_often_it_comes(self) -> None:
         bench = Bench(name="stall-3")
         for ticket in (1, 2):
@@ -420,7 +424,7 @@
         bench.feed(ServerAnswered(bench.newest(RunOnServer).number, 200, {}, b"{}"))
         self.assertThat(
             (bench.count(AnswerForward), bench.newest(SubmitHold).command),
-            Equals((0, SettleHold("scope", "claim", 200, {}, b"{}", True))),
+            Equals((0, CompleteKey("scope", "claim", 200, {}, b"{}", True))),
         )
         bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "settled"})))
         self.assertThat(bench.newest(AnswerForward).answer.outcome, Equals("answered"))
