--- a/packages/proxy/src/hoistsaddle/proxy/bundle_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/bundle_state.py
@@ -4,15 +4,16 @@
 import random
 from datetime import timedelta
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import BundleUnknown, LeaseExpired, MeshError, ShuttingDown
 from hoistsaddle.config.bundle import Bundle
 from hoistsaddle.proxy.core_state import CoreSettings, CoreState
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
 
-SETTLE_AGAIN = timedelta(milliseconds=250)
-# How long a gap of the core's may last and still be waited out: twice the slowest takeover measured (0.72 s). It counts
-# from when the cause is seen, so a takeover that outlasts the lease by this much still costs no request.
-GAP = timedelta(milliseconds=1500)
+# Between two submissions of a settlement or a release that the log gave no answer to.
+SETTLE_RETRY_INTERVAL = timedelta(milliseconds=250)
+# How long an outage of the core may last and still be waited out: twice the slowest takeover measured (0.72 s). It
+# counts from when the cause is seen, so a takeover that outlasts the lease by this much still costs no request.
+MAX_CORE_OUTAGE = timedelta(milliseconds=1500)
 
 
 def number_of(bundle: Bundle) -> int:
@@ -25,14 +26,11 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def mesh_error(kind: ErrorKind, message: str, remedy: str, field: str = "") -> MeshError:
-    return MeshError(kind, message, remedy, field)
-
-
 class BundleState(CoreState):
     """State of a core that acts only with a fresh lease, a registered incarnation and a bundle in force."""
 
     def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
+        """Begin without configuration, lease and server."""
         super().__init__(settings=settings, seed=seed, now=now)
         # Since when this proxy can't act.
         self.unready_since: timedelta | None = None
@@ -50,17 +48,13 @@
     def ready(self) -> MeshError | None:
         """Return why the platform should send nothing here, if so."""
         if self.stopping:
-            return mesh_error(ErrorKind.WINDING_DOWN, "This proxy is stopping.", "Send new work elsewhere.")
+            return ShuttingDown("This proxy is stopping.", remedy="Send new work elsewhere.")
         if not self.has_lease():
-            return mesh_error(
-                ErrorKind.LEASE_LAPSED, "No fresh news from the core.", "Check the core machines and the way to them."
-            )
+            return LeaseExpired("No fresh news from the core.", remedy="Check the core machines and the way to them.")
         if not self.is_registered():
-            return mesh_error(
-                ErrorKind.LEASE_LAPSED, "The core has not noted this proxy yet.", "Wait; it registers by itself."
-            )
+            return LeaseExpired("The core has not noted this proxy yet.", remedy="Wait; it registers by itself.")
         if self.view.bundle is None:
-            return mesh_error(ErrorKind.BUNDLE_UNKNOWN, "No bundle is in force.", "Submit one and have it signed off.")
+            return _no_bundle()
         return None
 
     def unready(self) -> MeshError | None:
@@ -74,3 +68,14 @@
         elif self.unready_since is None:
             self.unready_since = self.now
         return error
+
+    def acting_bundle(self) -> Bundle | MeshError:
+        """Return the bundle to act under, or why no request can be moved on now."""
+        error, bundle = self.unready(), self.view.bundle
+        if error is not None:
+            return error
+        return bundle if bundle is not None else _no_bundle()
+
+
+def _no_bundle() -> MeshError:
+    return BundleUnknown("No bundle is in force.", remedy="Submit one and have it signed off.")
--- a/packages/proxy/src/hoistsaddle/proxy/client_identity.py
+++ b/packages/proxy/src/hoistsaddle/proxy/client_identity.py
@@ -1,23 +1,25 @@
-"""By what a client is known, for keys that must run once."""
+"""What identifies a client, for keys that must run once."""
 
 import hashlib
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import InvalidRequest, MeshError
+from hoistsaddle.proxy.errors import ClientUnidentified
 from hoistsaddle.statemachine.idempotency import BY_CREDENTIALS
 
 BY_SERVICE = "service"
 
 
 class ClientIdentity(NamedTuple):
-    """What kind of mark it is, and the mark's digest: no credential leaves the proxy in another form."""
+    """What kind of identification it is, and its digest: no credential leaves the proxy in another form."""
 
     by: str
     who: str
 
 
 def digest_of_parts(*parts: str) -> str:
+    """Return the hex digest of several texts, none of which can run over into the next."""
     return hashlib.sha256("\0".join(parts).encode()).hexdigest()
 
 
@@ -35,9 +37,9 @@
 def identify_client(
     *, caller: str, declared: str, headers: Mapping[str, str], twice: tuple[str, ...] = ()
 ) -> ClientIdentity | MeshError:
-    """A service is known by its door. A client by what the bundle declares, or else by its credentials.
+    """Return what identifies the caller: a service its listener, a client what the bundle declares or its credentials.
 
-    An address is no mark: a phone changes it, and a whole school may share one. Nor is a cookie nobody named.
+    An address identifies nobody: a phone changes it, and a whole school may share one. Nor is a cookie nobody named.
     """
     if caller:
         return ClientIdentity(BY_SERVICE, digest_of_parts(BY_SERVICE, caller))
@@ -50,14 +52,9 @@
         case _:
             by, shown, carrier = BY_CREDENTIALS, _header(headers, "Authorization"), "Authorization"
     if carrier.lower() in twice:
-        return MeshError(
-            ErrorKind.REQUEST_BROKEN, f"{carrier} came twice, so the client can't be told.", "Send it once.", carrier
-        )
+        message = f"{carrier} came twice, so the client can't be told."
+        return InvalidRequest(message, field=carrier, remedy="Send it once.")
     if not shown:
-        return MeshError(
-            ErrorKind.CLIENT_MISSING,
-            f"Nothing shows whose key this is: no {declared or 'Authorization'} came.",
-            f"Send it: {declared}." if declared else "Send Authorization, or have a bundle declare visitor.",
-            carrier,
-        )
+        message = f"Nothing shows whose key this is: no {declared or 'Authorization'} came."
+        return ClientUnidentified(message, field=carrier, remedy=f"Send it: {declared}." if declared else None)
     return ClientIdentity(by, digest_of_parts(by, shown))
--- a/packages/proxy/src/hoistsaddle/proxy/core.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core.py
@@ -1,14 +1,16 @@
-"""One proxy: owner of every request in it. Events come in, commands go out, and no input or output happens here.
+"""The core of a proxy under bundles, which owns every request in it. Events come in, commands go out, nothing else.
 
-A request goes client, entry's proxy, target's proxy, server. Both proxies admit by their own bundle and lease. An
-answer is one of four: the server's whole answer, "not run" (only if nothing can have run, now or later), "still
-working", or "unknown". Every proxy is both: entry.py is the one side, target.py the other, standing.py what they share.
+A request goes from the client to the ingress side of one proxy, the upstream side of another, and its server. Both
+proxies admit by their own bundle and lease. An answer is one of four: the server's complete answer, "not run" (only if
+nothing can have run, now or later), "still working", or "unknown". Every proxy is both sides: ingress.py and
+upstream.py.
 """
 
-from collections import deque
+import random
 from datetime import timedelta
 
-from hoistsaddle.proxy.core_state import LocalServer
+from hoistsaddle.proxy.bundle_state import BundleState
+from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.ingress import IngressCore
 from hoistsaddle.proxy.messages import (
     ClientDisconnected,
@@ -26,45 +28,55 @@
     StopRequested,
     Ticked,
 )
-from hoistsaddle.proxy.upstream import UpstreamSide
+from hoistsaddle.proxy.upstream import UpstreamCore
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.statemachine.view import View
 
 
-class ProxyCore(IngressCore, UpstreamSide):
+class ProxyCore(BundleState):
+    """Passes each event to the side that it concerns, and collects the commands that answer it."""
+
+    def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
+        """Begin without a configuration.
+
+        Args:
+            settings: the proxy's name, zone and limits.
+            seed: for all that chance decides.
+            now: the monotonic clock's time.
+        """
+        super().__init__(settings=settings, seed=seed, now=now)
+        self.ingress = IngressCore(state=self)
+        self.upstream = UpstreamCore(state=self)
+
     def handle(self, event: tuple, *, now: timedelta) -> list[tuple]:
+        """Take one event of proxy.messages at a time of the monotonic clock; return the commands to carry out."""
         self.now = max(now, self.now)
         self.out = []
         match event:
             case RequestArrived():
-                self._request(event)
+                self.ingress.request_arrived(event)
             case ClientDisconnected(ticket=ticket):
-                self._gone(ticket)
+                self.ingress.client_disconnected(ticket)
             case HoldAnswered(number=number, outcome=outcome):
-                self._hold_came(number, outcome)
+                self._hold_answered(number, outcome)
             case ForwardAnswered(number=number, answer=answer):
-                self._forward_answered(number, answer)
+                self.ingress.forward_answered(number, answer)
             case ForwardFailed(number=number, unsent=unsent):
-                self._forward_failed(number, unsent)
+                self.ingress.forward_failed(number, unsent=unsent)
             case ForwardWithheld(number=number):
-                self._forward_withheld(number)
+                self.ingress.forward_withheld(number)
             case ForwardArrived():
-                self._pass(event)
+                self.upstream.forward_arrived(event)
             case ServerAnswered():
-                self._server_answered(event)
+                self.upstream.server_answered(event)
             case ServerFailed():
-                self._server_missed(event)
+                self.upstream.server_failed(event)
             case HealthReported():
-                self._health(event)
+                self.upstream.health_reported(event)
             case ConfigurationChanged(view=view):
-                self._configuration(view)
+                self._configuration_changed(view)
             case LeaseRenewed(start=start):
-                was = self.has_lease()
-                self.renew_lease(start)
-                if self.has_lease() and not was:
-                    self.announce("lease fresh", revision=self.view.revision)
-                    self._retry_parked()
-                    self._retry_waiting()
+                self._lease_renewed(start)
             case StopRequested():
                 self.stopping = True
                 self.report_health()
@@ -72,31 +84,24 @@
                 self._tick()
         return self.out
 
-    def _hold_came(self, number: int, outcome: Outcome | None) -> None:
-        if outcome is not None:
-            self.silent_since = None
-        elif self.silent_since is None:
-            self.silent_since = self.now
-        # Answers are settled by the target's side; claims and keys given back are the entry's.
-        if number in self.settles:
-            return self._settled(number, outcome)
-        return self._hold_answered(number, outcome)
+    def _hold_answered(self, number: int, outcome: Outcome | None) -> None:
+        self.ingress.keys.note_answer(outcome)
+        # Answers are settled by the upstream side; claims and releases are the ingress side's.
+        if self.upstream.is_settlement(number):
+            self.upstream.settlement_answered(number, outcome)
+        else:
+            self.ingress.hold_answered(number, outcome)
 
-    def _health(self, event: HealthReported) -> None:
-        before = self.server
-        was = self.server_state()
-        self.server = LocalServer(event.service, event.instance, event.address, event.state, self.now)
-        if before is None or not before.same_as(self.server) or was != self.server_state():
-            self.announce("server told", service=event.service, instance=event.instance, state=event.state)
-            self.report_health()
+    def _lease_renewed(self, start: timedelta) -> None:
+        had_lease = self.has_lease()
+        self.renew_lease(start)
+        if self.has_lease() and not had_lease:
+            self.announce("lease fresh", revision=self.view.revision)
+            self._retry()
 
-    def _configuration(self, view: View) -> None:
+    def _configuration_changed(self, view: View) -> None:
         before, self.view = self.view, view
-        opened = {server.service for server in view.available_servers()}
-        self.closed_since = {name: since for name, since in self.closed_since.items() if name not in opened}
-        for bundle in view.active_bundles:
-            for service in bundle.services:
-                self._allot(service.name)
+        self.ingress.configuration_changed(view)
         if view.bundle_number != before.bundle_number:
             self.announce(
                 "bundle taken up", bundle=view.bundle_number, before=before.bundle_number, revision=view.revision
@@ -104,31 +109,20 @@
         if view.refused_bundle and view.refused_bundle != before.refused_bundle:
             self.announce("bundle refused", bundle=view.refused_bundle, refusal=view.refusal)
         self.contradict_record()
-        self._retry_parked()
-        self._retry_waiting()
+        self._retry()
+
+    def _retry(self) -> None:
+        self.upstream.retry_parked()
+        self.ingress.retry_waiting()
 
     def _tick(self) -> None:
         self.unready()
-        for ticket in [ticket for ticket, request in self.requests.items() if self.now >= request.deadline]:
-            self._spent(ticket)
-        self._give_up_late_claims()
-        self.waiting = deque(ticket for ticket in self.waiting if ticket in self.requests)
-        self._retry_waiting()
-        self._retry_parked()
-        for number, run in list(self.runs.items()):
-            if run.answer is not None and not run.answered and self.now >= run.deadline:
-                # The run is done and its answer true, even if the hold can't be settled yet.
-                self._answer_run(number, run)
-            if run.settle is not None and run.settle_at is not None and self.now >= run.settle_at:
-                self._settle(number, run)
-        again, self.release_again = self.release_again, []
-        for timestamp, command, until in again:
-            if self.now >= timestamp:
-                self._release(command, until)
-            else:
-                self.release_again.append((timestamp, command, until))
+        self.ingress.tick()
+        self.upstream.retry_parked()
+        self.upstream.tick()
+        self.ingress.keys.releases.retry_due()
         self.expire_server()
 
     def idle(self) -> bool:
-        """Nothing mid-answer: a stopping proxy may go."""
-        return not self.requests and not self.runs and not self.releases and not self.parked
+        """Whether nothing is under way: a stopping proxy may end."""
+        return not (self.ingress.requests or self.upstream.runs or self.ingress.keys.releases or self.upstream.parked)
--- a/packages/proxy/src/hoistsaddle/proxy/listener.py
+++ b/packages/proxy/src/hoistsaddle/proxy/listener.py
@@ -68,13 +68,13 @@
 
     async def _holds(self, request: web.Request) -> web.Response:
         """Return what this proxy may retry, by service."""
-        budgets = retry_budgets(self.node.core.retry_budget, now=self.node.runtime.now())
+        budgets = retry_budgets(self.node.core.ingress.retry_budget, now=self.node.runtime.now())
         return web.json_response({"stall": self.node.settings.name, "room": budgets})
 
     async def _usage(self, request: web.Request) -> web.Response:
         usage = [
             dict(zip(USAGE_FIELDS, (*key, *amounts), strict=True))
-            for key, amounts in sorted(self.node.core.usage.items())
+            for key, amounts in sorted(self.node.core.ingress.usage.items())
         ]
         return web.json_response({"stall": self.node.settings.name, "life": self.node.incarnation, "usage": usage})
 
@@ -139,7 +139,7 @@
             headers["Connection"] = "close"
         if answer.retry_after is not None:
             headers["Retry-After"] = str(max(1, round(answer.retry_after.total_seconds())))
-        if answer.outcome == ANSWERED:
+        if answer.outcome == ANSWERED or answer.error is None:
             return web.Response(status=answer.status, headers={**answer.headers, **headers}, body=answer.body)
         self.node.counters.add(f"mishaps.{answer.error.kind}")
         # A kept connection would carry the rest of a body nobody read.
--- a/packages/proxy/src/hoistsaddle/proxy/messages.py
+++ b/packages/proxy/src/hoistsaddle/proxy/messages.py
@@ -1,4 +1,4 @@
-"""Events that reach a proxy's core and the commands it answers with."""
+"""Events that reach the core of a proxy under bundles, and the commands it answers with; some are the sidecar's too."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -16,6 +16,8 @@
 
 
 class RequestArrived(NamedTuple):
+    """A request of a client or of the local server, read completely."""
+
     ticket: int
     # The service whose server calls through its own door; empty for a client.
     caller: str
@@ -32,44 +34,49 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client hung up; what was sent is still followed to its end."""
+    """The client closed its connection."""
 
     ticket: int
 
 
 class HoldAnswered(NamedTuple):
-    """What came of a claim, settling or release; outcome is None when no core machine answered."""
+    """What came of a claim, a settlement or a release; outcome is None when no core machine answered."""
 
     number: int
     outcome: Outcome | None
 
 
 class ForwardAnswered(NamedTuple):
+    """The target's proxy answered an attempt."""
+
     number: int
     answer: BundleForwardAnswer
 
 
 class ForwardFailed(NamedTuple):
-    """No answer. unsent means that nothing was ever written to the target."""
+    """An attempt got no answer; unsent means that nothing was ever written to the target."""
 
     number: int
     unsent: bool
 
 
 class ForwardWithheld(NamedTuple):
-    """This proxy held the send back itself, directly before its first byte: its lease had lapsed, or
-    it had stood still."""
+    """This proxy withheld an attempt itself, before its first byte, as its lease had lapsed or it had frozen."""
 
     number: int
 
 
 class ForwardArrived(NamedTuple):
+    """Another proxy forwards an attempt for the local server; `frozen` if this process stood still meanwhile."""
+
     ticket: int
     call: BundleForwardCall
     frozen: bool
 
 
 class ServerAnswered(NamedTuple):
+    """The local server answered a run."""
+
     number: int
     status: int
     headers: dict[str, str]
@@ -77,12 +84,16 @@
 
 
 class ServerFailed(NamedTuple):
+    """The local server gave no answer to a run; unsent means that nothing was written to it."""
+
     number: int
     unsent: bool
     error: MeshError
 
 
 class HealthReported(NamedTuple):
+    """What the local server reports of itself."""
+
     service: str
     instance: str
     address: str
@@ -90,22 +101,28 @@
 
 
 class ConfigurationChanged(NamedTuple):
+    """Another configuration is in force."""
+
     view: View
 
 
 class LeaseRenewed(NamedTuple):
+    """The configuration was confirmed to be in force at this time."""
+
     start: timedelta
 
 
 class StopRequested(NamedTuple):
-    pass
+    """The process was told to stop."""
 
 
 class Ticked(NamedTuple):
-    pass
+    """A moment has passed."""
 
 
 class AnswerClient(NamedTuple):
+    """The final answer to a client."""
+
     ticket: int
     outcome: str
     status: int
@@ -116,11 +133,15 @@
 
 
 class SubmitHold(NamedTuple):
+    """Submits a claim, a settlement or a release of a key to the log."""
+
     number: int
     command: ClaimKey | CompleteKey | ReleaseKey
 
 
 class ForwardRequest(NamedTuple):
+    """Forwards an attempt to the proxy at this address."""
+
     number: int
     address: str
     call: BundleForwardCall
@@ -128,6 +149,8 @@
 
 
 class RunOnServer(NamedTuple):
+    """Runs an attempt on the local server."""
+
     number: int
     address: str
     call: BundleForwardCall
@@ -135,14 +158,18 @@
 
 
 class AnswerForward(NamedTuple):
+    """Answers a forwarded attempt."""
+
     ticket: int
     answer: BundleForwardAnswer
 
 
 class ReportHealth(NamedTuple):
-    """The server's standing changed and must travel at once, not with the next heartbeat."""
+    """Reports the local server's state at once, not with the next heartbeat."""
 
 
 class Announce(NamedTuple):
+    """Tells operators of an event."""
+
     kind: str
     detail: dict
--- a/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
+++ b/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
@@ -1,14 +1,13 @@
-"""Further sends: over the whole fleet at most a share of a service's traffic plus a margin, in any ten seconds.
+"""Retry budget: over the whole fleet at most a share of a service's traffic plus a margin, in any ten seconds.
 
-The margin is divided into whole units, one stall having them at a time, since a part of one could never be spent. A
-stall uses its part in two ways. Half of it caps the tokens that first sends earn: each earns a share of one, each
-further send spends one. In a window of any length these are at most what the stalls had kept when it began, plus the
-share of the first sends inside it. The other half are slots, each good for one further send in any ten seconds,
-however little traffic there is. Both together are the margin, and not a send more. (Counting first and further sends
-over the last ten seconds is not enough: when traffic falls, old further sends stay in a window that their first sends
-have left.)
+The margin is divided into whole units, one proxy having each at a time, since a part of a unit could never be spent. A
+proxy uses its quota in two ways. Half of it caps the tokens that first attempts earn: each earns a share of one, each
+retry spends one. In a window of any length these are at most what the proxies had kept when it began, plus the share
+of the first attempts inside it. The other half are slots, each good for one retry in any ten seconds, however little
+traffic there is. Both together are the margin, and not an attempt more. (Counting first attempts and retries over the
+last ten seconds is not enough: when traffic falls, old retries stay in a window that their first attempts have left.)
 
-Parts move when stalls come and go or a bundle changes them. Then a lower part holds at once. A higher cap holds only
+Quotas move when proxies come and go or a bundle changes them. Then a lower quota holds at once. A higher cap holds only
 after a lease span: by then whoever had to give it up has heard of it, or its lease has lapsed and it sends nothing. A
 higher number of slots waits for ten seconds more, since the former owner may have used one just before.
 """
@@ -18,14 +17,15 @@
 from datetime import timedelta
 from fractions import Fraction
 
-# Half a second on top: a send leaves a little after it was decided.
+# Half a second on top: an attempt leaves a little after it was decided.
 WINDOW = timedelta(seconds=10.5)
+# What paid for a retry.
 SHARE = "share"
 SLOT = "slot"
 
 
 def retry_quota_of(*, service: str, proxy: str, proxies: list[str], margin: int) -> int:
-    """This proxy's whole units. Who gets one more of an uneven margin differs from service to service."""
+    """Return this proxy's units of the margin. Who gets one more of an uneven one differs from service to service."""
     if proxy not in proxies:
         return 0
     order = sorted(proxies, key=lambda name: hashlib.sha256(f"{service} {name}".encode()).digest())
@@ -51,9 +51,11 @@
             self.value, self.due = wanted, None
 
 
-class _Account:
+class ServiceBudget:
+    """What one service's retries have earned and spent."""
+
     def __init__(self, *, wait: timedelta) -> None:
-        # A newborn proxy begins with nothing: it can't know what its former life spent.
+        # A new incarnation begins with nothing: it can't know what the former one spent.
         self.cap = _Limit(wait=wait)
         self.slots = _Limit(wait=wait + WINDOW)
         # Fractions, because a fifth has no exact float and the bound is meant exactly.
@@ -62,34 +64,39 @@
 
 
 class RetryBudget:
+    """This proxy's part of the fleet's retry budgets, by service."""
+
     def __init__(self, *, wait: timedelta) -> None:
+        """Begin with nothing; `wait` is for how long others may still use what this proxy is given."""
         self.wait = wait
-        self.accounts: dict[str, _Account] = {}
+        self.accounts: dict[str, ServiceBudget] = {}
 
-    def _account(self, service: str) -> _Account:
-        return self.accounts.setdefault(service, _Account(wait=self.wait))
+    def _account(self, service: str) -> ServiceBudget:
+        return self.accounts.setdefault(service, ServiceBudget(wait=self.wait))
 
     def set_quota(self, service: str, *, quota: int, percent: int, now: timedelta) -> None:
+        """Set this proxy's units of the service's margin, and the service's share in percent."""
         account = self._account(service)
-        # Without a share nothing is ever earned, so the whole part are slots.
+        # Without a share nothing is ever earned, so all units are slots.
         cap = (quota + 1) // 2 if percent else 0
         account.cap.set(cap, now=now)
         account.slots.set(quota - cap, now=now)
         account.tokens = min(account.tokens, Fraction(account.cap.value))
 
     def earn(self, service: str, *, percent: int) -> None:
+        """Take that a request's first attempt is sent."""
         account = self._account(service)
         account.tokens = min(account.tokens + Fraction(percent, 100), Fraction(account.cap.value))
 
     def available(self, service: str, *, now: timedelta) -> Fraction:
-        """What may be sent further now."""
+        """Return how many retries may be sent now."""
         account = self._account(service)
         while account.used and now - account.used[0] >= WINDOW:
             account.used.popleft()
         return account.tokens + max(0, account.slots.value - len(account.used))
 
     def try_spend(self, service: str, *, now: timedelta) -> str:
-        """By what a further send goes out now; empty if it may not."""
+        """Spend one retry; return what paid for it, empty if it may not be sent."""
         account = self._account(service)
         if self.available(service, now=now) < 1:
             return ""
@@ -101,10 +108,10 @@
             return SLOT
         return ""
 
-    def refund(self, service: str, way: str) -> None:
-        """A further send that never left this proxy was none."""
+    def refund(self, service: str, paid_by: str) -> None:
+        """Give back what paid for a retry that never left this proxy."""
         account = self._account(service)
-        if way == SHARE:
+        if paid_by == SHARE:
             account.tokens = min(account.tokens + 1, Fraction(account.cap.value))
         elif account.used:
             account.used.pop()
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -1,165 +1,145 @@
-"""The target's side of a proxy: it admits sends from other proxies, has its server run them, and settles keys."""
+"""The upstream side of a proxy under bundles: admits attempts of other proxies, runs them, and settles their keys."""
 
 from collections import OrderedDict
 from datetime import timedelta
 
-from hoistsaddle.common.clock import ZERO
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import ErrorKind, MeshError, QueueFull
 from hoistsaddle.config.bundle import MAX_ONCE_ANSWER_BYTES
-from hoistsaddle.proxy.bundle_state import GAP, SETTLE_AGAIN, BundleState, digest_of_body, mesh_error, number_of
+from hoistsaddle.proxy.bundle_state import MAX_CORE_OUTAGE, SETTLE_RETRY_INTERVAL, BundleState, digest_of_body
+from hoistsaddle.proxy.core_state import LocalServer
+from hoistsaddle.proxy.errors import AlreadySeen, KeyMissing
 from hoistsaddle.proxy.messages import (
     ANSWERED,
     NOT_RUN,
     UNKNOWN,
     AnswerForward,
     ForwardArrived,
+    HealthReported,
     RunOnServer,
     ServerAnswered,
     ServerFailed,
     SubmitHold,
 )
+from hoistsaddle.proxy.upstream_admission import admit
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
 from hoistsaddle.statemachine.commands import CompleteKey, Outcome
-from hoistsaddle.statemachine.state import GONE, READY
+from hoistsaddle.statemachine.state import GONE
 
-# How long a target's proxy remembers what it refused or ran: longer than any envelope's budget can be.
-REMEMBERED = timedelta(seconds=120)
+# How long the ids of attempts that were refused or run are remembered: longer than any request's budget can be.
+SEEN_RETENTION = timedelta(seconds=120)
+# What a short outage of the core explains: such an attempt is kept for a while, and admitted anew.
+PARKED_KINDS = (ErrorKind.LEASE_LAPSED, ErrorKind.BUNDLE_UNKNOWN)
+SHOWN_SCOPE_LENGTH = 12
 
 
 class _Run:
-    """A send at its target's proxy."""
+    """An attempt that runs here, until its answer is given and its key is settled."""
 
     def __init__(self, *, ticket: int, call: BundleForwardCall, arrived: timedelta) -> None:
         self.ticket = ticket
         self.call = call
         self.deadline = arrived + call.budget
         self.answer: BundleForwardAnswer | None = None
-        self.settle: CompleteKey | None = None
+        self.settlement: CompleteKey | None = None
         self.settle_at: timedelta | None = None
         self.answered = False
 
 
-class UpstreamSide(BundleState):
-    def __init__(self, **needs) -> None:
-        super().__init__(**needs)
+class UpstreamCore:
+    """Owns what other proxies forwarded to the local server."""
+
+    def __init__(self, *, state: BundleState) -> None:
+        self._state = state
         self.runs: dict[int, _Run] = {}
-        self.settles: dict[int, int] = {}
+        # Settlements that the log hasn't answered, to their runs.
+        self._settlements: dict[int, int] = {}
+        # By ticket, attempts that wait out an outage of the core: the event, when it came, and until when it waits.
         self.parked: dict[int, tuple[ForwardArrived, timedelta, timedelta]] = {}
-        self.seen: OrderedDict[str, timedelta] = OrderedDict()
-
-    def _pass(self, event: ForwardArrived, *, again: bool = False) -> None:
-        call = event.call
-        error = self._gate(event)
-        if (
-            error is not None
-            and error.kind in (ErrorKind.LEASE_LAPSED, ErrorKind.BUNDLE_UNKNOWN)
-            and len(self.parked) < self.settings.backlog
-            and not again
-        ):
-            # A gap of the core's is short: wait it out for half the budget before troubling another proxy.
-            self.parked[event.ticket] = (event, self.now, self.now + min(call.budget / 2, GAP))
+        # Ids of attempts that were here, the oldest first.
+        self._seen: OrderedDict[str, timedelta] = OrderedDict()
+
+    # -- admission ---------------------------------------------------------------------------------------------------
+
+    def health_reported(self, event: HealthReported) -> None:
+        """Take what the server says of itself."""
+        state = self._state
+        before, state_before = state.server, state.server_state()
+        server = LocalServer(event.service, event.instance, event.address, event.state, state.now)
+        state.server = server
+        if before is None or not before.same_as(server) or state_before != state.server_state():
+            state.announce("server told", service=event.service, instance=event.instance, state=event.state)
+            state.report_health()
+
+    def forward_arrived(self, event: ForwardArrived) -> None:
+        """Run, park or refuse an attempt of another proxy."""
+        error = self._admission_error(event)
+        parkable = error is not None and error.kind in PARKED_KINDS
+        if parkable and len(self.parked) < self._state.settings.backlog:
+            # An outage of the core's is short: wait it out for half the budget before troubling another proxy.
+            now = self._state.now
+            self.parked[event.ticket] = (event, now, now + min(event.call.budget / 2, MAX_CORE_OUTAGE))
             return
-        if error is None:
+        self._run_or_refuse(event, error)
+
+    def _run_or_refuse(self, event: ForwardArrived, error: MeshError | None) -> None:
+        call, server = event.call, self._state.server
+        if error is None and server is not None:
             self._remember(call.attempt_id)
-            number = self.next_number()
-            self.runs[number] = _Run(ticket=event.ticket, call=call, arrived=self.now)
-            self.out.append(RunOnServer(number, self.server.address, call, call.budget))
-            return
-        if error.kind == ErrorKind.ALREADY_SEEN:
+            number = self._state.next_number()
+            self.runs[number] = _Run(ticket=event.ticket, call=call, arrived=self._state.now)
+            self._state.out.append(RunOnServer(number, server.address, call, call.budget))
+        elif error is not None and error.kind == ErrorKind.ALREADY_SEEN:
             # It ran or was refused under this very id: nothing certain can be said to the second copy.
-            self.out.append(
-                AnswerForward(
-                    event.ticket, BundleForwardAnswer(call.attempt_id, UNKNOWN, str(error.kind), error.message)
-                )
-            )
-            return
-        # Refused for good: should a copy of this envelope turn up later, it won't run either.
-        self._remember(call.attempt_id)
-        self.out.append(
-            AnswerForward(event.ticket, BundleForwardAnswer(call.attempt_id, NOT_RUN, str(error.kind), error.message))
-        )
+            self._refuse(event, UNKNOWN, error)
+        elif error is not None:
+            # Refused for good: should a copy of this attempt turn up later, it won't run either.
+            self._remember(call.attempt_id)
+            self._refuse(event, NOT_RUN, error)
 
-    def _retry_parked(self) -> None:
+    def _refuse(self, event: ForwardArrived, outcome: str, error: MeshError) -> None:
+        answer = BundleForwardAnswer(event.call.attempt_id, outcome, str(error.kind), error.message)
+        self._state.out.append(AnswerForward(event.ticket, answer))
+
+    def retry_parked(self) -> None:
+        """Admit anew what waits, as something has changed; what has waited long enough is refused."""
+        state = self._state
         for ticket, (event, came, until) in list(self.parked.items()):
-            newest = max((each.number for each in self.view.active_bundles), default=0)
-            if (self.has_lease() and event.call.bundle <= newest) or self.now >= until:
-                # Admitted anew, with what of its budget is left; past its time the refusal stands.
+            newest = max((each.number for each in state.view.active_bundles), default=0)
+            if (state.has_lease() and event.call.bundle <= newest) or state.now >= until:
+                # With what of its budget is left; past its time the refusal stands.
                 del self.parked[ticket]
-                left = event.call.budget - (self.now - came)
-                self._pass(event._replace(call=event.call._replace(budget=left)), again=True)
-
-    def _remember(self, send: str) -> None:
-        self.seen[send] = self.now
-        while self.seen and self.now - next(iter(self.seen.values())) > REMEMBERED:
-            self.seen.popitem(last=False)
-
-    def _gate(self, event: ForwardArrived) -> MeshError | None:
+                left = event.call.budget - (state.now - came)
+                event = event._replace(call=event.call._replace(budget=left))
+                self._run_or_refuse(event, self._admission_error(event))
+
+    def _remember(self, attempt_id: str) -> None:
+        now = self._state.now
+        self._seen[attempt_id] = now
+        while self._seen and now - next(iter(self._seen.values())) > SEEN_RETENTION:
+            self._seen.popitem(last=False)
+
+    def _admission_error(self, event: ForwardArrived) -> MeshError | None:
+        """Return why the attempt may not run now, if so."""
         call = event.call
-        if call.attempt_id in self.seen or any(
+        parked_twin = any(
             parked.ticket != event.ticket and parked.call.attempt_id == call.attempt_id
             for parked, _, _ in self.parked.values()
-        ):
-            return mesh_error(ErrorKind.ALREADY_SEEN, "This send was here before.", "Never send one id twice.")
-        if event.frozen:
-            # After standing still nobody can tell how old the envelope is.
-            return mesh_error(
-                ErrorKind.FROZEN, "This proxy stood still while the request waited.", "Send it elsewhere."
-            )
-        if call.budget <= ZERO:
-            return mesh_error(ErrorKind.BUDGET_SPENT, "The budget is spent.", "Send sooner.")
-        if not self.has_lease() or not self.is_registered():
-            return mesh_error(ErrorKind.LEASE_LAPSED, "No fresh news from the core.", "Send it elsewhere.")
-        if self.stopping or self.server_state() != READY:
-            return mesh_error(
-                ErrorKind.WINDING_DOWN,
-                f"The server beside {self.settings.name} is {self.server_state()}.",
-                "Send it elsewhere.",
-            )
-        server = self.server
-        if (call.target, call.service_name, call.instance) != (self.settings.name, server.service, server.instance):
-            return mesh_error(
-                ErrorKind.WRONG_INSTANCE,
-                "The server it was meant for is not the one here.",
-                "Send it to a server the news names.",
-            )
-        known = self.view.servers.get(self.settings.name)
-        # An address passed to another service takes work only once the log knows whose it is.
-        if known is None or (known.service, known.instance) != (server.service, server.instance) or known.drained_by:
-            return mesh_error(ErrorKind.WINDING_DOWN, "The log doesn't name this server as open.", "Send it elsewhere.")
-        bundle = self.view.bundle
-        newest = max(self.view.active_bundles, key=number_of, default=bundle)
-        if newest is not None and call.bundle > newest.number:
-            return mesh_error(
-                ErrorKind.BUNDLE_UNKNOWN, f"News of bundle {call.bundle} isn't here yet.", "Send it again shortly."
-            )
-        if bundle is not None and call.bundle > bundle.number:
-            # The newer of the two proxies' bundles decides: it is signed, and in force where the request came in.
-            bundle = next((each for each in self.view.active_bundles if each.number == call.bundle), bundle)
-        path = call.path.partition("?")[0]
-        # Names play no part: an entry may be called otherwise where the request came in.
-        entry = bundle.select_entry(method=call.method, path=path) if bundle else None
-        if entry is None or entry.service != server.service:
-            return mesh_error(
-                ErrorKind.NO_ENTRY,
-                f"{call.method} {path} is not this service's here.",
-                "Wait until the bundle reached both machines.",
-            )
-        if call.caller not in entry.callers:
-            return mesh_error(
-                ErrorKind.NOT_ALLOWED, f"{call.caller} may not call {entry.name}.", "Have a bundle allow it."
-            )
-        if len(call.body) > entry.body_bytes:
-            return mesh_error(
-                ErrorKind.BODY_TOO_LARGE, f"The body is over {entry.body_bytes} bytes.", "Send a smaller body."
-            )
-        if len(self.runs) >= self.settings.backlog:
-            return mesh_error(ErrorKind.QUEUE_FULL, "Too many runs are under way on this server.", "Send it elsewhere.")
-        # Once entries run under a key on this side too.
-        if entry.once and not call.hold:
-            return mesh_error(ErrorKind.KEY_MISSING, f"{entry.name} runs once per key.", "Claim its key first.")
+        )
+        if call.attempt_id in self._seen or parked_twin:
+            return AlreadySeen("This send was here before.")
+        route = admit(self._state, event)
+        if isinstance(route, MeshError):
+            return route
+        if len(self.runs) >= self._state.settings.backlog:
+            return QueueFull("Too many runs are under way on this server.", remedy="Send it elsewhere.")
+        if route.once and not call.hold:
+            return KeyMissing(f"{route.name} runs once per key.", remedy="Claim its key first.")
         return None
 
-    def _server_answered(self, event: ServerAnswered) -> None:
+    # -- runs --------------------------------------------------------------------------------------------------------
+
+    def server_answered(self, event: ServerAnswered) -> None:
+        """Pass the server's answer on, or settle its key first."""
         run = self.runs.get(event.number)
         if run is None:
             return None
@@ -168,56 +148,66 @@
             call.attempt_id, ANSWERED, "", "", event.status, event.headers, event.body, digest_of_body(event.body)
         )
         if not call.hold:
-            return self._answer_run(event.number, run)
+            return self._answer_run(event.number, run, run.answer)
         scope, _, claim = call.hold.partition(" ")
         kept = len(event.body) <= min(call.answer_bytes, MAX_ONCE_ANSWER_BYTES)
-        run.settle = CompleteKey(
+        run.settlement = CompleteKey(
             scope, claim, event.status, event.headers if kept else {}, event.body if kept else b"", kept
         )
-        self._settle(event.number, run)
+        return self._settle(event.number, run, run.settlement)
 
-    def _settle(self, number: int, run: _Run) -> None:
-        asked = self.next_number()
+    def _settle(self, number: int, run: _Run, settlement: CompleteKey) -> None:
+        call_number = self._state.next_number()
         run.settle_at = None
-        self.settles[asked] = number
-        self.out.append(SubmitHold(asked, run.settle))
-
-    def _settled(self, asked: int, outcome: Outcome | None) -> None:
-        number = self.settles.pop(asked)
-        run = self.runs.get(number)
-        if run is None:
+        self._settlements[call_number] = number
+        self._state.out.append(SubmitHold(call_number, settlement))
+
+    def is_settlement(self, number: int) -> bool:
+        """Whether this call to the log settles a key."""
+        return number in self._settlements
+
+    def settlement_answered(self, number: int, outcome: Outcome | None) -> None:
+        """Take the log's answer to a settlement; None is no answer."""
+        run_number = self._settlements.pop(number)
+        run = self.runs.get(run_number)
+        if run is None or run.settlement is None or run.answer is None:
             return
         if outcome is None:
             # Settling goes on past the answer: a repeat must find what the first one got.
-            run.settle_at = self.now + SETTLE_AGAIN
+            run.settle_at = self._state.now + SETTLE_RETRY_INTERVAL
             return
-        self.announce("key settled", scope=run.settle.scope[:12], entry=run.call.route)
-        run.settle = None
-        self._answer_run(number, run)
+        scope = run.settlement.scope[:SHOWN_SCOPE_LENGTH]
+        self._state.announce("key settled", scope=scope, entry=run.call.route)
+        run.settlement = None
+        self._answer_run(run_number, run, run.answer)
 
-    def _answer_run(self, number: int, run: _Run) -> None:
+    def _answer_run(self, number: int, run: _Run, answer: BundleForwardAnswer) -> None:
         if not run.answered:
             run.answered = True
-            self.out.append(AnswerForward(run.ticket, run.answer))
-        if run.settle is None:
+            self._state.out.append(AnswerForward(run.ticket, answer))
+        if run.settlement is None:
             self.runs.pop(number, None)
 
-    def _server_missed(self, event: ServerFailed) -> None:
+    def server_failed(self, event: ServerFailed) -> None:
+        """Pass on that the server gave no answer."""
         run = self.runs.pop(event.number, None)
         if run is None:
             return
-        if (
-            event.unsent
-            and self.server is not None
-            and self.server.instance == run.call.instance
-            and self.server_state() != GONE
-        ):
-            # Nobody listens there any more: no need to wait until its health reports run out.
-            self.mark_server_gone()
+        state, server = self._state, self._state.server
+        same_instance = server is not None and server.instance == run.call.instance
+        if event.unsent and same_instance and state.server_state() != GONE:
+            # Nobody listens there any more: no need to wait until its health report expires.
+            state.mark_server_gone()
         outcome = NOT_RUN if event.unsent else UNKNOWN
-        self.out.append(
-            AnswerForward(
-                run.ticket,
-                BundleForwardAnswer(run.call.attempt_id, outcome, str(event.error.kind), event.error.message),
-            )
-        )
+        answer = BundleForwardAnswer(run.call.attempt_id, outcome, str(event.error.kind), event.error.message)
+        state.out.append(AnswerForward(run.ticket, answer))
+
+    def tick(self) -> None:
+        """Give the answers that are due, and settle again what got no answer."""
+        now = self._state.now
+        for number, run in list(self.runs.items()):
+            if run.answer is not None and not run.answered and now >= run.deadline:
+                # The run is done and its answer true, even if its key can't be settled yet.
+                self._answer_run(number, run, run.answer)
+            if run.settlement is not None and run.settle_at is not None and now >= run.settle_at:
+                self._settle(number, run, run.settlement)
--- a/packages/sidecar/src/hoistsaddle/sidecar/__init__.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/__init__.py
@@ -0,0 +1,1 @@
+"""The sidecar: the proxy under items, beside each server."""
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -6,12 +6,16 @@
 from unittest import mock
 
 from hoistsaddle.common.clock import milliseconds
+from hoistsaddle.common.errors import MeshError
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.proxy import ingress
+from hoistsaddle.proxy import ingress, server_selection
+from hoistsaddle.proxy.client_request import ClientRequest
 from hoistsaddle.proxy.core import ProxyCore
+from hoistsaddle.proxy.ingress import IngressCore
 from hoistsaddle.proxy.messages import RequestArrived
 from hoistsaddle.proxy.node import ProxyNode
 from hoistsaddle.proxy.retry_budget import RetryBudget
+from hoistsaddle.proxy.upstream import UpstreamCore
 from hoistsaddle.raft import applying
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
@@ -54,36 +58,36 @@
 
 
 def _uncertain_reported_as_not_run():
-    def not_run(self: ProxyCore, ticket: int, error) -> None:
-        self._not_run(ticket, error)
+    def not_run(self: IngressCore, request: ClientRequest, error: MeshError) -> None:
+        self._not_run(request, error)
 
-    return mock.patch.object(ProxyCore, "_uncertain", not_run)
+    return mock.patch.object(IngressCore, "_attempt_uncertain", not_run)
 
 
 def _answers_swapped():
     kept: dict[str, object] = {}
-    plain = ProxyCore._server_answered
+    plain = UpstreamCore.server_answered
 
-    def swapped(self: ProxyCore, event) -> None:
+    def swapped(self: UpstreamCore, event) -> None:
         # Every second answer is the one before it.
         before = kept.get("event")
         kept["event"] = event
         plain(self, event._replace(body=before.body) if before is not None else event)
 
-    return mock.patch.object(ProxyCore, "_server_answered", swapped)
+    return mock.patch.object(UpstreamCore, "server_answered", swapped)
 
 
 def _target_admits_all():
-    return mock.patch.object(ProxyCore, "_gate", lambda self, event: None)
+    return mock.patch.object(UpstreamCore, "_admission_error", lambda self, event: None)
 
 
 def _inner_calls_as_clients():
-    plain = ProxyCore._request
+    plain = IngressCore.request_arrived
 
-    def unnamed(self: ProxyCore, event: RequestArrived) -> None:
+    def unnamed(self: IngressCore, event: RequestArrived) -> None:
         plain(self, event._replace(caller="") if event.path == "/readings" else event)
 
-    return mock.patch.object(ProxyCore, "_request", unnamed)
+    return mock.patch.object(IngressCore, "request_arrived", unnamed)
 
 
 def _leaving_goes_unseen():
@@ -135,7 +139,7 @@
 
 
 def _judged_by_the_target_alone():
-    return mock.patch.object(ingress, "number_of", lambda bundle: 0)
+    return mock.patch.object(server_selection, "number_of", lambda bundle: 0)
 
 
 def _newer_records_passed_over():
@@ -160,16 +164,17 @@
 
 
 def _waits_for_ever():
-    return mock.patch.object(ingress, "GAP", milliseconds(100000))
+    return mock.patch.object(ingress, "MAX_CORE_OUTAGE", milliseconds(100000))
 
 
 def _inner_listener_names_last_caller():
-    plain = ProxyCore._request
+    plain = IngressCore.request_arrived
 
-    def trusting(self: ProxyCore, event: RequestArrived) -> None:
-        plain(self, event._replace(instance=self.server.instance) if event.caller and self.server else event)
+    def trusting(self: IngressCore, event: RequestArrived) -> None:
+        server = self._state.server
+        plain(self, event._replace(instance=server.instance) if event.caller and server else event)
 
-    return mock.patch.object(ProxyCore, "_request", trusting)
+    return mock.patch.object(IngressCore, "request_arrived", trusting)
 
 
 def _late_reports_taken():
@@ -189,12 +194,12 @@
 
 
 def _status_altered_on_the_way():
-    plain = ProxyCore._forward_answered
+    plain = IngressCore.forward_answered
 
-    def altered(self: ProxyCore, number: int, answer) -> None:
+    def altered(self: IngressCore, number: int, answer) -> None:
         plain(self, number, answer._replace(status=201) if answer.status == 200 else answer)
 
-    return mock.patch.object(ProxyCore, "_forward_answered", altered)
+    return mock.patch.object(IngressCore, "forward_answered", altered)
 
 
 def _read_back_kept():
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,7 +8,7 @@
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import read_bundle
-from hoistsaddle.proxy.bundle_state import GAP, digest_of_body
+from hoistsaddle.proxy.bundle_state import MAX_CORE_OUTAGE, digest_of_body
 from hoistsaddle.proxy.core import ProxyCore
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.ingress import MAX_KEY_WAIT
@@ -233,7 +233,7 @@
         for _ in range(2):
             self.assertThat(bench.answer(ticket), Equals(None))
             bench.renew()
-            bench.feed(Ticked(), later=GAP.total_seconds() / 2)
+            bench.feed(Ticked(), later=MAX_CORE_OUTAGE.total_seconds() / 2)
         answer = bench.answer(ticket)
         self.assertThat((answer.outcome, answer.error.kind), Equals(("not-run", "no-entry")))
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -42,7 +42,7 @@
                             strict=False,
                         )
                     )
-                    for key, amounts in core.usage.items()
+                    for key, amounts in core.ingress.usage.items()
                 ]
                 told.append({"stall": name, "life": complete.nodes[name].incarnation, "usage": usage})
 
