--- a/packages/registry/src/hoistsaddle/registry/controller_api.py
+++ b/packages/registry/src/hoistsaddle/registry/controller_api.py
@@ -1,60 +1,58 @@
-"""The controller's own operators' door: patches taken and read back, counters, happenings and the core machines."""
+"""The controller's own operators' interface, and the controller as a service of its program."""
 
 from datetime import timedelta
 from pathlib import Path
 
-import msgspec
 from aiohttp import web
 from aiomisc import Service
 from returns.result import Failure, Success
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import InvalidItem
 from hoistsaddle.common.settings import ControllerSettings
 from hoistsaddle.config.patch_text import MAX_TEXT_BYTES, read_text
 from hoistsaddle.registry.controller import Controller
-from hoistsaddle.registry.operator_api import OperatorApi, refuse_call
+from hoistsaddle.registry.http_server import HttpListener, answer_or_refuse, refuse_call
+from hoistsaddle.registry.report_api import JSON, ReportApi
 from hoistsaddle.rpc.connection import KeepAlive
-from hoistsaddle.rpc.messages import ReadAnswer
 from hoistsaddle.rpc.runtime import RealRuntime
 
 KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
 CONNECT_TIMEOUT = milliseconds(350)
 READ_TIMEOUT = timedelta(seconds=3)
+# So that a text of the largest size is refused by its check, which says why.
+MAX_BODY_BYTES = MAX_TEXT_BYTES + 1024
 
 
-class ControllerApi(OperatorApi):
+class ControllerApi:
     """The calls that mean something where items are in force; the others belong to bundles signed by two."""
 
     def __init__(self, *, controller: Controller) -> None:
-        super().__init__(registry=controller.registry)
+        """Serves this controller's operators' address."""
         self.controller = controller
+        self.reports = ReportApi(registry=controller.registry)
+        self.listener = HttpListener(routes=self.routes(), max_body_bytes=MAX_BODY_BYTES)
+
+    def routes(self) -> list[web.RouteDef]:
+        """The calls by their documented paths."""
+        return [web.put("/items", self.put_items), web.get("/items", self.show_items), *self.reports.routes()]
 
     async def start(self) -> None:
-        application = web.Application(client_max_size=MAX_TEXT_BYTES + 1024, middlewares=[self._guard])
-        application.add_routes(
-            [
-                web.put("/items", self.put_items),
-                web.get("/items", self.show_items),
-                web.get("/core", self.core),
-                web.get("/holds", self.holds),
-                web.get("/ready", self.ready),
-                web.get("/uptake", self.applied_version),
-                web.get("/counters", self.counters),
-                web.get("/happenings", self.events),
-            ]
-        )
-        self.runner = web.AppRunner(application, access_log=None, shutdown_timeout=2)
-        await self.runner.setup()
+        """Opens the operators' address."""
         settings = self.controller.settings
-        await web.TCPSite(self.runner, settings.host, settings.operators_port).start()
+        await self.listener.start(host=settings.host, port=settings.operators_port)
+
+    async def stop(self) -> None:
+        """Closes it."""
+        await self.listener.stop()
 
     async def put_items(self, request: web.Request) -> web.Response:
+        """Takes a patch, as TOML or, by its content type, as JSON."""
         try:
             text = (await request.read()).decode()
         except UnicodeDecodeError:
-            return refuse_call(MeshError(ErrorKind.ITEM_BROKEN, "It is not UTF-8.", "Save the file as UTF-8.", "body"))
-        match read_text(text, json=request.content_type == "application/json"):
+            return refuse_call(InvalidItem("It is not UTF-8.", field="body", remedy="Save the file as UTF-8."))
+        match read_text(text, json=request.content_type == JSON):
             case Failure(error):
                 return refuse_call(error)
             case Success(patch):
@@ -67,35 +65,29 @@
                 return web.json_response({**detail, "author": settings.desk, "signer": settings.standing_sign_off})
 
     async def show_items(self, request: web.Request) -> web.Response:
-        match await self.registry.writer.read(part="standing", known_revision=-1, within=READ_TIMEOUT):
-            case Success(ReadAnswer(content=content)):
-                standing = {
-                    "desk": self.controller.settings.desk,
-                    "standing_sign_off": self.controller.settings.standing_sign_off,
-                }
-                return web.json_response({**standing, **msgspec.json.decode(content)})
-            case _:
-                return refuse_call(
-                    MeshError(ErrorKind.NO_LEADER, "No store leads now.", "Ask again shortly, or another machine.")
-                )
+        """The items in force, the newest patches and who signs."""
+        return answer_or_refuse(await self.controller.patches.report(within=READ_TIMEOUT))
 
 
 class ControllerService(Service):
-    """A controller as a service: both core programs and the operators' listener, opened and closed in order."""
+    """A controller as a service: both core programs and the operators' interface, opened and closed in order."""
 
     def __init__(self, *, settings: ControllerSettings) -> None:
+        """Nothing is opened before `start`."""
         super().__init__()
         self.controller_settings = settings
 
     async def start(self) -> None:
+        """Makes the data folder if it is missing, then opens the mesh addresses and the operators'."""
         Path(self.controller_settings.data_folder).mkdir(parents=True, exist_ok=True)
         runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
         self.controller = Controller(settings=self.controller_settings, runtime=runtime)
         await self.controller.start()
-        self.door = ControllerApi(controller=self.controller)
-        await self.door.start()
+        self.operator_api = ControllerApi(controller=self.controller)
+        await self.operator_api.start()
         self.start_event.set()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        await self.door.stop()
+        """Closes the operators' address, then hands the replica's duties over and stops both programs."""
+        await self.operator_api.stop()
         await self.controller.stop()
--- /dev/null
+++ b/packages/registry/src/hoistsaddle/registry/health_reports.py
@@ -0,0 +1,136 @@
+"""Heartbeats of proxies: noted by the registry that monitors them, and logged where they say something new."""
+
+from collections.abc import Callable
+from datetime import timedelta
+
+from returns.result import Success
+
+from hoistsaddle.common.clock import milliseconds
+from hoistsaddle.common.counters import Counters
+from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.membership.relay import Relay
+from hoistsaddle.registry.node_monitor import NodeMonitor
+from hoistsaddle.registry.peers import PeerRegistries
+from hoistsaddle.registry.writer import Writer
+from hoistsaddle.rpc.messages import HealthAnswer, HealthCall
+from hoistsaddle.rpc.runtime import Runtime
+from hoistsaddle.statemachine.commands import NoteNode, NoteServer
+from hoistsaddle.statemachine.state import WARDEN, ServerRecord
+from hoistsaddle.statemachine.view import View
+
+FORWARD_TIMEOUT = milliseconds(600)
+WRITE_TIMEOUT = timedelta(seconds=3)
+ALIVE = "alive"
+PROXY_KIND = "stall"
+
+
+def _not_noted(kind: str) -> HealthAnswer:
+    return HealthAnswer(kind, "", 0)
+
+
+class HealthReports:
+    """Takes proxies' heartbeats for one registry."""
+
+    def __init__(
+        self,
+        *,
+        node: str,
+        view: Callable[[], View],
+        relay: Relay,
+        node_monitor: NodeMonitor,
+        writer: Writer,
+        peers: PeerRegistries,
+        runtime: Runtime,
+        counters: Counters,
+    ) -> None:
+        """Works on the parts of the registry with this node name; `view` gives its newest view."""
+        self.node = node
+        self.view = view
+        self.relay = relay
+        self.node_monitor = node_monitor
+        self.writer = writer
+        self.peers = peers
+        self.runtime = runtime
+        self.counters = counters
+
+    async def answer(self, call: HealthCall) -> HealthAnswer:
+        """Forwards a heartbeat to the registry that monitors the nodes; records it here if that gives no answer."""
+        duty = self.view().duties.get(WARDEN)
+        if duty is not None and duty.node != self.node:
+            # The monitoring registry must hear every heartbeat; one hop helps a proxy that doesn't know it yet.
+            address = self.peers.address_of(duty.node)
+            match await self.runtime.rpc_client.call(address, call, within=FORWARD_TIMEOUT):
+                case Success(HealthAnswer() as answer):
+                    return answer
+        return await self.record(call)
+
+    async def record(self, call: HealthCall) -> HealthAnswer:
+        """Notes a heartbeat here, and logs what it changes; only "noted" once the log has it."""
+        if not self.relay.fresh(now=self.runtime.now()):
+            # What this copy says of the proxy may be out of date: an acknowledgement might be false.
+            self.counters.add("vitals.not_fresh")
+            return _not_noted(ErrorKind.NO_LEADER.value)
+        self.node_monitor.record_heartbeat(call.node, now=self.runtime.now())
+        self.node_monitor.levels[call.node] = (call.incarnation, call.level)
+        # Only changes are logged; a heartbeat that says what the log says already ends here.
+        if (refused := await self._log_node(call)) is not None:
+            return refused
+        if not call.service_name:
+            return HealthAnswer("", "", call.serial)
+        if not await self._log_server(call):
+            return _not_noted(ErrorKind.NO_LEADER.value)
+        return HealthAnswer("", call.state, call.serial)
+
+    async def _log_node(self, call: HealthCall) -> HealthAnswer | None:
+        """Logs the proxy as alive if the log says otherwise; the refusal if that didn't succeed."""
+        node = self.view().nodes.get(call.node)
+        reported = (call.address, call.zone, call.incarnation, ALIVE)
+        if node is not None and (node.address, node.zone, node.incarnation, node.state) == reported:
+            return None
+        command = NoteNode(call.node, PROXY_KIND, *reported, seen=call.seen, level=call.level)
+        match await self.writer.write(command, within=WRITE_TIMEOUT):
+            case Success(outcome) if not outcome.error and not outcome.detail.get("old"):
+                # Events' names and details are part of the operators' interface.
+                self.counters.record_event("stall noted", stall=call.node)
+                return None
+            case Success(outcome):
+                # Too old a release, or a report from before something was forgotten: it isn't noted.
+                self.counters.add(f"vitals.{outcome.error or 'old'}")
+                return _not_noted(outcome.error or ErrorKind.UNSURE.value)
+            case _:
+                return _not_noted(ErrorKind.NO_LEADER.value)
+
+    async def _log_server(self, call: HealthCall) -> bool:
+        """Logs the server beside the proxy if the log says otherwise; false if that didn't succeed."""
+        server = self.view().servers.get(call.node)
+        if server is not None and _says_the_same(server, call):
+            return True
+        command = NoteServer(
+            call.node,
+            call.service_name,
+            call.instance,
+            call.server,
+            call.zone,
+            call.state,
+            call.serial,
+            call.incarnation,
+            seen=call.seen,
+        )
+        match await self.writer.write(command, within=WRITE_TIMEOUT):
+            case Success(outcome) if not outcome.error:
+                changed = server is None or server.state != call.state or server.instance != call.instance
+                if changed and not outcome.detail.get("old"):
+                    self.counters.record_event(
+                        "server noted",
+                        stall=call.node,
+                        service=call.service_name,
+                        instance=call.instance,
+                        state=call.state,
+                    )
+                return True
+        return False
+
+
+def _says_the_same(server: ServerRecord, call: HealthCall) -> bool:
+    logged = (server.service, server.instance, server.address, server.zone, server.state, server.incarnation)
+    return logged == (call.service_name, call.instance, call.server, call.zone, call.state, call.incarnation)
--- /dev/null
+++ b/packages/registry/src/hoistsaddle/registry/item_patches.py
@@ -0,0 +1,125 @@
+"""Patches of items: checked, written to the log, and waited for until the proxies near by have applied them."""
+
+import asyncio
+import math
+from collections.abc import Callable
+from datetime import timedelta
+
+import msgspec
+from returns.result import Failure, Result, Success
+
+from hoistsaddle.common.clock import milliseconds
+from hoistsaddle.common.errors import MeshError, NoLeader
+from hoistsaddle.common.settings import ControllerSettings
+from hoistsaddle.config.items import Patch, check_patch, pack_patch
+from hoistsaddle.registry.node import Registry
+from hoistsaddle.registry.writer import error_in
+from hoistsaddle.rpc.messages import UNSET, ReadAnswer
+from hoistsaddle.statemachine.commands import PatchItems
+
+CHECK_INTERVAL = milliseconds(15)
+NO_STORE_LEADS = NoLeader("No store leads now.", remedy="Ask again shortly, or another machine.")
+
+
+class ItemPatches:
+    """Takes and shows items for one controller."""
+
+    def __init__(
+        self, *, registry: Registry, settings: Callable[[], ControllerSettings], log_offset: Callable[[], int]
+    ) -> None:
+        """Writes through `registry`.
+
+        Args:
+            registry: The controller's own registry.
+            settings: Gives the controller's settings in force.
+            log_offset: Gives the offset up to which the replica beside it has applied the log.
+        """
+        self.registry = registry
+        self.settings = settings
+        self.log_offset = log_offset
+        self.requests = 0
+
+    async def submit(self, patch: Patch) -> Result[dict, MeshError]:
+        """Puts a patch in force at once under the standing sign-off; its items' revisions make a repeat change nothing.
+
+        Returns:
+            What the log made of it, with the proxies under "waits_for" that have not applied it in time; or why it is
+            refused, or not known to be taken.
+        """
+        # Checked here before the log is troubled; the log checks again, for what is in force may have moved.
+        if isinstance(checked := check_patch(patch), Failure):
+            self._record_refusal(checked.failure())
+            return checked
+        command = self._command_of(patch)
+        within = timedelta(seconds=self.settings().write_seconds)
+        match await self.registry.writer.write(command, within=within):
+            case Failure(error):
+                return Failure(error)
+            case Success(outcome):
+                pass
+        if outcome.error:
+            self.registry.counters.add(f"patches.{outcome.error}")
+            self._record_refusal(error_in(outcome))
+            return Failure(error_in(outcome))
+        if not outcome.detail["number"]:
+            self.registry.counters.add("patches.confirmed again")
+        else:
+            self.registry.counters.record_event(
+                "bundle patched",
+                number=outcome.detail["number"],
+                items=len(outcome.detail["changed"]),
+                author=command.author,
+                signer=command.signer,
+            )
+        waits_for = await self._await_applied(outcome.detail["offset"])
+        return Success({**outcome.detail, "waits_for": waits_for})
+
+    def _record_refusal(self, error: MeshError) -> None:
+        self.registry.counters.record_event("patch refused", mishap=str(error.kind), field=error.field)
+
+    def _command_of(self, patch: Patch) -> PatchItems:
+        settings = self.settings()
+        self.requests += 1
+        return PatchItems(
+            f"{self.registry.node}.{self.registry.incarnation}.{self.requests}",
+            settings.desk,
+            settings.standing_sign_off,
+            pack_patch(patch),
+            span=math.ceil(settings.resend_seconds),
+            # What its sender can know of was logged by now.
+            seen=self.log_offset(),
+        )
+
+    async def _await_applied(self, revision: int) -> list[str]:
+        """Waits until every live proxy has applied the revision, or time is up; the rest follow with their updates.
+
+        Returns:
+            The proxies that have not reported it.
+        """
+        registry = self.registry
+        deadline = registry.runtime.now() + timedelta(seconds=self.settings().applied_version_seconds)
+        while True:
+            now = registry.runtime.now()
+            # A registry hears of its own part of the tree; the others' parts are theirs to see.
+            reports = registry.relay.known_applied_versions(now=now)
+            applied = {report.node for report in reports if report.revision >= revision}
+            left = sorted({report.node for report in reports} - applied)
+            if now >= deadline or not left:
+                return left
+            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+
+    async def read(self, *, within: timedelta) -> Result[list[tuple[str, str, int, bytes]], MeshError]:
+        """Every item in force as kind, name, revision and the operator's own text, confirmed by the leader."""
+        match await self.registry.writer.read(part="items", known_revision=UNSET, within=within):
+            case Success(ReadAnswer(content=content)):
+                return Success([tuple(each) for each in msgspec.msgpack.decode(content)])
+        return Failure(NO_STORE_LEADS)
+
+    async def report(self, *, within: timedelta) -> Result[dict, MeshError]:
+        """The items in force and the newest patches as the operators' interface shows them, with who signs."""
+        match await self.registry.writer.read(part="standing", known_revision=UNSET, within=within):
+            case Success(ReadAnswer(content=content)):
+                settings = self.settings()
+                signers = {"desk": settings.desk, "standing_sign_off": settings.standing_sign_off}
+                return Success({**signers, **msgspec.json.decode(content)})
+        return Failure(NO_STORE_LEADS)
--- /dev/null
+++ b/packages/registry/src/hoistsaddle/registry/local_registry.py
@@ -0,0 +1,117 @@
+"""A registry that reads the configuration from the replica of the log in its own process, without messages.
+
+How old that state may be is what the replica knows of its leader: children of the distribution tree are told the same
+age as from a registry that stands apart.
+"""
+
+import asyncio
+from datetime import timedelta
+
+from hoistsaddle.common.clock import milliseconds
+from hoistsaddle.common.settings import RegistrySettings
+from hoistsaddle.membership.member import MemberTimings
+from hoistsaddle.registry.addresses import ReplicaAddresses
+from hoistsaddle.registry.node import Registry
+from hoistsaddle.rpc.messages import UNSET
+from hoistsaddle.rpc.runtime import Runtime
+from hoistsaddle.statemachine.digests import digests_of
+from hoistsaddle.statemachine.state import State, data_plane_items
+from hoistsaddle.store.service import Store
+
+LOCAL_READ_INTERVAL = milliseconds(20)
+LONG_POLL_TIMEOUT = milliseconds(300)
+CONTROLLER_MEMBER_TIMINGS = MemberTimings(
+    period=timedelta(seconds=1),
+    probe_timeout=milliseconds(500),
+    indirect_probe_timeout=milliseconds(900),
+    suspicion=timedelta(seconds=2),
+    seed_interval=20,
+    retransmit_limit=6,
+)
+
+
+class ControllerRegistry(Registry):
+    """A registry whose configuration comes from the store in its own process."""
+
+    def __init__(
+        self,
+        *,
+        settings: RegistrySettings,
+        runtime: Runtime,
+        store: Store,
+        peers: ReplicaAddresses,
+        stores: ReplicaAddresses,
+    ) -> None:
+        """Reads from `store`, and adds to both address books the voters that its log names."""
+        self.store = store
+        self.peer_addresses, self.store_addresses = peers, stores
+        super().__init__(
+            settings=settings,
+            runtime=runtime,
+            long_poll_timeout=LONG_POLL_TIMEOUT,
+            member_timings=CONTROLLER_MEMBER_TIMINGS,
+        )
+
+    def _peers(self) -> dict[int, str]:
+        return self.peer_addresses
+
+    def _stores(self) -> dict[int, str]:
+        return self.store_addresses
+
+    def _confirmed_current_at(self) -> timedelta | None:
+        """The newest time at which this replica's state is known to have held all that was committed anywhere.
+
+        It follows from a contact of the leader with a majority, and a follower's from what its leader said of one: a
+        leader that was cut off, or froze, makes it grow older and never younger.
+        """
+        core = self.store.runner.core
+        if core is None or not core.complete or core.halted:
+            return None
+        return core.newest
+
+    async def _follow_configuration(self) -> None:
+        while True:
+            await self.refresh(within=timedelta())
+            await asyncio.sleep(LOCAL_READ_INTERVAL.total_seconds())
+
+    async def refresh(self, *, within: timedelta) -> bool:
+        """Takes over the state of the replica beside it, without waiting; false if it is not known to be current."""
+        core = self.store.runner.core
+        if core is None:
+            return False
+        self.writer.note_leader(core.leader if core.leader > 0 else UNSET)
+        confirmed_at = self._confirmed_current_at()
+        if confirmed_at is None:
+            return False
+        state = core.state
+        if core.leader > 0:
+            self.writer.leader = core.leader
+        if state.news == self.relay.copy.revision:
+            await self._renew_lease(confirmed_at, epoch=state.epoch)
+            return True
+        return await self._take_over(state, confirmed_at)
+
+    async def _renew_lease(self, confirmed_at: timedelta, *, epoch: int) -> None:
+        was_fresh = self.relay.fresh(now=self.runtime.now())
+        self.relay.renewed(asked=confirmed_at, epoch=epoch)
+        if not was_fresh and self.relay.fresh(now=self.runtime.now()):
+            await self._notify_children()
+
+    async def _take_over(self, state: State, confirmed_at: timedelta) -> bool:
+        for replica in state.voters:
+            self.peer_addresses.learn(replica)
+            self.store_addresses.learn(replica)
+        items = data_plane_items(state)
+        if not self.relay.confirmed(
+            asked=confirmed_at,
+            mesh=state.mesh,
+            revision=state.news,
+            items=items,
+            expected_digests=digests_of(items),
+            epoch=state.epoch,
+        ):
+            return False
+        self._update_view()
+        self.counters.add("news.taken")
+        await self._notify_children()
+        return True
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -1,107 +1,139 @@
-"""Sole duties: the first live node in an agreed order does a duty, under an epoch the log hands out."""
+"""Monitoring of the nodes, a singleton role: the first live registry by name has it, under an epoch from the log."""
 
 from datetime import timedelta
-from typing import Any
 
 from hoistsaddle.statemachine.commands import NoteNode, NoteServer, Purge, TakeDuty
-from hoistsaddle.statemachine.state import GONE, WARDEN
+from hoistsaddle.statemachine.state import GONE, WARDEN, NodeRecord, ServerRecord, SingletonRoleRecord
 from hoistsaddle.statemachine.view import View
 
 PURGE_INTERVAL = timedelta(seconds=30)
 RAISE_LEVEL_INTERVAL = timedelta(seconds=1)
+PROXY_KIND = "stall"
+# The first release level whose state machine purges what was gone for long.
+PURGE_LEVEL = 2
+
+MonitorCommand = TakeDuty | NoteServer | NoteNode | Purge
 
 
 class NodeMonitor:
-    """Watches that proxies are heard of, and logs as gone what was not. Only while it holds the duty."""
+    """Notes proxies' heartbeats and logs as gone those without one, while this registry has the role."""
 
     def __init__(self, *, node: str, health_span: timedelta) -> None:
+        """Has no role yet.
+
+        Args:
+            node: This registry's name.
+            health_span: How long a proxy may be silent before it counts as gone.
+        """
         self.node = node
         self.health_span = health_span
         self.last_heard: dict[str, timedelta] = {}
         self.active_since: timedelta | None = None
         self.last_checked_at: timedelta | None = None
-        # Each proxy's life and the release level it says it supports.
+        # Each proxy's incarnation and the release level it says it supports.
         self.levels: dict[str, tuple[str, int]] = {}
         self.last_purge_at: timedelta | None = None
         self.last_raise_at: timedelta | None = None
 
     def record_heartbeat(self, proxy: str, *, now: timedelta) -> None:
+        """Notes that a proxy was heard of."""
         self.last_heard[proxy] = now
 
-    def _is_silent(self, proxy: str, *, now: timedelta) -> bool:
-        return now - max(self.last_heard.get(proxy, self.active_since), self.active_since) > self.health_span
+    def handle(self, *, view: View, live_registries: list[str], fresh: bool, now: timedelta) -> list[MonitorCommand]:
+        """What to log now: the role itself, then whatever is gone.
 
-    def handle(self, *, view: View, live_registries: list[str], fresh: bool, now: timedelta) -> list[Any]:
-        """What to log now. Names are the agreed order: the first live registry takes the duty."""
+        Args:
+            view: The configuration as this registry knows it.
+            live_registries: The names of the registries that answer probes; the first by name takes the role.
+            fresh: Whether the lease on the configuration is fresh.
+            now: The time on this node's clock.
+        """
         was_paused = self.last_checked_at is not None and now - self.last_checked_at > self.health_span / 2
         self.last_checked_at = now
-        if not fresh or was_paused:
-            # Without a fresh lease this node can't know whose turn it is, and after a freeze it heard nobody.
-            self.active_since = None
-            return []
         duty = view.duties.get(WARDEN)
-        first = min([*live_registries, self.node])
-        if first != self.node:
+        is_first = min([*live_registries, self.node]) == self.node
+        # Without a fresh lease this node can't know whose turn it is, and after a freeze it heard nobody.
+        if not fresh or was_paused or not is_first:
             self.active_since = None
             return []
         if duty is None or duty.node != self.node:
             self.active_since = None
             return [TakeDuty(WARDEN, self.node, (duty.epoch if duty else 0) + 1)]
         if self.active_since is None:
-            # Proxies get a full span to be heard by their new warden before any is called gone.
+            # Proxies get a full span to be heard by their new monitor before any is called gone.
             self.active_since = now
-        commands: list[Any] = []
+        commands = self._note_gone(view, duty, since=self.active_since, now=now)
+        commands += self._purge(view, duty, now=now)
+        self._forget_unknown_nodes(view, now=now)
+        return commands
+
+    def _is_silent(self, proxy: str, *, since: timedelta, now: timedelta) -> bool:
+        return now - max(self.last_heard.get(proxy, since), since) > self.health_span
+
+    def _note_gone(
+        self, view: View, duty: SingletonRoleRecord, *, since: timedelta, now: timedelta
+    ) -> list[MonitorCommand]:
+        """Servers beside silent proxies are gone, then the proxies themselves."""
+        commands: list[MonitorCommand] = []
         for server in view.servers.values():
-            if server.state != GONE and self._is_silent(server.proxy, now=now):
-                commands.append(
-                    NoteServer(
-                        server.proxy,
-                        server.service,
-                        server.instance,
-                        server.address,
-                        server.zone,
-                        GONE,
-                        server.serial,
-                        server.incarnation,
-                        duty.epoch,
-                    )
-                )
+            if server.state != GONE and self._is_silent(server.proxy, since=since, now=now):
+                commands.append(_server_gone(server, duty))
         for node in view.nodes.values():
-            if node.kind == "stall" and node.state != GONE and self._is_silent(node.node, now=now):
-                commands.append(
-                    NoteNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
-                )
-        states = [server.state for server in view.servers.values()] + [node.state for node in view.nodes.values()]
-        if (
-            view.level > 1
-            and GONE in states
-            and (self.last_purge_at is None or now - self.last_purge_at >= PURGE_INTERVAL)
-        ):
-            # How long they must have been gone is the log's own rule; this only has it looked at.
-            self.last_purge_at = now
-            commands.append(Purge(duty.epoch))
-        self._forget_unknown_nodes(view, now=now)
+            is_live_proxy = node.kind == PROXY_KIND and node.state != GONE
+            if is_live_proxy and self._is_silent(node.node, since=since, now=now):
+                commands.append(_node_gone(node, duty))
         return commands
 
+    def _purge(self, view: View, duty: SingletonRoleRecord, *, now: timedelta) -> list[MonitorCommand]:
+        """Has the log forget what was gone for long; how long that must be is the log's own rule."""
+        if view.level < PURGE_LEVEL:
+            return []
+        if self.last_purge_at is not None and now - self.last_purge_at < PURGE_INTERVAL:
+            return []
+        records: list[ServerRecord | NodeRecord] = [*view.servers.values(), *view.nodes.values()]
+        if all(record.state != GONE for record in records):
+            return []
+        self.last_purge_at = now
+        return [Purge(duty.epoch)]
+
     def _forget_unknown_nodes(self, view: View, *, now: timedelta) -> None:
         """What is remembered of proxies nobody knows any more goes, so that a year of them leaves nothing behind."""
         # One heard just now may not have reached the view yet.
         self.last_heard = {
-            name: timestamp
-            for name, timestamp in self.last_heard.items()
-            if name in view.nodes or now - timestamp < PURGE_INTERVAL
+            name: heard_at
+            for name, heard_at in self.last_heard.items()
+            if name in view.nodes or now - heard_at < PURGE_INTERVAL
         }
         self.levels = {name: known for name, known in self.levels.items() if name in self.last_heard}
 
     def should_raise_level(self, *, view: View, level: int, now: timedelta) -> bool:
-        """Whether it is time to ask for a higher release level: this node has the duty and every proxy supports it."""
+        """Whether to ask for a higher release level now: this node has the role and every live proxy supports it."""
         if self.active_since is None or view.level >= level:
             return False
         if self.last_raise_at is not None and now - self.last_raise_at < RAISE_LEVEL_INTERVAL:
             return False
         self.last_raise_at = now
-        proxies = [(proxy.node, proxy.incarnation) for proxy in view.live_proxies()]
-        known = [self.levels.get(name, ("", 0)) for name, _ in proxies]
-        return all(
-            reported[0] == life and reported[1] >= level for reported, (_, life) in zip(known, proxies, strict=True)
-        )
+        return all(self._supports(proxy, level) for proxy in view.live_proxies())
+
+    def _supports(self, proxy: NodeRecord, level: int) -> bool:
+        """Whether the process that is alive under this name has reported that it supports the level."""
+        incarnation, supported = self.levels.get(proxy.node, ("", 0))
+        return incarnation == proxy.incarnation and supported >= level
+
+
+def _server_gone(server: ServerRecord, duty: SingletonRoleRecord) -> NoteServer:
+    return NoteServer(
+        server.proxy,
+        server.service,
+        server.instance,
+        server.address,
+        server.zone,
+        GONE,
+        server.serial,
+        server.incarnation,
+        duty.epoch,
+    )
+
+
+def _node_gone(node: NodeRecord, duty: SingletonRoleRecord) -> NoteNode:
+    return NoteNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
--- a/packages/registry/src/hoistsaddle/registry/operator_actions.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_actions.py
@@ -3,14 +3,17 @@
 import hashlib
 import secrets
 from datetime import timedelta
-from typing import TYPE_CHECKING
 
 import msgspec
 from returns.result import Failure, Result, Success
 
 from hoistsaddle.common.clock import milliseconds
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import MeshError, OperatorUnknown
 from hoistsaddle.config.bundle import Stage, read_bundle
+from hoistsaddle.registry.applied_versions import REFUSED
+from hoistsaddle.registry.errors import BundleRefused
+from hoistsaddle.registry.node import Registry
+from hoistsaddle.registry.writer import error_in
 from hoistsaddle.statemachine.commands import (
     AbortBundle,
     AdvanceBundle,
@@ -24,45 +27,44 @@
     SubmitBundle,
 )
 
-if TYPE_CHECKING:
-    from hoistsaddle.registry.service import Registry
-
 WRITE_TIMEOUT = timedelta(seconds=8)
+REFRESH_TIMEOUT = milliseconds(1200)
+_UNKNOWN_TOKEN = OperatorUnknown("No operator has this token.", field="Authorization")
 
 
 class OperatorActions:
-    def __init__(self, *, registry: "Registry") -> None:
+    """What an operator may do through one registry. Each action carries the id of its call, so that a repeat is one."""
+
+    def __init__(self, *, registry: Registry) -> None:
+        """Acts through this registry."""
         self.registry = registry
 
     async def operator_of(self, token: str) -> Result[str, MeshError]:
-        unknown = Failure(
-            MeshError(
-                ErrorKind.OPERATOR_UNKNOWN,
-                "No operator has this token.",
-                "Send Authorization: Bearer with the token given at founding.",
-                "Authorization",
-            )
-        )
+        """The name of the operator with this token, by a read that the leader confirms."""
         if not token:
-            return unknown
+            return Failure(_UNKNOWN_TOKEN)
         digest = hashlib.sha256(token.encode()).hexdigest()
         match await self.registry.read_configuration(part="operators"):
-            case Success(answer):
-                for name, known in msgspec.json.decode(answer.content).items():
-                    if secrets.compare_digest(known, digest):
-                        return Success(name)
-                return unknown
             case Failure(error):
                 return Failure(error)
+            case Success(answer):
+                operators = msgspec.json.decode(answer.content)
+        for name, known in operators.items():
+            if secrets.compare_digest(known, digest):
+                return Success(name)
+        return Failure(_UNKNOWN_TOKEN)
 
     async def _write(self, command: Command) -> Result[Outcome, MeshError]:
         match await self.registry.writer.write(command, within=WRITE_TIMEOUT):
             case Success(outcome) if outcome.error:
-                return Failure(MeshError(outcome.error, outcome.message, outcome.remedy, outcome.field))
+                return Failure(error_in(outcome))
             case result:
                 return result
 
+    # -- bundles and servers -----------------------------------------------------------------------------------------
+
     async def submit(self, *, author: str, text: str, request: str) -> Result[dict, MeshError]:
+        """Submits a bundle's text as a draft."""
         # Checked here before the log is troubled; the log checks again, for what is in force may have moved.
         if isinstance(checked := read_bundle(text), Failure):
             return checked
@@ -75,97 +77,107 @@
                 return Failure(error)
 
     async def sign(self, *, operator: str, number: int, digest: str, request: str) -> Result[dict, MeshError]:
-        return await self._write_and_await_acceptance(
-            SignBundle(request, operator, number, digest), operator, "bundle signed"
-        )
+        """Signs a draft off, which puts its first stage in force."""
+        command = SignBundle(request, operator, number, digest)
+        return await self._write_and_await_acceptance(command, operator, "bundle signed")
 
     async def advance(self, *, operator: str, number: int, from_stage: int, request: str) -> Result[dict, MeshError]:
-        return await self._write_and_await_acceptance(
-            AdvanceBundle(request, operator, number, from_stage), operator, "bundle advanced"
-        )
+        """Moves a rolling bundle on from this stage."""
+        command = AdvanceBundle(request, operator, number, from_stage)
+        return await self._write_and_await_acceptance(command, operator, "bundle advanced")
 
     async def abort(self, *, operator: str, number: int, request: str) -> Result[dict, MeshError]:
-        return await self._write_and_await_acceptance(
-            AbortBundle(request, operator, number), operator, "bundle aborted"
-        )
+        """Takes a draft or a rolling bundle back."""
+        command = AbortBundle(request, operator, number)
+        return await self._write_and_await_acceptance(command, operator, "bundle aborted")
 
     async def drain(self, *, operator: str, proxy: str, drain: bool, request: str) -> Result[dict, MeshError]:
-        return await self._write_and_await_acceptance(
-            DrainServer(request, operator, proxy, drain), operator, "server drained" if drain else "server undrained"
-        )
+        """Marks the server beside a proxy as draining, or takes the mark away."""
+        command = DrainServer(request, operator, proxy, drain)
+        event = "server drained" if drain else "server undrained"
+        return await self._write_and_await_acceptance(command, operator, event)
+
+    # -- operators ---------------------------------------------------------------------------------------------------
 
     async def change_operator(self, *, operator: str, name: str, digest: str, request: str) -> Result[dict, MeshError]:
-        """One operator's half; it has no effect before a second person signs it."""
+        """Proposes a change of an operator, with an empty digest to remove it; a second person signs it."""
         command = ChangeOperator(request, operator, name, digest)
         return await self._write_and_report(command, operator, "operator change proposed")
 
     async def sign_operator(self, *, operator: str, name: str, change: str, request: str) -> Result[dict, MeshError]:
-        """Every call's token is looked up by a confirmed read, so what is committed is in force everywhere."""
-        return await self._write_and_report(
-            SignOperator(request, operator, name, change), operator, "operator change signed"
-        )
+        """Signs a proposed change.
+
+        Every call's token is looked up by a confirmed read, so what is committed is in force everywhere.
+        """
+        command = SignOperator(request, operator, name, change)
+        return await self._write_and_report(command, operator, "operator change signed")
 
     async def drop_operator(self, *, operator: str, name: str, request: str) -> Result[dict, MeshError]:
-        return await self._write_and_report(DropOperator(request, operator, name), operator, "operator change dropped")
+        """Takes a proposed change back."""
+        command = DropOperator(request, operator, name)
+        return await self._write_and_report(command, operator, "operator change dropped")
 
-    async def _write_and_report(self, command: Command, operator: str, kind: str) -> Result[dict, MeshError]:
+    async def _write_and_report(self, command: Command, operator: str, event: str) -> Result[dict, MeshError]:
         match await self._write(command):
             case Success(outcome):
-                self.registry.counters.record_event(kind, **outcome.detail)
+                self.registry.counters.record_event(event, **outcome.detail)
                 return Success(outcome.detail)
             case Failure(error):
-                self.registry.counters.record_event(
-                    "operator refused", wanted=kind, mishap=str(error.kind), operator=operator
-                )
-                return Failure(error)
+                return self._refused(error, operator, event)
 
-    async def _write_and_await_acceptance(self, command: Command, operator: str, kind: str) -> Result[dict, MeshError]:
+    def _refused(self, error: MeshError, operator: str, event: str) -> Result[dict, MeshError]:
+        self.registry.counters.record_event("operator refused", wanted=event, mishap=str(error.kind), operator=operator)
+        return Failure(error)
+
+    # -- acceptance --------------------------------------------------------------------------------------------------
+
+    async def _write_and_await_acceptance(self, command: Command, operator: str, event: str) -> Result[dict, MeshError]:
         registry = self.registry
         match await self._write(command):
             case Failure(error):
-                registry.counters.record_event(
-                    "operator refused", wanted=kind, mishap=str(error.kind), operator=operator
-                )
-                return Failure(error)
+                return self._refused(error, operator, event)
             case Success(outcome):
                 committed = registry.runtime.now()
-        registry.counters.record_event(kind, operator=operator, **outcome.detail)
-        await registry.refresh(within=milliseconds(1200))
-        revision = outcome.detail["offset"]
-        outcomes = await registry.await_applied_version(
-            revision=revision, proxies=lambda: self._affected_proxies(outcome.detail), committed=committed
+        detail = outcome.detail
+        registry.counters.record_event(event, operator=operator, **detail)
+        await registry.refresh(within=REFRESH_TIMEOUT)
+        revision = detail["offset"]
+        outcomes = await registry.applied_versions.wait_for_all(
+            revision=revision, proxies=lambda: self._affected_proxies(detail), committed=committed
         )
-        spent = round((registry.runtime.now() - committed).total_seconds(), 3)
-        registry.counters.gauge("acceptance.seconds", spent)
-        refused = sorted(proxy for proxy, state in outcomes.items() if state.startswith("refused"))
+        seconds = round((registry.runtime.now() - committed).total_seconds(), 3)
+        registry.counters.gauge("acceptance.seconds", seconds)
+        refused = sorted(proxy for proxy, state in outcomes.items() if state.startswith(REFUSED))
         answer = {
             "accepted": not refused,
             "operator": operator,
-            **outcome.detail,
+            **detail,
             "revision": revision,
             "machines": outcomes,
-            "seconds": spent,
+            "seconds": seconds,
         }
         if refused:
-            answer["refused"] = MeshError(
-                ErrorKind.BUNDLE_REFUSED,
-                f"{', '.join(refused)} refused it.",
-                "Abort the roll-out, or replace those machines' release, then advance.",
-                "number",
-            ).describe()
+            answer["refused"] = BundleRefused(f"{', '.join(refused)} refused it.", field="number").describe()
         registry.counters.record_event(
-            "in force" if not refused else "stage refused", revision=revision, seconds=spent, what=kind
+            "in force" if not refused else "stage refused", revision=revision, seconds=seconds, what=event
         )
         return Success(answer)
 
     def _affected_proxies(self, detail: dict) -> list[str]:
-        """The stalls that must act on the change: all of them, or those of the stages reached so far."""
-        stages: list[Stage] | None = None
-        if "stage" in detail and (item := self.registry.relay.copy.items.get(f"bundle:{detail['number']}")):
-            _, _, text = msgspec.msgpack.decode(item[1])
-            stages = read_bundle(text).unwrap().rollout()[: detail["stage"]]
+        """The proxies that must act on the change: all of them, or those of the stages reached so far."""
+        stages = self._stages_reached(detail)
         return sorted(
             proxy.node
             for proxy in self.registry.proxies_with_possible_lease()
             if stages is None or any(stage.holds(proxy=proxy.node, zone=proxy.zone) for stage in stages)
         )
+
+    def _stages_reached(self, detail: dict) -> list[Stage] | None:
+        """The stages of the bundle that is rolling out up to the one reached; None if all proxies are concerned."""
+        if "stage" not in detail:
+            return None
+        item = self.registry.relay.copy.items.get(f"bundle:{detail['number']}")
+        if item is None:
+            return None
+        _, _, text = msgspec.msgpack.decode(item[1])
+        return read_bundle(text).unwrap().rollout()[: detail["stage"]]
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -1,8 +1,8 @@
 """Writes and confirmed reads at whichever store leads, found by asking and by following hints.
 
-Whoever asks here gets an answer inside the span that it gave, also on a machine that is cut off: an order that is still
-unanswered then is told so, and whether the core may have taken it. While nobody leads, one call at a time goes out for
-all that wait, with a pause between them that grows.
+Whoever asks here gets an answer within the time-out that it gave, also on a machine that is cut off: a command that is
+still unanswered then is reported as unknown, if the log may have taken it. While nobody leads, one call at a time goes
+out for all that wait, with exponential backoff between calls.
 """
 
 import asyncio
@@ -14,44 +14,55 @@
 from hoistsaddle.common.backoff import ExponentialBackoff
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import ErrorKind, MeshError, NoLeader, OutcomeUnknown
 from hoistsaddle.rpc.messages import UNSET, ReadAnswer, ReadCall, WriteAnswer, WriteCall
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import Command, Outcome, pack_command, unpack_outcome
 
 CALL_TIMEOUT = timedelta(milliseconds=700)
-# How long a store that gave no answer is passed by, whatever the others believe of it.
+# How long a store that gave no answer is not tried again, whatever the others believe of it.
 UNRESPONSIVE_HOLDOFF = timedelta(seconds=1)
 MAX_BATCH_COMMANDS = 128
 MAX_BATCHES_IN_FLIGHT = 6
-# Between two tries: long enough that a hint's hop isn't busy work, short enough to be no part of an election's second.
+# Between two attempts: long enough that following hints isn't busy work, short beside an election's second.
 MIN_BACKOFF = milliseconds(20)
 MAX_BACKOFF = milliseconds(320)
 
-NO_LEADER = MeshError(
-    ErrorKind.NO_LEADER,
+NO_LEADER = NoLeader(
     "No store leads with a majority at the moment.",
-    "Ask again shortly; if it lasts, docs/operators/replacing-core-machines.md names the ways out.",
-)
-UNSURE = MeshError(
-    ErrorKind.UNSURE,
-    "It was handed to the core, which hasn't said yet whether it is taken.",
-    "Send the same again, here or to another machine: what was taken is confirmed, and nothing counts twice.",
+    remedy="Ask again shortly; if it lasts, docs/operators/replacing-core-machines.md names the ways out.",
 )
+UNSURE = OutcomeUnknown("It was handed to the core, which hasn't said yet whether it is taken.")
+
+
+def error_in(outcome: Outcome) -> MeshError:
+    """The error with which the log refused a command."""
+    return MeshError(outcome.error, outcome.message, outcome.remedy, outcome.field)
 
 
 class _PendingWrite:
-    """One command under way."""
+    """One command on its way to the log."""
 
     def __init__(self, *, payload: bytes, future: asyncio.Future) -> None:
         self.payload = payload
         self.future = future
-        # Whether a store may hold it: true from the moment it is sent, until that store says it never took it.
+        # Whether a store may hold it: true from when it is sent, until that store says it never took it.
         self.maybe_accepted = False
 
 
 class Writer:
+    """Batches commands into calls to the leader's store; several batches may be in flight."""
+
     def __init__(self, *, name: str, stores: dict[int, str], home: int, runtime: Runtime, counters: Counters) -> None:
+        """Begins at one store and finds the leader from there.
+
+        Args:
+            name: The name under which it calls.
+            stores: The stores' addresses by replica number; it may grow.
+            home: The replica to begin with.
+            runtime: Clock and connections.
+            counters: What to count in.
+        """
         self.name = name
         self.stores = stores
         self.leader = home
@@ -62,15 +73,15 @@
         self.in_flight = 0
         self.tasks: set[asyncio.Task] = set()
         self.backoff = ExponentialBackoff(least=MIN_BACKOFF, most=MAX_BACKOFF)
-        # The leader that the replica beside this writer follows, where there is one; and what wakes those that pause.
+        # The leader that the replica in this process follows, if there is one; and what ends a backoff early.
         self.known_leader = UNSET
         self.leader_changed = asyncio.Event()
-        # While tries fail, one task tries again for all that wait.
+        # While attempts fail, one task retries for all that wait.
         self.retrying = False
         self.stopped = False
 
     def note_leader(self, leader: int) -> None:
-        """What the replica in the same process knows; a leader newly known ends all pauses."""
+        """Takes over the leader that the replica in the same process follows; a newly known one ends any backoff."""
         if leader == self.known_leader:
             return
         self.known_leader = leader
@@ -81,14 +92,15 @@
             self.leader_changed = asyncio.Event()
 
     def _follow_hint(self, hint: int, target: int) -> None:
+        """Picks the store for the next attempt, after `target` named `hint` as the leader, or nobody."""
         now = self.runtime.now()
         unresponsive = {
-            replica for replica, timestamp in self.unresponsive_since.items() if now - timestamp < UNRESPONSIVE_HOLDOFF
+            replica for replica, since in self.unresponsive_since.items() if now - since < UNRESPONSIVE_HOLDOFF
         }
         if hint in self.stores and hint != target and hint not in unresponsive:
             self.leader = hint
         elif self.leader == target or hint in unresponsive:
-            # Nobody knows, or they still name the one that fell silent: go round.
+            # Nobody knows, or they still name the one that gave no answer: go round.
             order = sorted(self.stores)
             rotation = order[order.index(target) + 1 :] + order[: order.index(target)]
             self.leader = next(
@@ -109,6 +121,13 @@
             pass
 
     async def read(self, *, part: str, known_revision: int, within: timedelta) -> Result[ReadAnswer, MeshError]:
+        """Reads a part of the state, confirmed by the leader.
+
+        Args:
+            part: Which part, as the store names it.
+            known_revision: The revision the reader has, whose content need not come again; `UNSET` for none.
+            within: How long to try.
+        """
         deadline = self.runtime.now() + within
         while (left := deadline - self.runtime.now()) > timedelta():
             target = self.leader
@@ -130,17 +149,24 @@
         return Failure(NO_LEADER)
 
     async def write(self, command: Command, *, within: timedelta) -> Result[Outcome, MeshError]:
-        """Every command may be forwarded again: each carries what makes its repetition recognisable in the log."""
+        """Has the log commit a command.
+
+        Every command may be sent again: each carries what makes its repetition recognisable in the log.
+
+        Returns:
+            What the log made of it, which may be a refusal; or an error if it was not, or perhaps not, taken.
+        """
         return (await self.write_payloads([pack_command(command)], within=within))[0]
 
     async def write_payloads(self, payloads: Iterable[bytes], *, within: timedelta) -> list[Result[Outcome, MeshError]]:
+        """The same as `write` for several packed commands, which travel together where they can."""
         loop = asyncio.get_running_loop()
         pending_writes = [_PendingWrite(payload=payload, future=loop.create_future()) for payload in payloads]
         if not pending_writes:
             return []
         self.backlog += pending_writes
         self._flush()
-        # The asker's own span ends the wait, whatever call is still in flight and whoever stands before it in line.
+        # The caller's own time-out ends the wait, whatever call is still in flight and whatever is queued before it.
         await asyncio.wait([pending_write.future for pending_write in pending_writes], timeout=within.total_seconds())
         return [self._result_of(pending_write) for pending_write in pending_writes]
 
@@ -194,7 +220,7 @@
             self.backlog = [*batch, *self.backlog]
 
     async def _retry(self) -> None:
-        """While tries fail, this one goes on for all that wait, with those that are still waited for at its moment."""
+        """While attempts fail, retries alone for all that wait; each attempt takes those whose callers still wait."""
         while self.backoff.failing:
             await self._wait_for_backoff()
             if not (batch := self._next_batch()):
@@ -226,7 +252,7 @@
                 )
                 self._mark_unresponsive(target)
         if certainly_not_accepted:
-            # It took none of it; an earlier try at another one may still have.
+            # It took none of it; an earlier attempt at another one may still have.
             for pending_write in batch:
                 pending_write.maybe_accepted = pending_write in maybe_accepted_before
         self.backoff.failed(now=self.runtime.now())
@@ -234,6 +260,7 @@
         return False
 
     def stop(self) -> None:
+        """Cancels what is in flight; commands without an answer are reported when their time-outs end."""
         self.stopped = True
         for task in list(self.tasks):
             task.cancel()
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -29,8 +29,8 @@
 )
 from hoistsaddle.proxy.node import ProxyNode
 from hoistsaddle.raft.disk import Disk
+from hoistsaddle.registry.node import Registry
 from hoistsaddle.registry.operator_actions import OperatorActions
-from hoistsaddle.registry.service import Registry
 from hoistsaddle.rpc.messages import BootstrapAnswer, BootstrapCall, BundleForwardCall
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.store.service import Store
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/faults.py
@@ -91,7 +91,7 @@
     for name, life, zone, service, instance, seen in reports:
         for registry in complete.live("bourse"):
             call = HealthCall(name, life, name, zone, service, instance, f"at-{name}", "ready", 9, seen, LEVEL)
-            await complete.processes[registry].spawn(complete.nodes[registry].record_health(call))
+            await complete.processes[registry].spawn(complete.nodes[registry].health_reports.record(call))
     await asyncio.sleep(1)
     await complete.load(seconds=3, rate=RATE)
     await complete.read_back(in_force=1, settled=True, removed=tuple(removed))
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -16,7 +16,7 @@
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import Answer, RaftTimings, Send
-from hoistsaddle.registry.service import Registry
+from hoistsaddle.registry.applied_versions import AppliedVersions
 from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.store import service
@@ -89,10 +89,10 @@
 
 
 def _accepted_without_waiting():
-    async def at_once(self: Registry, *, revision, proxies, committed) -> dict[str, str]:
+    async def at_once(self: AppliedVersions, *, revision, proxies, committed) -> dict[str, str]:
         return dict.fromkeys(proxies(), "taken up")
 
-    return mock.patch.object(Registry, "await_applied_version", at_once)
+    return mock.patch.object(AppliedVersions, "wait_for_all", at_once)
 
 
 def _bundles_unchecked():
--- a/tests/test_emulator_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -11,6 +11,7 @@
 from datetime import timedelta
 from pathlib import Path
 from types import SimpleNamespace
+from typing import Any, cast
 from unittest import mock
 
 from testtools import TestCase
@@ -18,8 +19,9 @@
 
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.registry.controller import ControllerRegistry
-from hoistsaddle.registry.service import Registry
+from hoistsaddle.registry.health_reports import HealthReports
+from hoistsaddle.registry.local_registry import ControllerRegistry
+from hoistsaddle.registry.node_monitor import NodeMonitor
 from hoistsaddle.rpc.messages import HealthCall, PollCall
 from hoistsaddle.statemachine.digests import digests_of
 from hoistsaddle.testbed.emulator.day import BOUNDS, LEADER, Change, Day, DiskFault, Freeze, Kill, Partition, draw_site
@@ -168,14 +170,18 @@
         relay.confirmed(asked=timedelta(seconds=1), mesh="m", revision=1, items={})
         node = SimpleNamespace(address="10.0.0.1:1", zone="z", incarnation="life", state="alive")
         noted: list[str] = []
-        registry = SimpleNamespace(
+        view: Any = SimpleNamespace(nodes={"side": node}, servers={})
+        reports = HealthReports(
+            node="bourse-1",
+            view=lambda: view,
             relay=relay,
-            runtime=SimpleNamespace(now=lambda: timedelta(seconds=21)),
-            counters=SimpleNamespace(add=noted.append),
-            node_monitor=SimpleNamespace(record_heartbeat=lambda *told, **more: None, levels={}),
-            view=SimpleNamespace(nodes={"side": node}, servers={}),
+            node_monitor=NodeMonitor(node="bourse-1", health_span=timedelta(seconds=1)),
+            writer=cast(Any, None),
+            peers=cast(Any, None),
+            runtime=cast(Any, SimpleNamespace(now=lambda: timedelta(seconds=21))),
+            counters=cast(Any, SimpleNamespace(add=noted.append)),
         )
         call = HealthCall("side", "life", "10.0.0.1:1", "z", "", "", "", "", 7, 1, 4)
-        told = asyncio.run(Registry.record_health(registry, call))
+        told = asyncio.run(reports.record(call))
         self.assertThat(told.error, Equals(str(ErrorKind.NO_LEADER)))
         self.assertThat(noted, Equals(["vitals.not_fresh"]))
--- a/tests/test_raft_state_age.py
+++ b/tests/test_raft_state_age.py
@@ -9,7 +9,7 @@
 
 from hoistsaddle.raft.core import LEADER, RaftCore
 from hoistsaddle.raft.events import AnswerArrived, Boot, CallArrived, OffsetAndEpoch, RaftTimings, Synced, Ticked
-from hoistsaddle.registry.controller import ControllerRegistry
+from hoistsaddle.registry.local_registry import ControllerRegistry
 from hoistsaddle.rpc.messages import UNKNOWN_AGE, BeginEpochCall, FetchAnswer, FetchCall, Record
 from hoistsaddle.statemachine.commands import LEVEL, LeaderNote, pack_command
 from hoistsaddle.statemachine.state import initial_state
--- a/tests/test_registry_bootstrap.py
+++ b/tests/test_registry_bootstrap.py
@@ -40,7 +40,7 @@
         recorded_call: BootstrapCall | None = None,
     ) -> None:
         self.timestamp = timedelta(seconds=5)
-        self.duty = Bootstrap(
+        self.bootstrap = Bootstrap(
             replica=replica,
             seeds=seeds,
             may_found=cold,
@@ -59,18 +59,20 @@
         until = self.timestamp + timedelta(seconds=span)
         while self.timestamp < until:
             self.timestamp += timedelta(milliseconds=50)
-            for command in self.duty.handle(founded=own and self.duty.replica in self.calls, now=self.timestamp):
+            for command in self.bootstrap.handle(
+                founded=own and self.bootstrap.replica in self.calls, now=self.timestamp
+            ):
                 self.commands.append(command)
                 match command:
                     case InspectReplicas(replicas=replicas):
                         for replica in replicas:
                             if replica in self.disks:
-                                self.duty.inspected(self.disks[replica])
+                                self.bootstrap.inspected(self.disks[replica])
                     case FoundReplicas(replicas=replicas, call=call):
                         for replica in replicas:
                             if replica in self.hears:
                                 self.calls[replica] = call
-                                self.duty.acknowledged.add(replica)
+                                self.bootstrap.acknowledged.add(replica)
         return self
 
     def founds(self) -> list[FoundReplicas]:
@@ -82,12 +84,12 @@
         bench = Bench().go_on(span=2)
         call = BootstrapCall("mesh", {seed: f"life-{seed}" for seed in SEEDS}, {}, LEVEL)
         self.assertThat(bench.calls, Equals(dict.fromkeys(SEEDS, call)))
-        self.assertThat((len(bench.founds()), bench.duty.duty), Equals((1, False)))
+        self.assertThat((len(bench.founds()), bench.bootstrap.active), Equals((1, False)))
 
     def test_nobody_else_does(self) -> None:
         for bench in (Bench(replica=12), Bench(replica=13), Bench(replica=99), Bench(cold=False), Bench(seeds=())):
             bench.go_on(span=10)
-            self.assertThat((bench.commands, bench.duty.duty), Equals(([], False)))
+            self.assertThat((bench.commands, bench.bootstrap.active), Equals(([], False)))
 
     def test_a_blank_disk_after_the_cold_start_never_founds(self) -> None:
         # The very first seed, its disk wiped, and nobody else in sight.
@@ -98,12 +100,12 @@
         for where in SEEDS:
             disks = {seed: founded(seed) if seed == where else blank(seed) for seed in SEEDS}
             bench = Bench(disks=disks).go_on(span=10)
-            self.assertThat((bench.founds(), bench.duty.duty), Equals(([], False)), str(where))
+            self.assertThat((bench.founds(), bench.bootstrap.active), Equals(([], False)), str(where))
 
     def test_a_founded_disk_of_ones_own_ends_the_duty(self) -> None:
         bench = Bench()
-        self.assertThat(bench.duty.handle(founded=True, now=bench.timestamp), Equals([]))
-        self.assertThat(bench.duty.duty, Is(False))
+        self.assertThat(bench.bootstrap.handle(founded=True, now=bench.timestamp), Equals([]))
+        self.assertThat(bench.bootstrap.active, Is(False))
 
 
 class HowItFounds(TestCase):
@@ -141,22 +143,22 @@
         self.assertThat(len({each.call.mesh for each in founds}), Equals(1))
         bench.hears = set(SEEDS)
         bench.go_on(span=1)
-        self.assertThat((bench.calls[12], bench.duty.duty), Equals((founds[0].call, False)))
+        self.assertThat((bench.calls[12], bench.bootstrap.active), Equals((founds[0].call, False)))
 
     def test_one_that_never_hears_is_left_to_the_leader(self) -> None:
         bench = Bench()
         bench.hears = {11, 13}
         bench.go_on(span=MAX_WAIT_FOR_SEEDS.total_seconds() * 3 + 1)
-        self.assertThat(bench.duty.duty, Is(False))
+        self.assertThat(bench.bootstrap.active, Is(False))
 
     def test_an_answer_of_its_own_founding_does_not_end_the_telling(self) -> None:
         bench = Bench()
         bench.hears = {11}
         bench.go_on(span=1)
-        bench.duty.inspected(founded(11, mesh="mesh"))
-        self.assertThat(bench.duty.duty, Is(True))
-        bench.duty.inspected(founded(12, mesh="other"))
-        self.assertThat(bench.duty.duty, Is(False))
+        bench.bootstrap.inspected(founded(11, mesh="mesh"))
+        self.assertThat(bench.bootstrap.active, Is(True))
+        bench.bootstrap.inspected(founded(12, mesh="other"))
+        self.assertThat(bench.bootstrap.active, Is(False))
 
 
 class FounderThatDies(TestCase):
@@ -174,7 +176,7 @@
         disks = {11: founded(11, mesh="mesh"), 12: blank(12), 13: blank(13)}
         for cold in (True, False):
             again = Bench(cold=cold, disks=disks)
-            again.duty.handle(founded=True, now=again.timestamp)
+            again.bootstrap.handle(founded=True, now=again.timestamp)
             again.go_on(span=10)
             self.assertThat(again.founds(), Equals([]))
 
@@ -186,7 +188,7 @@
         # Whatever its seeds are by now, and though nobody tells it of a cold start any more.
         again = Bench(cold=False, seeds=(12, 13, 14), recorded_call=first.calls[11]).go_on(span=1)
         self.assertThat(again.calls, Equals(dict.fromkeys((12, 13), first.calls[11])))
-        self.assertThat(again.duty.duty, Is(False))
+        self.assertThat(again.bootstrap.active, Is(False))
 
     def test_after_it_told_another_one_a_blank_next_life_founds_nothing(self) -> None:
         # Its own disk is gone with it, and a second cold start is claimed: the other disk still says so.
--- a/tests/test_registry_controller.py
+++ b/tests/test_registry_controller.py
@@ -6,7 +6,7 @@
 import tempfile
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, cast
 
 import aiohttp
 from click.testing import CliRunner
@@ -22,7 +22,7 @@
 from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, ItemUpsert, Patch
 from hoistsaddle.config.patch_text import read_text
 from hoistsaddle.registry.addresses import host_of_number
-from hoistsaddle.registry.controller import Controller
+from hoistsaddle.registry.item_patches import ItemPatches
 
 FIRST = """
 [service.ledger]
@@ -218,8 +218,10 @@
         for changes, field in (({"rank": 10**30}, "rank"), ({"hold_seconds": 0}, "hold_seconds")):
             item = {**read_text(SECOND).unwrap().sets[0].item, **changes}
             counters = Counters(owner="market")
-            desk = SimpleNamespace(registry=SimpleNamespace(counters=counters))
-            told = asyncio.run(Controller.patch(desk, Patch([ItemUpsert(ENTRY, 1, item)])))
+            registry: Any = SimpleNamespace(counters=counters)
+            # Neither settings nor the log may be asked.
+            patches = ItemPatches(registry=registry, settings=cast(Any, None), log_offset=cast(Any, None))
+            told = asyncio.run(patches.submit(Patch([ItemUpsert(ENTRY, 1, item)])))
             self.assertThat(told, IsInstance(Failure))
             self.assertThat(told.failure().field, Equals(f"sets[0].{field}"))
             self.assertThat(counters.read()["counts"]["happening.patch refused"], Equals(1))
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -17,7 +17,7 @@
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.proxy.messages import HoldAnswered, SubmitHold
-from hoistsaddle.registry.service import KEY_WRITE_TIMEOUT, Registry
+from hoistsaddle.registry.node import KEY_WRITE_TIMEOUT, Registry
 from hoistsaddle.registry.writer import MAX_BACKOFF, MAX_BATCHES_IN_FLIGHT, Writer
 from hoistsaddle.rpc import connection
 from hoistsaddle.rpc.connection import silent_at
