--- a/packages/common/src/hoistsaddle/common/backoff.py
+++ b/packages/common/src/hoistsaddle/common/backoff.py
@@ -1,4 +1,4 @@
-"""A pause between tries that grows while they fail, shared by all who try the same thing."""
+"""Exponential backoff between attempts, shared by all who attempt the same thing."""
 
 from datetime import timedelta
 
@@ -6,34 +6,38 @@
 
 
 class ExponentialBackoff:
-    """From `least`, twice as long each time, up to `most`; a success starts it over.
+    """A delay from `least`, twice as long after each failure, up to `most`; a success starts it over.
 
-    Several tries that fail side by side are one failure: it grows once for each span that has passed.
+    Several attempts that fail side by side are one failure: the delay grows once for each delay that has passed.
     """
 
     def __init__(self, *, least: timedelta, most: timedelta) -> None:
+        """Begins without a failure."""
         self.least = least
         self.most = max(least, most)
-        self.span = least
+        self.delay = least
         self._failed_at: timedelta | None = None
 
     @property
     def failing(self) -> bool:
+        """Whether the last attempt failed."""
         return self._failed_at is not None
 
     def failed(self, *, now: timedelta) -> None:
+        """Notes a failed attempt."""
         if self._failed_at is None:
-            self.span = self.least
-        elif now - self._failed_at >= self.span:
-            self.span = min(self.span * 2, self.most)
+            self.delay = self.least
+        elif now - self._failed_at >= self.delay:
+            self.delay = min(self.delay * 2, self.most)
         else:
             return
         self._failed_at = now
 
     def left(self, *, now: timedelta) -> timedelta:
-        """How long until the next try is due."""
-        return ZERO if self._failed_at is None else max(ZERO, self._failed_at + self.span - now)
+        """How long until the next attempt is due."""
+        return ZERO if self._failed_at is None else max(ZERO, self._failed_at + self.delay - now)
 
     def reset(self) -> None:
-        self.span = self.least
+        """Notes a success."""
+        self.delay = self.least
         self._failed_at = None
--- a/packages/common/src/hoistsaddle/common/counters.py
+++ b/packages/common/src/hoistsaddle/common/counters.py
@@ -1,4 +1,4 @@
-"""Counters come first: what happened is counted, and only changes of state become log lines."""
+"""Counters, gauges and events of a process: each is counted, and only changes of state become log lines."""
 
 import threading
 from collections import defaultdict, deque
@@ -7,8 +7,12 @@
 
 from loguru import logger
 
+EVENTS_KEPT = 2000
+
 
 class Event(NamedTuple):
+    """A change of state, numbered from one since the process started; the timestamp is for people to read."""
+
     number: int
     timestamp: datetime
     kind: str
@@ -16,25 +20,35 @@
 
 
 class Counters:
-    def __init__(self, *, owner: str, keep: int = 2000) -> None:
+    """The counters of one process, under its name. Every thread may use them."""
+
+    def __init__(self, *, owner: str, keep: int = EVENTS_KEPT) -> None:
+        """Counts for `owner` and keeps its last `keep` events."""
         self.owner = owner
         self._counts: defaultdict[str, float] = defaultdict(float)
         self._gauges: dict[str, float] = {}
+        # The store's disk thread counts too.
         self._lock = threading.Lock()
         self._events: deque[Event] = deque(maxlen=keep)
         self._number = 0
 
     def add(self, name: str, amount: float = 1) -> None:
-        # The store's disk thread counts too, hence the short lock.
+        """Adds to a count."""
         with self._lock:
             self._counts[name] += amount
 
     def gauge(self, name: str, value: float) -> None:
+        """Sets a gauge."""
         with self._lock:
             self._gauges[name] = value
 
     def record_event(self, kind: str, **detail) -> None:
-        """A change of state: counted, kept for `hoistsaddle watch`, and one log line."""
+        """Notes a change of state: counted, kept for `hoistsaddle watch`, and one log line.
+
+        Args:
+            kind: The event's name; it and the details' names are part of the operators' interface.
+            detail: What the event is about, as JSON takes it.
+        """
         with self._lock:
             self._number += 1
             self._counts[f"happening.{kind}"] += 1
@@ -42,21 +56,22 @@
         logger.info("{} {} {}", self.owner, kind, detail)
 
     def events(self, *, after: int) -> dict:
+        """The kept events above a number, and the newest number, as the operators' interface shows them."""
         with self._lock:
-            told = [
-                {
-                    "number": each.number,
-                    "moment": each.timestamp.isoformat(),
-                    "owner": self.owner,
-                    "kind": each.kind,
-                    "detail": each.detail,
-                }
-                for each in self._events
-                if each.number > after
-            ]
-            return {"newest": self._number, "happenings": told}
+            shown = [self._describe(event) for event in self._events if event.number > after]
+            return {"newest": self._number, "happenings": shown}
+
+    def _describe(self, event: Event) -> dict:
+        return {
+            "number": event.number,
+            "moment": event.timestamp.isoformat(),
+            "owner": self.owner,
+            "kind": event.kind,
+            "detail": event.detail,
+        }
 
     def read(self) -> dict:
+        """All counts and gauges, sorted by name."""
         with self._lock:
             return {
                 "owner": self.owner,
--- a/packages/common/src/hoistsaddle/common/settings.py
+++ b/packages/common/src/hoistsaddle/common/settings.py
@@ -1,14 +1,20 @@
-"""Params of the daemons: read from a settings file, flags on top, checked whole before anything starts."""
+"""Settings of the programs: read from a settings file, flags on top, checked completely before anything starts.
+
+Durations are in seconds, as the names say; addresses are an IP number and a port.
+"""
 
 import ipaddress
 import re
 import tomllib
+from collections.abc import Iterator
+from itertools import chain
 from pathlib import Path
+from typing import Any
 
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
+from hoistsaddle.common.errors import InvalidSettings, MeshError, field_in
 
 # Attributes whose name in settings files, flags and refusals is another one, which stays.
 DOCUMENTED_NAMES = {
@@ -30,6 +36,8 @@
 
 
 class CoreMachine(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
+    """The addresses of one core machine."""
+
     replica: int
     store: str
     registry: str
@@ -38,6 +46,8 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
+    """A store that stands apart from its registry."""
+
     replica: int
     zone: str
     listen: str
@@ -47,15 +57,17 @@
     chunk_bytes: int = 65536
     lag_wait_seconds: float = 10.0
     disk_stall_seconds: float = 1.0
-    # After its stop it goes on for so long at most.
+    # The grace period: a stop takes so long at most.
     grace_seconds: float = 6.0
     # The highest release level this process says it supports; 0 for all it knows.
     release_level: int = 0
-    # For proofs alone: a file that names the lines to drop. Daemons in service leave it empty.
+    # For tests alone: a file that names the connections to drop. Programs in service leave it empty.
     line_faults: str = ""
 
 
 class RegistrySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
+    """A registry that stands apart from its store."""
+
     replica: int
     zone: str
     listen: str
@@ -64,11 +76,13 @@
     lease_seconds: float = 1.5
     health_seconds: float = 1.5
     release_level: int = 0
-    # For proofs alone: a file that names the lines to drop. Daemons in service leave it empty.
+    # For tests alone: a file that names the connections to drop. Programs in service leave it empty.
     line_faults: str = ""
 
 
 class ProxySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
+    """A proxy under bundles."""
+
     name: str
     zone: str
     listen: str
@@ -80,7 +94,7 @@
     backlog: int = 200
     outstanding: int = 100
     release_level: int = 0
-    # For proofs alone: a file that names the lines to drop. Daemons in service leave it empty.
+    # For tests alone: a file that names the connections to drop. Programs in service leave it empty.
     line_faults: str = ""
 
 
@@ -90,7 +104,7 @@
     host: str
     zone: str
     data_folder: str
-    # Hosts of up to three core machines; at a cold start the first founds, and it alone.
+    # Hosts of one to three core machines; at a cold start the first one founds the mesh.
     seeds: list[str]
     cold_start: bool
     # How many core machines may be lost at once: the voters wanted are twice as many and one.
@@ -98,37 +112,37 @@
     registry_port: int = 7100
     store_port: int = 7101
     operators_port: int = 7102
-    # Who answers for patches: their author and the standing sign-off under which they count at once.
+    # Who answers for patches: their author, and who signed them off in advance.
     desk: str = "desk"
     standing_sign_off: str = "standing"
     lease_seconds: float = 1.5
     health_seconds: float = 4.0
     checkpoint_records: int = 600
     chunk_bytes: int = 65536
-    # How long a patch waits to be seen in force on every proxy before it is acknowledged all the same.
+    # How long a patch waits for every proxy to apply it before it is acknowledged all the same.
     applied_version_seconds: float = 0.35
     write_seconds: float = 0.5
-    # A machine counts as lost for so long after it is back, or after its successor's start.
+    # A machine counts as lost for so long after it is back, or after its successor has started.
     settle_seconds: float = 4.0
-    # After its stop it goes on for so long at most.
+    # The grace period: a stop takes so long at most.
     grace_seconds: float = 6.0
-    # For how long a patch may be sent again after a lost answer, and is told apart from another under its revisions.
+    # How long the log remembers a patch, so that a repeat after a lost answer is recognised.
     resend_seconds: float = 600.0
 
 
 class SidecarSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
-    """One proxy that serves items: a door for clients and its own server, and the way to that server."""
+    """A sidecar: the proxy that serves items, beside one server."""
 
     name: str
     zone: str
     listen: str
-    # The door, where clients and the own server call.
+    # Where clients and its own server call.
     door: str
-    # Where the platform asks whether it is ready, and where the server tells its health reports.
+    # Where the server posts its health reports, and where the platform checks readiness.
     health_door: str
     ready_door: str
     seeds: list[str]
-    # The server beside it: its service and address, as the machine's settings have them.
+    # The server beside it.
     service: str
     server: str
     lease_seconds: float = 1.5
@@ -136,17 +150,22 @@
     backlog: int = 400
     outstanding: int = 400
     release_level: int = 0
-    # Further sends: this share of a service's traffic in any ten seconds, plus the margin, over the whole fleet.
+    # The retry budget: this share of a service's traffic in any ten seconds, plus the margin, over the complete fleet.
     further_percent: int = 20
     further_margin: int = 10
-    # A key stays held for so long.
+    # How long an idempotency key stays claimed.
     key_seconds: float = 75.0
-    # After its stop a proxy goes on for so long at most; a server that leaves gets no work after that long.
+    # The grace period of a stop, and how long a draining server still gets work at most.
     grace_seconds: float = 6.0
     drain_seconds: float = 2.0
 
 
-_plain = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
+_PLAIN_NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
+MAX_SEEDS = 3
+PROXY_SEEDS = 3
+# By documented name, both ends included.
 ALLOWED_RANGES: dict[str, tuple[float, float]] = {
     "replica": (1, 1000),
     "lease_seconds": (0.1, 60),
@@ -159,9 +178,9 @@
     "outstanding": (1, 10**6),
     "release_level": (0, 1000),
     "losses": (0, 10),
-    "bourse_port": (1, 65535),
-    "warehouse_port": (1, 65535),
-    "operators_port": (1, 65535),
+    "bourse_port": (1, MAX_PORT),
+    "warehouse_port": (1, MAX_PORT),
+    "operators_port": (1, MAX_PORT),
     "uptake_seconds": (0, 60),
     "write_seconds": (0.05, 60),
     "resend_seconds": (1, 86400),
@@ -176,135 +195,154 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
+    """Host and port of an address that was checked."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def check_address(*, field: str, address: str) -> MeshError | None:
+    """The error if this is not an IP number and port."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        complete = port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536
+        is_port = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS and 0 < int(port) <= MAX_PORT
     except ValueError:
-        complete = False
-    if complete:
+        is_port = False
+    if is_port:
         return None
-    return MeshError(
-        ErrorKind.PARAMS, f"{address!r} is not an IP number and port.", "Write it like 127.0.0.1:7100.", field
+    return InvalidSettings(
+        f"{address!r} is not an IP number and port.", field=field, remedy="Write it like 127.0.0.1:7100."
     )
 
 
-def _first_error(settings: Settings) -> MeshError | None:
-    for field in ("listen", "visitors", "inner", "operators"):
-        if hasattr(settings, attribute_of(field)) and (
-            found := check_address(field=field, address=getattr(settings, attribute_of(field)))
-        ):
-            return found
-    for field, (least, most) in ALLOWED_RANGES.items():
+def _value_of(settings: Settings, setting: str) -> Any:
+    """The value of a setting by its documented name; None if this program has no such setting."""
+    return getattr(settings, attribute_of(setting), None)
+
+
+def _errors_of_all(settings: Settings) -> Iterator[MeshError | None]:
+    """The checks of the settings that several programs share, in the order in which they are reported."""
+    for setting in ("listen", "visitors", "inner", "operators"):
+        if (address := _value_of(settings, setting)) is not None:
+            yield check_address(field=setting, address=address)
+    for setting, (least, most) in ALLOWED_RANGES.items():
+        value = _value_of(settings, setting)
         # Written so that "not a number" is refused too.
-        if hasattr(settings, attribute_of(field)) and not least <= getattr(settings, attribute_of(field)) <= most:
-            return MeshError(
-                ErrorKind.PARAMS,
-                f"{getattr(settings, attribute_of(field))} is out of range.",
-                f"Leave it out for the default, or give {least:g} to {most:g}.",
-                field,
-            )
-    for field in ("name", "zone", "service", "desk", "standing_sign_off"):
-        if hasattr(settings, attribute_of(field)) and not _plain.match(getattr(settings, attribute_of(field))):
-            return MeshError(
-                ErrorKind.PARAMS, "That is no plain name.", "Use letters, digits, . _ and -, 64 at most.", field
-            )
-    folder = getattr(settings, "data_folder", "here")
-    if not folder or "\0" in folder:
-        return MeshError(ErrorKind.PARAMS, "That is no folder.", "Name one that this process may write.", "data_folder")
+        if value is not None and not least <= value <= most:
+            remedy = f"Leave it out for the default, or give {least:g} to {most:g}."
+            yield InvalidSettings(f"{value} is out of range.", field=setting, remedy=remedy)
+    for setting in ("name", "zone", "service", "desk", "standing_sign_off"):
+        name = _value_of(settings, setting)
+        if name is not None and not _PLAIN_NAME.match(name):
+            remedy = "Use letters, digits, . _ and -, 64 at most."
+            yield InvalidSettings("That is no plain name.", field=setting, remedy=remedy)
+    folder = _value_of(settings, "data_folder")
+    if folder is not None and (not folder or "\0" in folder):
+        yield InvalidSettings("That is no folder.", field="data_folder", remedy="Name one that this process may write.")
+
+
+def _errors_of_proxy(settings: ProxySettings) -> Iterator[MeshError | None]:
+    # Three seeds, so that any one of them may be down when a process starts.
+    if len(settings.seeds) != PROXY_SEEDS:
+        remedy = "Give three seed addresses of registries."
+        yield InvalidSettings(f"{len(settings.seeds)} seeds given.", field="seeds", remedy=remedy)
+    for place, seed in enumerate(settings.seeds):
+        yield check_address(field=f"seeds[{place}]", address=seed)
+
+
+def _error_of_seeds(seeds: list[str]) -> MeshError | None:
+    if 1 <= len(seeds) <= MAX_SEEDS:
+        return None
+    return InvalidSettings(f"{len(seeds)} seeds given.", field="seeds", remedy="Give one to three.")
+
+
+def _errors_of_sidecar(settings: SidecarSettings) -> Iterator[MeshError | None]:
+    yield _error_of_seeds(settings.seeds)
+    for setting in ("door", "vitals_door", "ready_door", "server"):
+        yield check_address(field=setting, address=_value_of(settings, setting))
+    for place, seed in enumerate(settings.seeds):
+        yield check_address(field=f"seeds[{place}]", address=seed)
+
+
+def _errors_of_controller(settings: ControllerSettings) -> Iterator[MeshError | None]:
+    ports = {settings.registry_port, settings.store_port, settings.operators_port}
+    if len(ports) < 3:
+        yield InvalidSettings("Two ports are the same.", field="bourse_port", remedy="Give each its own.")
+    if settings.desk == settings.standing_sign_off:
+        # Whoever sends a patch must not be the one who answers for what counts at once.
+        yield InvalidSettings(
+            "The desk signs its own patches.", field="standing_sign_off", remedy="Name another person."
+        )
+    yield _error_of_seeds(settings.seeds)
+    hosts = [("host", settings.host), *((f"seeds[{place}]", seed) for place, seed in enumerate(settings.seeds))]
+    for field, host in hosts:
+        yield check_address(field=field, address=f"{host}:1")
+
+
+def _errors_of_core(replica: int, core: list[CoreMachine]) -> Iterator[MeshError | None]:
+    replicas = [machine.replica for machine in core]
+    if replica not in replicas:
+        message = f"Replica {replica} is not among the core machines."
+        yield InvalidSettings(message, field="replica", remedy="Add it under [[core]].")
+    if len(set(replicas)) != len(replicas):
+        yield InvalidSettings("Two core machines share a replica number.", field="core", remedy="Give each its own.")
+    for place, machine in enumerate(core):
+        yield check_address(field=f"core[{place}].warehouse", address=machine.store)
+        yield check_address(field=f"core[{place}].bourse", address=machine.registry)
+
+
+def _errors_of_program(settings: Settings) -> Iterator[MeshError | None]:
     match settings:
-        case ProxySettings(seeds=seeds):
-            # Three seeds, so that any one of them may be down when a process starts.
-            if len(seeds) != 3:
-                return MeshError(
-                    ErrorKind.PARAMS, f"{len(seeds)} seeds given.", "Give three seed addresses of registries.", "seeds"
-                )
-            for place, seed in enumerate(seeds):
-                if found := check_address(field=f"seeds[{place}]", address=seed):
-                    return found
-        case SidecarSettings() as sidecar:
-            if not 1 <= len(sidecar.seeds) <= 3:
-                return MeshError(ErrorKind.PARAMS, f"{len(sidecar.seeds)} seeds given.", "Give one to three.", "seeds")
-            for field in ("door", "vitals_door", "ready_door", "server"):
-                if found := check_address(field=field, address=getattr(sidecar, attribute_of(field))):
-                    return found
-            for place, seed in enumerate(sidecar.seeds):
-                if found := check_address(field=f"seeds[{place}]", address=seed):
-                    return found
-        case ControllerSettings() as controller:
-            if len({controller.registry_port, controller.store_port, controller.operators_port}) < 3:
-                return MeshError(ErrorKind.PARAMS, "Two ports are the same.", "Give each its own.", "bourse_port")
-            if controller.desk == controller.standing_sign_off:
-                # Whoever sends a patch must not be the one who answers for what counts at once.
-                return MeshError(
-                    ErrorKind.PARAMS, "The desk signs its own patches.", "Name another person.", "standing_sign_off"
-                )
-            if not 1 <= len(controller.seeds) <= 3:
-                return MeshError(
-                    ErrorKind.PARAMS, f"{len(controller.seeds)} seeds given.", "Give one to three.", "seeds"
-                )
-            for field, host in (
-                ("host", controller.host),
-                *((f"seeds[{place}]", each) for place, each in enumerate(controller.seeds)),
-            ):
-                if found := check_address(field=field, address=f"{host}:1"):
-                    return found
+        case ProxySettings():
+            yield from _errors_of_proxy(settings)
+        case SidecarSettings():
+            yield from _errors_of_sidecar(settings)
+        case ControllerSettings():
+            yield from _errors_of_controller(settings)
         case StoreSettings(replica=replica, core=core) | RegistrySettings(replica=replica, core=core):
-            if replica not in [machine.replica for machine in core]:
-                return MeshError(
-                    ErrorKind.PARAMS,
-                    f"Replica {replica} is not among the core machines.",
-                    "Add it under [[core]].",
-                    "replica",
-                )
-            if len({machine.replica for machine in core}) != len(core):
-                return MeshError(
-                    ErrorKind.PARAMS, "Two core machines share a replica number.", "Give each its own.", "core"
-                )
-            for place, machine in enumerate(core):
-                for field in ("warehouse", "bourse"):
-                    if found := check_address(
-                        field=f"core[{place}].{field}", address=getattr(machine, attribute_of(field))
-                    ):
-                        return found
-    return None
+            yield from _errors_of_core(replica, core)
 
 
 def check_settings(settings: Settings) -> Result[Settings, MeshError]:
-    """The whole check for params that another format brought."""
-    found = _first_error(settings)
-    return Failure(found) if found else Success(settings)
+    """Checks settings that another format brought; the first error is reported."""
+    for error in chain(_errors_of_all(settings), _errors_of_program(settings)):
+        if error is not None:
+            return Failure(error)
+    return Success(settings)
+
+
+def _read_toml(path: str) -> Result[dict, MeshError]:
+    try:
+        return Success(tomllib.loads(Path(path).read_text(encoding="utf-8")))
+    except (OSError, UnicodeDecodeError) as problem:
+        message, remedy = f"{path} can't be read: {problem}.", "Name a readable TOML file."
+    except (tomllib.TOMLDecodeError, RecursionError, ValueError) as problem:
+        message, remedy = f"{path} is not TOML: {problem}.", "Mend the line it names."
+    return Failure(InvalidSettings(message, field="settings", remedy=remedy))
 
 
 def read_settings_file(*, kind: type, path: str | None, flags: dict) -> Result[Settings, MeshError]:
+    """Reads a program's settings.
+
+    Args:
+        kind: The settings' class.
+        path: The TOML file; None if flags give all of it.
+        flags: Values by documented name; those that are not empty win over the file.
+
+    Returns:
+        Settings that passed every check, or the first error.
+    """
     values: dict = {}
     if path is not None:
-        try:
-            values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-        except (OSError, UnicodeDecodeError) as problem:
-            return Failure(
-                MeshError(
-                    ErrorKind.PARAMS, f"{path} can't be read: {problem}.", "Name a readable TOML file.", "settings"
-                )
-            )
-        except (tomllib.TOMLDecodeError, RecursionError, ValueError) as problem:
-            return Failure(
-                MeshError(ErrorKind.PARAMS, f"{path} is not TOML: {problem}.", "Mend the line it names.", "settings")
-            )
+        match _read_toml(path):
+            case Failure(error):
+                return Failure(error)
+            case Success(read):
+                values = read
     # Flags win over the file: they are what the person starting the process typed last.
     values.update({name: value for name, value in flags.items() if value not in (None, (), [])})
     try:
         settings: Settings = msgspec.convert(values, kind)
     except (msgspec.ValidationError, RecursionError) as problem:
-        return Failure(
-            MeshError(
-                ErrorKind.PARAMS, f"{problem}.", "Give the field in the settings file or as a flag.", field_in(problem)
-            )
-        )
-    found = _first_error(settings)
-    return Failure(found) if found else Success(settings)
+        return Failure(InvalidSettings(f"{problem}.", field=field_in(problem)))
+    return check_settings(settings)
--- a/packages/common/src/hoistsaddle/common/shutdown.py
+++ b/packages/common/src/hoistsaddle/common/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process that was told to stop: by its own means in its grace, or else by the last resort."""
+"""The end of a process that was told to stop: by its own means within its grace period, or else by a watchdog."""
 
 import os
 import signal
@@ -11,9 +11,9 @@
 
 from loguru import logger
 
-# The share of the grace after which it acts: the signal may have waited for the processor, and ending takes a while.
+# The fraction of the grace period after which it acts: the signal may have come late, and ending takes a while.
 GRACE_FRACTION = 0.97
-# What a supervisor is told of a stop that did not finish by itself.
+# The exit status of a stop that did not finish by itself.
 UNFINISHED_EXIT_CODE = 1
 
 
@@ -25,10 +25,10 @@
 
 
 class ShutdownWatchdog:
-    """Ends a process that still is there shortly before its grace is over.
+    """Ends a process that is still there shortly before its grace period is over.
 
-    Whatever a stop waits for, a task, a thread, a closing file: the platform kills the process at the end of its
-    grace, and what ends by itself has at least said so. It stands beside the bounds of each step, not in their place.
+    Whatever a stop waits for, a task, a thread, a closing file: the platform kills the process at the end of its grace
+    period, and a process that ends by itself has at least logged it. Each step of a stop has time-outs of its own.
     """
 
     def __init__(
@@ -38,13 +38,20 @@
         exit_process: Callable[[], None] = _exit_process,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
+        """Not armed yet.
+
+        Args:
+            grace: Gives the grace period when the stop begins.
+            exit_process: Ends the process.
+            sleep: Waits for a number of seconds.
+        """
         self.grace = grace
         self.exit_process = exit_process
         self.sleep = sleep
         self.armed = False
 
     def arm(self) -> None:
-        """Begins to count. A second signal changes nothing."""
+        """Begins to count down. A second call changes nothing."""
         if self.armed:
             return
         self.armed = True
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -463,7 +463,7 @@
                 # All were asked, and nobody knows anything newer.
                 self.poll_pause.failed(now=self.runtime.now())
             self.counters.add("news.polls_paused")
-            await asyncio.sleep(self.poll_pause.span.total_seconds())
+            await asyncio.sleep(self.poll_pause.delay.total_seconds())
 
     async def _report_health(self) -> None:
         turn = 0
@@ -498,7 +498,7 @@
                     turn += 1
                     if turn % len(addresses) == 0:
                         self.health_pause.failed(now=self.runtime.now())
-                    await asyncio.sleep(self.health_pause.span.total_seconds())
+                    await asyncio.sleep(self.health_pause.delay.total_seconds())
                     continue
             try:
                 async with asyncio.timeout(self.health_every.total_seconds()):
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -113,7 +113,7 @@
 
     async def _wait_for_backoff(self) -> None:
         left = self.backoff.left(now=self.runtime.now())
-        self.counters.gauge("writes.pause_milliseconds", self.backoff.span.total_seconds() * 1000)
+        self.counters.gauge("writes.pause_milliseconds", self.backoff.delay.total_seconds() * 1000)
         try:
             async with asyncio.timeout(left.total_seconds()):
                 await self.leader_changed.wait()
@@ -143,7 +143,7 @@
                     self._mark_unresponsive(target)
             self.counters.add("reads.again")
             self.backoff.failed(now=self.runtime.now())
-            if self.runtime.now() + self.backoff.span >= deadline:
+            if self.runtime.now() + self.backoff.delay >= deadline:
                 break
             await self._wait_for_backoff()
         return Failure(NO_LEADER)
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -106,7 +106,7 @@
                     )
                 self.counters.add("disk.starts_refused")
                 pause.failed(now=self.runtime.now())
-                await asyncio.sleep(pause.span.total_seconds())
+                await asyncio.sleep(pause.delay.total_seconds())
 
     async def start(self) -> None:
         await self._start_runner()
