--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -21,7 +21,7 @@
 )
 from hoistsaddle.proxy.retry_budget import RetryBudget, retry_quota_of
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.state import READY, SETTLED, ServerRecord
 
 DEFAULT_BUDGET = timedelta(seconds=5)
@@ -83,9 +83,9 @@
         self.requests: dict[int, _Request] = {}
         self.waiting: deque[int] = deque()
         self.by_number: dict[int, int] = {}
-        self.claims: dict[int, ClaimHold] = {}
-        self.releases: dict[int, tuple[ReleaseHold, timedelta]] = {}
-        self.release_again: list[tuple[timedelta, ReleaseHold, timedelta]] = []
+        self.claims: dict[int, ClaimKey] = {}
+        self.releases: dict[int, tuple[ReleaseKey, timedelta]] = {}
+        self.release_again: list[tuple[timedelta, ReleaseKey, timedelta]] = []
         self.outstanding: dict[str, int] = {}
         # Service, entry, caller and outcome to requests, further sends, bytes in and bytes out.
         self.usage: dict[tuple[str, str, str, str], list[int]] = {}
@@ -233,7 +233,7 @@
         self.by_number[request.asked] = ticket
         # The body's digest covers method, path and query too: another request under the same key is refused.
         digest = digest_of_body("\0".join((event.method, event.path, event.query, "")).encode() + event.body)
-        command = self.claims[request.asked] = ClaimHold(
+        command = self.claims[request.asked] = ClaimKey(
             request.scope,
             request.claim,
             self.settings.name,
@@ -272,7 +272,7 @@
                 and outcome.detail.get("phase") == "granted"
                 and (request is None or request.claim != command.claim)
             ):
-                self._release(ReleaseHold(scope, command.claim), self.now + RELEASE_SPAN)
+                self._release(ReleaseKey(scope, command.claim), self.now + RELEASE_SPAN)
             return None
         if outcome is None:
             # Claiming again under the same claim is one claim: the log knows it.
@@ -591,9 +591,9 @@
         """Gives a claimed key back: nothing ran under it and nothing will."""
         if request.claim and not request.uncertain:
             self._announce("key given back", scope=request.scope[:12], entry=request.entry.name)
-            self._release(ReleaseHold(request.scope, request.claim), self.now + RELEASE_SPAN)
+            self._release(ReleaseKey(request.scope, request.claim), self.now + RELEASE_SPAN)
 
-    def _release(self, command: ReleaseHold, until: timedelta) -> None:
+    def _release(self, command: ReleaseKey, until: timedelta) -> None:
         number = self._number()
         self.releases[number] = (command, until)
         self._out.append(SubmitHold(number, command))
--- a/packages/proxy/src/hoistsaddle/proxy/messages.py
+++ b/packages/proxy/src/hoistsaddle/proxy/messages.py
@@ -5,7 +5,7 @@
 
 from hoistsaddle.common.errors import MeshError
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold, SettleHold
+from hoistsaddle.statemachine.commands import ClaimKey, CompleteKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.view import View
 
 ANSWERED = "answered"
@@ -117,7 +117,7 @@
 
 class SubmitHold(NamedTuple):
     number: int
-    command: ClaimHold | SettleHold | ReleaseHold
+    command: ClaimKey | CompleteKey | ReleaseKey
 
 
 class ForwardRequest(NamedTuple):
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -53,8 +53,9 @@
     WriteCall,
 )
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.commands import LEVEL, Outcome, pack_command, unpack_outcome
-from hoistsaddle.statemachine.state import GONE, READY, WARDEN
+from hoistsaddle.statemachine.commands import LEVEL, Outcome
+from hoistsaddle.statemachine.encoding import pack_command, unpack_outcome
+from hoistsaddle.statemachine.state import GONE, NODE_MONITOR_ROLE, READY
 from hoistsaddle.statemachine.view import read_view
 
 TICK = milliseconds(50)
@@ -484,7 +485,7 @@
                 self.relay.copy.revision,
                 self.level,
             )
-            duty = self.core.view.duties.get(WARDEN)
+            duty = self.core.view.duties.get(NODE_MONITOR_ROLE)
             warden = self.core.view.nodes.get(duty.node) if duty is not None else None
             addresses = ([warden.address] if warden is not None and turn == 0 else []) + self.registries
             self.health_due.clear()
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -19,7 +19,7 @@
     SubmitHold,
 )
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
-from hoistsaddle.statemachine.commands import Outcome, SettleHold
+from hoistsaddle.statemachine.commands import CompleteKey, Outcome
 from hoistsaddle.statemachine.state import GONE, READY
 
 # How long a target's proxy remembers what it refused or ran: longer than any envelope's budget can be.
@@ -34,7 +34,7 @@
         self.call = call
         self.deadline = arrived + call.budget
         self.answer: BundleForwardAnswer | None = None
-        self.settle: SettleHold | None = None
+        self.settle: CompleteKey | None = None
         self.settle_at: timedelta | None = None
         self.answered = False
 
@@ -168,7 +168,7 @@
             return self._answer_run(event.number, run)
         scope, _, claim = call.hold.partition(" ")
         kept = len(event.body) <= min(call.answer_bytes, MAX_ONCE_ANSWER_BYTES)
-        run.settle = SettleHold(
+        run.settle = CompleteKey(
             scope, claim, event.status, event.headers if kept else {}, event.body if kept else b"", kept
         )
         self._settle(event.number, run)
--- a/packages/raft/src/hoistsaddle/raft/applying.py
+++ b/packages/raft/src/hoistsaddle/raft/applying.py
@@ -4,7 +4,7 @@
 from hoistsaddle.raft.events import Capture, OffsetAndEpoch, ProposalResult
 from hoistsaddle.raft.replica import LEADER, Replica
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import AddVoter, DropVoter, Outcome, ReplaceVoter, SwapVoter
+from hoistsaddle.statemachine.commands import AddVoter, Outcome, RemoveVoter, ReplaceVoter, UpdateVoter
 from hoistsaddle.statemachine.state import State
 
 
@@ -29,11 +29,11 @@
             if self.pending_voter_changes and self.pending_voter_changes[0][0] <= record.offset:
                 _, swap = self.pending_voter_changes.pop(0)
                 match swap:
-                    case SwapVoter(replica=replica, old=old, new=new):
+                    case UpdateVoter(replica=replica, old=old, new=new):
                         self._announce("voter swapped", voter=replica, old=old, new=new)
                     case AddVoter(replica=replica):
                         self._announce("voter added", voter=replica, voters=len(self.state.voters))
-                    case DropVoter(replica=replica):
+                    case RemoveVoter(replica=replica):
                         self._announce("voter dropped", voter=replica, voters=len(self.state.voters))
                     case ReplaceVoter(replica=replica, successor=successor):
                         self._announce("voter replaced", voter=replica, successor=successor)
@@ -55,10 +55,10 @@
     def _tell_changes(self, before: State, outcome: Outcome) -> None:
         if self.state.level != before.level:
             self._announce("release level raised", level=self.state.level)
-        if self.state.purged != before.purged:
+        if self.state.purge_offset != before.purged:
             self._announce("gone forgotten", **outcome.detail)
         # Expiry is everybody's; one voice tells it.
-        if self.state.swept != before.swept and self.role == LEADER:
+        if self.state.expired_at != before.swept and self.role == LEADER:
             for scope, hold in sorted(before.holds.items()):
                 if scope not in self.state.holds:
                     self._announce("key expired", scope=scope[:12], entry=hold.entry, was=hold.phase)
--- a/packages/raft/src/hoistsaddle/raft/checkpoint.py
+++ b/packages/raft/src/hoistsaddle/raft/checkpoint.py
@@ -8,7 +8,8 @@
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.raft.events import OffsetAndEpoch
-from hoistsaddle.statemachine.state import State, pack_state, unpack_state
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import State
 
 MAGIC = b"HOISTSADDLE-CHECKPOINT-1\n"
 _mark = struct.Struct("!qq")
--- a/packages/raft/src/hoistsaddle/raft/core.py
+++ b/packages/raft/src/hoistsaddle/raft/core.py
@@ -50,7 +50,8 @@
     VoteAnswer,
     VoteCall,
 )
-from hoistsaddle.statemachine.commands import Tick, pack_command
+from hoistsaddle.statemachine.commands import Tick
+from hoistsaddle.statemachine.encoding import pack_command
 
 __all__ = [
     "CANDIDATE",
--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -8,7 +8,8 @@
 from hoistsaddle.raft.events import ProposalResult, ReadResult
 from hoistsaddle.raft.replica import CANDIDATE, FOLLOWER, LEADER, NOT_LEADER_FOR_PARTITION, Replica
 from hoistsaddle.rpc.messages import UNSET, BeginEpochCall, EndEpochCall, FetchAnswer, VoteAnswer, VoteCall
-from hoistsaddle.statemachine.commands import LeaderNote, pack_command
+from hoistsaddle.statemachine.commands import LeaderChange
+from hoistsaddle.statemachine.encoding import pack_command
 
 
 class Elections(Replica):
@@ -190,10 +191,10 @@
         self.lead_since = self.now
         self.lead_sent = self.now
         # Mesh time goes on from the newest stamp in the log: it stood still while nobody led.
-        self.base_stamp = max(self.log[-1].stamp if self.log else ZERO, self.state.stamp)
+        self.base_stamp = max(self.log[-1].stamp if self.log else ZERO, self.state.mesh_time)
         self.epoch_began = self.last.offset + 1
         self._announce("leading", offset=self.epoch_began)
-        self._append((self._record(pack_command(LeaderNote(self.replica))),))
+        self._append((self._record(pack_command(LeaderChange(self.replica))),))
         self._call_to_follow(everyone=True)
         self._advance()
 
--- a/packages/raft/src/hoistsaddle/raft/replication.py
+++ b/packages/raft/src/hoistsaddle/raft/replication.py
@@ -8,7 +8,8 @@
 from hoistsaddle.raft.events import ProposalResult
 from hoistsaddle.raft.replica import LEADER, NOT_LEADER_FOR_PARTITION, RELEASE_OLD, WRONG_MESH, Progress, Replica
 from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNANSWERED, UNSET, FetchAnswer, FetchCall, Record
-from hoistsaddle.statemachine.commands import RaiseLevel, pack_command
+from hoistsaddle.statemachine.commands import RaiseLevel
+from hoistsaddle.statemachine.encoding import pack_command
 
 
 class Replication(Replica):
--- a/packages/raft/src/hoistsaddle/raft/voter_changes.py
+++ b/packages/raft/src/hoistsaddle/raft/voter_changes.py
@@ -8,14 +8,8 @@
 
 from hoistsaddle.raft.replica import Replica
 from hoistsaddle.raft.voters import VoterChange
-from hoistsaddle.statemachine.commands import (
-    LEVEL_OF,
-    AddVoter,
-    DropVoter,
-    ReplaceVoter,
-    SwapVoter,
-    pack_command,
-)
+from hoistsaddle.statemachine.commands import LEVEL_OF, AddVoter, RemoveVoter, ReplaceVoter, UpdateVoter
+from hoistsaddle.statemachine.encoding import pack_command
 
 Life = tuple[int, str]
 
@@ -47,7 +41,7 @@
                 continue
             former = self.progress.get((replica, old))
             if former is None or former.heard < progress.heard:
-                return SwapVoter(replica, old, incarnation)
+                return UpdateVoter(replica, old, incarnation)
         return None
 
     def _growth_or_replacement(self) -> VoterChange | None:
@@ -73,7 +67,7 @@
             successor, successor_incarnation = ready[0]
             return ReplaceVoter(replica, incarnation, successor, successor_incarnation)
         # Before that level: the new one joins next, once this is committed; never fewer than one below what is wanted.
-        return DropVoter(*lost[0]) if lost else None
+        return RemoveVoter(*lost[0]) if lost else None
 
     def _self(self) -> Life:
         return (self.replica, self.incarnation)
--- a/packages/raft/src/hoistsaddle/raft/voters.py
+++ b/packages/raft/src/hoistsaddle/raft/voters.py
@@ -1,8 +1,9 @@
 """Logged changes of the set of voters: how one is told from its record, and what set it makes."""
 
-from hoistsaddle.statemachine.commands import AddVoter, DropVoter, ReplaceVoter, SwapVoter, unpack_command
+from hoistsaddle.statemachine.commands import AddVoter, RemoveVoter, ReplaceVoter, UpdateVoter
+from hoistsaddle.statemachine.encoding import unpack_command
 
-VoterChange = SwapVoter | AddVoter | DropVoter | ReplaceVoter
+VoterChange = UpdateVoter | AddVoter | RemoveVoter | ReplaceVoter
 
 
 def voter_change_in(payload: bytes) -> VoterChange | None:
@@ -17,11 +18,11 @@
 def apply_voter_change(voters: dict[int, str], change: VoterChange) -> dict[int, str]:
     """The set of voters after the change."""
     match change:
-        case SwapVoter(replica=replica, new=new):
+        case UpdateVoter(replica=replica, new=new):
             return {**voters, replica: new}
         case AddVoter(replica=replica, incarnation=incarnation):
             return {**voters, replica: incarnation}
-        case DropVoter(replica=replica):
+        case RemoveVoter(replica=replica):
             return {each: incarnation for each, incarnation in voters.items() if each != replica}
         case ReplaceVoter(replica=replica, successor=successor, successor_incarnation=incarnation):
             return {**{each: life for each, life in voters.items() if each != replica}, successor: incarnation}
--- a/packages/registry/src/hoistsaddle/registry/health_reports.py
+++ b/packages/registry/src/hoistsaddle/registry/health_reports.py
@@ -14,8 +14,8 @@
 from hoistsaddle.registry.writer import Writer
 from hoistsaddle.rpc.messages import HealthAnswer, HealthCall
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.commands import NoteNode, NoteServer
-from hoistsaddle.statemachine.state import WARDEN, ServerRecord
+from hoistsaddle.statemachine.commands import RegisterNode, RegisterServer
+from hoistsaddle.statemachine.state import NODE_MONITOR_ROLE, ServerRecord
 from hoistsaddle.statemachine.view import View
 
 FORWARD_TIMEOUT = milliseconds(600)
@@ -55,7 +55,7 @@
 
     async def answer(self, call: HealthCall) -> HealthAnswer:
         """Forwards a heartbeat to the registry that monitors the nodes; records it here if that gives no answer."""
-        duty = self.view().duties.get(WARDEN)
+        duty = self.view().duties.get(NODE_MONITOR_ROLE)
         if duty is not None and duty.node != self.node:
             # The monitoring registry must hear every heartbeat; one hop helps a proxy that doesn't know it yet.
             address = self.peers.address_of(duty.node)
@@ -87,7 +87,7 @@
         reported = (call.address, call.zone, call.incarnation, ALIVE)
         if node is not None and (node.address, node.zone, node.incarnation, node.state) == reported:
             return None
-        command = NoteNode(call.node, PROXY_KIND, *reported, seen=call.seen, level=call.level)
+        command = RegisterNode(call.node, PROXY_KIND, *reported, seen_revision=call.seen, level=call.level)
         match await self.writer.write(command, within=WRITE_TIMEOUT):
             case Success(outcome) if not outcome.error and not outcome.detail.get("old"):
                 # Events' names and details are part of the operators' interface.
@@ -105,7 +105,7 @@
         server = self.view().servers.get(call.node)
         if server is not None and _says_the_same(server, call):
             return True
-        command = NoteServer(
+        command = RegisterServer(
             call.node,
             call.service_name,
             call.instance,
@@ -114,7 +114,7 @@
             call.state,
             call.serial,
             call.incarnation,
-            seen=call.seen,
+            seen_revision=call.seen,
         )
         match await self.writer.write(command, within=WRITE_TIMEOUT):
             case Success(outcome) if not outcome.error:
--- a/packages/registry/src/hoistsaddle/registry/item_patches.py
+++ b/packages/registry/src/hoistsaddle/registry/item_patches.py
@@ -85,9 +85,9 @@
             settings.desk,
             settings.standing_sign_off,
             pack_patch(patch),
-            span=math.ceil(settings.resend_seconds),
+            resend_seconds=math.ceil(settings.resend_seconds),
             # What its sender can know of was logged by now.
-            seen=self.log_offset(),
+            seen_offset=self.log_offset(),
         )
 
     async def _await_applied(self, revision: int) -> list[str]:
--- a/packages/registry/src/hoistsaddle/registry/local_registry.py
+++ b/packages/registry/src/hoistsaddle/registry/local_registry.py
@@ -14,8 +14,9 @@
 from hoistsaddle.registry.node import Registry
 from hoistsaddle.rpc.messages import UNSET
 from hoistsaddle.rpc.runtime import Runtime
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import State, data_plane_items
+from hoistsaddle.statemachine.state import State
 from hoistsaddle.store.service import Store
 
 LOCAL_READ_INTERVAL = milliseconds(20)
@@ -86,7 +87,7 @@
         state = core.state
         if core.leader > 0:
             self.writer.leader = core.leader
-        if state.news == self.relay.copy.revision:
+        if state.data_plane_revision == self.relay.copy.revision:
             await self._renew_lease(confirmed_at, epoch=state.epoch)
             return True
         return await self._take_over(state, confirmed_at)
@@ -105,7 +106,7 @@
         if not self.relay.confirmed(
             asked=confirmed_at,
             mesh=state.mesh,
-            revision=state.news,
+            revision=state.data_plane_revision,
             items=items,
             expected_digests=digests_of(items),
             epoch=state.epoch,
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -39,16 +39,8 @@
     WriteCall,
 )
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.commands import (
-    LEVEL,
-    ClaimHold,
-    Command,
-    NoteNode,
-    ReleaseHold,
-    SettleHold,
-    pack_outcome,
-    unpack_command,
-)
+from hoistsaddle.statemachine.commands import LEVEL, ClaimKey, Command, CompleteKey, RegisterNode, ReleaseKey
+from hoistsaddle.statemachine.encoding import pack_outcome, unpack_command
 from hoistsaddle.statemachine.state import GONE, NodeRecord
 from hoistsaddle.statemachine.view import View, read_view
 
@@ -264,7 +256,7 @@
     async def _write_for_proxy(self, payloads: tuple[bytes, ...]) -> WriteAnswer:
         for payload in payloads:
             # Proxies may hold keys and nothing else; all other writes have callers of their own here.
-            if not isinstance(unpack_command(payload), ClaimHold | SettleHold | ReleaseHold):
+            if not isinstance(unpack_command(payload), ClaimKey | CompleteKey | ReleaseKey):
                 return WriteAnswer(str(ErrorKind.NOT_ALLOWED), UNSET)
         left = KEY_WRITE_TIMEOUT - timedelta(seconds=call_age().age)
         if left <= timedelta():
@@ -289,14 +281,14 @@
             known = self.view.nodes.get(self.node)
             if self.relay.fresh(now=self.runtime.now()) and (known is None or known.incarnation != self.incarnation):
                 await self.writer.write(
-                    NoteNode(
+                    RegisterNode(
                         self.node,
                         REGISTRY_KIND,
                         self.settings.listen,
                         self.settings.zone,
                         self.incarnation,
                         "alive",
-                        seen=self.relay.copy.revision,
+                        seen_revision=self.relay.copy.revision,
                         level=self.level,
                     ),
                     within=WRITE_TIMEOUT,
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from hoistsaddle.statemachine.commands import NoteNode, NoteServer, Purge, TakeDuty
-from hoistsaddle.statemachine.state import GONE, WARDEN, NodeRecord, ServerRecord, SingletonRoleRecord
+from hoistsaddle.statemachine.commands import AcquireSingletonRole, Purge, RegisterNode, RegisterServer
+from hoistsaddle.statemachine.state import GONE, NODE_MONITOR_ROLE, NodeRecord, ServerRecord, SingletonRoleRecord
 from hoistsaddle.statemachine.view import View
 
 PURGE_INTERVAL = timedelta(seconds=30)
@@ -12,7 +12,7 @@
 # The first release level whose state machine purges what was gone for long.
 PURGE_LEVEL = 2
 
-MonitorCommand = TakeDuty | NoteServer | NoteNode | Purge
+MonitorCommand = AcquireSingletonRole | RegisterServer | RegisterNode | Purge
 
 
 class NodeMonitor:
@@ -50,7 +50,7 @@
         """
         was_paused = self.last_checked_at is not None and now - self.last_checked_at > self.health_span / 2
         self.last_checked_at = now
-        duty = view.duties.get(WARDEN)
+        duty = view.duties.get(NODE_MONITOR_ROLE)
         is_first = min([*live_registries, self.node]) == self.node
         # Without a fresh lease this node can't know whose turn it is, and after a freeze it heard nobody.
         if not fresh or was_paused or not is_first:
@@ -58,7 +58,7 @@
             return []
         if duty is None or duty.node != self.node:
             self.active_since = None
-            return [TakeDuty(WARDEN, self.node, (duty.epoch if duty else 0) + 1)]
+            return [AcquireSingletonRole(NODE_MONITOR_ROLE, self.node, (duty.epoch if duty else 0) + 1)]
         if self.active_since is None:
             # Proxies get a full span to be heard by their new monitor before any is called gone.
             self.active_since = now
@@ -121,8 +121,8 @@
         return incarnation == proxy.incarnation and supported >= level
 
 
-def _server_gone(server: ServerRecord, duty: SingletonRoleRecord) -> NoteServer:
-    return NoteServer(
+def _server_gone(server: ServerRecord, duty: SingletonRoleRecord) -> RegisterServer:
+    return RegisterServer(
         server.proxy,
         server.service,
         server.instance,
@@ -135,5 +135,5 @@
     )
 
 
-def _node_gone(node: NodeRecord, duty: SingletonRoleRecord) -> NoteNode:
-    return NoteNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
+def _node_gone(node: NodeRecord, duty: SingletonRoleRecord) -> RegisterNode:
+    return RegisterNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
--- a/packages/registry/src/hoistsaddle/registry/operator_actions.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_actions.py
@@ -17,14 +17,14 @@
 from hoistsaddle.statemachine.commands import (
     AbortBundle,
     AdvanceBundle,
-    ChangeOperator,
     Command,
     DrainServer,
-    DropOperator,
     Outcome,
+    ProposeOperatorChange,
     SignBundle,
-    SignOperator,
+    SignOperatorChange,
     SubmitBundle,
+    WithdrawOperatorChange,
 )
 
 WRITE_TIMEOUT = timedelta(seconds=8)
@@ -101,7 +101,7 @@
 
     async def change_operator(self, *, operator: str, name: str, digest: str, request: str) -> Result[dict, MeshError]:
         """Proposes a change of an operator, with an empty digest to remove it; a second person signs it."""
-        command = ChangeOperator(request, operator, name, digest)
+        command = ProposeOperatorChange(request, operator, name, digest)
         return await self._write_and_report(command, operator, "operator change proposed")
 
     async def sign_operator(self, *, operator: str, name: str, change: str, request: str) -> Result[dict, MeshError]:
@@ -109,12 +109,12 @@
 
         Every call's token is looked up by a confirmed read, so what is committed is in force everywhere.
         """
-        command = SignOperator(request, operator, name, change)
+        command = SignOperatorChange(request, operator, name, change)
         return await self._write_and_report(command, operator, "operator change signed")
 
     async def drop_operator(self, *, operator: str, name: str, request: str) -> Result[dict, MeshError]:
         """Takes a proposed change back."""
-        command = DropOperator(request, operator, name)
+        command = WithdrawOperatorChange(request, operator, name)
         return await self._write_and_report(command, operator, "operator change dropped")
 
     async def _write_and_report(self, command: Command, operator: str, event: str) -> Result[dict, MeshError]:
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -17,7 +17,8 @@
 from hoistsaddle.common.errors import ErrorKind, MeshError, NoLeader, OutcomeUnknown
 from hoistsaddle.rpc.messages import UNSET, ReadAnswer, ReadCall, WriteAnswer, WriteCall
 from hoistsaddle.rpc.runtime import Runtime
-from hoistsaddle.statemachine.commands import Command, Outcome, pack_command, unpack_outcome
+from hoistsaddle.statemachine.commands import Command, Outcome
+from hoistsaddle.statemachine.encoding import pack_command, unpack_outcome
 
 CALL_TIMEOUT = timedelta(milliseconds=700)
 # How long a store that gave no answer is not tried again, whatever the others believe of it.
--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -12,7 +12,7 @@
 from hoistsaddle.rpc.messages import ClaimQueryAnswer, ClaimQueryCall, ForwardAnswer
 from hoistsaddle.sidecar.messages import AnswerClaimQuery, ClaimQueryAnswered, ClaimQueryArrived, QueryClaim
 from hoistsaddle.sidecar.request_table import PendingRequest, RequestTable
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.idempotency import hold_handle
 from hoistsaddle.statemachine.state import GONE
 
@@ -49,10 +49,10 @@
     def __init__(self, *, key_span: timedelta, **needs) -> None:
         super().__init__(**needs)
         self.key_span = key_span
-        self.claims: dict[int, ClaimHold] = {}
+        self.claims: dict[int, ClaimKey] = {}
         self.recalls: dict[int, int] = {}
-        self.releases: dict[int, tuple[ReleaseHold, timedelta]] = {}
-        self.release_again: list[tuple[timedelta, ReleaseHold, timedelta]] = []
+        self.releases: dict[int, tuple[ReleaseKey, timedelta]] = {}
+        self.release_again: list[tuple[timedelta, ReleaseKey, timedelta]] = []
         self.claim_again: list[tuple[timedelta, int]] = []
         self.kept: OrderedDict[str, Kept] = OrderedDict()
         # Attempts whose requests were answered before they came back, to the claims they ran under.
@@ -71,8 +71,8 @@
         command = self.claims[request.number] = self._claim_of(request)
         self._out.append(SubmitHold(request.number, command))
 
-    def _claim_of(self, request: PendingRequest) -> ClaimHold:
-        return ClaimHold(
+    def _claim_of(self, request: PendingRequest) -> ClaimKey:
+        return ClaimKey(
             request.scope,
             request.claim,
             self.settings.name,
@@ -199,13 +199,13 @@
         if request.claimed:
             return self._release(command)
         # The log didn't answer in time, so it is busy or away: nothing that isn't urgent is asked of it now.
-        release = ReleaseHold(hold_handle(command), command.claim)
+        release = ReleaseKey(hold_handle(command), command.claim)
         self.release_again.append((self.now + RELEASE_AGAIN, release, self.now + RELEASE_SPAN))
 
-    def _release(self, command: ClaimHold) -> None:
-        self._ask_release(ReleaseHold(hold_handle(command), command.claim), self.now + RELEASE_SPAN)
+    def _release(self, command: ClaimKey) -> None:
+        self._ask_release(ReleaseKey(hold_handle(command), command.claim), self.now + RELEASE_SPAN)
 
-    def _ask_release(self, command: ReleaseHold, until: timedelta) -> None:
+    def _ask_release(self, command: ReleaseKey, until: timedelta) -> None:
         number = self._number()
         self.releases[number] = (command, until)
         self._out.append(SubmitHold(number, command))
--- a/packages/statemachine/src/hoistsaddle/statemachine/apply.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/apply.py
@@ -11,30 +11,30 @@
     LEVEL,
     LEVEL_OF,
     AbortBundle,
+    AcquireSingletonRole,
     AddVoter,
     AdvanceBundle,
-    ChangeOperator,
-    ClaimHold,
+    ClaimKey,
     Command,
+    CompleteKey,
     DrainServer,
-    DropOperator,
-    DropVoter,
-    LeaderNote,
-    NoteNode,
-    NoteServer,
+    LeaderChange,
     Outcome,
     PatchItems,
+    ProposeOperatorChange,
     Purge,
     RaiseLevel,
-    ReleaseHold,
+    RegisterNode,
+    RegisterServer,
+    ReleaseKey,
+    RemoveVoter,
     ReplaceVoter,
-    SettleHold,
     SignBundle,
-    SignOperator,
+    SignOperatorChange,
     SubmitBundle,
-    SwapVoter,
-    TakeDuty,
     Tick,
+    UpdateVoter,
+    WithdrawOperatorChange,
     unpack_command,
 )
 from hoistsaddle.statemachine.state import State, refuse
@@ -59,7 +59,7 @@
     if unknown := operators.reject_unknown_operator(state, operator):
         return state, unknown
     state, outcome = applied(state)
-    kept = [to_microseconds(state.stamp), list(outcome), *([digest] if digest else [])]
+    kept = [to_microseconds(state.mesh_time), list(outcome), *([digest] if digest else [])]
     return state._replace(outcomes=state.outcomes.set(request, kept)), outcome
 
 
@@ -76,7 +76,7 @@
             "Install a release that knows it on this machine; the others go on.",
         )
     # The stamp never goes back, whatever a record says.
-    state = _sweep(state._replace(offset=offset, epoch=epoch, stamp=max(stamp, state.stamp)))
+    state = _sweep(state._replace(offset=offset, epoch=epoch, mesh_time=max(stamp, state.mesh_time)))
     needed = LEVEL_OF.get(type(command), 1)
     if state.level < needed:
         return state, refuse(
@@ -91,7 +91,7 @@
     swept = idempotency.sweep(state)
     return (
         deduplication.expire_patches(swept)
-        if swept.swept != state.swept and swept.level >= deduplication.DEDUPLICATION_LEVEL
+        if swept.swept != state.expired_at and swept.level >= deduplication.DEDUPLICATION_LEVEL
         else swept
     )
 
@@ -101,25 +101,25 @@
         return _once(state, request, operator, payload, lambda held: work(held, command, offset))
 
     match command:
-        case LeaderNote() | Tick():
+        case LeaderChange() | Tick():
             return state, Outcome()
-        case SwapVoter(replica=replica, old=old, new=new):
+        case UpdateVoter(replica=replica, old=old, new=new):
             if state.voters.get(replica) != old:
                 return state, refuse(ErrorKind.UNSURE, "The voter was swapped already.", "Read the voters.", "replica")
-            return state._replace(voters=state.voters.set(replica, new), news=offset), Outcome()
+            return state._replace(voters=state.voters.set(replica, new), data_plane_revision=offset), Outcome()
         case AddVoter(replica=replica, incarnation=incarnation):
             if replica in state.voters:
                 return state, refuse(ErrorKind.UNSURE, "It is a voter already.", "Read the voters.", "replica")
-            return state._replace(voters=state.voters.set(replica, incarnation), news=offset), Outcome()
-        case DropVoter(replica=replica, incarnation=incarnation):
+            return state._replace(voters=state.voters.set(replica, incarnation), data_plane_revision=offset), Outcome()
+        case RemoveVoter(replica=replica, incarnation=incarnation):
             if state.voters.get(replica) != incarnation or len(state.voters) < 2:
                 return state, refuse(ErrorKind.UNSURE, "It is no voter.", "Read the voters.", "replica")
-            return state._replace(voters=state.voters.delete(replica), news=offset), Outcome()
+            return state._replace(voters=state.voters.delete(replica), data_plane_revision=offset), Outcome()
         case ReplaceVoter(replica=replica, incarnation=incarnation, successor=successor):
             if state.voters.get(replica) != incarnation or successor in state.voters:
                 return state, refuse(ErrorKind.UNSURE, "The voters have changed.", "Read the voters.", "replica")
             voters = state.voters.delete(replica).set(successor, command.successor_incarnation)
-            return state._replace(voters=voters, news=offset), Outcome()
+            return state._replace(voters=voters, data_plane_revision=offset), Outcome()
         case PatchItems():
             return items.patch(state, command, offset)
         case SubmitBundle(request=request, author=author):
@@ -132,26 +132,26 @@
             return once(request, operator, bundles.abort)
         case DrainServer(request=request, operator=operator):
             return once(request, operator, fleet.drain)
-        case ChangeOperator(request=request, operator=operator):
+        case ProposeOperatorChange(request=request, operator=operator):
             return once(request, operator, operators.change)
-        case SignOperator(request=request, signer=signer):
+        case SignOperatorChange(request=request, signer=signer):
             return once(request, signer, operators.sign)
-        case DropOperator(request=request, operator=operator):
+        case WithdrawOperatorChange(request=request, operator=operator):
             return once(request, operator, operators.drop)
-        case NoteServer():
+        case RegisterServer():
             return fleet.register_server(state, command, offset)
-        case NoteNode():
+        case RegisterNode():
             return fleet.register_node(state, command, offset)
-        case TakeDuty():
+        case AcquireSingletonRole():
             return fleet.acquire_singleton_role(state, command, offset)
         case Purge():
             return fleet.purge(state, command, offset)
         case RaiseLevel():
             return fleet.raise_level(state, command, offset)
-        case ClaimHold():
+        case ClaimKey():
             return idempotency.claim(state, command)
-        case SettleHold():
+        case CompleteKey():
             return idempotency.settle(state, command)
-        case ReleaseHold():
+        case ReleaseKey():
             return idempotency.release(state, command)
     raise AssertionError(f"no rule for {type(command).__name__}")
--- a/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
@@ -216,7 +216,7 @@
         if state.in_force:
             bundles = bundles.set(state.in_force, bundles[state.in_force]._replace(phase=REPLACED, offset=offset))
         state = state._replace(in_force=number, rolling=0)
-    return state._replace(bundles=bundles, news=offset), Outcome(
+    return state._replace(bundles=bundles, data_plane_revision=offset), Outcome(
         detail={
             "number": number,
             "stage": stage,
@@ -274,5 +274,7 @@
     aborted = entry._replace(phase=ABORTED, offset=offset, aborted_by=aborted_by)
     bundles = state.bundles.set(command.number, aborted)
     return state._replace(
-        bundles=bundles, rolling=rolling, news=offset if entry.phase == ROLLING else state.news
+        bundles=bundles,
+        rolling=rolling,
+        data_plane_revision=offset if entry.phase == ROLLING else state.data_plane_revision,
     ), Outcome(detail={"number": command.number, "offset": offset})
--- a/packages/statemachine/src/hoistsaddle/statemachine/commands.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/commands.py
@@ -10,7 +10,7 @@
 import msgspec
 
 
-class LeaderNote(NamedTuple):
+class LeaderChange(NamedTuple):
     leader: int
 
 
@@ -18,7 +18,7 @@
     leader: int
 
 
-class SwapVoter(NamedTuple):
+class UpdateVoter(NamedTuple):
     replica: int
     old: str
     new: str
@@ -31,7 +31,7 @@
     incarnation: str
 
 
-class DropVoter(NamedTuple):
+class RemoveVoter(NamedTuple):
     replica: int
     incarnation: str
 
@@ -85,7 +85,7 @@
     number: int
 
 
-class NoteServer(NamedTuple):
+class RegisterServer(NamedTuple):
     proxy: str
     service: str
     instance: str
@@ -108,7 +108,7 @@
     drain: bool
 
 
-class NoteNode(NamedTuple):
+class RegisterNode(NamedTuple):
     node: str
     kind: str
     address: str
@@ -121,13 +121,13 @@
     level: int = 1
 
 
-class TakeDuty(NamedTuple):
+class AcquireSingletonRole(NamedTuple):
     duty: str
     node: str
     epoch: int
 
 
-class ClaimHold(NamedTuple):
+class ClaimKey(NamedTuple):
     scope: str
     claim: str
     proxy: str
@@ -143,7 +143,7 @@
     after: str = ""
 
 
-class SettleHold(NamedTuple):
+class CompleteKey(NamedTuple):
     scope: str
     claim: str
     status: int
@@ -153,7 +153,7 @@
     kept: bool
 
 
-class ReleaseHold(NamedTuple):
+class ReleaseKey(NamedTuple):
     scope: str
     claim: str
 
@@ -170,7 +170,7 @@
     duty_epoch: int
 
 
-class ChangeOperator(NamedTuple):
+class ProposeOperatorChange(NamedTuple):
     """One operator's half of a change among the operators; an empty digest removes the one named."""
 
     request: str
@@ -179,7 +179,7 @@
     digest: str
 
 
-class SignOperator(NamedTuple):
+class SignOperatorChange(NamedTuple):
     """A second person's half of it; change is the digest of what was proposed."""
 
     request: str
@@ -188,7 +188,7 @@
     change: str
 
 
-class DropOperator(NamedTuple):
+class WithdrawOperatorChange(NamedTuple):
     """Takes a proposed change among the operators back."""
 
     request: str
@@ -197,39 +197,39 @@
 
 
 Command = (
-    LeaderNote
+    LeaderChange
     | Tick
-    | SwapVoter
+    | UpdateVoter
     | AddVoter
-    | DropVoter
+    | RemoveVoter
     | ReplaceVoter
     | PatchItems
     | SubmitBundle
     | SignBundle
     | AdvanceBundle
     | AbortBundle
-    | NoteServer
+    | RegisterServer
     | DrainServer
-    | NoteNode
-    | TakeDuty
-    | ClaimHold
-    | SettleHold
-    | ReleaseHold
+    | RegisterNode
+    | AcquireSingletonRole
+    | ClaimKey
+    | CompleteKey
+    | ReleaseKey
     | RaiseLevel
     | Purge
-    | ChangeOperator
-    | SignOperator
-    | DropOperator
+    | ProposeOperatorChange
+    | SignOperatorChange
+    | WithdrawOperatorChange
 )
 # The highest release level this release supports, and the commands that came with each level above the first.
 LEVEL = 4
 LEVEL_OF: dict[type, int] = {
     Purge: 2,
-    ChangeOperator: 2,
-    SignOperator: 2,
-    DropOperator: 2,
+    ProposeOperatorChange: 2,
+    SignOperatorChange: 2,
+    WithdrawOperatorChange: 2,
     AddVoter: 3,
-    DropVoter: 3,
+    RemoveVoter: 3,
     PatchItems: 3,
     ReplaceVoter: 4,
 }
--- a/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
@@ -63,7 +63,7 @@
 
 
 def _revision_history(state: State, key: str) -> RevisionHistory | None:
-    known = state.memories.get(key)
+    known = state.revision_histories.get(key)
     if known is not None or key not in state.items:
         return known
     # Taken before the log remembered: of what it overtook nothing is known.
@@ -112,7 +112,7 @@
             return PatchCheck(
                 _unsure(f"Revision {item.revision} of {kind} {name} was overtaken too long ago to be told.", item.field)
             )
-    refused = state.refusals.get(call_digest(command))
+    refused = state.rejected_patches.get(call_digest(command))
     if (
         refused is not None
         and command.seen < refused.offset
@@ -129,40 +129,40 @@
 
 def _until(state: State, command: PatchItems) -> int:
     span = timedelta(seconds=command.span) if command.span > 0 else RESEND_WINDOW
-    return to_microseconds(state.stamp + span)
+    return to_microseconds(state.mesh_time + span)
 
 
 def remember_order(state: State, command: PatchItems, check: PatchCheck) -> State:
     """What was taken just now, or once more: its contents stay known for as long as it may be sent again."""
     if not check.remembered:
         return state
-    now, until = to_microseconds(state.stamp), _until(state, command)
-    memories = state.memories.mutate()
+    now, until = to_microseconds(state.mesh_time), _until(state, command)
+    memories = state.revision_histories.mutate()
     for item in sorted(check.remembered):
         known = memories.get(item.key) or _revision_history(state, item.key)
         if known is None or known.taken[-1][:2] != (item.revision, item.digest):
             memories[item.key] = remember(known, revision=item.revision, digest=item.digest, now=now, until=until)
-    return state._replace(memories=memories.finish())
+    return state._replace(revision_histories=memories.finish())
 
 
 def remember_refusal(state: State, command: PatchItems, offset: int) -> State:
     """A refusal for what stood now: a copy that set out before it must not count once something else stands."""
     if state.level < DEDUPLICATION_LEVEL:
         return state
-    refusals = state.refusals.set(call_digest(command), RejectedPatch(offset, _until(state, command)))
+    refusals = state.rejected_patches.set(call_digest(command), RejectedPatch(offset, _until(state, command)))
     if len(refusals) > MAX_REJECTED_PATCHES:
         refusals = refusals.delete(min(refusals, key=lambda digest: refusals[digest].offset))
-    return state._replace(refusals=refusals)
+    return state._replace(rejected_patches=refusals)
 
 
 def expire_patches(state: State) -> State:
     """Forgets what nobody can send again."""
-    now = to_microseconds(state.stamp)
-    memories, refusals = state.memories.mutate(), state.refusals.mutate()
-    for key, memory in state.memories.items():
+    now = to_microseconds(state.mesh_time)
+    memories, refusals = state.revision_histories.mutate(), state.rejected_patches.mutate()
+    for key, memory in state.revision_histories.items():
         if (left := forget(memory, now=now)) is not memory:
             memories[key] = left
-    for digest, refusal in state.refusals.items():
+    for digest, refusal in state.rejected_patches.items():
         if refusal.kept_until <= now:
             del refusals[digest]
-    return state._replace(memories=memories.finish(), refusals=refusals.finish())
+    return state._replace(revision_histories=memories.finish(), rejected_patches=refusals.finish())
--- a/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
@@ -6,19 +6,27 @@
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.statemachine.commands import (
     GONE_RETENTION,
+    AcquireSingletonRole,
     DrainServer,
-    NoteNode,
-    NoteServer,
     Outcome,
     Purge,
     RaiseLevel,
-    TakeDuty,
+    RegisterNode,
+    RegisterServer,
+)
+from hoistsaddle.statemachine.state import (
+    GONE,
+    NODE_MONITOR_ROLE,
+    NodeRecord,
+    ServerRecord,
+    SingletonRoleRecord,
+    State,
+    refuse,
 )
-from hoistsaddle.statemachine.state import GONE, WARDEN, NodeRecord, ServerRecord, SingletonRoleRecord, State, refuse
 
 
 def _reject_stale_epoch(state: State, duty: str, epoch: int) -> Outcome | None:
-    entry = state.duties.get(duty)
+    entry = state.singleton_roles.get(duty)
     if epoch and (entry is None or epoch < entry.epoch):
         return refuse(
             ErrorKind.DUTY_EPOCH_OLD,
@@ -29,8 +37,8 @@
     return None
 
 
-def register_server(state: State, command: NoteServer, offset: int) -> tuple[State, Outcome]:
-    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
+def register_server(state: State, command: RegisterServer, offset: int) -> tuple[State, Outcome]:
+    if refused := _reject_stale_epoch(state, NODE_MONITOR_ROLE, command.duty_epoch):
         return state, refused
     known = state.servers.get(command.proxy)
     node = state.nodes.get(command.proxy)
@@ -65,7 +73,7 @@
     )
     if known is not None and known._replace(offset=offset, serial=command.serial, changed=entry.changed) == entry:
         return state, Outcome(detail={"state": known.state, "serial": known.serial})
-    return state._replace(servers=state.servers.set(command.proxy, entry), news=offset), Outcome(
+    return state._replace(servers=state.servers.set(command.proxy, entry), data_plane_revision=offset), Outcome(
         detail={"state": command.state, "serial": command.serial}
     )
 
@@ -81,13 +89,13 @@
         )
     drained_by = command.operator if command.drain else ""
     entry = known._replace(drained_by=drained_by, offset=offset, changed=_timestamp(state))
-    return state._replace(servers=state.servers.set(command.proxy, entry), news=offset), Outcome(
+    return state._replace(servers=state.servers.set(command.proxy, entry), data_plane_revision=offset), Outcome(
         detail={"stall": command.proxy, "instance": known.instance, "offset": offset}
     )
 
 
-def register_node(state: State, command: NoteNode, offset: int) -> tuple[State, Outcome]:
-    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
+def register_node(state: State, command: RegisterNode, offset: int) -> tuple[State, Outcome]:
+    if refused := _reject_stale_epoch(state, NODE_MONITOR_ROLE, command.duty_epoch):
         return state, refused
     known = state.nodes.get(command.node)
     # "Gone" said of an earlier life says nothing of the present one.
@@ -114,19 +122,19 @@
     )
     if known is not None and known._replace(offset=offset, changed=entry.changed) == entry:
         return state, Outcome()
-    return state._replace(nodes=state.nodes.set(command.node, entry), news=offset), Outcome()
+    return state._replace(nodes=state.nodes.set(command.node, entry), data_plane_revision=offset), Outcome()
 
 
 def _timestamp(state: State) -> int:
     # Below level 2 nobody keeps it, so that former releases build the same state.
-    return to_microseconds(state.stamp) if state.level > 1 else 0
+    return to_microseconds(state.mesh_time) if state.level > 1 else 0
 
 
-def _predates_purge(state: State, command: NoteServer | NoteNode) -> bool:
-    return command.seen < state.purged
+def _predates_purge(state: State, command: RegisterServer | RegisterNode) -> bool:
+    return command.seen < state.purge_offset
 
 
-def _is_stale_report(state: State, command: NoteNode, known: NodeRecord | None) -> bool:
+def _is_stale_report(state: State, command: RegisterNode, known: NodeRecord | None) -> bool:
     """A late report: of what was forgotten since, or of a life that another one has followed since."""
     if known is None:
         return command.state == GONE or _predates_purge(state, command)
@@ -135,9 +143,9 @@
 
 def purge(state: State, command: Purge, offset: int) -> tuple[State, Outcome]:
     """Forgets what has been gone for so long that no lease, hold or memory of a send refers to it any more."""
-    if refused := _reject_stale_epoch(state, WARDEN, command.duty_epoch):
+    if refused := _reject_stale_epoch(state, NODE_MONITOR_ROLE, command.duty_epoch):
         return state, refused
-    least = to_microseconds(state.stamp - GONE_RETENTION)
+    least = to_microseconds(state.mesh_time - GONE_RETENTION)
     servers = [key for key, entry in state.servers.items() if entry.state == GONE and entry.changed <= least]
     nodes = [key for key, entry in state.nodes.items() if entry.state == GONE and entry.changed <= least]
     if not servers and not nodes:
@@ -147,7 +155,9 @@
         del kept_servers[key]
     for key in nodes:
         del kept_nodes[key]
-    state = state._replace(servers=kept_servers.finish(), nodes=kept_nodes.finish(), purged=offset, news=offset)
+    state = state._replace(
+        servers=kept_servers.finish(), nodes=kept_nodes.finish(), purge_offset=offset, data_plane_revision=offset
+    )
     return state, Outcome(detail={"servers": sorted(servers), "nodes": sorted(nodes)})
 
 
@@ -155,15 +165,17 @@
     if command.level <= state.level:
         return state, Outcome(detail={"level": state.level})
     # What is gone already counts as gone from now on: nothing is forgotten sooner for having been gone before.
-    stamp = to_microseconds(state.stamp)
+    stamp = to_microseconds(state.mesh_time)
     servers = Map({key: entry._replace(changed=stamp) for key, entry in state.servers.items()})
     nodes = Map({key: entry._replace(changed=stamp) for key, entry in state.nodes.items()})
-    state = state._replace(level=command.level, raised=offset, news=offset, servers=servers, nodes=nodes)
+    state = state._replace(
+        level=command.level, level_offset=offset, data_plane_revision=offset, servers=servers, nodes=nodes
+    )
     return state, Outcome(detail={"level": command.level})
 
 
-def acquire_singleton_role(state: State, command: TakeDuty, offset: int) -> tuple[State, Outcome]:
-    known = state.duties.get(command.duty)
+def acquire_singleton_role(state: State, command: AcquireSingletonRole, offset: int) -> tuple[State, Outcome]:
+    known = state.singleton_roles.get(command.duty)
     epoch = known.epoch if known else 0
     if command.epoch != epoch + 1:
         return state, refuse(
@@ -173,6 +185,6 @@
             "epoch",
         )
     entry = SingletonRoleRecord(command.duty, command.node, command.epoch, offset)
-    return state._replace(duties=state.duties.set(command.duty, entry), news=offset), Outcome(
-        detail={"epoch": command.epoch}
-    )
+    return state._replace(
+        singleton_roles=state.singleton_roles.set(command.duty, entry), data_plane_revision=offset
+    ), Outcome(detail={"epoch": command.epoch})
--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -10,27 +10,27 @@
     OUTCOME_RETENTION,
     SETTLED_HOLD_TIMEOUT,
     UNSETTLED_HOLD_TIMEOUT,
-    ClaimHold,
+    ClaimKey,
+    CompleteKey,
     Outcome,
-    ReleaseHold,
-    SettleHold,
+    ReleaseKey,
 )
-from hoistsaddle.statemachine.state import CLAIMED, SETTLED, Hold, State, refuse
+from hoistsaddle.statemachine.state import CLAIMED, SETTLED, KeyHold, State, refuse
 
 BY_CREDENTIALS = "credentials"
 
 
-def _hold_timeout(command: ClaimHold) -> timedelta:
+def _hold_timeout(command: ClaimKey) -> timedelta:
     return timedelta(seconds=command.span) if command.span else UNSETTLED_HOLD_TIMEOUT
 
 
-def _live(state: State, scope: str) -> Hold | None:
+def _live(state: State, scope: str) -> KeyHold | None:
     hold = state.holds.get(scope)
     # Expiry is judged against mesh time: the same on every replica, never early.
-    return None if hold is None or from_microseconds(hold.expires) <= state.stamp else hold
+    return None if hold is None or from_microseconds(hold.expires) <= state.mesh_time else hold
 
 
-def _meet(hold: Hold, scope: str, command: ClaimHold) -> Outcome:
+def _meet(hold: KeyHold, scope: str, command: ClaimKey) -> Outcome:
     """What the same client's next claim of a held key gets."""
     if hold.body_digest != command.body_digest:
         return refuse(
@@ -54,7 +54,7 @@
     return Outcome(detail={"phase": phase, "scope": scope, "claim": hold.claim, "stall": hold.proxy})
 
 
-def _told_apart(hold: Hold, command: ClaimHold) -> bool:
+def _told_apart(hold: KeyHold, command: ClaimKey) -> bool:
     """Surely two clients: both are known by the same declared mark, and the marks differ.
 
     Credentials are no such mark: another token may be the same client's renewed one.
@@ -62,13 +62,13 @@
     return hold.by == command.by != BY_CREDENTIALS and hold.who != command.who
 
 
-def hold_handle(command: ClaimHold) -> str:
+def hold_handle(command: ClaimKey) -> str:
     """Under what the log holds it: it hangs on nothing that a bundle, a renewed credential or a new address changes."""
     # An operation known by its key alone has nobody to be told apart, and its bucket for a handle.
     return digest_of("\0".join((command.bucket, command.by, command.who))) if command.who else command.bucket
 
 
-def claim(state: State, command: ClaimHold) -> tuple[State, Outcome]:
+def claim(state: State, command: ClaimKey) -> tuple[State, Outcome]:
     if state.level < 2:
         return _claim_by_scope(state, command)
     if not command.bucket:
@@ -92,7 +92,7 @@
                 moved = hold._replace(
                     claim=command.claim,
                     proxy=command.proxy,
-                    expires=to_microseconds(state.stamp + _hold_timeout(command)),
+                    expires=to_microseconds(state.mesh_time + _hold_timeout(command)),
                 )
                 state = state._replace(holds=state.holds.set(scope, moved))
                 return state, Outcome(detail={"phase": "granted", "scope": scope})
@@ -107,8 +107,8 @@
             "Idempotency-Key",
         )
     handle = hold_handle(command)
-    expires = to_microseconds(state.stamp + _hold_timeout(command))
-    hold = Hold(
+    expires = to_microseconds(state.mesh_time + _hold_timeout(command))
+    hold = KeyHold(
         command.claim,
         command.proxy,
         command.body_digest,
@@ -128,19 +128,19 @@
     return state, Outcome(detail={"phase": "granted", "scope": handle})
 
 
-def _claim_by_scope(state: State, command: ClaimHold) -> tuple[State, Outcome]:
+def _claim_by_scope(state: State, command: ClaimKey) -> tuple[State, Outcome]:
     """The rule of release level 1, kept until every process knows the next one."""
     known = _live(state, command.scope)
     if known is not None:
         return state, _meet(known, command.scope, command)
-    expires = to_microseconds(state.stamp + UNSETTLED_HOLD_TIMEOUT)
-    hold = Hold(command.claim, command.proxy, command.body_digest, CLAIMED, expires, 0, {}, b"", False)
+    expires = to_microseconds(state.mesh_time + UNSETTLED_HOLD_TIMEOUT)
+    hold = KeyHold(command.claim, command.proxy, command.body_digest, CLAIMED, expires, 0, {}, b"", False)
     return state._replace(holds=state.holds.set(command.scope, hold)), Outcome(
         detail={"phase": "granted", "scope": command.scope}
     )
 
 
-def settle(state: State, command: SettleHold) -> tuple[State, Outcome]:
+def settle(state: State, command: CompleteKey) -> tuple[State, Outcome]:
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim:
         return state, refuse(
@@ -148,7 +148,7 @@
         )
     if known.phase == SETTLED:
         return state, Outcome(detail={"phase": SETTLED})
-    expires = to_microseconds(state.stamp + SETTLED_HOLD_TIMEOUT)
+    expires = to_microseconds(state.mesh_time + SETTLED_HOLD_TIMEOUT)
     hold = known._replace(
         phase=SETTLED,
         expires=expires,
@@ -160,7 +160,7 @@
     return state._replace(holds=state.holds.set(command.scope, hold)), Outcome(detail={"phase": SETTLED})
 
 
-def release(state: State, command: ReleaseHold) -> tuple[State, Outcome]:
+def release(state: State, command: ReleaseKey) -> tuple[State, Outcome]:
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim or known.phase == SETTLED:
         return state, Outcome(detail={"phase": "kept"})
@@ -182,12 +182,12 @@
 
 
 def sweep(state: State) -> State:
-    if state.stamp - state.swept < EXPIRY_INTERVAL:
+    if state.mesh_time - state.expired_at < EXPIRY_INTERVAL:
         return state
-    stamp = to_microseconds(state.stamp)
+    stamp = to_microseconds(state.mesh_time)
     state = _forget(state, tuple(scope for scope, hold in state.holds.items() if hold.expires <= stamp))
     outcomes = state.outcomes.mutate()
     for request, kept in state.outcomes.items():
         if kept[0] + to_microseconds(OUTCOME_RETENTION) <= stamp:
             del outcomes[request]
-    return state._replace(outcomes=outcomes.finish(), swept=state.stamp)
+    return state._replace(outcomes=outcomes.finish(), expired_at=state.mesh_time)
--- a/packages/statemachine/src/hoistsaddle/statemachine/items.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/items.py
@@ -36,7 +36,7 @@
         return remember_refusal(state, command, offset), refusal
     state = remember_order(state, command, check)
     if not after:
-        return state, Outcome(detail={"number": 0, "changed": [], "offset": state.news})
+        return state, Outcome(detail={"number": 0, "changed": [], "offset": state.data_plane_revision})
     number = max(state.patches, default=0) + 1
     entry = PatchRecord(
         number, command.author, command.signer, digest_of(command.patch.hex()), offset, tuple(sorted(after))
@@ -46,7 +46,7 @@
         patches = patches.delete(number - MAX_BUNDLES)
     held = state.items.mutate()
     held.update(after)
-    state = state._replace(items=held.finish(), patches=patches, news=offset)
+    state = state._replace(items=held.finish(), patches=patches, data_plane_revision=offset)
     return state, Outcome(detail={"number": number, "changed": sorted(after), "offset": offset})
 
 
--- a/packages/statemachine/src/hoistsaddle/statemachine/operators.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/operators.py
@@ -4,7 +4,7 @@
 
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.config.bundle import digest_of
-from hoistsaddle.statemachine.commands import ChangeOperator, DropOperator, Outcome, SignOperator
+from hoistsaddle.statemachine.commands import Outcome, ProposeOperatorChange, SignOperatorChange, WithdrawOperatorChange
 from hoistsaddle.statemachine.state import State, refuse
 
 MIN_OPERATORS = 2
@@ -46,7 +46,7 @@
     return None
 
 
-def change(state: State, command: ChangeOperator, offset: int) -> tuple[State, Outcome]:
+def change(state: State, command: ProposeOperatorChange, offset: int) -> tuple[State, Outcome]:
     if not is_operator_name(command.name):
         return state, refuse(
             ErrorKind.REQUEST_BROKEN, "That is no operator's name.", "Use lower-case letters, digits, . and -.", "name"
@@ -57,12 +57,14 @@
         return state, wrong
     named = digest_of(f"{offset} {command.name} {command.digest}")[:16]
     what = "remove" if not command.digest else "renew" if command.name in state.operators else "add"
-    state = state._replace(changes=state.changes.set(command.name, [command.digest, command.operator, named]))
+    state = state._replace(
+        operator_changes=state.operator_changes.set(command.name, [command.digest, command.operator, named])
+    )
     return state, Outcome(detail={"name": command.name, "what": what, "change": named, "offset": offset})
 
 
-def sign(state: State, command: SignOperator, offset: int) -> tuple[State, Outcome]:
-    known = state.changes.get(command.name)
+def sign(state: State, command: SignOperatorChange, offset: int) -> tuple[State, Outcome]:
+    known = state.operator_changes.get(command.name)
     if known is None or known[2] != command.change:
         return state, refuse(
             ErrorKind.OPERATOR_CONFLICT,
@@ -79,14 +81,14 @@
     if wrong := reject_unknown_operator(state, proposer) or _wrong(state, command.name, digest):
         return state, wrong
     operators = state.operators.set(command.name, digest) if digest else state.operators.delete(command.name)
-    state = state._replace(operators=operators, changes=state.changes.delete(command.name))
+    state = state._replace(operators=operators, operator_changes=state.operator_changes.delete(command.name))
     return state, Outcome(detail={"name": command.name, "operators": sorted(operators), "offset": offset})
 
 
-def drop(state: State, command: DropOperator, offset: int) -> tuple[State, Outcome]:
-    if command.name not in state.changes:
+def drop(state: State, command: WithdrawOperatorChange, offset: int) -> tuple[State, Outcome]:
+    if command.name not in state.operator_changes:
         return state, refuse(
             ErrorKind.OPERATOR_CONFLICT, f"No change of {command.name} is proposed.", "Nothing to do.", "name"
         )
-    state = state._replace(changes=state.changes.delete(command.name))
+    state = state._replace(operator_changes=state.operator_changes.delete(command.name))
     return state, Outcome(detail={"name": command.name, "offset": offset})
--- a/packages/statemachine/src/hoistsaddle/statemachine/reports.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/reports.py
@@ -42,14 +42,14 @@
         "release_level": state.level,
         "operators": sorted(state.operators),
         "offset": state.offset,
-        "mesh_time_seconds": to_microseconds(state.stamp) / 1e6,
+        "mesh_time_seconds": to_microseconds(state.mesh_time) / 1e6,
         "in_force": state.in_force,
         "rolling": state.rolling,
         "bundles": [_bundle(state, number) for number in sorted(state.bundles)],
         "texts": {str(number): state.bundles[number].text for number in sorted(active_bundles)},
         "servers": [_server(state, proxy) for proxy in sorted(state.servers)],
         "nodes": [state.nodes[node]._asdict() for node in sorted(state.nodes)],
-        "duties": [state.duties[duty]._asdict() for duty in sorted(state.duties)],
+        "duties": [state.singleton_roles[duty]._asdict() for duty in sorted(state.singleton_roles)],
         "voters": [{"replica": replica, "incarnation": state.voters[replica]} for replica in sorted(state.voters)],
         "holds": {
             "claimed": sum(hold.phase == "claimed" for hold in state.holds.values()),
@@ -86,7 +86,7 @@
 
 def holds_report(state: State) -> dict:
     """The keys held at this moment of mesh time, with the time each has left. Scopes are digests; no answers go out."""
-    now = to_microseconds(state.stamp)
+    now = to_microseconds(state.mesh_time)
     holds = [
         {
             "key": scope[:12],
@@ -128,6 +128,6 @@
             "proposed_by": proposer,
             "change": change,
         }
-        for name, (digest, proposer, change) in sorted(state.changes.items())
+        for name, (digest, proposer, change) in sorted(state.operator_changes.items())
     ]
     return {"operators": sorted(state.operators), "changes": changes}
--- a/packages/statemachine/src/hoistsaddle/statemachine/state.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/state.py
@@ -22,7 +22,7 @@
 WINDING_DOWN = "winding down"
 GONE = "gone"
 MAX_BUNDLES = 64
-WARDEN = "warden"
+NODE_MONITOR_ROLE = "warden"
 CLAIMED = "claimed"
 SETTLED = "settled"
 
@@ -75,7 +75,7 @@
     offset: int
 
 
-class Hold(NamedTuple):
+class KeyHold(NamedTuple):
     claim: str
     proxy: str
     body_digest: str
@@ -170,7 +170,7 @@
     "servers": ServerRecord,
     "nodes": NodeRecord,
     "duties": SingletonRoleRecord,
-    "holds": Hold,
+    "holds": KeyHold,
     "outcomes": None,
     "buckets": None,
     "changes": None,
@@ -253,15 +253,15 @@
         items[f"server:{entry.proxy}"] = (entry.offset, encode(list(entry)))
     for _, entry in sorted(state.nodes.items()):
         items[f"node:{entry.node}"] = (entry.offset, encode(list(entry)))
-    for _, entry in sorted(state.duties.items()):
+    for _, entry in sorted(state.singleton_roles.items()):
         items[f"duty:{entry.duty}"] = (entry.offset, encode(list(entry)))
     for key, entry in sorted(state.items.items()):
         # A dropped item's revision is the log's affair; the data plane only needs to know that it is gone.
         if not entry.dropped:
             items[f"item:{key}"] = (entry.offset, encode([entry.revision, entry.body]))
     if state.level > 1:
-        items["level:mesh"] = (state.raised, encode([state.level]))
-    if state.purged:
+        items["level:mesh"] = (state.level_offset, encode([state.level]))
+    if state.purge_offset:
         # Nobody acts on it; it says up to where a copy has heard of what was forgotten.
-        items["purged:mesh"] = (state.purged, encode([state.purged]))
+        items["purged:mesh"] = (state.purge_offset, encode([state.purge_offset]))
     return items
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -37,10 +37,12 @@
     WriteCall,
 )
 from hoistsaddle.rpc.runtime import RealRuntime, Runtime
-from hoistsaddle.statemachine.commands import LEVEL, pack_outcome
+from hoistsaddle.statemachine.commands import LEVEL
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
+from hoistsaddle.statemachine.encoding import pack_outcome
 from hoistsaddle.statemachine.reports import holds_report, items_report, operators_report, state_report
-from hoistsaddle.statemachine.state import State, data_plane_items
+from hoistsaddle.statemachine.state import State
 
 # Of the grace: closing the files and the doors needs the rest, on a slow processor too.
 HAND_OVER_SHARE = 0.5
@@ -154,10 +156,10 @@
         content = b""
         digests: tuple[int, ...] = ()
         if part == "news":
-            if self.expected_digests[0] != state.news:
-                self.expected_digests = (state.news, digests_of(data_plane_items(state)))
+            if self.expected_digests[0] != state.data_plane_revision:
+                self.expected_digests = (state.data_plane_revision, digests_of(data_plane_items(state)))
             digests = self.expected_digests[1]
-        if part == "news" and state.news > known:
+        if part == "news" and state.data_plane_revision > known:
             content = msgspec.msgpack.encode([state.mesh, data_plane_items(state)])
         elif part == "setup":
             content = msgspec.json.encode(state_report(state))
@@ -177,7 +179,7 @@
             )
         elif part == "holds":
             content = msgspec.json.encode(holds_report(state))
-        return ReadAnswer("", leader, state.news, state.offset, content, digests, state.epoch)
+        return ReadAnswer("", leader, state.data_plane_revision, state.offset, content, digests, state.epoch)
 
     def _status(self, after: int) -> StatusAnswer:
         core = self.runner.core
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
@@ -5,7 +5,8 @@
 from hoistsaddle.raft.checkpoint import pack_checkpoint
 from hoistsaddle.raft.events import Boot, OffsetAndEpoch, Write
 from hoistsaddle.rpc.messages import Record
-from hoistsaddle.statemachine.commands import ClaimHold, pack_command
+from hoistsaddle.statemachine.commands import ClaimKey
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import State, initial_state
 from hoistsaddle.testbed.diskmodel.check import REPLICA, RecordedDisk
 
@@ -21,7 +22,7 @@
             offset,
             epoch,
             timedelta(seconds=offset),
-            pack_command(ClaimHold(f"scope-{epoch}-{offset}", f"claim-{offset}", "node", FILLING)),
+            pack_command(ClaimKey(f"scope-{epoch}-{offset}", f"claim-{offset}", "node", FILLING)),
         )
         for offset in range(first, last + 1)
     )
--- a/packages/testbed/src/hoistsaddle/testbed/measure.py
+++ b/packages/testbed/src/hoistsaddle/testbed/measure.py
@@ -15,7 +15,7 @@
 from hoistsaddle.registry.writer import Writer
 from hoistsaddle.rpc.messages import StatusAnswer, StatusCall
 from hoistsaddle.rpc.runtime import RealRuntime
-from hoistsaddle.statemachine.commands import ClaimHold, SettleHold
+from hoistsaddle.statemachine.commands import ClaimKey, CompleteKey
 from hoistsaddle.testbed.deployments import DEPLOYMENTS, Deployment
 from hoistsaddle.testbed.fleet import Fleet
 
@@ -54,14 +54,14 @@
             for number in numbers:
                 began = time.perf_counter()
                 scope = f"{prefix}-{number}"
-                claim = ClaimHold(scope, scope, "measure", "digest", scope, "service", "measure")
+                claim = ClaimKey(scope, scope, "measure", "digest", scope, "service", "measure")
                 result = await self.writer.write(claim, within=timedelta(seconds=10))
                 if not isinstance(result, Success) or result.unwrap().error:
                     raise AssertionError(f"claim {number}: {result}")
                 scope, name = result.unwrap().detail["scope"], scope
                 latencies.append((time.perf_counter() - began) * 1000)
                 if body:
-                    settle = SettleHold(scope, name, 200, {}, body, True)
+                    settle = CompleteKey(scope, name, 200, {}, body, True)
                     await self.writer.write(settle, within=timedelta(seconds=10))
 
         await asyncio.gather(*(one_after_another() for _ in range(outstanding)))
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
@@ -8,7 +8,8 @@
 from hoistsaddle.raft.events import Capture, ProposalResult, ReadResult
 from hoistsaddle.rpc.messages import FetchCall, Record, VoteAnswer, VoteCall
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import PatchItems, pack_command, unpack_command
+from hoistsaddle.statemachine.commands import PatchItems
+from hoistsaddle.statemachine.encoding import pack_command, unpack_command
 from hoistsaddle.statemachine.state import State, initial_state
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
 
@@ -52,7 +53,7 @@
             state,
             offset=place,
             epoch=1,
-            stamp=state.stamp,
+            stamp=state.mesh_time,
             payload=order(request=place, name="sample", revision=1, content=content),
         )
     return bool(outcome.error)
@@ -63,7 +64,7 @@
     if b"Voter" not in record.payload[:24]:
         return None
     state = initial_state(mesh="m", voters=voters, operators={}, level=2**30)
-    state, _ = apply(state, offset=1, epoch=1, stamp=state.stamp, payload=record.payload, supported=2**30)
+    state, _ = apply(state, offset=1, epoch=1, stamp=state.mesh_time, payload=record.payload, supported=2**30)
     return dict(state.voters)
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/scale/call_path.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/call_path.py
@@ -22,7 +22,8 @@
 from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.sidecar.server_connections import ServerConnectionPool
-from hoistsaddle.statemachine.state import READY, data_plane_items
+from hoistsaddle.statemachine.data_plane import data_plane_items
+from hoistsaddle.statemachine.state import READY
 from hoistsaddle.statemachine.view import View, read_view
 from hoistsaddle.testbed.scale.clock import ScaleRuntime
 from hoistsaddle.testbed.scale.sizes import HOST, Size, make_state, prefix_of, proxy_name, service_name
--- a/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
@@ -9,10 +9,10 @@
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.statemachine.state import (
     CLAIMED,
+    NODE_MONITOR_ROLE,
     READY,
-    WARDEN,
-    Hold,
     ItemRecord,
+    KeyHold,
     NodeRecord,
     ServerRecord,
     SingletonRoleRecord,
@@ -118,11 +118,13 @@
     )
 
 
-def hold_of_number(number: int, *, expires: int = 10**15) -> tuple[str, Hold]:
+def hold_of_number(number: int, *, expires: int = 10**15) -> tuple[str, KeyHold]:
     scope = digest_of_parts("operation", f"key-{number}")
     proxy = proxy_name(number % 760)
     claim = f"{proxy}.{number % 760:012x}.{number}"
-    return scope, Hold(claim, proxy, "", CLAIMED, expires, 0, {}, b"", False, scope, "operation", scope, "route-0003")
+    return scope, KeyHold(
+        claim, proxy, "", CLAIMED, expires, 0, {}, b"", False, scope, "operation", scope, "route-0003"
+    )
 
 
 def make_state(size: Size) -> State:
@@ -135,12 +137,12 @@
     }
     holds = dict(hold_of_number(number) for number in range(size.holds))
     return state._replace(
-        news=1,
+        data_plane_revision=1,
         offset=1,
         level=LEVEL,
         nodes=Map({proxy_name(number): node_entry(number, size) for number in range(size.nodes)}),
         servers=Map({proxy_name(number): server_entry(number, size) for number in range(size.nodes)}),
-        duties=Map({WARDEN: SingletonRoleRecord(WARDEN, "bourse-1", 1, 1)}),
+        singleton_roles=Map({NODE_MONITOR_ROLE: SingletonRoleRecord(NODE_MONITOR_ROLE, "bourse-1", 1, 1)}),
         items=Map(items),
         holds=Map(holds),
         buckets=Map({scope: (scope,) for scope in holds}),
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -38,9 +38,12 @@
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardAnswered, ForwardArrived, RequestArrived, ServerAnswered
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import ClaimHold, NoteNode, NoteServer, PatchItems, Tick, pack_command
+from hoistsaddle.statemachine.commands import ClaimKey, PatchItems, RegisterNode, RegisterServer, Tick
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import GONE, READY, State, data_plane_items, pack_state, unpack_state
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import GONE, READY, State
 from hoistsaddle.statemachine.view import View, read_view
 from hoistsaddle.testbed.scale.call_path import spend
 from hoistsaddle.testbed.scale.sizes import (
@@ -340,9 +343,9 @@
         meter.spend(point, "look up the last route", lambda: view.items.select_entry(host=HOST, path=path), times=200)
 
 
-def _claim(number: int) -> ClaimHold:
+def _claim(number: int) -> ClaimKey:
     scope, hold = hold_of_number(number)
-    return ClaimHold(scope, hold.claim, hold.proxy, "", scope, "operation", scope, hold.entry, 75, "")
+    return ClaimKey(scope, hold.claim, hold.proxy, "", scope, "operation", scope, hold.entry, 75, "")
 
 
 def keyed_claims(meter: Meter, points: list[int]) -> None:
@@ -350,7 +353,7 @@
     for rate in points:
         state = make_state(GOAL._replace(holds=rate * 75))
         payloads = [pack_command(_claim(10**6 + number)) for number in range(rate)]
-        base = state._replace(stamp=timedelta(seconds=100), swept=timedelta(seconds=100))
+        base = state._replace(mesh_time=timedelta(seconds=100), expired_at=timedelta(seconds=100))
 
         def second() -> State:
             after = base
@@ -432,10 +435,10 @@
     told = (server.proxy, server.service, server.instance, server.address, server.zone)
     placed = (node.node, node.kind, node.address, node.zone)
     return [
-        pack_command(NoteServer(*told, GONE, server.serial, server.incarnation, 1)),
-        pack_command(NoteNode(*placed, node.incarnation, GONE, 1)),
-        pack_command(NoteNode(*placed, life, "alive", seen=10**6, level=3)),
-        pack_command(NoteServer(*told[:2], server.instance + "b", *told[3:], READY, 1, life, seen=10**6)),
+        pack_command(RegisterServer(*told, GONE, server.serial, server.incarnation, 1)),
+        pack_command(RegisterNode(*placed, node.incarnation, GONE, 1)),
+        pack_command(RegisterNode(*placed, life, "alive", seen_revision=10**6, level=3)),
+        pack_command(RegisterServer(*told[:2], server.instance + "b", *told[3:], READY, 1, life, seen_revision=10**6)),
     ]
 
 
@@ -444,7 +447,7 @@
     for rate in points:
         payloads = [payload for number in range(rate) for payload in _restart_payloads(number, size)]
         states = _states(base, payloads)
-        meter.count(rate, "changes of the news", "", len({state.news for state in states}))
+        meter.count(rate, "changes of the news", "", len({state.data_plane_revision for state in states}))
         meter.spend(rate, "records of an hour's restarts applied", lambda: _states(base, payloads))
         meter.spend(
             rate,
--- a/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
@@ -33,7 +33,7 @@
 from hoistsaddle.sidecar.messages import HealthReported, Reply, RequestArrived, RunOnServer, ServerAnswered
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.sidecar.server_connections import ServerConnectionPool, pack_pairs
-from hoistsaddle.statemachine.commands import LEVEL, NoteNode, NoteServer
+from hoistsaddle.statemachine.commands import LEVEL, RegisterNode, RegisterServer
 from hoistsaddle.statemachine.state import GONE, READY
 from hoistsaddle.testbed.scale.clock import ScaleRuntime, make_loop, mesh_seconds
 from hoistsaddle.testbed.scale.sizes import (
@@ -329,11 +329,13 @@
         for number in range(job.size.nodes):
             name, zone = proxy_name(number), zone_name(number, job.size)
             life = incarnation_of(number, job)
-            commands.append(NoteNode(name, "stall", address_of(number, job), zone, life, "alive", seen=0, level=LEVEL))
+            commands.append(
+                RegisterNode(name, "stall", address_of(number, job), zone, life, "alive", seen_revision=0, level=LEVEL)
+            )
         for place in range(0, len(commands), 64):
             await asyncio.gather(*(writer.write(command, within=span) for command in commands[place : place + 64]))
         servers = [
-            NoteServer(
+            RegisterServer(
                 proxy_name(number),
                 service_name(number % job.size.services),
                 _instance(number, job.size),
@@ -342,7 +344,7 @@
                 READY,
                 1,
                 incarnation_of(number, job),
-                seen=0,
+                seen_revision=0,
             )
             for number in range(job.size.nodes)
         ]
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/faults.py
@@ -11,8 +11,8 @@
 from hoistsaddle.registry.operator_actions import OperatorActions
 from hoistsaddle.rpc.messages import HealthCall
 from hoistsaddle.statemachine.commands import GONE_RETENTION, LEVEL
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import data_plane_items
 from hoistsaddle.testbed.history import AnswerRequired, AttemptSeen, CopyCorrupted, CopyDiverged, ServerStateChanged
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment, SimulatedServer
 from hoistsaddle.testbed.simulation.scenarios import RATE, next_bundle, under_load
@@ -25,7 +25,7 @@
         leader = complete.leader()
         if leader is not None:
             state = complete.nodes[leader].runner.core.state
-            said[state.news] = digests_of(data_plane_items(state))
+            said[state.data_plane_revision] = digests_of(data_plane_items(state))
         for name in complete.live("bourse") + complete.live("stall"):
             copy = complete.nodes[name].relay.copy
             if copy.revision in said and digests_of(copy.items) != said[copy.revision]:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios.py
@@ -8,8 +8,9 @@
 import msgspec
 from returns.result import Failure, Success
 
-from hoistsaddle.statemachine.commands import ClaimHold
-from hoistsaddle.statemachine.state import WINDING_DOWN, pack_state
+from hoistsaddle.statemachine.commands import ClaimKey
+from hoistsaddle.statemachine.snapshots import pack_state
+from hoistsaddle.statemachine.state import WINDING_DOWN
 from hoistsaddle.testbed.history import ClaimWritten, PlannedInterruption, ReplicaState, ServerStateChanged
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment, SimulatedServer
 
@@ -646,7 +647,7 @@
             continue
         name = random.choice(registries)
         claim = f"claim-{next(complete.counter)}"
-        command = ClaimHold(f"scope-{claim}", claim, "tester", "digest", f"bucket-{claim}", "service", "tester")
+        command = ClaimKey(f"scope-{claim}", claim, "tester", "digest", f"bucket-{claim}", "service", "tester")
         task = complete.processes[name].spawn(complete.nodes[name].writer.write(command, within=timedelta(seconds=2)))
         life = complete.processes[name]
         while not task.done() and not life.dead:
--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -33,8 +33,10 @@
     Write,
 )
 from hoistsaddle.rpc.messages import FetchSnapshotAnswer
-from hoistsaddle.statemachine.commands import LEVEL, ClaimHold, pack_command
-from hoistsaddle.statemachine.state import State, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.commands import LEVEL, ClaimKey
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, initial_state
 
 TICK = milliseconds(15)
 # What one event costs a whole processor: a fetch that arrives, is unpacked, handled and answered, with some to spare.
@@ -364,7 +366,7 @@
     def write(self, *, most: timedelta = timedelta(seconds=5)) -> int:
         """One record committed through whoever leads; gives its offset."""
         self.sequence = getattr(self, "sequence", 0) + 1
-        payload = pack_command(ClaimHold(f"scope-{self.sequence}", f"claim-{self.sequence}", "stall", "digest"))
+        payload = pack_command(ClaimKey(f"scope-{self.sequence}", f"claim-{self.sequence}", "stall", "digest"))
         began = self.now
         while self.now - began < most:
             node = self.leader()
--- a/tests/emulator_witness.py
+++ b/tests/emulator_witness.py
@@ -102,7 +102,7 @@
                 if hasattr(process.node, "store"):
                     core = process.node.store.runner.core
                     if core is not None:
-                        self.committed_revisions.note(self.now(), core.state.news)
+                        self.committed_revisions.note(self.now(), core.state.data_plane_revision)
                 else:
                     self._check_relay(process)
             await asyncio.sleep(WITNESS_INTERVAL_SECONDS)
--- a/tests/orders_model.py
+++ b/tests/orders_model.py
@@ -12,8 +12,10 @@
 
 from hoistsaddle.config.items import ENTRY, SERVICE, ItemDeletion, ItemUpsert, Patch, key_of, pack_patch
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import Outcome, PatchItems, Tick, pack_command
-from hoistsaddle.statemachine.state import State, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.commands import Outcome, PatchItems, Tick
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, initial_state
 
 # Seconds of mesh time for which an order may be sent again, and between two records.
 SPAN = 60
@@ -105,10 +107,10 @@
         raise AssertionError("a snapshot is another state")
     offset = state.offset + 1
     if order is WAIT:
-        later = state.stamp + timedelta(seconds=10 * SPAN)
+        later = state.mesh_time + timedelta(seconds=10 * SPAN)
         state, _ = apply(state, offset=offset, epoch=1, stamp=later, payload=pack_command(Tick(1)))
         return path._replace(state=state, waited=offset)
-    stamp = state.stamp + timedelta(seconds=STEP)
+    stamp = state.mesh_time + timedelta(seconds=STEP)
     payload = order.payload(seen=path.state.offset)
     state, outcome = apply(state, offset=offset, epoch=1, stamp=stamp, payload=payload)
     return path._replace(state=state, told=(*path.told, (order, PatchAnswer(offset, answer_of(outcome)))))
--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -32,7 +32,7 @@
 )
 from hoistsaddle.sidecar.upstream import LatencyEstimate
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import pack_command
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import READY, NodeRecord, ServerRecord, State, initial_state
 from hoistsaddle.statemachine.view import View
 
--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -21,7 +21,7 @@
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import pack_outcome
+from hoistsaddle.statemachine.encoding import pack_outcome
 from hoistsaddle.statemachine.state import READY, NodeRecord, ServerRecord, State, initial_state
 from hoistsaddle.statemachine.view import View
 from sidecar_bench import HOST, KINDS, entry
--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -58,7 +58,8 @@
     VoteAnswer,
     VoteCall,
 )
-from hoistsaddle.statemachine.commands import ClaimHold, RaiseLevel, pack_command
+from hoistsaddle.statemachine.commands import ClaimKey, RaiseLevel
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import State, initial_state
 
 VOTERS = {1: "one", 2: "two", 3: "three"}
@@ -66,7 +67,7 @@
 
 
 def claim(number: int) -> bytes:
-    return pack_command(ClaimHold(f"scope-{number}", f"claim-{number}", "stall", "digest"))
+    return pack_command(ClaimKey(f"scope-{number}", f"claim-{number}", "stall", "digest"))
 
 
 class Bench:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -32,7 +32,7 @@
     Ticked,
 )
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold, SettleHold
+from hoistsaddle.statemachine.commands import ClaimKey, CompleteKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.state import NodeRecord, ServerRecord
 from hoistsaddle.statemachine.view import View
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
@@ -249,7 +249,7 @@
         bench.feed(ForwardFailed(bench.newest(ForwardRequest).number, False))
         self.assertThat((bench.answer(ticket).outcome, bench.answer(ticket).status), Equals(("unknown", 504)))
         # It may have run, so its key stays held.
-        self.assertThat(isinstance(bench.newest(SubmitHold).command, ClaimHold), Equals(True))
+        self.assertThat(isinstance(bench.newest(SubmitHold).command, ClaimKey), Equals(True))
 
     def test_nothing_is_sent_before_the_claim_is_committed(self) -> None:
         bench = Bench()
@@ -290,7 +290,7 @@
         )
         # A grant that comes after the answer is given back, and nothing is sent under it.
         bench.feed(HoldAnswered(claim.number, Outcome(detail={"phase": "granted"})))
-        self.assertThat((type(bench.newest(SubmitHold).command), bench.count(ForwardRequest)), Equals((ReleaseHold, 0)))
+        self.assertThat((type(bench.newest(SubmitHold).command), bench.count(ForwardRequest)), Equals((ReleaseKey, 0)))
 
     def test_a_claim_granted_too_late_is_given_back(self) -> None:
         bench = Bench()
@@ -304,7 +304,7 @@
         released = bench.newest(SubmitHold).command
         self.assertThat(
             (bench.count(SubmitHold) - before, type(released), released.claim),
-            Equals((1, ReleaseHold, claim.command.claim)),
+            Equals((1, ReleaseKey, claim.command.claim)),
         )
         self.assertThat(bench.count(ForwardRequest), Equals(0))
 
@@ -408,7 +408,7 @@
         bench.feed(ServerAnswered(bench.newest(RunOnServer).number, 200, {}, b"{}"))
         self.assertThat(
             (bench.count(AnswerForward), bench.newest(SubmitHold).command),
-            Equals((0, SettleHold("scope", "claim", 200, {}, b"{}", True))),
+            Equals((0, CompleteKey("scope", "claim", 200, {}, b"{}", True))),
         )
         bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "settled"})))
         self.assertThat(bench.newest(AnswerForward).answer.outcome, Equals("answered"))
--- a/tests/test_raft_state_age.py
+++ b/tests/test_raft_state_age.py
@@ -11,7 +11,8 @@
 from hoistsaddle.raft.events import AnswerArrived, Boot, CallArrived, OffsetAndEpoch, RaftTimings, Synced, Ticked
 from hoistsaddle.registry.local_registry import ControllerRegistry
 from hoistsaddle.rpc.messages import UNKNOWN_AGE, BeginEpochCall, FetchAnswer, FetchCall, Record
-from hoistsaddle.statemachine.commands import LEVEL, LeaderNote, pack_command
+from hoistsaddle.statemachine.commands import LEVEL, LeaderChange
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import initial_state
 
 VOTERS = {1: "a", 2: "b", 3: "c"}
@@ -92,7 +93,7 @@
     def told(self, core: RaftCore, *, now: float, mark: int, records: int, age: timedelta) -> None:
         first = core.last.offset + 1
         records_ = tuple(
-            Record(first + place, 5, seconds(1), pack_command(LeaderNote(1))) for place in range(records)
+            Record(first + place, 5, seconds(1), pack_command(LeaderChange(1))) for place in range(records)
         )  # fmt: skip
         answer = FetchAnswer("", 5, 1, mark, 1, records_, contact_age=age)
         core.handle(AnswerArrived(core.fetch_number, 1, answer), now=seconds(now))
--- a/tests/test_raft_voter_changes.py
+++ b/tests/test_raft_voter_changes.py
@@ -12,7 +12,8 @@
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import Boot, OffsetAndEpoch, RaftTimings, Write
 from hoistsaddle.rpc.messages import Record
-from hoistsaddle.statemachine.commands import LEVEL, AddVoter, SwapVoter, pack_command
+from hoistsaddle.statemachine.commands import LEVEL, AddVoter, UpdateVoter
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import initial_state
 
 FOUNDERS = {1: "one", 2: "two", 3: "three"}
@@ -52,11 +53,11 @@
         self.assertThat(core._majority({(1, "one"), (2, "two"), (3, "another disk")}), Equals(False))
 
     def test_a_swap_known_to_be_committed_no_longer_asks_the_former_disk(self) -> None:
-        core = started(pack_command(SwapVoter(2, "two", "two-again")), committed=1)
+        core = started(pack_command(UpdateVoter(2, "two", "two-again")), committed=1)
         self.assertThat(core._majority({(1, "one"), (2, "two-again")}), Equals(True))
 
     def test_a_swap_not_known_to_be_committed_asks_both_sets(self) -> None:
-        core = started(pack_command(SwapVoter(2, "two", "two-again")))
+        core = started(pack_command(UpdateVoter(2, "two", "two-again")))
         self.assertThat(core._majority({(1, "one"), (2, "two-again")}), Equals(False))
         self.assertThat(core._majority({(1, "one"), (3, "three")}), Equals(True))
 
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -11,7 +11,8 @@
 from hoistsaddle.raft.events import Announce, Answer, AnswerArrived, Boot, OffsetAndEpoch, ProposalArrived, Ticked
 from hoistsaddle.rpc.messages import BeginEpochCall, FetchAnswer, FetchCall, Record, VoteCall
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import LEVEL, AddVoter, DropVoter, pack_command
+from hoistsaddle.statemachine.commands import LEVEL, AddVoter, RemoveVoter
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import State, initial_state
 from test_kip_630 import TIMINGS, Bench, claim
 
@@ -166,7 +167,7 @@
         bench.core.role = CANDIDATE
         bench.core.pre_vote, bench.core.granted = False, {(1, "one"), (2, "two"), (3, "three")}
         bench.core._count_votes()
-        bench.feed(ProposalArrived(77, (pack_command(DropVoter(4, "four")),)))
+        bench.feed(ProposalArrived(77, (pack_command(RemoveVoter(4, "four")),)))
         # Two of the three that are left, but only half of the four.
         bench.fetch_from(2)
         self.assertThat((bench.core.high_watermark, len(bench.voters())), Equals((0, 4)))
@@ -302,7 +303,7 @@
 
 
 class Records(TestCase):
-    def apply(self, state: State, command: AddVoter | DropVoter) -> tuple[State, str]:
+    def apply(self, state: State, command: AddVoter | RemoveVoter) -> tuple[State, str]:
         after, outcome = apply(
             state,
             offset=state.offset + 1,
@@ -316,19 +317,19 @@
         state = initial_state(mesh="m", voters=TWO, operators={}, level=3)
         unsure = str(ErrorKind.UNSURE)
         self.assertThat(self.apply(state, AddVoter(2, "other"))[1], Equals(unsure))
-        self.assertThat(self.apply(state, DropVoter(2, "other"))[1], Equals(unsure))
-        self.assertThat(self.apply(state, DropVoter(7, "seven"))[1], Equals(unsure))
+        self.assertThat(self.apply(state, RemoveVoter(2, "other"))[1], Equals(unsure))
+        self.assertThat(self.apply(state, RemoveVoter(7, "seven"))[1], Equals(unsure))
         state, error = self.apply(state, AddVoter(3, "three"))
-        self.assertThat((error, sorted(state.voters), state.news), Equals(("", [1, 2, 3], state.offset)))
+        self.assertThat((error, sorted(state.voters), state.data_plane_revision), Equals(("", [1, 2, 3], state.offset)))
         for replica in (1, 2):
-            state, error = self.apply(state, DropVoter(replica, life_of(replica)))
+            state, error = self.apply(state, RemoveVoter(replica, life_of(replica)))
             self.assertThat((error, replica in state.voters), Equals(("", False)))
         # The last one stays.
-        self.assertThat(self.apply(state, DropVoter(3, "three"))[1], Equals(unsure))
+        self.assertThat(self.apply(state, RemoveVoter(3, "three"))[1], Equals(unsure))
 
     def test_a_proposal_of_a_voter_change_is_met_by_the_next_sets_at_once(self) -> None:
         bench = Growing({**TWO, 3: "three"}).lead()
-        bench.feed(ProposalArrived(77, (pack_command(DropVoter(3, "three")),)))
+        bench.feed(ProposalArrived(77, (pack_command(RemoveVoter(3, "three")),)))
         self.assertThat([sorted(each) for each in bench.core.voter_sets()], Equals([[1, 2, 3], [1, 2]]))
 
 
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -24,7 +24,8 @@
 from hoistsaddle.rpc.frame_ages import CallAge
 from hoistsaddle.rpc.messages import UNSET, WriteAnswer, WriteCall
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, Tick, pack_command, pack_outcome
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, Tick
+from hoistsaddle.statemachine.encoding import pack_command, pack_outcome
 from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 sys.path.insert(0, str(Path(__file__).parent))
@@ -274,7 +275,7 @@
         registry = SimpleNamespace(
             counters=Counters(owner="r"), writer=SimpleNamespace(write_payloads=write_payloads, leader=1)
         )
-        claim = pack_command(ClaimHold("scope", "claim", "stall", "digest"))
+        claim = pack_command(ClaimKey("scope", "claim", "stall", "digest"))
 
         async def scenario() -> WriteAnswer:
             connection._call_age.set(CallAge(age, False))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,8 @@
 from hoistsaddle.cli.fleet_commands import fleet
 from hoistsaddle.rpc.connection import RpcClient, RpcServer
 from hoistsaddle.rpc.messages import ProbeAnswer, ProbeCall
-from hoistsaddle.statemachine.state import data_plane_items, pack_state, unpack_state
+from hoistsaddle.statemachine.data_plane import data_plane_items
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
 from hoistsaddle.testbed.scale.clock import make_loop
 from hoistsaddle.testbed.scale.report import fit_of
 from hoistsaddle.testbed.scale.run import Plan, ScaleFleet, run_fleet
--- a/tests/test_sidecar_ingress.py
+++ b/tests/test_sidecar_ingress.py
@@ -19,7 +19,7 @@
     Reply,
     RunOnServer,
 )
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, ReleaseHold
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, ReleaseKey
 from hoistsaddle.statemachine.state import WINDING_DOWN
 from hoistsaddle.statemachine.view import View
 from sidecar_bench import KINDS, SidecarBench, entry, pace_of
@@ -328,7 +328,7 @@
         servers = fleet.view.servers
         fleet.show(fleet.view._replace(servers={}))
         write = fleet.write
-        fleet.write = lambda record: None if isinstance(record, ReleaseHold) else write(record)  # type: ignore
+        fleet.write = lambda record: None if isinstance(record, ReleaseKey) else write(record)  # type: ignore
         self.assertThat(self.status(fleet, self.pay(fleet)), Equals(503))
         self.assertThat(len(fleet.log.holds), Equals(1))
         fleet.show(fleet.view._replace(servers=servers))
@@ -394,14 +394,14 @@
         fleet.pass_time(0.1)
         fleet.finish()
         self.assertThat(self.status(fleet, ticket), Equals(200))
-        claims = {each.command.claim for each in fleet.sent(SubmitHold) if isinstance(each.command, ClaimHold)}
+        claims = {each.command.claim for each in fleet.sent(SubmitHold) if isinstance(each.command, ClaimKey)}
         self.assertThat(len(claims), Equals(1))
 
     def test_a_claim_that_reached_the_log_unanswered_keeps_nobody_out(self) -> None:
         fleet = SidecarBench()
         write = fleet.write
         # Every claim is taken, and every answer is lost; releases never come through.
-        fleet.write = lambda record: None if isinstance(record, ReleaseHold) else write(record) and None  # type: ignore
+        fleet.write = lambda record: None if isinstance(record, ReleaseKey) else write(record) and None  # type: ignore
         self.assertThat(self.status(fleet, self.after(fleet, self.pay(fleet), 0.5)), Equals(503))
         self.assertThat(len(fleet.log.holds), Equals(1))
         fleet.write = write  # type: ignore
@@ -436,7 +436,7 @@
         self.assertThat(self.status(fleet, self.after(fleet, self.pay(fleet), 0.5)), Equals(503))
 
         def releases() -> int:
-            return sum(isinstance(each.command, ReleaseHold) for each in fleet.sent(SubmitHold))
+            return sum(isinstance(each.command, ReleaseKey) for each in fleet.sent(SubmitHold))
 
         # Given up after 0.22 s: a second later it is asked, and a second after that again.
         for seconds, asked in ((0.5, 0), (0.4, 1), (0.7, 1), (0.3, 2)):
--- a/tests/test_sidecar_server_selection.py
+++ b/tests/test_sidecar_server_selection.py
@@ -12,7 +12,8 @@
 from hoistsaddle.sidecar import server_selection
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardRequest, RequestArrived
-from hoistsaddle.statemachine.state import GONE, WINDING_DOWN, State, data_plane_items
+from hoistsaddle.statemachine.data_plane import data_plane_items
+from hoistsaddle.statemachine.state import GONE, WINDING_DOWN, State
 from hoistsaddle.statemachine.view import View, read_view
 from hoistsaddle.testbed.scale.sizes import HOST, Size, make_state, prefix_of, proxy_name
 
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -8,21 +8,22 @@
 
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import (
+    AcquireSingletonRole,
     AdvanceBundle,
-    ClaimHold,
+    ClaimKey,
     Command,
+    CompleteKey,
     DrainServer,
-    NoteNode,
-    NoteServer,
     Outcome,
-    ReleaseHold,
-    SettleHold,
+    RegisterNode,
+    RegisterServer,
+    ReleaseKey,
     SignBundle,
     SubmitBundle,
-    TakeDuty,
-    pack_command,
 )
-from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
 TEXT = DEPLOYMENTS["thimble"].first_bundle()
@@ -48,11 +49,11 @@
     def server(
         self, *, state: str = "ready", serial: int = 1, life: str = "life", duty_epoch: int = 0, instance: str = "i1"
     ) -> Outcome:
-        return self.apply(NoteServer("stall-1", "ledger", instance, "at", "a", state, serial, life, duty_epoch))
+        return self.apply(RegisterServer("stall-1", "ledger", instance, "at", "a", state, serial, life, duty_epoch))
 
     def test_the_wardens_gone_does_not_undo_what_came_since(self) -> None:
-        self.apply(TakeDuty("warden", "bourse-1", 1))
-        self.apply(NoteNode("stall-1", "stall", "at", "a", "life", "alive"))
+        self.apply(AcquireSingletonRole("warden", "bourse-1", 1))
+        self.apply(RegisterNode("stall-1", "stall", "at", "a", "life", "alive"))
         self.server(serial=1)
         self.server(state="winding down", serial=2)
         self.server(state="gone", serial=1, duty_epoch=1)
@@ -61,18 +62,18 @@
         self.assertThat(self.state.servers["stall-1"].state, Equals("gone"))
 
     def test_a_former_life_says_nothing_of_the_present_one(self) -> None:
-        self.apply(NoteNode("stall-1", "stall", "at", "a", "second", "alive"))
+        self.apply(RegisterNode("stall-1", "stall", "at", "a", "second", "alive"))
         self.server(life="second", serial=1)
         self.server(life="first", serial=9, state="gone")
-        self.apply(NoteNode("stall-1", "stall", "at", "a", "first", "gone"))
+        self.apply(RegisterNode("stall-1", "stall", "at", "a", "first", "gone"))
         self.assertThat(
             (self.state.servers["stall-1"].state, self.state.nodes["stall-1"].state), Equals(("ready", "alive"))
         )
 
     def test_a_lower_duty_epoch_is_refused(self) -> None:
-        self.apply(TakeDuty("warden", "bourse-1", 1))
-        self.assertThat(self.apply(TakeDuty("warden", "bourse-2", 1)).error, Equals("duty-epoch-old"))
-        self.apply(TakeDuty("warden", "bourse-2", 2))
+        self.apply(AcquireSingletonRole("warden", "bourse-1", 1))
+        self.assertThat(self.apply(AcquireSingletonRole("warden", "bourse-2", 1)).error, Equals("duty-epoch-old"))
+        self.apply(AcquireSingletonRole("warden", "bourse-2", 2))
         self.server()
         self.assertThat(self.server(state="gone", duty_epoch=1).error, Equals("duty-epoch-old"))
         self.assertThat(self.state.servers["stall-1"].state, Equals("ready"))
@@ -86,19 +87,19 @@
         self.assertThat(self.state.servers["stall-1"].drained_by, Equals(""))
 
     def test_a_hold_runs_its_course_in_mesh_time(self) -> None:
-        claim = ClaimHold("scope", "claim-1", "stall-1", "digest")
+        claim = ClaimKey("scope", "claim-1", "stall-1", "digest")
         self.assertThat(self.apply(claim).detail["phase"], Equals("granted"))
         self.assertThat(self.apply(claim).detail["phase"], Equals("granted"))
         self.assertThat(self.apply(claim._replace(claim="claim-2")).detail["phase"], Equals("claimed"))
         self.assertThat(self.apply(claim._replace(body_digest="other")).error, Equals("key-other-body"))
-        self.assertThat(self.apply(ReleaseHold("scope", "claim-2")).detail["phase"], Equals("kept"))
-        self.apply(SettleHold("scope", "claim-1", 200, {}, b"{}", True))
-        self.assertThat(self.apply(ReleaseHold("scope", "claim-1")).detail["phase"], Equals("kept"))
+        self.assertThat(self.apply(ReleaseKey("scope", "claim-2")).detail["phase"], Equals("kept"))
+        self.apply(CompleteKey("scope", "claim-1", 200, {}, b"{}", True))
+        self.assertThat(self.apply(ReleaseKey("scope", "claim-1")).detail["phase"], Equals("kept"))
         self.assertThat(self.apply(claim._replace(claim="claim-3"), later=74).detail["body"], Equals(b"{}"))
         self.assertThat(self.apply(claim._replace(claim="claim-4"), later=2).detail["phase"], Equals("granted"))
         # Unsettled, it stays for ten minutes, and is then swept.
         self.assertThat(self.apply(claim._replace(claim="claim-5"), later=599).detail["phase"], Equals("claimed"))
-        self.apply(ClaimHold("other", "claim-6", "stall-1", "digest"), later=10)
+        self.apply(ClaimKey("other", "claim-6", "stall-1", "digest"), later=10)
         self.assertThat(sorted(self.state.holds), Equals(["other"]))
 
     def test_a_newer_releases_fields_are_passed_over_and_its_commands_are_not(self) -> None:
@@ -108,7 +109,7 @@
             )
             return outcome
 
-        newer = {**ClaimHold("scope", "claim", "stall-1", "digest")._asdict(), "colour": "blue"}
+        newer = {**ClaimKey("scope", "claim", "stall-1", "digest")._asdict(), "colour": "blue"}
         self.assertThat(record(msgspec.msgpack.encode(["ClaimHold", newer])).detail["phase"], Equals("granted"))
         before = self.state
         # A command nobody here knows isn't passed over: replicas that did would differ from those that don't.
@@ -139,7 +140,7 @@
             digest = self.apply(SubmitBundle(f"s{number}", "ada", text)).detail["digest"]
             self.apply(SignBundle(f"g{number}", "ben", number, digest))
         self.server()
-        self.apply(ClaimHold("scope", "claim", "stall-1", "digest"))
+        self.apply(ClaimKey("scope", "claim", "stall-1", "digest"))
         self.assertThat((self.state.in_force, len(self.state.bundles)), Equals((number, MAX_BUNDLES)))
         again = unpack_state(pack_state(self.state))
         self.assertThat(pack_state(again), Equals(pack_state(self.state)))
--- a/tests/test_statemachine_items.py
+++ b/tests/test_statemachine_items.py
@@ -29,8 +29,11 @@
     read_patch,
 )
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, PatchItems, RaiseLevel, pack_command
-from hoistsaddle.statemachine.state import MAX_BUNDLES, State, data_plane_items, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, PatchItems, RaiseLevel
+from hoistsaddle.statemachine.data_plane import data_plane_items
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state
 from hoistsaddle.statemachine.view import View, read_view
 
 
@@ -211,7 +214,7 @@
                 Equals(("", {"number": 0, "changed": [], "offset": before.news})),
             )
         self.assertThat(
-            (self.state.items, self.state.patches, self.state.news),
+            (self.state.items, self.state.patches, self.state.data_plane_revision),
             Equals((before.items, before.patches, before.news)),
         )
 
@@ -232,7 +235,7 @@
 
     def test_no_part_of_a_broken_patch_counts(self) -> None:
         self.patch(service(), entry())
-        before = self.state._replace(offset=0, stamp=timedelta())
+        before = self.state._replace(offset=0, mesh_time=timedelta())
         broken = (
             ((entry(revision=5, rank=9), entry("other", hold_seconds=0)), ()),
             ((service("new"), entry("other", kind="sometimes")), ()),
@@ -243,7 +246,9 @@
             outcome = self.patch(*sets, drops=drops)
             self.assertThat((outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ITEM_BROKEN), True)))
             # From level 4 on the log remembers that it refused it.
-            after = self.state._replace(offset=0, stamp=timedelta(), swept=before.swept, refusals=before.refusals)
+            after = self.state._replace(
+                offset=0, mesh_time=timedelta(), expired_at=before.swept, rejected_patches=before.refusals
+            )
             self.assertThat(after, Equals(before))
 
     def test_an_unknown_service_is_refused_against_the_result(self) -> None:
@@ -321,7 +326,7 @@
 
     def view(self) -> View:
         items = data_plane_items(self.state)
-        return read_view(revision=self.state.news, items=items, node="stall-1", zone="a", before=View())
+        return read_view(revision=self.state.data_plane_revision, items=items, node="stall-1", zone="a", before=View())
 
     def test_the_news_holds_what_stands_and_no_word_of_what_was_dropped(self) -> None:
         self.patch(service(), entry(), entry("more"))
@@ -338,7 +343,9 @@
             empty = pack_state(self.state)
             outcome = self.patch(service(), entry())
             self.assertThat(outcome.error, Equals(str(ErrorKind.RELEASE_LEVEL)))
-            self.assertThat((len(self.state.items), len(self.state.patches), self.state.news), Equals((0, 0, 0)))
+            self.assertThat(
+                (len(self.state.items), len(self.state.patches), self.state.data_plane_revision), Equals((0, 0, 0))
+            )
             for part in (b"items", b"patches"):
                 self.assertThat(part in empty, Equals(False))
             self.assertThat(unpack_state(pack_state(self.state)), Equals(self.state))
@@ -348,7 +355,7 @@
     def test_a_claim_held_for_its_span_and_taken_over_after_a_free_one(self) -> None:
         def claim(name: str, *, after: str = "") -> Outcome:
             return self.apply(
-                ClaimHold("scope", name, f"stall-{name}", "", "scope", "operation", "scope", "pay", 10, after)
+                ClaimKey("scope", name, f"stall-{name}", "", "scope", "operation", "scope", "pay", 10, after)
             )
 
         self.assertThat(claim("one").detail["phase"], Equals("granted"))
@@ -358,7 +365,7 @@
         self.assertThat(claim("two", after="other").detail["claim"], Equals("one"))
         self.assertThat(claim("two", after="one").detail["phase"], Equals("granted"))
         self.assertThat(claim("three", after="one").detail["claim"], Equals("two"))
-        self.state = self.state._replace(stamp=self.state.stamp + timedelta(seconds=11))
+        self.state = self.state._replace(mesh_time=self.state.mesh_time + timedelta(seconds=11))
         self.assertThat(claim("three").detail["phase"], Equals("granted"))
 
 
@@ -386,6 +393,6 @@
         ):
             self.assertThat(outcome.error, Equals(str(ErrorKind.ITEM_CONFLICT)))
         self.assertThat(
-            (self.state.items, self.state.patches, self.state.news),
+            (self.state.items, self.state.patches, self.state.data_plane_revision),
             Equals((before.items, before.patches, before.news)),
         )
--- a/tests/test_statemachine_patches.py
+++ b/tests/test_statemachine_patches.py
@@ -25,11 +25,12 @@
     SignBundle,
     SubmitBundle,
     Tick,
-    pack_command,
 )
 from hoistsaddle.statemachine.deduplication import MAX_REJECTED_PATCHES
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.revision_history import MAX_REVISIONS, RevisionHistory, RevisionStatus, meet
-from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import MAX_BUNDLES, State, initial_state
 from orders_model import CHECKS, ORDERS, WAIT, ModelOrder, explore
 from test_kip_630 import VOTERS, Bench
 
@@ -64,7 +65,7 @@
             self.state,
             offset=self.state.offset + 1,
             epoch=1,
-            stamp=self.state.stamp + timedelta(seconds=later),
+            stamp=self.state.mesh_time + timedelta(seconds=later),
             payload=pack_command(command),
         )
         return outcome
@@ -85,14 +86,17 @@
     def test_another_content_under_a_taken_revision_is_refused_whole(self) -> None:
         log = Log()
         log.patch(service(), entry(revision=5))
-        before = log.state.items, log.state.patches, log.state.news, log.state.memories
+        before = log.state.items, log.state.patches, log.state.data_plane_revision, log.state.revision_histories
         outcome = log.patch(entry("other"), entry(revision=5, rank=9))
         self.assertThat((outcome.error, outcome.field), Equals((str(ErrorKind.ITEM_CONFLICT), "sets[1]")))
         self.assertThat(outcome.message, Contains("Revision 5 of entry pay"))
         self.assertThat(outcome.remedy, Contains("higher revision"))
         dropped = log.patch(service("new"), drops=(ItemDeletion(ENTRY, 5, "pay"),))
         self.assertThat((dropped.error, dropped.field), Equals((str(ErrorKind.ITEM_CONFLICT), "drops[0]")))
-        self.assertThat((log.state.items, log.state.patches, log.state.news, log.state.memories), Equals(before))
+        self.assertThat(
+            (log.state.items, log.state.patches, log.state.data_plane_revision, log.state.revision_histories),
+            Equals(before),
+        )
         # Its own content is confirmed as often as it comes, beside something new too.
         self.assertThat(log.patch(service(), entry(revision=5)).detail["number"], Equals(0))
         self.assertThat(log.patch(entry(revision=5), service("new")).detail["changed"], Equals(["service:new"]))
@@ -170,7 +174,7 @@
             self.assertThat(
                 (outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ORDER_UNSURE), True)), outcome.message
             )
-        self.assertThat(log.state.memories["entry:pay"].forgotten, Equals(5))
+        self.assertThat(log.state.revision_histories["entry:pay"].forgotten, Equals(5))
         self.assertThat(log.patch(entry(revision=7)).detail["changed"], Equals(["entry:pay"]))
 
     def test_the_memory_has_a_bound_and_what_it_cut_is_not_refused(self) -> None:
@@ -178,8 +182,8 @@
         log.patch(service())
         for revision in range(1, 2 * MAX_REVISIONS):
             log.patch(entry(revision=revision, rank=revision))
-            log.state = log.state._replace(stamp=timedelta(seconds=5))
-        memory = log.state.memories["entry:pay"]
+            log.state = log.state._replace(mesh_time=timedelta(seconds=5))
+        memory = log.state.revision_histories["entry:pay"]
         self.assertThat((len(memory.taken), memory.forgotten), Equals((MAX_REVISIONS, MAX_REVISIONS - 1)))
         for revision, answer in ((MAX_REVISIONS - 1, "order-unsure"), (MAX_REVISIONS, ""), (MAX_REVISIONS + 9, "")):
             self.assertThat(log.patch(entry(revision=revision, rank=revision)).error, Equals(answer))
@@ -191,17 +195,21 @@
         log.patch(entry("lost", parts=[{"service": "nobody"}]))
         for revision in range(2, 9):
             log.patch(entry(revision=revision))
-        self.assertThat((len(log.state.memories["entry:pay"].taken), len(log.state.refusals)), Equals((8, 1)))
+        self.assertThat(
+            (len(log.state.revision_histories["entry:pay"].taken), len(log.state.rejected_patches)), Equals((8, 1))
+        )
         log.wait(2 * SPAN)
-        self.assertThat((len(log.state.memories["entry:pay"].taken), len(log.state.refusals)), Equals((1, 0)))
+        self.assertThat(
+            (len(log.state.revision_histories["entry:pay"].taken), len(log.state.rejected_patches)), Equals((1, 0))
+        )
 
     def test_refusals_are_bounded(self) -> None:
         log = Log()
         for number in range(MAX_REJECTED_PATCHES + 7):
             log.patch(entry(f"lost-{number}"))
-            log.state = log.state._replace(stamp=timedelta(seconds=5))
-        self.assertThat(len(log.state.refusals), Equals(MAX_REJECTED_PATCHES))
-        self.assertThat(min(each.offset for each in log.state.refusals.values()), Equals(8))
+            log.state = log.state._replace(mesh_time=timedelta(seconds=5))
+        self.assertThat(len(log.state.rejected_patches), Equals(MAX_REJECTED_PATCHES))
+        self.assertThat(min(each.offset for each in log.state.rejected_patches.values()), Equals(8))
 
 
 class Copies(TestCase):
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -20,24 +20,26 @@
 from hoistsaddle.statemachine.commands import (
     GONE_RETENTION,
     LEVEL,
-    ChangeOperator,
-    ClaimHold,
+    AcquireSingletonRole,
+    ClaimKey,
     Command,
-    DropOperator,
-    NoteNode,
-    NoteServer,
+    CompleteKey,
     Outcome,
+    ProposeOperatorChange,
     Purge,
     RaiseLevel,
-    SettleHold,
+    RegisterNode,
+    RegisterServer,
     SignBundle,
-    SignOperator,
+    SignOperatorChange,
     SubmitBundle,
-    TakeDuty,
-    pack_command,
+    WithdrawOperatorChange,
 )
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import State, data_plane_items, initial_state, pack_state, unpack_state
+from hoistsaddle.statemachine.encoding import pack_command
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import State, initial_state
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
 TEXT = DEPLOYMENTS["thimble"].first_bundle()
@@ -64,23 +66,25 @@
     def proxy(
         self, name: str, life: str, *, state: str = "alive", seen: int | None = None, level: int = LEVEL
     ) -> Outcome:
-        seen = self.state.news if seen is None else seen
-        return self.take(NoteNode(name, "stall", "at", "a", life, state, seen=seen, level=level))
+        seen = self.state.data_plane_revision if seen is None else seen
+        return self.take(RegisterNode(name, "stall", "at", "a", life, state, seen_revision=seen, level=level))
 
     def server(
         self, name: str, life: str, *, state: str = "ready", seen: int | None = None, serial: int = 1
     ) -> Outcome:
-        seen = self.state.news if seen is None else seen
-        return self.take(NoteServer(name, "ledger", f"i-{life}", "at", "a", state, serial, life, seen=seen))
+        seen = self.state.data_plane_revision if seen is None else seen
+        return self.take(
+            RegisterServer(name, "ledger", f"i-{life}", "at", "a", state, serial, life, seen_revision=seen)
+        )
 
     def claim(self, claim: str, *, who: str, by: str = "credentials", body: str = "body", bucket: str = "b") -> Outcome:
-        return self.take(ClaimHold(f"old-{who}", claim, "stall", body, bucket, by, who, "payments"))
+        return self.take(ClaimKey(f"old-{who}", claim, "stall", body, bucket, by, who, "payments"))
 
 
 class Levels(TestCase):
     def test_newer_commands_wait_for_the_level_and_change_nothing_before(self) -> None:
         log = Log(level=1)
-        for command in (Purge(0), ChangeOperator("r", "ada", "eve", "e" * 64)):
+        for command in (Purge(0), ProposeOperatorChange("r", "ada", "eve", "e" * 64)):
             before = log.state
             self.assertThat(log.take(command).error, Equals("release-level"))
             self.assertThat(log.state, Equals(before._replace(offset=before.offset + 1, epoch=1)))
@@ -147,9 +151,9 @@
 
     def test_a_raise_forgets_nothing_sooner(self) -> None:
         log = Log(level=1)
-        log.take(TakeDuty("warden", "bourse-1", 1))
+        log.take(AcquireSingletonRole("warden", "bourse-1", 1))
         log.proxy("stall-1", "life")
-        log.take(NoteNode("stall-1", "stall", "at", "a", "life", "gone", 1), later=10)
+        log.take(RegisterNode("stall-1", "stall", "at", "a", "life", "gone", 1), later=10)
         log.take(RaiseLevel(2), later=GONE_RETENTION.total_seconds() * 2)
         self.assertThat(log.take(Purge(1)).detail, Equals({"servers": [], "nodes": []}))
         self.assertThat(log.take(Purge(1), later=GONE_RETENTION.total_seconds()).detail["nodes"], Equals(["stall-1"]))
@@ -174,7 +178,7 @@
         self.assertThat(granted.detail["phase"], Equals("granted"))
         scope = granted.detail["scope"]
         self.assertThat(log.claim("c2", who="me").detail["phase"], Equals("claimed"))
-        log.take(SettleHold(scope, "c1", 200, {}, b"{}", True))
+        log.take(CompleteKey(scope, "c1", 200, {}, b"{}", True))
         self.assertThat(log.claim("c3", who="me").detail["body"], Equals(b"{}"))
         self.assertThat(log.claim("c4", who="me", body="other").error, Equals("key-other-body"))
         # Other credentials, another kind of mark: nobody can say, so neither runs nor hears anything.
@@ -185,11 +189,11 @@
     def test_two_declared_clients_are_two_and_expire_apart(self) -> None:
         log = Log()
         one = log.claim("c1", who="one", by="header:x-member").detail
-        log.take(SettleHold(one["scope"], "c1", 200, {}, b"1", True))
+        log.take(CompleteKey(one["scope"], "c1", 200, {}, b"1", True))
         two = log.claim("c2", who="two", by="header:x-member").detail
         self.assertThat((two["phase"], two["scope"] != one["scope"]), Equals(("granted", True)))
         self.assertThat(log.claim("c3", who="one", by="header:x-member").detail["body"], Equals(b"1"))
-        log.take(SettleHold(two["scope"], "c2", 200, {}, b"2", True), later=70)
+        log.take(CompleteKey(two["scope"], "c2", 200, {}, b"2", True), later=70)
         self.assertThat(log.claim("c4", who="two", by="header:x-member").detail["body"], Equals(b"2"))
         log.take(Purge(0), later=10)
         self.assertThat(len(log.state.holds), Equals(1))
@@ -201,10 +205,10 @@
         log.claim("c1", who="me")
         log.take(RaiseLevel(2))
         self.assertThat(log.claim("c2", who="me").detail["phase"], Equals("claimed"))
-        log.take(SettleHold("old-me", "c1", 200, {}, b"first", True))
+        log.take(CompleteKey("old-me", "c1", 200, {}, b"first", True))
         self.assertThat(log.claim("c3", who="me").detail["body"], Equals(b"first"))
         # A former release's claim says nothing of its client, so it can't be compared and isn't granted.
-        self.assertThat(log.take(ClaimHold("x", "c4", "stall", "body")).error, Equals("release-old"))
+        self.assertThat(log.take(ClaimKey("x", "c4", "stall", "body")).error, Equals("release-old"))
 
     def test_by_what_a_client_is_known(self) -> None:
         def of(declared: str = "", twice: tuple[str, ...] = (), **headers: str) -> str:
@@ -229,12 +233,12 @@
 class Forgetting(TestCase):
     def test_what_is_forgotten_stays_so_whatever_comes_late(self) -> None:
         log = Log()
-        log.take(TakeDuty("warden", "bourse-1", 1))
+        log.take(AcquireSingletonRole("warden", "bourse-1", 1))
         log.proxy("stall-1", "life")
         log.server("stall-1", "life")
-        seen = log.state.news
-        log.take(NoteServer("stall-1", "ledger", "i-life", "at", "a", "gone", 1, "life", 1))
-        log.take(NoteNode("stall-1", "stall", "at", "a", "life", "gone", 1))
+        seen = log.state.data_plane_revision
+        log.take(RegisterServer("stall-1", "ledger", "i-life", "at", "a", "gone", 1, "life", 1))
+        log.take(RegisterNode("stall-1", "stall", "at", "a", "life", "gone", 1))
         self.assertThat(log.take(Purge(1), later=590).detail, Equals({"servers": [], "nodes": []}))
         told = log.take(Purge(1), later=10).detail
         self.assertThat(told, Equals({"servers": ["stall-1"], "nodes": ["stall-1"]}))
@@ -251,7 +255,7 @@
     def test_a_former_lifes_late_word_does_not_undo_the_present_one(self) -> None:
         log = Log()
         log.proxy("stall-1", "first")
-        seen = log.state.news
+        seen = log.state.data_plane_revision
         log.proxy("stall-1", "second")
         log.proxy("stall-1", "first", seen=seen)
         self.assertThat(log.state.nodes["stall-1"].incarnation, Equals("second"))
@@ -259,7 +263,7 @@
     def test_a_year_of_replaced_servers_leaves_nothing_behind(self) -> None:
         """A machine in every half hour is replaced by one that never was, for a year of mesh time."""
         log = Log()
-        log.take(TakeDuty("warden", "bourse-1", 1))
+        log.take(AcquireSingletonRole("warden", "bourse-1", 1))
         sizes, names = [], []
         for turn in range(365 * 48):
             name = f"stall-{turn}"
@@ -269,8 +273,8 @@
             if len(names) > 11:
                 gone = names.pop(0)
                 node, server = log.state.nodes[gone], log.state.servers[gone]
-                log.take(NoteNode(gone, "stall", "at", "a", node.incarnation, "gone", 1))
-                log.take(NoteServer(gone, "ledger", server.instance, "at", "a", "gone", 1, server.incarnation, 1))
+                log.take(RegisterNode(gone, "stall", "at", "a", node.incarnation, "gone", 1))
+                log.take(RegisterServer(gone, "ledger", server.instance, "at", "a", "gone", 1, server.incarnation, 1))
             log.take(Purge(1), later=1800)
             if turn % 4380 == 4379:
                 sizes.append((len(log.state.nodes), len(data_plane_items(log.state)), len(pack_state(log.state))))
@@ -296,10 +300,10 @@
         log = Log()
 
         def propose(operator: str, name: str, digest: str) -> Outcome:
-            return log.take(ChangeOperator(f"p{log.state.offset}", operator, name, digest))
+            return log.take(ProposeOperatorChange(f"p{log.state.offset}", operator, name, digest))
 
         def sign(signer: str, name: str, change: str) -> str:
-            return log.take(SignOperator(f"s{log.state.offset}", signer, name, change)).error
+            return log.take(SignOperatorChange(f"s{log.state.offset}", signer, name, change)).error
 
         self.assertThat(propose("ada", "ben", "").error, Equals("operator-last"))
         self.assertThat(propose("ada", "eve", "a" * 64).error, Equals("operator-conflict"))
@@ -317,15 +321,15 @@
         # Whoever was removed has no say in what comes to the log later.
         self.assertThat(propose("ada", "eve", "").error, Equals("operator-unknown"))
         self.assertThat(log.take(SubmitBundle("late", "ada", TEXT)).error, Equals("operator-unknown"))
-        self.assertThat(log.take(DropOperator("d", "ben", "ben")).error, Equals(""))
-        self.assertThat(len(log.state.changes), Equals(0))
+        self.assertThat(log.take(WithdrawOperatorChange("d", "ben", "ben")).error, Equals(""))
+        self.assertThat(len(log.state.operator_changes), Equals(0))
 
     def test_one_request_id_is_one_call(self) -> None:
         log = Log()
-        first = log.take(ChangeOperator("r", "ada", "eve", "e" * 64))
-        self.assertThat(log.take(ChangeOperator("r", "ada", "eve", "e" * 64)), Equals(first))
-        self.assertThat(log.take(ChangeOperator("r", "ben", "eve", "e" * 64)).error, Equals("request-reused"))
-        self.assertThat(log.take(ChangeOperator("r", "ada", "dan", "d" * 64)).error, Equals("request-reused"))
+        first = log.take(ProposeOperatorChange("r", "ada", "eve", "e" * 64))
+        self.assertThat(log.take(ProposeOperatorChange("r", "ada", "eve", "e" * 64)), Equals(first))
+        self.assertThat(log.take(ProposeOperatorChange("r", "ben", "eve", "e" * 64)).error, Equals("request-reused"))
+        self.assertThat(log.take(ProposeOperatorChange("r", "ada", "dan", "d" * 64)).error, Equals("request-reused"))
 
 
 class Copies(TestCase):
@@ -333,7 +337,7 @@
         log = Log()
         for place in range(6):
             log.proxy(f"stall-{place}", "life")
-        items, revision = data_plane_items(log.state), log.state.news
+        items, revision = data_plane_items(log.state), log.state.data_plane_revision
         now, span = timedelta(seconds=1), timedelta(seconds=1.5)
         own = AppliedVersion("child", 0, 0, "", "life", 0)
         root, child = (Relay(node=name, incarnation="life", lease_span=span) for name in ("root", "child"))
