--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -96,7 +96,8 @@
     if not all(_are_distinct_clients(hold, command) for _, hold in others):
         return state, reject(
             KeyClientUnsure(
-                "The key is held for this request, and nothing shows whether the same visitor sent it; nothing ran now.",
+                "The key is held for this request, and nothing shows whether the same visitor sent it;"
+                " nothing ran now.",
                 field="Idempotency-Key",
             )
         )
