--- a/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
@@ -39,7 +39,7 @@
         self.number = number
         self.service = machine.service if isinstance(machine, SidecarMachine) else ""
         self.life = SimulatedProcess(name=machine.name, loop=environment.loop)
-        self.runtime = SimulatedRuntime(world=environment.world, life=self.life)
+        self.runtime = SimulatedRuntime(world=environment.world, process=self.life)
         self.ended: asyncio.Future = environment.loop.create_future()
         self.pending: dict[asyncio.Task, None] = {}
         # Connections that may be reset: of clients here, and from here to the server beside.
@@ -99,7 +99,7 @@
             def make_worker(**needs: Any) -> EmulatedDiskWorker:
                 self.worker = EmulatedDiskWorker(
                     world=self.environment.world,
-                    life=self.life,
+                    process=self.life,
                     snapshot=lambda: self.environment.on_trigger(SNAPSHOT, self.machine.name),
                     **needs,
                 )
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
@@ -23,8 +23,8 @@
         super().__init__(**needs)
         self.disks: Any = None
         self.powered_off: set[str] = set()
-        self.slow = 0.002
-        self.repeated = 0.002
+        self.delay_probability = 0.002
+        self.duplicate_probability = 0.002
         # Calls under way: who calls, and the host that is called.
         self.under_way: dict[asyncio.Future, tuple[str, str]] = {}
 
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -66,11 +66,11 @@
 class SimulatedServer:
     """A server beside a proxy, with the manners a test gives it."""
 
-    def __init__(self, *, complete: "SimulatedDeployment", proxy: str, service: str) -> None:
-        self.complete = complete
+    def __init__(self, *, simulation: "SimulatedDeployment", proxy: str, service: str) -> None:
+        self.simulation = simulation
         self.proxy = proxy
         self.service = service
-        self.instance = f"{service}-{next(complete.counter)}"
+        self.instance = f"{service}-{next(simulation.counter)}"
         self.state = "ready"
         self.present = True
         self.misbehaviour = ""
@@ -78,19 +78,19 @@
 
     def tell(self, state: str) -> None:
         self.state = state
-        self.complete.history.add(ServerStateChanged(self.complete.timestamp(), self.service, self.instance, state))
+        self.simulation.history.add(ServerStateChanged(self.simulation.timestamp(), self.service, self.instance, state))
         self.report()
 
     def report(self) -> None:
-        life = self.complete.processes.get(self.proxy)
-        node = self.complete.nodes.get(self.proxy)
-        if self.present and life is not None and not life.dead and not life.frozen:
-            life.context.run(node.feed, HealthReported(self.service, self.instance, f"at-{self.proxy}", self.state))
+        process = self.simulation.processes.get(self.proxy)
+        node = self.simulation.nodes.get(self.proxy)
+        if self.present and process is not None and not process.dead and not process.frozen:
+            process.context.run(node.feed, HealthReported(self.service, self.instance, f"at-{self.proxy}", self.state))
 
     def vanish(self) -> None:
         self.present = False
-        self.complete.history.add(
-            ServerStateChanged(self.complete.timestamp(), self.service, self.instance, "vanished")
+        self.simulation.history.add(
+            ServerStateChanged(self.simulation.timestamp(), self.service, self.instance, "vanished")
         )
 
 
@@ -103,7 +103,7 @@
         self.counter = itertools.count(1)
         self.processes: dict[str, SimulatedProcess] = {}
         self.nodes: dict[str, Any] = {}
-        self.visits: set[asyncio.Task] = set()
+        self.client_tasks: set[asyncio.Task] = set()
         self.core = [
             CoreMachine(replica=place, store=f"warehouse-{place}", registry=f"bourse-{place}")
             for place in range(1, deployment.core + 1)
@@ -118,29 +118,29 @@
         # The highest release level a process says it supports, where that isn't all it knows.
         self.levels: dict[str, int] = {}
         self.frozen_at: dict[str, float] = {}
-        world.on_call = self._see_call
+        world.on_call = self._record_attempt
 
-    def check_expectation(self, what: str, kept: bool) -> None:
+    def expect(self, description: str, met: bool) -> None:
         """Writes down whether something promised came true; the checker reads it afterwards."""
-        self.history.add(ExpectationChecked(self.timestamp(), what, bool(kept)))
+        self.history.add(ExpectationChecked(self.timestamp(), description, bool(met)))
 
     def timestamp(self) -> float:
         return self.world.loop.time()
 
-    def _see_call(self, life: SimulatedProcess, address: str, message: tuple) -> None:
+    def _record_attempt(self, process: SimulatedProcess, address: str, message: tuple) -> None:
         if isinstance(message, BundleForwardCall):
             self.history.add(AttemptSeen(self.timestamp(), message.service_name, message.ordinal > 1))
 
     # -- lives -------------------------------------------------------------------------------------------------------
 
-    def _life(self, name: str) -> SimulatedProcess:
-        life = self.processes[name] = SimulatedProcess(name=name, loop=self.world.loop)
-        return life
+    def _new_process(self, name: str) -> SimulatedProcess:
+        process = self.processes[name] = SimulatedProcess(name=name, loop=self.world.loop)
+        return process
 
     def start_process(self, name: str) -> None:
         kind, _, place = name.partition("-")
-        life = self._life(name)
-        runtime = SimulatedRuntime(world=self.world, life=life)
+        process = self._new_process(name)
+        runtime = SimulatedRuntime(world=self.world, process=process)
         zones = self.deployment.zones
         node: Any
         settings: Any
@@ -162,14 +162,14 @@
                 disk = Disk(folder=folder, replica=replica, token=runtime.token, synchronous="OFF")
 
                 def make_worker(**needs) -> SimulatedDiskWorker:
-                    return SimulatedDiskWorker(world=self.world, life=life, **needs)
+                    return SimulatedDiskWorker(world=self.world, process=process, **needs)
 
-                node = life.context.run(
+                node = process.context.run(
                     lambda: Store(settings=settings, runtime=runtime, disk=disk, make_worker=make_worker)
                 )
             case "bourse":
                 replica = int(place)
-                node = life.context.run(
+                node = process.context.run(
                     lambda: Registry(
                         settings=RegistrySettings(
                             replica=replica,
@@ -195,14 +195,14 @@
                 )
 
                 async def run_server(command: RunOnServer) -> tuple:
-                    return await self._run_server(name, command)
+                    return await self.run_server(name, command)
 
-                node = life.context.run(lambda: ProxyNode(settings=settings, runtime=runtime, run_server=run_server))
+                node = process.context.run(lambda: ProxyNode(settings=settings, runtime=runtime, run_server=run_server))
         self.nodes[name] = node
-        self._listen(node.counters)
-        life.spawn(node.start())
+        self._observe_counters(node.counters)
+        process.spawn(node.start())
 
-    def _listen(self, counters) -> None:
+    def _observe_counters(self, counters) -> None:
         plain = counters.record_event
 
         def record_event(kind: str, **detail) -> None:
@@ -215,7 +215,7 @@
         """A machine that wasn't there before, with a server beside it."""
         self.proxies[name] = (zone, service)
         self.start_process(name)
-        self.servers[name] = SimulatedServer(complete=self, proxy=name, service=service)
+        self.servers[name] = SimulatedServer(simulation=self, proxy=name, service=service)
 
     def remove_proxy(self, name: str) -> None:
         """A machine that never comes back."""
@@ -225,10 +225,10 @@
 
     def kill(self, *names: str) -> None:
         for name in names:
-            life, node = self.processes[name], self.nodes[name]
-            if life.dead:
+            process, node = self.processes[name], self.nodes[name]
+            if process.dead:
                 continue
-            self.world.kill(life)
+            self.world.kill(process)
             if isinstance(node, Store):
                 node.runner.disk.close()
 
@@ -298,10 +298,10 @@
             assert isinstance(answer.unwrap(), BootstrapAnswer) and not answer.unwrap().error, answer
         for name, (_, service) in self.proxies.items():
             self.start_process(name)
-            self.servers[name] = SimulatedServer(complete=self, proxy=name, service=service)
+            self.servers[name] = SimulatedServer(simulation=self, proxy=name, service=service)
         self.create_task(self._report_health())
         self.create_task(self._observe())
-        await self.until(lambda: self.leader() is not None, seconds=10, what="a leader")
+        await self.until(lambda: self.leader() is not None, seconds=10, description="a leader")
         if bundle:
             await self.until(
                 lambda: (
@@ -309,14 +309,14 @@
                     and len(self.nodes["bourse-1"].view.nodes) >= len(self.proxies)
                 ),
                 seconds=10,
-                what="proxies noted",
+                description="proxies noted",
             )
             await self.roll_out(self.deployment.first_bundle())
-            await self.until(self.serving, seconds=10, what="every proxy serves")
+            await self.until(self.is_serving, seconds=10, description="every proxy serves")
 
     def create_task(self, work: Coroutine) -> asyncio.Task:
         task = self.world.loop.create_task(work)
-        self.visits.add(task)
+        self.client_tasks.add(task)
         return task
 
     async def _report_health(self) -> None:
@@ -340,7 +340,7 @@
                     known[name] = now
             await asyncio.sleep(0.02)
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Every proxy ready, and every present server open in the configuration each of them holds."""
         proxies = [self.nodes[name] for name in self.live("stall")]
         for node in proxies:
@@ -354,12 +354,12 @@
             if server.present and server.state == "ready" and server.proxy in self.live("stall")
         )
 
-    async def until(self, ready: Callable[[], bool], *, seconds: float, what: str) -> float:
+    async def until(self, ready: Callable[[], bool], *, seconds: float, description: str) -> float:
         began = self.timestamp()
         while not ready():
             if self.timestamp() - began > seconds:
                 raise AssertionError(
-                    f"{what}: not within {seconds} simulated seconds; lately: {self.process_events[-12:]}"
+                    f"{description}: not within {seconds} simulated seconds; lately: {self.process_events[-12:]}"
                 )
             await asyncio.sleep(0.01)
         return self.timestamp() - began
@@ -372,10 +372,10 @@
         """Does an operator's call at one registry; if that process dies, the operator sees the connection break."""
         name = registry or self.random.choice(self.live("bourse"))
         request = f"call-{next(self.counter)}"
-        life, node = self.processes[name], self.nodes[name]
-        task = life.spawn(work(OperatorActions(registry=node), request))
+        process, node = self.processes[name], self.nodes[name]
+        task = process.spawn(work(OperatorActions(registry=node), request))
         while not task.done():
-            if life.dead:
+            if process.dead:
                 return Failure(MeshError(ErrorKind.SILENT, "the registry died", "ask again"))
             await asyncio.wait([task], timeout=0.02)
         return task.result()
@@ -468,7 +468,7 @@
 
     # -- servers and callers -----------------------------------------------------------------------------------------
 
-    async def _run_server(self, proxy: str, command: RunOnServer) -> tuple:
+    async def run_server(self, proxy: str, command: RunOnServer) -> tuple:
         """The way from a proxy to its server, and the server itself; both may be gone or misbehave."""
         call = command.call
         server = self.servers[proxy]
@@ -534,7 +534,7 @@
         self, answer: AnswerClient, nonce: str, door: str, asked: float, *, caller: str = ""
     ) -> RequestResult:
         answer_body = msgspec.json.decode(answer.body) if answer.outcome == ANSWERED and answer.body else {}
-        got = RequestResult(
+        response = RequestResult(
             self.timestamp(),
             nonce,
             answer.outcome,
@@ -549,12 +549,12 @@
             caller,
             answer.retry_after is not None,
         )
-        self.history.add(got)
-        return got
+        self.history.add(response)
+        return response
 
-    async def ask(
+    async def send_request(
         self,
-        ask: RequestKind,
+        request_kind: RequestKind,
         *,
         client: str,
         key: str = "",
@@ -567,77 +567,81 @@
         name = proxy or self.random.choice(list(self.proxies))
         nonce = nonce or (f"key-{key}" if key else f"ask-{next(self.counter)}")
         began = self.timestamp()
-        body = msgspec.json.encode({"nonce": nonce, "extra": extra}) if ask.once else b""
-        self.history.add(RequestSent(began, nonce, ask.method, ask.path, key, client, name, len(body)))
-        life, node = self.processes[name], self.nodes[name]
-        if life.dead:
-            got = RequestResult(began, nonce, "unreachable", 0, "", "", False, name, asked=began)
-            self.history.add(got)
-            return got
+        body = msgspec.json.encode({"nonce": nonce, "extra": extra}) if request_kind.once else b""
+        self.history.add(
+            RequestSent(began, nonce, request_kind.method, request_kind.path, key, client, name, len(body))
+        )
+        process, node = self.processes[name], self.nodes[name]
+        if process.dead:
+            response = RequestResult(began, nonce, "unreachable", 0, "", "", False, name, asked=began)
+            self.history.add(response)
+            return response
         shown = {"Authorization": f"Bearer {client}"} if headers is None else headers
         sent = {**shown, **({"Idempotency-Key": key} if key else {})}
-        query = "" if ask.once else f"nonce={nonce}"
+        query = "" if request_kind.once else f"nonce={nonce}"
 
         async def arrive() -> AnswerClient:
             return await node.request(
-                lambda ticket: RequestArrived(ticket, "", client, ask.method, ask.path, query, sent, body, key)
+                lambda ticket: RequestArrived(
+                    ticket, "", client, request_kind.method, request_kind.path, query, sent, body, key
+                )
             )
 
-        task = life.spawn(arrive())
+        task = process.spawn(arrive())
         deadline = began + 15
-        while not task.done() and not life.dead and self.timestamp() < deadline:
+        while not task.done() and not process.dead and self.timestamp() < deadline:
             await asyncio.wait([task], timeout=0.05)
         if task.done():
             return self._note_answer(task.result(), nonce, name, began)
-        got = RequestResult(self.timestamp(), nonce, "broken", 0, "", "", False, name, asked=began)
-        self.history.add(got)
-        return got
+        response = RequestResult(self.timestamp(), nonce, "broken", 0, "", "", False, name, asked=began)
+        self.history.add(response)
+        return response
 
-    async def _visit(self) -> None:
+    async def _send_with_retries(self) -> None:
         request_kinds = self.deployment.request_kinds
-        ask = self.random.choices(request_kinds, weights=[each.weight for each in request_kinds])[0]
+        request_kind = self.random.choices(request_kinds, weights=[each.weight for each in request_kinds])[0]
         client = f"visitor-{self.random.randrange(50)}"
-        key = f"{next(self.counter)}" if ask.once else ""
-        got = await self.ask(ask, client=client, key=key)
+        key = f"{next(self.counter)}" if request_kind.once else ""
+        response = await self.send_request(request_kind, client=client, key=key)
         # People press the button again: at another door, at once or after an error.
         for _ in range(2):
-            if not ask.once or (got.outcome == "answered" and self.random.random() > 0.15):
+            if not request_kind.once or (response.outcome == "answered" and self.random.random() > 0.15):
                 return
             await asyncio.sleep(self.random.random() * RETRY_SECONDS)
-            got = await self.ask(ask, client=client, key=key)
+            response = await self.send_request(request_kind, client=client, key=key)
 
     async def load(self, *, seconds: float, rate: float) -> None:
         """Callers for this long, and then every answer awaited."""
         end = self.timestamp() + seconds
-        visits = []
+        client_tasks = []
         while self.timestamp() < end:
-            visits.append(self.world.loop.create_task(self._visit()))
+            client_tasks.append(self.world.loop.create_task(self._send_with_retries()))
             await asyncio.sleep(self.random.expovariate(rate))
-        await asyncio.gather(*visits)
+        await asyncio.gather(*client_tasks)
 
-    async def service_back(self, what: str, *, since: float | None = None) -> float:
+    async def wait_for_service(self, description: str, *, since: float | None = None) -> float:
         """From the machines' return to the first answered ask of every kind."""
         began = self.timestamp() if since is None else since
 
-        async def answered(ask: RequestKind) -> None:
+        async def answered(request_kind: RequestKind) -> None:
             while True:
                 live = self.live("stall")
-                got = (
-                    await self.ask(
-                        ask,
+                response = (
+                    await self.send_request(
+                        request_kind,
                         client="tester",
-                        key=f"back-{next(self.counter)}" if ask.once else "",
+                        key=f"back-{next(self.counter)}" if request_kind.once else "",
                         proxy=self.random.choice(live),
                     )
                     if live
                     else None
                 )
-                if got is not None and got.outcome == "answered":
+                if response is not None and response.outcome == "answered":
                     return
                 await asyncio.sleep(0.1)
 
-        await asyncio.gather(*(answered(ask) for ask in self.deployment.request_kinds))
-        self.history.add(ServiceRecovered(began, self.timestamp(), what))
+        await asyncio.gather(*(answered(request_kind) for request_kind in self.deployment.request_kinds))
+        self.history.add(ServiceRecovered(began, self.timestamp(), description))
         return self.timestamp() - began
 
 
@@ -655,23 +659,23 @@
     try:
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-simulated-") as folder:
             world = World(loop=loop, seed=seed, folder=Path(folder))
-            complete = SimulatedDeployment(deployment=deployment, world=world, checkpoint_records=checkpoint_records)
+            simulation = SimulatedDeployment(deployment=deployment, world=world, checkpoint_records=checkpoint_records)
             try:
-                loop.run_until_complete(scenario(complete))
+                loop.run_until_complete(scenario(simulation))
                 errors = list(loop.errors)
             finally:
-                for name in list(complete.processes):
-                    complete.kill(name)
-                for task in complete.visits:
+                for name in list(simulation.processes):
+                    simulation.kill(name)
+                for task in simulation.client_tasks:
                     task.cancel()
                 # What killed lives left unfinished is collected here, while its complaints mean nothing.
                 with warnings.catch_warnings():
                     warnings.simplefilter("ignore", RuntimeWarning)
-                    complete.processes.clear()
+                    simulation.processes.clear()
                     gc.collect()
         if errors:
             raise AssertionError(f"seed {seed}: {errors[0]}")
-        return complete
+        return simulation
     finally:
         asyncio.set_event_loop(None)
         loop.close()
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
@@ -16,7 +16,7 @@
         self.loop = loop
         self.dead = False
         self.frozen = False
-        self.parked: list[tuple] = []
+        self.deferred: list[tuple] = []
         self.context = contextvars.copy_context()
         self.context.run(CURRENT_PROCESS.set, self)
         # Kept on purpose: a task collected in the middle of a run would run its last lines at a random moment.
@@ -29,25 +29,25 @@
 
     def kill(self) -> None:
         self.dead = True
-        self.parked.clear()
+        self.deferred.clear()
 
     def freeze(self) -> None:
         self.frozen = True
 
     def wake(self) -> None:
         self.frozen = False
-        parked, self.parked = self.parked, []
-        for holder, callback, arguments, context in parked:
-            self.loop.call_soon(self._unpark, holder, callback, arguments, context=context)
+        deferred, self.deferred = self.deferred, []
+        for handle_slot, callback, arguments, context in deferred:
+            self.loop.call_soon(self._resume_callback, handle_slot, callback, arguments, context=context)
 
     @staticmethod
-    def _unpark(holder: list, callback, arguments: tuple) -> None:
+    def _resume_callback(handle_slot: list, callback, arguments: tuple) -> None:
         # What was cancelled before its turn came must not run, however long it was due.
-        if not holder[0].cancelled():
+        if not handle_slot[0].cancelled():
             callback(*arguments)
 
 
-class _StillSelector(selectors.BaseSelector):
+class _InstantSelector(selectors.BaseSelector):
     """Never waits: a wait is a step of simulated time."""
 
     def __init__(self) -> None:
@@ -75,14 +75,14 @@
 class SimulatedTimeLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         self.current_seconds = 1000.0
-        selector = _StillSelector()
+        selector = _InstantSelector()
         super().__init__(selector)
         selector.loop = self
         self._clock_resolution = 1e-9
         self.errors: list[dict] = []
-        self.set_exception_handler(self._note_error)
+        self.set_exception_handler(self._record_error)
 
-    def _note_error(self, loop, context) -> None:
+    def _record_error(self, loop, context) -> None:
         # A life that was killed leaves tasks behind; everything else is a fault of ours and fails the run.
         if "was destroyed but it is pending" not in context.get("message", ""):
             self.errors.append(context)
@@ -94,29 +94,33 @@
         return timedelta(seconds=self.current_seconds)
 
     @staticmethod
-    def _guarded(life: SimulatedProcess, holder: list, callback, arguments: tuple, context) -> None:
-        if life.dead:
+    def _run_unless_stopped(process: SimulatedProcess, handle_slot: list, callback, arguments: tuple, context) -> None:
+        if process.dead:
             return
-        if life.frozen:
-            life.parked.append((holder, callback, arguments, context))
+        if process.frozen:
+            process.deferred.append((handle_slot, callback, arguments, context))
             return
         callback(*arguments)
 
     def call_soon(self, callback, *args, context=None):
-        life = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
-        if life is None:
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
+        if process is None:
             return super().call_soon(callback, *args, context=context)
-        holder: list = [None]
-        holder[0] = super().call_soon(self._guarded, life, holder, callback, args, context, context=context)
-        return holder[0]
+        handle_slot: list = [None]
+        handle_slot[0] = super().call_soon(
+            self._run_unless_stopped, process, handle_slot, callback, args, context, context=context
+        )
+        return handle_slot[0]
 
     def call_at(self, when, callback, *args, context=None):
-        life = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
-        if life is None:
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
+        if process is None:
             return super().call_at(when, callback, *args, context=context)
-        holder: list = [None]
-        holder[0] = super().call_at(when, self._guarded, life, holder, callback, args, context, context=context)
-        return holder[0]
+        handle_slot: list = [None]
+        handle_slot[0] = super().call_at(
+            when, self._run_unless_stopped, process, handle_slot, callback, args, context, context=context
+        )
+        return handle_slot[0]
 
     def call_soon_threadsafe(self, callback, *args, context=None):
         # There are no threads here, and the pipe that wakes a real loop would only fill.
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/manyorders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/manyorders.py
@@ -22,7 +22,7 @@
 CHECKPOINT_RECORDS = 40
 # Half of the settling span that the settings give by default.
 CATCH_UP_SECONDS = 2.0
-WRITE_SPAN = timedelta(milliseconds=500)
+WRITE_TIMEOUT = timedelta(milliseconds=500)
 RESEND_SECONDS = 600
 # A new leader makes a pull start over, and so may a silence of the puller's own; nothing else does.
 PULLS_EACH_RETURN = 2
@@ -31,41 +31,41 @@
 class _ReplicaMonitor:
     """Looks at every core again and again: what one life applied must never shrink."""
 
-    def __init__(self, *, complete: SimulatedDeployment) -> None:
-        self.complete = complete
+    def __init__(self, *, simulation: SimulatedDeployment) -> None:
+        self.simulation = simulation
         self.applied: dict[object, int] = {}
-        self.agreed = 0
+        self.committed = 0
         self.epoch = 0
         self.longest_log = 0
 
     async def poll(self) -> None:
         while True:
-            for machine in self.complete.core:
-                if machine.store in self.complete.processes and not self.complete.processes[machine.store].dead:
+            for machine in self.simulation.core:
+                if machine.store in self.simulation.processes and not self.simulation.processes[machine.store].dead:
                     self._inspect(machine.store)
             await asyncio.sleep(0.02)
 
     def _inspect(self, name: str) -> None:
-        core = self.complete.nodes[name].runner.core
+        core = self.simulation.nodes[name].runner.core
         if core is None:
             return
-        key = self.complete.processes[name]
+        key = self.simulation.processes[name]
         if core.state.offset < self.applied.get(key, 0):
-            self.complete.check_expectation(f"{name} never goes back", False)
+            self.simulation.expect(f"{name} never goes back", False)
         self.applied[key] = core.state.offset
         if core.role == "leader" and core.epoch >= self.epoch:
             # The newest leader: all that was ever agreed lies in its log. One of an older epoch that doesn't know yet
             # agrees nothing any more.
-            if core.last.offset < self.agreed:
-                self.complete.check_expectation(f"{name} never leads with old state", False)
+            if core.last.offset < self.committed:
+                self.simulation.expect(f"{name} never leads with old state", False)
             self.epoch = core.epoch
-            self.agreed = max(self.agreed, core.high_watermark)
+            self.committed = max(self.committed, core.high_watermark)
         self.longest_log = max(self.longest_log, len(core.log))
 
 
 class _OrderSender:
-    def __init__(self, *, complete: SimulatedDeployment) -> None:
-        self.complete = complete
+    def __init__(self, *, simulation: SimulatedDeployment) -> None:
+        self.simulation = simulation
         self.sent = 0
         self.confirmed = 0
 
@@ -77,95 +77,93 @@
             name = NAMES[number % len(NAMES)]
             # The order first, its answer after any number of tries; the same revision is the same order.
             while not await self._try(name, number):
-                await asyncio.sleep(self.complete.random.uniform(0.02, 0.1))
+                await asyncio.sleep(self.simulation.random.uniform(0.02, 0.1))
             self.confirmed += 1
 
     async def _try(self, name: str, number: int) -> bool:
-        registries = self.complete.live("bourse")
+        registries = self.simulation.live("bourse")
         if not registries:
             return False
-        registry = self.complete.random.choice(registries)
+        registry = self.simulation.random.choice(registries)
         body = {"name": name, "vitals_path": f"/{number}"}
         patch = Patch([ItemUpsert(SERVICE, number, body, f"{number} {PAGE}".encode())], [])
         command = PatchItems(f"order-{number}", "desk", "standing", pack_patch(patch), RESEND_SECONDS, 0)
-        life = self.complete.processes[registry]
-        task = life.spawn(self.complete.nodes[registry].writer.write(command, within=WRITE_SPAN))
-        while not task.done() and not life.dead:
+        process = self.simulation.processes[registry]
+        task = process.spawn(self.simulation.nodes[registry].writer.write(command, within=WRITE_TIMEOUT))
+        while not task.done() and not process.dead:
             await asyncio.wait([task], timeout=0.05)
         return task.done() and not task.cancelled() and isinstance(task.result(), Success)
 
 
-async def _away(complete: SimulatedDeployment, name: str, how: str) -> None:
-    random = complete.random
+async def _away(simulation: SimulatedDeployment, name: str, how: str) -> None:
+    random = simulation.random
     replica = int(name.rpartition("-")[2])
-    others = [each for each in complete.processes if each != name]
+    others = [each for each in simulation.processes if each != name]
     seconds = random.uniform(0.5, 5)
     match how:
         case "restart":
-            complete.kill(name)
+            simulation.kill(name)
             await asyncio.sleep(seconds)
-            complete.restart(name)
+            simulation.restart(name)
         case "wipe":
-            complete.kill(name)
-            complete.wipe(replica)
+            simulation.kill(name)
+            simulation.wipe(replica)
             await asyncio.sleep(seconds)
-            complete.restart(name)
+            simulation.restart(name)
         case "cut":
-            complete.world.cut([name], others)
+            simulation.world.cut([name], others)
             await asyncio.sleep(seconds)
-            complete.world.heal()
+            simulation.world.heal()
         case "freeze":
-            complete.freeze(name)
+            simulation.freeze(name)
             await asyncio.sleep(seconds)
-            complete.wake(name)
+            simulation.wake(name)
 
 
-async def _caught_up(complete: SimulatedDeployment, name: str) -> None:
+async def _caught_up(simulation: SimulatedDeployment, name: str) -> None:
     """Counts from the first moment at which it is back and somebody leads, until it has all that was agreed then."""
-    await complete.until(lambda: complete.leader() is not None, seconds=10, what="somebody leads")
-    agreed = complete.nodes[complete.leader()].runner.core.high_watermark
-    pulls_before = Counter(kind for _, each, kind, _ in complete.process_events if each == name)["catching up"]
+    await simulation.until(lambda: simulation.leader() is not None, seconds=10, description="somebody leads")
+    committed = simulation.nodes[simulation.leader()].runner.core.high_watermark
+    pulls_before = Counter(kind for _, each, kind, _ in simulation.process_events if each == name)["catching up"]
 
     def there() -> bool:
-        core = complete.nodes[name].runner.core
-        return core is not None and core.complete and core.state.offset >= agreed
-
-    took = await complete.until(there, seconds=20, what=f"{name} caught up")
-    pulls = Counter(kind for _, each, kind, _ in complete.process_events if each == name)["catching up"] - pulls_before
-    complete.check_expectation(f"{name} caught up within {CATCH_UP_SECONDS} s: {took:.2f}", took <= CATCH_UP_SECONDS)
-    complete.check_expectation(
-        f"{name} pulled {PULLS_EACH_RETURN} times at the most: {pulls}", pulls <= PULLS_EACH_RETURN
+        core = simulation.nodes[name].runner.core
+        return core is not None and core.complete and core.state.offset >= committed
+
+    elapsed = await simulation.until(there, seconds=20, description=f"{name} caught up")
+    pulls = (
+        Counter(kind for _, each, kind, _ in simulation.process_events if each == name)["catching up"] - pulls_before
     )
+    simulation.expect(f"{name} caught up within {CATCH_UP_SECONDS} s: {elapsed:.2f}", elapsed <= CATCH_UP_SECONDS)
+    simulation.expect(f"{name} pulled {PULLS_EACH_RETURN} times at the most: {pulls}", pulls <= PULLS_EACH_RETURN)
 
 
-async def many_orders(complete: SimulatedDeployment) -> None:
-    complete.checkpoint_records = CHECKPOINT_RECORDS
-    await complete.start(bundle=False)
-    watch = _ReplicaMonitor(complete=complete)
-    watching = complete.create_task(watch.poll())
-    actions = _OrderSender(complete=complete)
-    senders = [complete.create_task(actions.send()) for _ in range(UNDER_WAY)]
+async def many_orders(simulation: SimulatedDeployment) -> None:
+    simulation.checkpoint_records = CHECKPOINT_RECORDS
+    await simulation.start(bundle=False)
+    watch = _ReplicaMonitor(simulation=simulation)
+    watching = simulation.create_task(watch.poll())
+    actions = _OrderSender(simulation=simulation)
+    senders = [simulation.create_task(actions.send()) for _ in range(UNDER_WAY)]
     while actions.sent < ORDERS:
-        for how in complete.random.sample(("restart", "wipe", "cut", "freeze"), 4):
-            name = complete.random.choice(complete.core).store
-            if complete.random.random() < 0.4 and complete.leader():
-                name = complete.leader()
-            await _away(complete, name, how)
-            await _caught_up(complete, name)
+        for how in simulation.random.sample(("restart", "wipe", "cut", "freeze"), 4):
+            name = simulation.random.choice(simulation.core).store
+            if simulation.random.random() < 0.4 and simulation.leader():
+                name = simulation.leader()
+            await _away(simulation, name, how)
+            await _caught_up(simulation, name)
             replica = int(name.rpartition("-")[2])
-            await complete.until(lambda: complete.rejoined(replica), seconds=30, what=f"replica {replica} votes again")
+            await simulation.until(
+                lambda: simulation.rejoined(replica), seconds=30, description=f"replica {replica} votes again"
+            )
     await asyncio.gather(*senders)
-    await compare_replicas(complete)
+    await compare_replicas(simulation)
     watching.cancel()
-    complete.check_expectation(f"all orders are confirmed: {actions.confirmed}", actions.confirmed >= ORDERS)
-    for machine in complete.core:
-        state = complete.nodes[machine.store].runner.core.state
+    simulation.expect(f"all orders are confirmed: {actions.confirmed}", actions.confirmed >= ORDERS)
+    for machine in simulation.core:
+        state = simulation.nodes[machine.store].runner.core.state
         revisions = [state.items[f"{SERVICE}:{name}"].revision for name in NAMES]
-        complete.check_expectation(
-            f"{machine.store} holds the newest of every item", min(revisions) > ORDERS - len(NAMES)
-        )
-        kept = list((complete.world.folder / f"data-{machine.replica}" / "checkpoints").iterdir())
-        complete.check_expectation(
-            f"{machine.store} keeps few checkpoints: {len(kept)}", len(kept) <= 3 + len(complete.core)
-        )
-    complete.check_expectation(f"logs stay short: {watch.longest_log}", watch.longest_log < 20 * CHECKPOINT_RECORDS)
+        simulation.expect(f"{machine.store} holds the newest of every item", min(revisions) > ORDERS - len(NAMES))
+        kept = list((simulation.world.folder / f"data-{machine.replica}" / "checkpoints").iterdir())
+        simulation.expect(f"{machine.store} keeps few checkpoints: {len(kept)}", len(kept) <= 3 + len(simulation.core))
+    simulation.expect(f"logs stay short: {watch.longest_log}", watch.longest_log < 20 * CHECKPOINT_RECORDS)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
@@ -19,9 +19,9 @@
 UNDER_WAY = 8
 NAMES = tuple(f"service-{number}" for number in range(5))
 FAULT_SECONDS = 20.0
-WRITE_SPAN = timedelta(milliseconds=500)
+WRITE_TIMEOUT = timedelta(milliseconds=500)
 # Seconds of mesh time, longer than the run: nothing is forgotten in it.
-RESEND_SPAN = 600
+RESEND_WINDOW_SECONDS = 600
 CONFIRMED, REFUSED, UNCLEAR = "confirmed", "refused", "unclear"
 
 
@@ -38,27 +38,27 @@
             if content is not None
         ]
         drops = [ItemDeletion(SERVICE, revision, name) for name, revision, content in self.items if content is None]
-        return PatchItems(request, "desk", "standing", pack_patch(Patch(sets, drops)), RESEND_SPAN, seen)
+        return PatchItems(request, "desk", "standing", pack_patch(Patch(sets, drops)), RESEND_WINDOW_SECONDS, seen)
 
 
 class OrderBook:
     """All orders that were sent and every clear answer to them."""
 
-    def __init__(self, *, complete: SimulatedDeployment) -> None:
-        self.complete = complete
+    def __init__(self, *, simulation: SimulatedDeployment) -> None:
+        self.simulation = simulation
         self.revision = 0
         self.orders: list[SentOrder] = []
         self.answers: dict[str, set[str]] = {}
 
     def draw(self) -> list[SentOrder]:
         """One order, or two rivals with the same revision of one item."""
-        random = self.complete.random
+        random = self.simulation.random
         self.revision += random.randint(1, 3)
         rivals = 2 if random.random() < 0.5 else 1
         shared = random.choice(NAMES)
         drawn = []
         for _ in range(rivals):
-            name = f"order-{next(self.complete.counter)}"
+            name = f"order-{next(self.simulation.counter)}"
             others = random.sample([each for each in NAMES if each != shared], random.randint(0, 2))
             drawn.append(
                 SentOrder(
@@ -71,28 +71,28 @@
 
     async def send(self, order: SentOrder) -> str:
         """One call at one core machine; an answer may be lost on its way back."""
-        complete = self.complete
-        registries = complete.live("bourse")
+        simulation = self.simulation
+        registries = simulation.live("bourse")
         if not registries:
             return UNCLEAR
-        name = complete.random.choice(registries)
-        life, node = complete.processes[name], complete.nodes[name]
-        core = complete.nodes[f"warehouse-{name.rpartition('-')[2]}"].runner.core
+        name = simulation.random.choice(registries)
+        process, node = simulation.processes[name], simulation.nodes[name]
+        core = simulation.nodes[f"warehouse-{name.rpartition('-')[2]}"].runner.core
         seen = core.state.offset if core is not None else -1
-        command = order.command(request=f"call-{next(complete.counter)}", seen=seen)
-        task = life.spawn(node.writer.write(command, within=WRITE_SPAN))
-        while not task.done() and not life.dead:
+        command = order.command(request=f"call-{next(simulation.counter)}", seen=seen)
+        task = process.spawn(node.writer.write(command, within=WRITE_TIMEOUT))
+        while not task.done() and not process.dead:
             await asyncio.wait([task], timeout=0.05)
         answer = _answer_of(task.result()) if task.done() else UNCLEAR
         if answer != UNCLEAR:
             self.answers.setdefault(order.name, set()).add(answer)
-        return UNCLEAR if complete.random.random() < 0.5 else answer
+        return UNCLEAR if simulation.random.random() < 0.5 else answer
 
     async def until_clear(self, order: SentOrder, *, end: float) -> str:
         answer = UNCLEAR
-        while answer == UNCLEAR and self.complete.timestamp() < end:
+        while answer == UNCLEAR and self.simulation.timestamp() < end:
             answer = await self.send(order)
-            await asyncio.sleep(self.complete.random.uniform(0.0, 0.4))
+            await asyncio.sleep(self.simulation.random.uniform(0.0, 0.4))
         return answer
 
 
@@ -109,8 +109,8 @@
 
 async def _operate(book: OrderBook, *, end: float) -> None:
     """One pair of operators: new orders, and old ones sent again at any later time."""
-    random = book.complete.random
-    while book.complete.timestamp() < end:
+    random = book.simulation.random
+    while book.simulation.timestamp() < end:
         if book.orders and random.random() < 0.4:
             await book.send(random.choice(book.orders))
         else:
@@ -137,45 +137,45 @@
     for name, revision in confirmed:
         newest[name] = max(revision, newest.get(name, -1))
     for name, revision in newest.items():
-        entry = state.items.get(key_of(SERVICE, name))
-        if entry is None or entry.revision < revision:
+        route = state.items.get(key_of(SERVICE, name))
+        if route is None or route.revision < revision:
             found.append(f"{name} at {revision} was confirmed and is lost")
-        elif entry.revision == revision and confirmed[(name, revision)] != {_content(entry)}:
+        elif route.revision == revision and confirmed[(name, revision)] != {_content(route)}:
             found.append(f"{name} at {revision} stands with another content than was confirmed")
-        if entry is not None and _content(entry) in refused:
-            found.append(f"{name} at {entry.revision} stands as {_content(entry)}, which was refused")
+        if route is not None and _content(route) in refused:
+            found.append(f"{name} at {route.revision} stands as {_content(route)}, which was refused")
     return found
 
 
-def _content(entry) -> str | None:
-    return None if entry.dropped else entry.said.decode()
+def _content(route) -> str | None:
+    return None if route.dropped else route.said.decode()
 
 
-async def orders_sent_again(complete: SimulatedDeployment) -> None:
+async def orders_sent_again(simulation: SimulatedDeployment) -> None:
     """Orders race, their answers are lost, their copies come at any later time: each clear answer stays true."""
-    await complete.start(bundle=False)
-    book = OrderBook(complete=complete)
-    end = complete.timestamp() + FAULT_SECONDS
+    await simulation.start(bundle=False)
+    book = OrderBook(simulation=simulation)
+    end = simulation.timestamp() + FAULT_SECONDS
     # A pair of rivals for each two that may be under way.
-    operators = [complete.create_task(_operate(book, end=end)) for _ in range(UNDER_WAY // 2)]
-    await inject_core_faults(complete, end=end)
+    operators = [simulation.create_task(_operate(book, end=end)) for _ in range(UNDER_WAY // 2)]
+    await inject_core_faults(simulation, end=end)
     await asyncio.gather(*operators)
-    await compare_replicas(complete)
-    leader = await _led(complete)
-    for found in _contradictions(book, complete.nodes[leader].runner.core.state):
-        complete.check_expectation(f"a clear answer stays true: {found}", False)
+    await compare_replicas(simulation)
+    leader = await _wait_for_leader(simulation)
+    for found in _contradictions(book, simulation.nodes[leader].runner.core.state):
+        simulation.expect(f"a clear answer stays true: {found}", False)
     # In calm times every order that was ever sent gets a clear answer, wherever it is sent, and the one it had.
-    end = complete.timestamp() + 30
+    end = simulation.timestamp() + 30
     calm = [book.until_clear(order, end=end) for order in book.orders]
     for place in range(0, len(calm), UNDER_WAY):
         answers = await asyncio.gather(*calm[place : place + UNDER_WAY])
-        complete.check_expectation("in calm times each order gets a clear answer", UNCLEAR not in answers)
-    for found in _contradictions(book, complete.nodes[leader].runner.core.state):
-        complete.check_expectation(f"a clear answer stays true: {found}", False)
+        simulation.expect("in calm times each order gets a clear answer", UNCLEAR not in answers)
+    for found in _contradictions(book, simulation.nodes[leader].runner.core.state):
+        simulation.expect(f"a clear answer stays true: {found}", False)
     answers_given = [answer for each in book.answers.values() for answer in each]
-    complete.check_expectation("some orders are confirmed and some refused", {CONFIRMED, REFUSED} == set(answers_given))
+    simulation.expect("some orders are confirmed and some refused", {CONFIRMED, REFUSED} == set(answers_given))
 
 
-async def _led(complete: SimulatedDeployment) -> str:
-    await complete.until(lambda: complete.leader() is not None, seconds=20, what="a leader")
-    return str(complete.leader())
+async def _wait_for_leader(simulation: SimulatedDeployment) -> str:
+    await simulation.until(lambda: simulation.leader() is not None, seconds=20, description="a leader")
+    return str(simulation.leader())
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
@@ -37,13 +37,15 @@
         # Killed lives leave coroutines behind that nobody will ever await.
         warnings.simplefilter("ignore", RuntimeWarning)
         scenario = {**SCENARIOS, **CORE_SCENARIOS}[run.scenario]
-        complete = simulate(deployment=DEPLOYMENTS[run.deployment], seed=run.seed, scenario=scenario)
-    got = complete.history.of(RequestResult)
-    broken = {line: found for line, found in check(complete.history, complete.deployment).items() if found}
-    retry_share = worst_retry_window(complete.history, complete.deployment)[0] if complete.deployment.services else 0.0
-    digest = hashlib.sha256(repr(complete.history.events).encode()).hexdigest()
+        simulation = simulate(deployment=DEPLOYMENTS[run.deployment], seed=run.seed, scenario=scenario)
+    response = simulation.history.of(RequestResult)
+    broken = {line: found for line, found in check(simulation.history, simulation.deployment).items() if found}
+    retry_share = (
+        worst_retry_window(simulation.history, simulation.deployment)[0] if simulation.deployment.services else 0.0
+    )
+    digest = hashlib.sha256(repr(simulation.history.events).encode()).hexdigest()
     return Outcome(
-        run, len(got), sum(each.outcome == "answered" for each in got), round(retry_share, 3), digest, broken
+        run, len(response), sum(each.outcome == "answered" for each in response), round(retry_share, 3), digest, broken
     )
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
@@ -26,10 +26,10 @@
 )
 from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess, SimulatedTimeLoop
 
-_unreachable = Failure(MeshError(ErrorKind.UNREACHABLE, "no connection", "simulated"))
-_silent = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
+NO_CONNECTION = Failure(MeshError(ErrorKind.UNREACHABLE, "no connection", "simulated"))
+NO_ANSWER = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
 # These may reach their target twice: their receivers claim to know a copy when they see one.
-_repeatable = (FetchCall, FetchSnapshotCall, VoteCall, BeginEpochCall, BundleForwardCall, WriteCall)
+_DUPLICABLE_CALLS = (FetchCall, FetchSnapshotCall, VoteCall, BeginEpochCall, BundleForwardCall, WriteCall)
 
 
 class World:
@@ -40,18 +40,18 @@
         self.listeners: dict[str, tuple[SimulatedProcess, Handler]] = {}
         # Pairs (from, to) of process names between which nothing passes.
         self.cuts: set[tuple[str, str]] = set()
-        self.lost = 0.0
-        self.repeated = 0.01
-        self.slow = 0.01
+        self.loss_probability = 0.0
+        self.duplicate_probability = 0.01
+        self.delay_probability = 0.01
         # In the order of their calls: a set of futures would be walked in a random one.
         self.pending: dict[SimulatedProcess, dict[asyncio.Future, None]] = {}
-        self.on_call: Callable[[SimulatedProcess, str, tuple], None] = lambda life, address, message: None
+        self.on_call: Callable[[SimulatedProcess, str, tuple], None] = lambda process, address, message: None
         self.disk_faults: dict[str, str] = {}
         self.sync_seconds = (0.0005, 0.004)
 
     def latency(self) -> float:
         # Mostly fast; now and then a message takes long enough to arrive after later ones.
-        if self.random.random() < self.slow:
+        if self.random.random() < self.delay_probability:
             return self.random.uniform(0.02, 0.25)
         return self.random.uniform(0.0002, 0.002)
 
@@ -69,13 +69,13 @@
     def heal(self) -> None:
         self.cuts.clear()
 
-    def kill(self, life: SimulatedProcess) -> None:
-        life.kill()
-        for address in [address for address, (owner, _) in self.listeners.items() if owner is life]:
+    def kill(self, process: SimulatedProcess) -> None:
+        process.kill()
+        for address in [address for address, (owner, _) in self.listeners.items() if owner is process]:
             del self.listeners[address]
         # Whoever waited for an answer sees its connection break.
-        for future in self.pending.pop(life, {}):
-            self.loop.call_later(self.latency(), self._settle, future, _silent)
+        for future in self.pending.pop(process, {}):
+            self.loop.call_later(self.latency(), self._settle, future, NO_ANSWER)
 
     @staticmethod
     def _settle(future: asyncio.Future, result) -> None:
@@ -83,35 +83,37 @@
             future.set_result(result)
 
     def start_call(
-        self, life: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
+        self, process: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
     ) -> None:
-        caller = life.context
+        caller = process.context
 
         def settle(result) -> None:
             self.loop.call_later(self.latency(), self._settle, future, result, context=caller)
 
         listener = self.listeners.get(address)
         if listener is None:
-            return settle(_unreachable)
+            return settle(NO_CONNECTION)
         target, handler = listener
-        if self.cut_off(life.name, target.name):
+        if self.cut_off(process.name, target.name):
             # Half the time the connection stood already: then the bytes wait, and may arrive once the cut heals.
             if self.random.random() < 0.5:
                 wait = min(within * 0.98, CONNECT_TIMEOUT.total_seconds())
-                self.loop.call_later(wait, self._settle, future, _unreachable, context=caller)
+                self.loop.call_later(wait, self._settle, future, NO_CONNECTION, context=caller)
             else:
-                self._arrive_late(life, address, message, until=self.loop.time() + 4)
+                self._arrive_late(process, address, message, until=self.loop.time() + 4)
             return None
-        if self.random.random() < self.lost:
+        if self.random.random() < self.loss_probability:
             return None
         self.pending.setdefault(target, {})[future] = None
         future.add_done_callback(lambda done: self.pending.get(target, {}).pop(done, None))
-        copies = 2 if isinstance(message, _repeatable) and self.random.random() < self.repeated else 1
+        copies = (
+            2 if isinstance(message, _DUPLICABLE_CALLS) and self.random.random() < self.duplicate_probability else 1
+        )
         for copy in range(copies):
             self.loop.call_later(
                 self.latency() * (1 + copy * 5),
                 self._deliver,
-                life,
+                process,
                 target,
                 handler,
                 message,
@@ -119,16 +121,16 @@
                 context=target.context,
             )
 
-    def _arrive_late(self, life: SimulatedProcess, address: str, message: tuple, *, until: float) -> None:
+    def _arrive_late(self, process: SimulatedProcess, address: str, message: tuple, *, until: float) -> None:
         listener = self.listeners.get(address)
         if listener is None or self.loop.time() > until:
             return
         target, handler = listener
-        if self.cut_off(life.name, target.name):
-            self.loop.call_later(0.05, lambda: self._arrive_late(life, address, message, until=until))
+        if self.cut_off(process.name, target.name):
+            self.loop.call_later(0.05, lambda: self._arrive_late(process, address, message, until=until))
             return
         self.loop.call_later(
-            self.latency(), self._deliver, life, target, handler, message, None, context=target.context
+            self.latency(), self._deliver, process, target, handler, message, None, context=target.context
         )
 
     def _deliver(
@@ -141,7 +143,7 @@
                 settle is not None
                 and answer is not None
                 and not self.cut_off(target.name, caller.name)
-                and self.random.random() >= self.lost
+                and self.random.random() >= self.loss_probability
             ):
                 settle(Success(answer))
 
@@ -149,9 +151,9 @@
 
 
 class SimulatedRpcClient:
-    def __init__(self, *, world: World, life: SimulatedProcess) -> None:
+    def __init__(self, *, world: World, process: SimulatedProcess) -> None:
         self.world = world
-        self.life = life
+        self.process = process
 
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = lambda: True
@@ -159,15 +161,15 @@
         # A connection may have to be made first, and a freeze may fall right there.
         await asyncio.sleep(self.world.latency())
         if not still():
-            return _unreachable
-        self.world.on_call(self.life, address, message)
+            return NO_CONNECTION
+        self.world.on_call(self.process, address, message)
         future = self.world.loop.create_future()
-        self.world.start_call(self.life, address, message, future, within.total_seconds())
+        self.world.start_call(self.process, address, message, future, within.total_seconds())
         try:
             async with asyncio.timeout(within.total_seconds()):
                 return await future
         except TimeoutError:
-            return _silent
+            return NO_ANSWER
 
     def close(self) -> None:
         pass
@@ -183,11 +185,11 @@
 
 
 class SimulatedRuntime:
-    def __init__(self, *, world: World, life: SimulatedProcess) -> None:
+    def __init__(self, *, world: World, process: SimulatedProcess) -> None:
         self.world = world
-        self.life = life
+        self.process = process
         self.random = random.Random(world.random.random())
-        self.rpc_client = SimulatedRpcClient(world=world, life=life)
+        self.rpc_client = SimulatedRpcClient(world=world, process=process)
 
     def now(self) -> timedelta:
         return self.world.loop.now()
@@ -196,7 +198,7 @@
         return self.random.randbytes(size).hex()
 
     async def serve(self, address: str, handler: Handler) -> _Serving:
-        self.world.listeners[address] = (self.life, handler)
+        self.world.listeners[address] = (self.process, handler)
         return _Serving(world=self.world, address=address)
 
 
@@ -204,12 +206,18 @@
     """Does the disk's jobs after simulated syncs. What a killed process had not synced is lost."""
 
     def __init__(
-        self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters, world: World, life: SimulatedProcess
+        self,
+        *,
+        disk: Disk,
+        report: Callable[[tuple], None],
+        counters: Counters,
+        world: World,
+        process: SimulatedProcess,
     ) -> None:
         self.jobs = DiskJobs(disk=disk, counters=counters)
         self.report = report
         self.world = world
-        self.life = life
+        self.process = process
         self.waiting: deque = deque()
         self.busy = False
 
@@ -222,13 +230,13 @@
         self.busy = True
         self.taken = len(self.waiting)
         self.world.loop.call_later(
-            self.world.random.uniform(*self.world.sync_seconds), self._end, context=self.life.context
+            self.world.random.uniform(*self.world.sync_seconds), self._end, context=self.process.context
         )
 
     def _end(self) -> None:
-        fault = self.world.disk_faults.get(self.life.name, "")
+        fault = self.world.disk_faults.get(self.process.name, "")
         if fault == "stalled":
-            self.world.loop.call_later(0.05, self._end, context=self.life.context)
+            self.world.loop.call_later(0.05, self._end, context=self.process.context)
             return
         # Only what was queued when the sync began is in it.
         batch = deque(self.waiting.popleft() for _ in range(min(self.taken, len(self.waiting))))
@@ -240,7 +248,7 @@
             except (OSError, sqlite3.Error):
                 self.waiting.extendleft(reversed(batch))
                 self.taken = len(self.waiting)
-                self.world.loop.call_later(DISK_RETRY.total_seconds(), self._end, context=self.life.context)
+                self.world.loop.call_later(DISK_RETRY.total_seconds(), self._end, context=self.process.context)
                 return
             if report is not None:
                 self.report(report)
--- a/tests/test_injected_faults.py
+++ b/tests/test_injected_faults.py
@@ -23,13 +23,13 @@
     for seed in injected_fault.seeds:
         try:
             with injected_fault.patch():
-                complete = simulate(
+                simulation = simulate(
                     deployment=DEPLOYMENTS[injected_fault.deployment], seed=seed, scenario=injected_fault.scenario
                 )
         except Exception as problem:
             # A run that can't go on shows the fault, but not that its checker sees it.
             return f"{type(problem).__name__}: {str(problem)[:300]}"
-        if check(complete.history, complete.deployment)[injected_fault.line]:
+        if check(simulation.history, simulation.deployment)[injected_fault.line]:
             return True
     return False
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,18 +18,18 @@
 BRINDLEFIELD = DEPLOYMENTS["brindlefield"]
 
 
-async def read_configuration(complete: SimulatedDeployment) -> dict:
-    name = complete.live("bourse")[0]
+async def read_configuration(simulation: SimulatedDeployment) -> dict:
+    name = simulation.live("bourse")[0]
     return msgspec.json.decode(
-        (await complete.processes[name].spawn(complete.nodes[name].read_configuration())).unwrap().content
+        (await simulation.processes[name].spawn(simulation.nodes[name].read_configuration())).unwrap().content
     )
 
 
-def seen_shares(complete: SimulatedDeployment, *, since: float) -> dict[str, dict[str, float]]:
-    beside = {server.instance: server.proxy for server in complete.servers.values()}
+def seen_shares(simulation: SimulatedDeployment, *, since: float) -> dict[str, dict[str, float]]:
+    beside = {server.instance: server.proxy for server in simulation.servers.values()}
     runs = Counter(
         (ran.service, beside[ran.instance])
-        for ran in complete.history.of(RunStarted)
+        for ran in simulation.history.of(RunStarted)
         if ran.timestamp > since and ran.caller == "visitors"
     )
     totals = Counter()
@@ -41,30 +41,30 @@
     }
 
 
-def first_parents(complete: SimulatedDeployment) -> dict[str, str]:
-    names = {node.settings.listen: name for name, node in complete.nodes.items() if isinstance(node, ProxyNode)} | {
-        machine.registry: f"bourse-{machine.replica}" for machine in complete.core
+def first_parents(simulation: SimulatedDeployment) -> dict[str, str]:
+    names = {node.settings.listen: name for name, node in simulation.nodes.items() if isinstance(node, ProxyNode)} | {
+        machine.registry: f"bourse-{machine.replica}" for machine in simulation.core
     }
-    return {name: names[complete.nodes[name]._parents()[0]] for name in complete.live("stall")}
+    return {name: names[simulation.nodes[name]._parents()[0]] for name in simulation.live("stall")}
 
 
 class Planner(TestCase):
     def test_drained_and_new_servers_move_work_as_forecast(self) -> None:
         told: dict = {}
 
-        async def scenario(complete: SimulatedDeployment) -> None:
-            await complete.start()
-            setup = await read_configuration(complete)
+        async def scenario(simulation: SimulatedDeployment) -> None:
+            await simulation.start()
+            setup = await read_configuration(simulation)
             told["before"] = shares(setup)
-            began = complete.timestamp()
-            await complete.load(seconds=12, rate=60)
-            told["seen before"] = seen_shares(complete, since=began)
+            began = simulation.timestamp()
+            await simulation.load(seconds=12, rate=60)
+            told["seen before"] = seen_shares(simulation, since=began)
             told["forecast"] = forecast_change(setup, Change(drain=("stall-02",)))
-            assert isinstance(await complete.drain("stall-02"), Success)
-            told["after"] = shares(await read_configuration(complete))
-            began = complete.timestamp()
-            await complete.load(seconds=12, rate=60)
-            told["seen after"] = seen_shares(complete, since=began)
+            assert isinstance(await simulation.drain("stall-02"), Success)
+            told["after"] = shares(await read_configuration(simulation))
+            began = simulation.timestamp()
+            await simulation.load(seconds=12, rate=60)
+            told["seen after"] = seen_shares(simulation, since=began)
 
         simulate(deployment=BRINDLEFIELD, seed=3, scenario=scenario)
         work = told["forecast"].unwrap()["work"]
@@ -89,24 +89,24 @@
     def test_relay_parents_move_as_forecast(self) -> None:
         told: dict = {}
 
-        async def scenario(complete: SimulatedDeployment) -> None:
-            await complete.start()
-            await complete.until(
-                lambda: len(complete.nodes["bourse-1"].view.nodes) == len(complete.proxies) + len(complete.core),
+        async def scenario(simulation: SimulatedDeployment) -> None:
+            await simulation.start()
+            await simulation.until(
+                lambda: len(simulation.nodes["bourse-1"].view.nodes) == len(simulation.proxies) + len(simulation.core),
                 seconds=10,
                 what="every node noted",
             )
-            setup = await read_configuration(complete)
-            await complete.until(
-                lambda: first_parents(complete) == parents(setup), seconds=10, what="everyone at its place"
+            setup = await read_configuration(simulation)
+            await simulation.until(
+                lambda: first_parents(simulation) == parents(setup), seconds=10, what="everyone at its place"
             )
             forecast = forecast_change(setup, Change(gone=("stall-01",))).unwrap()
-            complete.kill("stall-01")
+            simulation.kill("stall-01")
             after = {**parents(setup), **{proxy: moved["to"] for proxy, moved in forecast["relay_parents"].items()}}
             after.pop("stall-01")
             told["moved"] = forecast["relay_parents"]
-            await complete.until(
-                lambda: first_parents(complete) == after, seconds=20, what="the tree has moved as forecast"
+            await simulation.until(
+                lambda: first_parents(simulation) == after, seconds=20, what="the tree has moved as forecast"
             )
 
         simulate(deployment=BRINDLEFIELD, seed=4, scenario=scenario)
@@ -116,30 +116,32 @@
     def test_bundles_change_what_the_plan_says_and_are_refused_as_it_says(self) -> None:
         told: dict = {}
 
-        async def scenario(complete: SimulatedDeployment) -> None:
-            await complete.start()
-            setup = await read_configuration(complete)
+        async def scenario(simulation: SimulatedDeployment) -> None:
+            await simulation.start()
+            setup = await read_configuration(simulation)
             text = (
-                next_bundle(complete, number=2, based_on=1)
+                next_bundle(simulation, number=2, based_on=1)
                 .replace('callers = ["visitors", "portal"]', 'callers = ["portal"]', 1)
                 .replace("body_bytes = 65536", "body_bytes = 1024")
             )
             told["plan"] = forecast_bundle(setup, text).unwrap()
-            told["stale"] = forecast_bundle(setup, complete.deployment.first_bundle()).unwrap()["refused"]
-            told["wrong base"] = forecast_bundle(setup, next_bundle(complete, number=3, based_on=2)).unwrap()["refused"]
+            told["stale"] = forecast_bundle(setup, simulation.deployment.first_bundle()).unwrap()["refused"]
+            told["wrong base"] = forecast_bundle(setup, next_bundle(simulation, number=3, based_on=2)).unwrap()[
+                "refused"
+            ]
             told["broken"] = forecast_bundle(setup, text.replace("everyone = true", "everyone = false"))
             # Another person's: its own author's call would be one that was sent again, and is confirmed.
             told["really"] = [
-                (await complete.submit(complete.deployment.first_bundle(), author="ben")).failure().kind,
-                (await complete.submit(next_bundle(complete, number=3, based_on=2))).failure().kind,
+                (await simulation.submit(simulation.deployment.first_bundle(), author="ben")).failure().kind,
+                (await simulation.submit(next_bundle(simulation, number=3, based_on=2))).failure().kind,
             ]
-            told["again"] = isinstance(await complete.submit(complete.deployment.first_bundle()), Success)
-            submitted = (await complete.submit(text)).unwrap()["submitted"]
-            one = (await complete.sign(2, submitted["digest"])).unwrap()
-            two = (await complete.advance(2, 1)).unwrap()
+            told["again"] = isinstance(await simulation.submit(simulation.deployment.first_bundle()), Success)
+            submitted = (await simulation.submit(text)).unwrap()["submitted"]
+            one = (await simulation.sign(2, submitted["digest"])).unwrap()
+            two = (await simulation.advance(2, 1)).unwrap()
             told["machines"] = [sorted(one["machines"]), sorted(set(two["machines"]) - set(one["machines"]))]
-            credits = next(ask for ask in complete.deployment.request_kinds if ask.path == "/credits")
-            got = await complete.ask(credits, client="v", key="k")
+            credits = next(ask for ask in simulation.deployment.request_kinds if ask.path == "/credits")
+            got = await simulation.send_request(credits, client="v", key="k")
             told["credits"] = (got.outcome, got.status)
             await asyncio.sleep(0)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -38,36 +38,36 @@
     def test_a_machine_that_refuses_is_named_stays_as_it_is_and_the_rollout_can_be_taken_back(self) -> None:
         told: dict = {}
 
-        def bundles(complete: SimulatedDeployment) -> dict[str, int]:
-            return {name: complete.nodes[name].core.view.bundle_number for name in complete.proxies}
+        def bundles(simulation: SimulatedDeployment) -> dict[str, int]:
+            return {name: simulation.nodes[name].core.view.bundle_number for name in simulation.proxies}
 
-        async def scenario(complete: SimulatedDeployment) -> None:
-            await complete.start()
-            text = next_bundle(complete, number=2, based_on=1, note="newer")
-            submitted = (await complete.submit(text)).unwrap()["submitted"]
-            one = (await complete.sign(2, submitted["digest"])).unwrap()
-            two = (await complete.advance(2, 1)).unwrap()
+        async def scenario(simulation: SimulatedDeployment) -> None:
+            await simulation.start()
+            text = next_bundle(simulation, number=2, based_on=1, note="newer")
+            submitted = (await simulation.submit(text)).unwrap()["submitted"]
+            one = (await simulation.sign(2, submitted["digest"])).unwrap()
+            two = (await simulation.advance(2, 1)).unwrap()
             told["answers"] = (one["accepted"], two["accepted"], two["refused"]["message"], two["refused"]["kind"])
             told["refusal"] = two["machines"][OLD_RELEASE]
-            told["bundles"] = bundles(complete)
+            told["bundles"] = bundles(simulation)
             # It refuses, and goes on serving under what it has.
-            told["ready"] = complete.nodes[OLD_RELEASE].core.ready()
+            told["ready"] = simulation.nodes[OLD_RELEASE].core.ready()
             # The next bundle, which it can read, brings it along.
-            await complete.roll_out(next_bundle(complete, number=3, based_on=2))
-            told["later"] = bundles(complete)
-            third = (await complete.submit(next_bundle(complete, number=4, based_on=3, note="regretted"))).unwrap()[
+            await simulation.roll_out(next_bundle(simulation, number=3, based_on=2))
+            told["later"] = bundles(simulation)
+            third = (await simulation.submit(next_bundle(simulation, number=4, based_on=3, note="regretted"))).unwrap()[
                 "submitted"
             ]
-            assert isinstance(await complete.sign(4, third["digest"]), Success)
-            told["rolling"] = sorted(set(bundles(complete).values()))
-            aborted = await complete.as_operator(
+            assert isinstance(await simulation.sign(4, third["digest"]), Success)
+            told["rolling"] = sorted(set(bundles(simulation).values()))
+            aborted = await simulation.as_operator(
                 lambda actions, request: actions.abort(operator="ada", number=4, request=request)
             )
-            told["aborted"] = (aborted.unwrap()["accepted"], sorted(set(bundles(complete).values())))
+            told["aborted"] = (aborted.unwrap()["accepted"], sorted(set(bundles(simulation).values())))
             # The signature was taken before the abort: it is confirmed again and moves nothing; nobody else can sign.
-            again = (await complete.sign(4, third["digest"])).unwrap()
-            other = await complete.sign(4, third["digest"], signer="ada")
-            told["again"] = (again["phase"], sorted(set(bundles(complete).values())), other.failure().kind)
+            again = (await simulation.sign(4, third["digest"])).unwrap()
+            other = await simulation.sign(4, third["digest"], signer="ada")
+            told["again"] = (again["phase"], sorted(set(bundles(simulation).values())), other.failure().kind)
 
         with mock.patch.object(view, "read_bundle", read_as_an_old_release):
             simulate(deployment=DEPLOYMENTS["thimble"], seed=6, scenario=scenario)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -20,11 +20,11 @@
     def test_files_add_up_to_what_was_asked(self) -> None:
         told: list[dict] = []
 
-        async def scenario(complete: SimulatedDeployment) -> None:
-            await complete.start()
-            await complete.load(seconds=5, rate=30)
-            for name in complete.proxies:
-                core = complete.nodes[name].core
+        async def scenario(simulation: SimulatedDeployment) -> None:
+            await simulation.start()
+            await simulation.load(seconds=5, rate=30)
+            for name in simulation.proxies:
+                core = simulation.nodes[name].core
                 usage = [
                     dict(
                         zip(
@@ -44,9 +44,9 @@
                     )
                     for key, amounts in core.usage.items()
                 ]
-                told.append({"stall": name, "life": complete.nodes[name].incarnation, "usage": usage})
+                told.append({"stall": name, "life": simulation.nodes[name].incarnation, "usage": usage})
 
-        complete = simulate(deployment=DEPLOYMENTS["thimble"], seed=2, scenario=scenario)
+        simulation = simulate(deployment=DEPLOYMENTS["thimble"], seed=2, scenario=scenario)
         table = table_of(told, read_at=datetime(2026, 12, 1, tzinfo=UTC))
         with tempfile.TemporaryDirectory() as folder:
             for name, read in (("usage.parquet", parquet.read_table), ("usage.csv", csv.read_csv)):
@@ -59,7 +59,8 @@
                     if row["caller"] == "visitors":
                         asked[row["outcome"]] += row["requests"]
                 self.assertThat(
-                    asked, Equals(Counter(got.outcome for got in complete.history.of(RequestResult) if not got.caller))
+                    asked,
+                    Equals(Counter(got.outcome for got in simulation.history.of(RequestResult) if not got.caller)),
                 )
             self.assertThat(
                 parquet.read_schema(Path(folder) / "usage.parquet").equals(SCHEMA, check_metadata=True), Equals(True)
