--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -110,7 +110,7 @@
 @click.option("--list", "listing", is_flag=True, help="Names the scenarios and ends.")
 def simulate(deployment, scenarios, seeds, listing, workers, quiet) -> None:
     """Drives the same code through failures in simulated time, seed by seed."""
-    from hoistsaddle.testbed.simulation.catalogue import CORE_SCENARIOS, SCENARIOS
+    from hoistsaddle.testbed.simulation.catalogue import CORE_SCENARIOS, SCENARIOS, find_scenario
     from hoistsaddle.testbed.simulation.runs import Run, carry_out_all
 
     if listing:
@@ -118,7 +118,7 @@
             click.echo(f"{name}: {(scenario.__doc__ or 'nothing goes wrong').strip()}")
         return
     first, _, last = seeds.partition("-")
-    unknown = sorted(set(scenarios) - set(SCENARIOS) - set(CORE_SCENARIOS))
+    unknown = sorted(name for name in set(scenarios) if find_scenario(name) is None)
     if unknown or not first.isdigit() or not (last or first).isdigit():
         click.echo(
             f"refused: params: scenarios {unknown} or seeds {seeds!r} can't be read. Remedy: see "
--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -211,7 +211,7 @@
             continue
         direct = event.path == ran.path and event.method == ran.method
         callers = {"visitors"} if direct else set()
-        for (service, path), inner in deployment.inner.items():
+        for (service, path), inner in deployment.nested_calls.items():
             if path == event.path and any((each.method, each.path) == (ran.method, ran.path) for each in inner):
                 callers.add(service)
         if ran.caller not in callers:
--- a/packages/testbed/src/hoistsaddle/testbed/deployments.py
+++ b/packages/testbed/src/hoistsaddle/testbed/deployments.py
@@ -28,7 +28,7 @@
     services: tuple[str, ...]
     request_kinds: tuple[RequestKind, ...]
     # Service and path to the inner calls it makes.
-    inner: dict[tuple[str, str], tuple[NestedCall, ...]]
+    nested_calls: dict[tuple[str, str], tuple[NestedCall, ...]]
     requests_per_second: int
 
     def zone_of(self, place: int) -> str:
@@ -96,7 +96,7 @@
             RequestKind("GET", "/readings", False, 1),
             RequestKind("POST", "/uploads", True, 1),
         ),
-        inner={("portal", "/statements"): (NestedCall("GET", "/balance"), NestedCall("GET", "/readings"))},
+        nested_calls={("portal", "/statements"): (NestedCall("GET", "/balance"), NestedCall("GET", "/readings"))},
         requests_per_second=200,
     ),
     "kadiri": Deployment(
@@ -125,15 +125,27 @@
             RequestKind("POST", "/uploads", True, 1),
             RequestKind("GET", "/progress", False, 1),
         ),
-        inner={("cards", "/drills"): (NestedCall("GET", "/decks"), NestedCall("GET", "/progress"))},
+        nested_calls={("cards", "/drills"): (NestedCall("GET", "/decks"), NestedCall("GET", "/progress"))},
         requests_per_second=220,
     ),
     # Core machines alone, for what concerns nothing but the log.
     "three": Deployment(
-        name="three", core=3, zones=("a", "b", "c"), services=(), request_kinds=(), inner={}, requests_per_second=0
+        name="three",
+        core=3,
+        zones=("a", "b", "c"),
+        services=(),
+        request_kinds=(),
+        nested_calls={},
+        requests_per_second=0,
     ),
     "five": Deployment(
-        name="five", core=5, zones=("a", "b", "c"), services=(), request_kinds=(), inner={}, requests_per_second=0
+        name="five",
+        core=5,
+        zones=("a", "b", "c"),
+        services=(),
+        request_kinds=(),
+        nested_calls={},
+        requests_per_second=0,
     ),
     "thimble": Deployment(
         name="thimble",
@@ -145,7 +157,7 @@
             RequestKind("POST", "/payments", True, 2),
             RequestKind("POST", "/uploads", True, 1),
         ),
-        inner={("portal", "/statements"): (NestedCall("GET", "/balance"), NestedCall("GET", "/readings"))},
+        nested_calls={("portal", "/statements"): (NestedCall("GET", "/balance"), NestedCall("GET", "/readings"))},
         requests_per_second=30,
     ),
 }
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/catalogue.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/catalogue.py
@@ -1,56 +1,85 @@
-"""Every scenario by its name."""
+"""Every scenario by its name, as the command line takes it."""
 
-from hoistsaddle.testbed.simulation import faults
-from hoistsaddle.testbed.simulation import scenarios as plain
-from hoistsaddle.testbed.simulation.manyorders import many_orders
-from hoistsaddle.testbed.simulation.orders import orders_sent_again
-from hoistsaddle.testbed.simulation.rules import (
-    keys_travel,
-    old_process_lives,
-    rules_change,
-    rules_change_in_trouble,
+from hoistsaddle.testbed.simulation.deployment import Scenario
+from hoistsaddle.testbed.simulation.scenarios import (
+    baseline,
+    bundles,
+    core,
+    keys,
+    losses,
+    many_orders,
+    operator_changes,
+    orders,
+    partitions,
+    pauses,
+    random_faults,
+    releases,
+    rule_changes,
+    servers,
+    storage,
 )
-from hoistsaddle.testbed.simulation.scenarios import Scenario
 
 # On core machines alone; these run with the deployments "three" and "five".
 CORE_SCENARIOS: dict[str, Scenario] = {
     scenario.__name__: scenario
-    for scenario in (plain.core_chaos, plain.power_lost, plain.agreed_then_wiped, orders_sent_again, many_orders)
+    for scenario in (
+        core.core_chaos,
+        core.power_lost,
+        core.agreed_then_wiped,
+        orders.orders_sent_again,
+        many_orders.many_orders,
+    )
 }
 SCENARIOS: dict[str, Scenario] = {
     scenario.__name__: scenario
     for scenario in (
-        plain.calm,
-        plain.core_machine_lost,
-        plain.leader_frozen,
-        plain.disk_wiped,
-        plain.herd_killed,
-        plain.days_end,
-        plain.stalls_killed,
-        plain.cut_apart,
-        plain.frozen,
-        plain.disks_fail,
-        plain.servers_change,
-        plain.servers_misbehave,
-        plain.bundles_race,
-        plain.rolling_restart,
-        plain.lossy,
-        plain.zone_lost,
-        plain.control_lost,
-        plain.bundle_while_cut_off,
-        plain.broken_bundle,
-        plain.anything,
-        rules_change,
-        rules_change_in_trouble,
-        keys_travel,
-        old_process_lives,
-        faults.copies_damaged,
-        faults.gone_forgotten,
-        faults.wiped_after_word,
-        faults.releases_side_by_side,
-        faults.margins_kept,
-        faults.isolated,
-        faults.clocks_jump,
-        faults.operators_at_once,
+        baseline.calm,
+        losses.core_machine_lost,
+        pauses.leader_frozen,
+        losses.disk_wiped,
+        losses.all_processes_killed,
+        losses.all_fail_together,
+        losses.proxies_killed,
+        partitions.cut_apart,
+        pauses.frozen,
+        storage.disks_fail,
+        servers.servers_change,
+        servers.servers_misbehave,
+        bundles.bundles_race,
+        releases.rolling_restart,
+        baseline.lossy,
+        losses.zone_lost,
+        losses.control_lost,
+        partitions.bundle_while_cut_off,
+        bundles.broken_bundle,
+        random_faults.anything,
+        rule_changes.rules_change,
+        rule_changes.rules_change_under_faults,
+        keys.keys_travel,
+        servers.old_process_lives,
+        storage.copies_damaged,
+        losses.replaced_machines_forgotten,
+        losses.wiped_after_acknowledgement,
+        releases.releases_side_by_side,
+        servers.retry_margins_kept,
+        partitions.isolated,
+        pauses.clocks_jump,
+        operator_changes.operators_at_once,
     )
 }
+# Names that scenarios had in earlier releases; the command line still takes them.
+FORMER_NAMES = {
+    "days_end": "all_fail_together",
+    "gone_forgotten": "replaced_machines_forgotten",
+    "herd_killed": "all_processes_killed",
+    "margins_kept": "retry_margins_kept",
+    "rules_change_in_trouble": "rules_change_under_faults",
+    "stalls_killed": "proxies_killed",
+    "wiped_after_word": "wiped_after_acknowledgement",
+}
+
+
+def find_scenario(name: str) -> Scenario | None:
+    """The scenario of this name or former name; None if there is none."""
+    present = FORMER_NAMES.get(name, name)
+    return SCENARIOS.get(present) or CORE_SCENARIOS.get(present)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time is simulated: nothing waits, every run of one seed is the same, nodes freeze and die."""
+"""An event loop whose time is simulated: nothing waits, every run of one seed is the same, processes freeze and die."""
 
 import asyncio
 import contextvars
@@ -9,7 +9,7 @@
 
 
 class SimulatedProcess:
-    """One life of one simulated process. What it scheduled runs only while it lives and isn't frozen."""
+    """One run of a simulated process: what it scheduled runs only while it is alive and not frozen."""
 
     def __init__(self, *, name: str, loop: "SimulatedTimeLoop") -> None:
         self.name = name
@@ -19,22 +19,26 @@
         self.deferred: list[tuple] = []
         self.context = contextvars.copy_context()
         self.context.run(CURRENT_PROCESS.set, self)
-        # Kept on purpose: a task collected in the middle of a run would run its last lines at a random moment.
+        # Kept on purpose: a task collected in the middle of a run would run its last lines at a random time.
         self.tasks: list[asyncio.Task] = []
 
     def spawn(self, work) -> asyncio.Task:
+        """Runs a coroutine as a task of this process."""
         task = self.loop.create_task(work, context=self.context.copy())
         self.tasks.append(task)
         return task
 
     def kill(self) -> None:
+        """Nothing that the process scheduled runs any more."""
         self.dead = True
         self.deferred.clear()
 
     def freeze(self) -> None:
+        """Whatever comes due from now on waits."""
         self.frozen = True
 
     def wake(self) -> None:
+        """Runs what came due meanwhile, in the order in which it did."""
         self.frozen = False
         deferred, self.deferred = self.deferred, []
         for handle_slot, callback, arguments, context in deferred:
@@ -73,6 +77,13 @@
 
 
 class SimulatedTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop that jumps to the next timer as soon as nothing is ready.
+
+    Attributes:
+        current_seconds: simulated time.
+        errors: contexts of exceptions that nobody caught.
+    """
+
     def __init__(self) -> None:
         self.current_seconds = 1000.0
         selector = _InstantSelector()
@@ -83,14 +94,16 @@
         self.set_exception_handler(self._record_error)
 
     def _record_error(self, loop, context) -> None:
-        # A life that was killed leaves tasks behind; everything else is a fault of ours and fails the run.
+        # A process that was killed leaves tasks behind; everything else is a fault of ours and fails the run.
         if "was destroyed but it is pending" not in context.get("message", ""):
             self.errors.append(context)
 
     def time(self) -> float:
+        """Simulated seconds, as asyncio asks for them."""
         return self.current_seconds
 
     def now(self) -> timedelta:
+        """Simulated time, as the nodes ask for it."""
         return timedelta(seconds=self.current_seconds)
 
     @staticmethod
@@ -103,6 +116,7 @@
         callback(*arguments)
 
     def call_soon(self, callback, *args, context=None):
+        """Schedules a callback; one of a simulated process runs only while that process does."""
         process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_soon(callback, *args, context=context)
@@ -113,6 +127,7 @@
         return handle_slot[0]
 
     def call_at(self, when, callback, *args, context=None):
+        """Schedules a callback for a time; one of a simulated process runs only while that process does."""
         process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
@@ -123,5 +138,6 @@
         return handle_slot[0]
 
     def call_soon_threadsafe(self, callback, *args, context=None):
+        """The same as call_soon: there are no threads here."""
         # There are no threads here, and the pipe that wakes a real loop would only fill.
         return self.call_soon(callback, *args, context=context)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
@@ -9,54 +9,79 @@
 from hoistsaddle.testbed.checkers import check, worst_retry_window
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 from hoistsaddle.testbed.history import RequestResult
-from hoistsaddle.testbed.simulation.catalogue import CORE_SCENARIOS, SCENARIOS
+from hoistsaddle.testbed.simulation.catalogue import find_scenario
 from hoistsaddle.testbed.simulation.deployment import simulate
 
 
 class Run(NamedTuple):
+    """One scenario on one deployment from one seed."""
+
     deployment: str
     scenario: str
     seed: int
 
 
 class Outcome(NamedTuple):
+    """What a run came to.
+
+    Attributes:
+        run: which run it was.
+        asked: how many requests were sent.
+        answered: how many of them were answered.
+        retry_share: the part of the retries allowed that the fullest ten seconds used.
+        digest: of the whole history, so that two runs can be told apart in their last detail.
+        broken: what broke each rule of the checkers.
+        failed: what stopped the run before its end; empty for one that came through.
+    """
+
     run: Run
     asked: int
     answered: int
-    # The part of the further sends allowed that the fullest ten seconds used.
     retry_share: float
-    # Of the whole history, so that two runs can be told apart in their last detail.
     digest: str
     broken: dict[str, list[str]]
-    # What stopped the run before its end; empty for one that came through.
     failed: str = ""
 
 
+MAX_ERROR_CHARACTERS = 600
+
+
 def carry_out(run: Run) -> Outcome:
+    """Does one run and checks its history.
+
+    Raises:
+        KeyError: there is no scenario of this name.
+    """
+    scenario = find_scenario(run.scenario)
+    if scenario is None:
+        raise KeyError(run.scenario)
+    deployment = DEPLOYMENTS[run.deployment]
     with warnings.catch_warnings():
-        # Killed lives leave coroutines behind that nobody will ever await.
+        # Killed processes leave coroutines behind that nobody will ever await.
         warnings.simplefilter("ignore", RuntimeWarning)
-        scenario = {**SCENARIOS, **CORE_SCENARIOS}[run.scenario]
-        simulation = simulate(deployment=DEPLOYMENTS[run.deployment], seed=run.seed, scenario=scenario)
-    response = simulation.history.of(RequestResult)
-    broken = {line: found for line, found in check(simulation.history, simulation.deployment).items() if found}
-    retry_share = (
-        worst_retry_window(simulation.history, simulation.deployment)[0] if simulation.deployment.services else 0.0
-    )
-    digest = hashlib.sha256(repr(simulation.history.events).encode()).hexdigest()
+        simulation = simulate(deployment=deployment, seed=run.seed, scenario=scenario)
+    history = simulation.history
+    results = history.of(RequestResult)
+    retry_share = worst_retry_window(history, deployment)[0] if deployment.services else 0.0
     return Outcome(
-        run, len(response), sum(each.outcome == "answered" for each in response), round(retry_share, 3), digest, broken
+        run=run,
+        asked=len(results),
+        answered=sum(result.outcome == "answered" for result in results),
+        retry_share=round(retry_share, 3),
+        digest=hashlib.sha256(repr(history.events).encode()).hexdigest(),
+        broken={rule: found for rule, found in check(history, deployment).items() if found},
     )
 
 
-def carry_out_or_tell(run: Run) -> Outcome:
+def _carry_out_or_report(run: Run) -> Outcome:
+    """Does one run; an exception is reported in the outcome, so that it doesn't hide what the other runs found."""
     try:
         return carry_out(run)
-    except Exception as problem:
-        # One run that can't go on must not hide what the others found.
-        return Outcome(run, 0, 0, 0.0, "", {}, f"{type(problem).__name__}: {str(problem)[:600]}")
+    except Exception as error:
+        return Outcome(run, 0, 0, 0.0, "", {}, f"{type(error).__name__}: {str(error)[:MAX_ERROR_CHARACTERS]}")
 
 
 def carry_out_all(runs: list[Run], *, workers: int | None = None) -> list[Outcome]:
+    """Does many runs on so many processes, by default one for each processor; outcomes come in the runs' order."""
     with ProcessPoolExecutor(workers or os.cpu_count()) as pool:
-        return list(pool.map(carry_out_or_tell, runs))
+        return list(pool.map(_carry_out_or_report, runs))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders in a core that suffers: eight under way at once, two under one revision, each sent again and again.
+"""Operators' orders in a core under faults: eight in flight at once, two under one revision, each sent again and again.
 
 An operator here sends an order unchanged, to any core machine, until there is a clear answer, and once more at any
 later time: what was confirmed must be confirmed again, and the refused one of two rivals must stay refused.
@@ -13,14 +13,15 @@
 from hoistsaddle.config.items import SERVICE, ItemDeletion, ItemUpsert, Patch, key_of, pack_patch
 from hoistsaddle.statemachine.commands import Outcome, PatchItems
 from hoistsaddle.statemachine.state import State
+from hoistsaddle.testbed.process_names import REGISTRY, replica_of, store_name
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
-from hoistsaddle.testbed.simulation.scenarios import compare_replicas, inject_core_faults
+from hoistsaddle.testbed.simulation.scenarios.core import compare_replicas, inject_core_faults
 
-UNDER_WAY = 8
+ORDERS_IN_FLIGHT = 8
 NAMES = tuple(f"service-{number}" for number in range(5))
 FAULT_SECONDS = 20.0
 WRITE_TIMEOUT = timedelta(milliseconds=500)
-# Seconds of mesh time, longer than the run: nothing is forgotten in it.
+# Longer than the run: nothing is forgotten in it.
 RESEND_WINDOW_SECONDS = 600
 CONFIRMED, REFUSED, UNCLEAR = "confirmed", "refused", "unclear"
 
@@ -32,6 +33,12 @@
     items: tuple[tuple[str, int, str | None], ...]
 
     def command(self, *, request: str, seen: int) -> PatchItems:
+        """The record that proposes this order.
+
+        Args:
+            request: the id of this copy of the order.
+            seen: the offset up to which the sender had read.
+        """
         sets = [
             ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
             for name, revision, content in self.items
@@ -72,12 +79,12 @@
     async def send(self, order: SentOrder) -> str:
         """One call at one core machine; an answer may be lost on its way back."""
         simulation = self.simulation
-        registries = simulation.live("bourse")
+        registries = simulation.processes.running(REGISTRY)
         if not registries:
             return UNCLEAR
         name = simulation.random.choice(registries)
-        process, node = simulation.processes[name], simulation.nodes[name]
-        core = simulation.nodes[f"warehouse-{name.rpartition('-')[2]}"].runner.core
+        process, node = simulation.processes.by_name[name], simulation.processes.nodes[name]
+        core = simulation.processes.nodes[store_name(replica_of(name))].runner.core
         seen = core.state.offset if core is not None else -1
         command = order.command(request=f"call-{next(simulation.counter)}", seen=seen)
         task = process.spawn(node.writer.write(command, within=WRITE_TIMEOUT))
@@ -89,8 +96,9 @@
         return UNCLEAR if simulation.random.random() < 0.5 else answer
 
     async def until_clear(self, order: SentOrder, *, end: float) -> str:
+        """Sends an order again and again until there is a clear answer or the time is over."""
         answer = UNCLEAR
-        while answer == UNCLEAR and self.simulation.timestamp() < end:
+        while answer == UNCLEAR and self.simulation.now() < end:
             answer = await self.send(order)
             await asyncio.sleep(self.simulation.random.uniform(0.0, 0.4))
         return answer
@@ -110,7 +118,7 @@
 async def _operate(book: OrderBook, *, end: float) -> None:
     """One pair of operators: new orders, and old ones sent again at any later time."""
     random = book.simulation.random
-    while book.simulation.timestamp() < end:
+    while book.simulation.now() < end:
         if book.orders and random.random() < 0.4:
             await book.send(random.choice(book.orders))
         else:
@@ -119,7 +127,7 @@
 
 
 def _contradictions(book: OrderBook, state: State) -> list[str]:
-    """Clear answers that aren't true of each other, or of what stands."""
+    """Clear answers that contradict each other, or the state."""
     found = []
     confirmed: dict[tuple[str, int], set[str | None]] = {}
     refused: set[str] = set()
@@ -137,45 +145,40 @@
     for name, revision in confirmed:
         newest[name] = max(revision, newest.get(name, -1))
     for name, revision in newest.items():
-        route = state.items.get(key_of(SERVICE, name))
-        if route is None or route.revision < revision:
+        item = state.items.get(key_of(SERVICE, name))
+        if item is None or item.revision < revision:
             found.append(f"{name} at {revision} was confirmed and is lost")
-        elif route.revision == revision and confirmed[(name, revision)] != {_content(route)}:
-            found.append(f"{name} at {revision} stands with another content than was confirmed")
-        if route is not None and _content(route) in refused:
-            found.append(f"{name} at {route.revision} stands as {_content(route)}, which was refused")
+        elif item.revision == revision and confirmed[(name, revision)] != {_content(item)}:
+            found.append(f"{name} at {revision} has another content than was confirmed")
+        if item is not None and _content(item) in refused:
+            found.append(f"{name} at {item.revision} has the content {_content(item)}, which was refused")
     return found
 
 
-def _content(route) -> str | None:
-    return None if route.dropped else route.said.decode()
+def _content(item) -> str | None:
+    return None if item.dropped else item.said.decode()
 
 
 async def orders_sent_again(simulation: SimulatedDeployment) -> None:
     """Orders race, their answers are lost, their copies come at any later time: each clear answer stays true."""
     await simulation.start(bundle=False)
     book = OrderBook(simulation=simulation)
-    end = simulation.timestamp() + FAULT_SECONDS
-    # A pair of rivals for each two that may be under way.
-    operators = [simulation.create_task(_operate(book, end=end)) for _ in range(UNDER_WAY // 2)]
+    end = simulation.now() + FAULT_SECONDS
+    # A pair of rivals for each two that may be in flight.
+    operators = [simulation.create_task(_operate(book, end=end)) for _ in range(ORDERS_IN_FLIGHT // 2)]
     await inject_core_faults(simulation, end=end)
     await asyncio.gather(*operators)
     await compare_replicas(simulation)
-    leader = await _wait_for_leader(simulation)
-    for found in _contradictions(book, simulation.nodes[leader].runner.core.state):
+    leader = await simulation.wait_for_leader(seconds=20)
+    for found in _contradictions(book, simulation.processes.nodes[leader].runner.core.state):
         simulation.expect(f"a clear answer stays true: {found}", False)
-    # In calm times every order that was ever sent gets a clear answer, wherever it is sent, and the one it had.
-    end = simulation.timestamp() + 30
-    calm = [book.until_clear(order, end=end) for order in book.orders]
-    for place in range(0, len(calm), UNDER_WAY):
-        answers = await asyncio.gather(*calm[place : place + UNDER_WAY])
-        simulation.expect("in calm times each order gets a clear answer", UNCLEAR not in answers)
-    for found in _contradictions(book, simulation.nodes[leader].runner.core.state):
+    # Without faults every order that was ever sent gets a clear answer, wherever it is sent, and the one it had.
+    end = simulation.now() + 30
+    resent = [book.until_clear(order, end=end) for order in book.orders]
+    for start in range(0, len(resent), ORDERS_IN_FLIGHT):
+        answers = await asyncio.gather(*resent[start : start + ORDERS_IN_FLIGHT])
+        simulation.expect("without faults each order gets a clear answer", UNCLEAR not in answers)
+    for found in _contradictions(book, simulation.processes.nodes[leader].runner.core.state):
         simulation.expect(f"a clear answer stays true: {found}", False)
     answers_given = [answer for each in book.answers.values() for answer in each]
     simulation.expect("some orders are confirmed and some refused", {CONFIRMED, REFUSED} == set(answers_given))
-
-
-async def _wait_for_leader(simulation: SimulatedDeployment) -> str:
-    await simulation.until(lambda: simulation.leader() is not None, seconds=20, description="a leader")
-    return str(simulation.leader())
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
@@ -1,4 +1,4 @@
-"""The simulated world round the nodes: a network that loses, delays, repeats and is cut, and disks that forget."""
+"""The simulated world around the nodes: a network that loses, delays, repeats and is cut, and disks that forget."""
 
 import asyncio
 import random
@@ -32,7 +32,24 @@
 _DUPLICABLE_CALLS = (FetchCall, FetchSnapshotCall, VoteCall, BeginEpochCall, BundleForwardCall, WriteCall)
 
 
+# How a disk may fail: it does nothing, or has no room for more.
+DISK_STALLED, DISK_FULL = "stalled", "full"
+
+
 class World:
+    """The network between simulated processes and the disks below them, as scenarios set them.
+
+    Attributes:
+        listeners: who listens at an address, and the handler of calls.
+        cuts: pairs (from, to) of process names between which nothing passes.
+        loss_probability: how often a call, or an answer, never arrives.
+        duplicate_probability: how often a call that may arrive twice does.
+        delay_probability: how often a message takes long enough to arrive after later ones.
+        on_call: told of each call as it is sent.
+        disk_faults: DISK_STALLED or DISK_FULL by the name of the process.
+        sync_seconds: shortest and longest time that a sync of a disk takes.
+    """
+
     def __init__(self, *, loop: SimulatedTimeLoop, seed: int, folder: Path) -> None:
         self.loop = loop
         self.random = random.Random(seed)
@@ -50,15 +67,18 @@
         self.sync_seconds = (0.0005, 0.004)
 
     def latency(self) -> float:
+        """Draws how many seconds one message is under way."""
         # Mostly fast; now and then a message takes long enough to arrive after later ones.
         if self.random.random() < self.delay_probability:
             return self.random.uniform(0.02, 0.25)
         return self.random.uniform(0.0002, 0.002)
 
     def cut_off(self, sender: str, receiver: str) -> bool:
+        """Whether messages from the sender to the receiver are cut off."""
         return (sender, receiver) in self.cuts
 
     def cut(self, one_side: list[str], other_side: list[str], *, one_way: bool = False) -> None:
+        """From now on nothing passes between two sides, or, one way, nothing from the first to the second."""
         for one in one_side:
             for other in other_side:
                 if one != other:
@@ -67,9 +87,11 @@
                         self.cuts.add((other, one))
 
     def heal(self) -> None:
+        """Everything passes again."""
         self.cuts.clear()
 
     def kill(self, process: SimulatedProcess) -> None:
+        """Ends a process; whoever waits for its answer sees the connection break."""
         process.kill()
         for address in [address for address, (owner, _) in self.listeners.items() if owner is process]:
             del self.listeners[address]
@@ -85,6 +107,7 @@
     def start_call(
         self, process: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
     ) -> None:
+        """Takes a call under way; the future gets the answer or the error, or nothing if the call is lost."""
         caller = process.context
 
         def settle(result) -> None:
@@ -151,6 +174,8 @@
 
 
 class SimulatedRpcClient:
+    """The calls of one process to others."""
+
     def __init__(self, *, world: World, process: SimulatedProcess) -> None:
         self.world = world
         self.process = process
@@ -158,6 +183,14 @@
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = lambda: True
     ) -> Result[tuple, MeshError]:
+        """Makes a call and gives its answer, or UNREACHABLE or SILENT.
+
+        Args:
+            address: where the other process listens.
+            message: the call.
+            within: how long to wait for the answer.
+            still: whether the call is still wanted once there is a connection.
+        """
         # A connection may have to be made first, and a freeze may fall right there.
         await asyncio.sleep(self.world.latency())
         if not still():
@@ -172,10 +205,12 @@
             return NO_ANSWER
 
     def close(self) -> None:
-        pass
+        """Nothing is open that would have to be closed."""
 
 
 class _Serving:
+    """A listener that can be stopped, as the rpc package's server can."""
+
     def __init__(self, *, world: World, address: str) -> None:
         self.world = world
         self.address = address
@@ -185,6 +220,8 @@
 
 
 class SimulatedRuntime:
+    """What a node gets from its surroundings: time, random numbers, calls and a listener."""
+
     def __init__(self, *, world: World, process: SimulatedProcess) -> None:
         self.world = world
         self.process = process
@@ -192,12 +229,15 @@
         self.rpc_client = SimulatedRpcClient(world=world, process=process)
 
     def now(self) -> timedelta:
+        """Simulated time."""
         return self.world.loop.now()
 
     def token(self, size: int) -> str:
+        """So many random bytes in hexadecimal."""
         return self.random.randbytes(size).hex()
 
     async def serve(self, address: str, handler: Handler) -> _Serving:
+        """Listens for calls at an address until the process ends or the listener is stopped."""
         self.world.listeners[address] = (self.process, handler)
         return _Serving(world=self.world, address=address)
 
@@ -222,6 +262,7 @@
         self.busy = False
 
     def put(self, job: tuple) -> None:
+        """Queues a job; it is done after the next sync that begins."""
         self.waiting.append(job)
         if not self.busy:
             self._begin()
@@ -235,14 +276,14 @@
 
     def _end(self) -> None:
         fault = self.world.disk_faults.get(self.process.name, "")
-        if fault == "stalled":
+        if fault == DISK_STALLED:
             self.world.loop.call_later(0.05, self._end, context=self.process.context)
             return
         # Only what was queued when the sync began is in it.
         batch = deque(self.waiting.popleft() for _ in range(min(self.taken, len(self.waiting))))
         while batch:
             try:
-                if fault == "full":
+                if fault == DISK_FULL:
                     raise OSError(28, "no space left on device (simulated)")
                 report = self.jobs.do_next(batch)
             except (OSError, sqlite3.Error):
@@ -257,9 +298,11 @@
             self._begin()
 
     def stop(self) -> bool:
+        """Gives up all jobs that wait."""
         self.waiting.clear()
         return True
 
 
 def wipe(folder: Path) -> None:
+    """Removes a folder with all that is in it."""
     shutil.rmtree(folder, ignore_errors=True)
--- a/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
@@ -128,7 +128,7 @@
         if self.hold is not None:
             await self.hold.wait()
         inner = []
-        for call in self.deployment.inner.get((self.service, request.path), ()):
+        for call in self.deployment.nested_calls.get((self.service, request.path), ()):
             inner.append(await self.call_inner(call.method, call.path, nonce))
         answer = {
             "nonce": nonce,
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -20,14 +20,15 @@
 from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.store import service
-from hoistsaddle.testbed.simulation import faults, orders, rules, scenarios
+from hoistsaddle.testbed.simulation.catalogue import find_scenario
+from hoistsaddle.testbed.simulation.deployment import Scenario
 
 
 class InjectedFault(NamedTuple):
     name: str
     line: str
     deployment: str
-    scenario: scenarios.Scenario
+    scenario: Scenario
     seeds: tuple[int, ...]
     patch: Callable[[], object]
 
@@ -263,13 +264,18 @@
 
 INJECTED_FAULTS = (
     InjectedFault(
-        "every claim is granted", "nothing with a key runs twice", "thimble", scenarios.calm, (1,), _every_claim_granted
+        "every claim is granted",
+        "nothing with a key runs twice",
+        "thimble",
+        find_scenario("calm"),
+        (1,),
+        _every_claim_granted,
     ),
     InjectedFault(
         "uncertain is called not run",
         "not run means not run",
         "thimble",
-        scenarios.servers_misbehave,
+        find_scenario("servers_misbehave"),
         (1,),
         _uncertain_reported_as_not_run,
     ),
@@ -277,7 +283,7 @@
         "answers are swapped",
         "every answer is its caller's own and whole",
         "thimble",
-        scenarios.calm,
+        find_scenario("calm"),
         (1,),
         _answers_swapped,
     ),
@@ -285,7 +291,7 @@
         "the target's proxy admits all",
         "only what a bundle allows is reached",
         "thimble",
-        scenarios.servers_change,
+        find_scenario("servers_change"),
         (1, 2, 3),
         _target_admits_all,
     ),
@@ -293,7 +299,7 @@
         "inner calls go as clients",
         "callers are told truly",
         "thimble",
-        scenarios.calm,
+        find_scenario("calm"),
         (1,),
         _inner_calls_as_clients,
     ),
@@ -301,7 +307,7 @@
         "leaving goes unseen",
         "leaving servers get no new work",
         "thimble",
-        scenarios.servers_change,
+        find_scenario("servers_change"),
         (1,),
         _leaving_goes_unseen,
     ),
@@ -309,7 +315,7 @@
         "accepted without waiting",
         "accepted is in force and stays",
         "thimble",
-        scenarios.bundle_while_cut_off,
+        find_scenario("bundle_while_cut_off"),
         (1, 2, 3),
         _accepted_without_waiting,
     ),
@@ -317,7 +323,7 @@
         "bundles are not checked",
         "broken bundles have no effect",
         "thimble",
-        scenarios.broken_bundle,
+        find_scenario("broken_bundle"),
         (1,),
         _bundles_unchecked,
     ),
@@ -325,7 +331,7 @@
         "stops finish nothing",
         "planned stops drop nothing",
         "thimble",
-        scenarios.rolling_restart,
+        find_scenario("rolling_restart"),
         (1, 2, 3),
         _stop_without_finishing,
     ),
@@ -333,7 +339,7 @@
         "further sends are unbounded",
         "further sends keep their bound",
         "thimble",
-        scenarios.servers_misbehave,
+        find_scenario("servers_misbehave"),
         (1,),
         _further_sends_unbounded,
     ),
@@ -341,18 +347,23 @@
         "a margin of one for each proxy",
         "further sends keep their bound",
         "thimble",
-        faults.margins_kept,
+        find_scenario("retry_margins_kept"),
         (1, 2),
         _margin_of_one_each,
     ),
     InjectedFault(
-        "claims by name", "nothing with a key runs twice", "thimble", rules.keys_travel, (1,), _claims_by_name
+        "claims by name",
+        "nothing with a key runs twice",
+        "thimble",
+        find_scenario("keys_travel"),
+        (1,),
+        _claims_by_name,
     ),
     InjectedFault(
         "other credentials, other client",
         "nothing with a key runs twice",
         "thimble",
-        rules.keys_travel,
+        find_scenario("keys_travel"),
         (1,),
         _other_credentials_other_client,
     ),
@@ -360,7 +371,7 @@
         "judged by the target's stage",
         "what a bundle allows is served",
         "thimble",
-        rules.rules_change,
+        find_scenario("rules_change"),
         (1,),
         _judged_by_the_target_alone,
     ),
@@ -368,7 +379,7 @@
         "newer records are passed over",
         "what is promised comes true",
         "thimble",
-        faults.releases_side_by_side,
+        find_scenario("releases_side_by_side"),
         (1,),
         _newer_records_passed_over,
     ),
@@ -376,7 +387,7 @@
         "only the newest revision is compared",
         "what is promised comes true",
         "three",
-        orders.orders_sent_again,
+        find_scenario("orders_sent_again"),
         (1,),
         _newest_revision_alone,
     ),
@@ -384,42 +395,56 @@
         "copies are taken as sent",
         "damage mends and never spreads",
         "thimble",
-        faults.copies_damaged,
+        find_scenario("copies_damaged"),
         (1, 2, 3),
         _copies_taken_as_sent,
     ),
     InjectedFault(
-        "waits for ever", "given up means answered at once", "thimble", faults.isolated, (1,), _waits_for_ever
+        "waits for ever", "given up means answered at once", "thimble", find_scenario("isolated"), (1,), _waits_for_ever
     ),
     InjectedFault(
         "the inner door names whoever came last",
         "callers are told truly",
         "thimble",
-        rules.old_process_lives,
+        find_scenario("old_process_lives"),
         (1,),
         _inner_listener_names_last_caller,
     ),
     InjectedFault(
-        "late reports are taken", "read-back is true", "thimble", faults.gone_forgotten, (1,), _late_reports_taken
+        "late reports are taken",
+        "read-back is true",
+        "thimble",
+        find_scenario("replaced_machines_forgotten"),
+        (1,),
+        _late_reports_taken,
+    ),
+    InjectedFault(
+        "a byte is lost", "read-back is true", "thimble", find_scenario("calm"), (1,), _a_byte_of_the_text_lost
     ),
-    InjectedFault("a byte is lost", "read-back is true", "thimble", scenarios.calm, (1,), _a_byte_of_the_text_lost),
     InjectedFault(
         "the status is altered",
         "every answer is its caller's own and whole",
         "thimble",
-        scenarios.calm,
+        find_scenario("calm"),
         (1,),
         _status_altered_on_the_way,
     ),
-    InjectedFault("read-back is kept", "read-back is true", "thimble", scenarios.servers_change, (1,), _read_back_kept),
     InjectedFault(
-        "elections are slow", "service returns in time", "thimble", scenarios.herd_killed, (1,), _slow_elections
+        "read-back is kept", "read-back is true", "thimble", find_scenario("servers_change"), (1,), _read_back_kept
+    ),
+    InjectedFault(
+        "elections are slow",
+        "service returns in time",
+        "thimble",
+        find_scenario("all_processes_killed"),
+        (1,),
+        _slow_elections,
     ),
     InjectedFault(
         "blank disks vote",
         "what was agreed stays agreed",
         "three",
-        scenarios.agreed_then_wiped,
+        find_scenario("agreed_then_wiped"),
         (1,),
         _blank_disks_vote,
     ),
@@ -427,7 +452,7 @@
         "said before it is synced",
         "what was agreed stays agreed",
         "three",
-        scenarios.power_lost,
+        find_scenario("power_lost"),
         (1, 2),
         _answered_before_synced,
     ),
@@ -435,7 +460,7 @@
         "the leader's word alone commits",
         "what was agreed stays agreed",
         "three",
-        scenarios.core_chaos,
+        find_scenario("core_chaos"),
         tuple(range(1, 5)),
         _leader_alone_commits,
     ),
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -13,20 +13,22 @@
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 from hoistsaddle.testbed.history import RunStarted
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment, simulate
-from hoistsaddle.testbed.simulation.scenarios import next_bundle
+from hoistsaddle.testbed.simulation.scenarios.common import next_bundle
 
 BRINDLEFIELD = DEPLOYMENTS["brindlefield"]
 
 
 async def read_configuration(simulation: SimulatedDeployment) -> dict:
-    name = simulation.live("bourse")[0]
+    name = simulation.processes.running("bourse")[0]
     return msgspec.json.decode(
-        (await simulation.processes[name].spawn(simulation.nodes[name].read_configuration())).unwrap().content
+        (await simulation.processes.by_name[name].spawn(simulation.processes.nodes[name].read_configuration()))
+        .unwrap()
+        .content
     )
 
 
 def seen_shares(simulation: SimulatedDeployment, *, since: float) -> dict[str, dict[str, float]]:
-    beside = {server.instance: server.proxy for server in simulation.servers.values()}
+    beside = {server.instance: server.proxy for server in simulation.servers.all()}
     runs = Counter(
         (ran.service, beside[ran.instance])
         for ran in simulation.history.of(RunStarted)
@@ -42,10 +44,12 @@
 
 
 def first_parents(simulation: SimulatedDeployment) -> dict[str, str]:
-    names = {node.settings.listen: name for name, node in simulation.nodes.items() if isinstance(node, ProxyNode)} | {
-        machine.registry: f"bourse-{machine.replica}" for machine in simulation.core
+    names = {
+        node.settings.listen: name for name, node in simulation.processes.nodes.items() if isinstance(node, ProxyNode)
+    } | {machine.registry: f"bourse-{machine.replica}" for machine in simulation.processes.core}
+    return {
+        name: names[simulation.processes.nodes[name]._parents()[0]] for name in simulation.processes.running("stall")
     }
-    return {name: names[simulation.nodes[name]._parents()[0]] for name in simulation.live("stall")}
 
 
 class Planner(TestCase):
@@ -56,14 +60,14 @@
             await simulation.start()
             setup = await read_configuration(simulation)
             told["before"] = shares(setup)
-            began = simulation.timestamp()
-            await simulation.load(seconds=12, rate=60)
+            began = simulation.now()
+            await simulation.clients.load(seconds=12, rate=60)
             told["seen before"] = seen_shares(simulation, since=began)
             told["forecast"] = forecast_change(setup, Change(drain=("stall-02",)))
-            assert isinstance(await simulation.drain("stall-02"), Success)
+            assert isinstance(await simulation.operators.drain("stall-02"), Success)
             told["after"] = shares(await read_configuration(simulation))
-            began = simulation.timestamp()
-            await simulation.load(seconds=12, rate=60)
+            began = simulation.now()
+            await simulation.clients.load(seconds=12, rate=60)
             told["seen after"] = seen_shares(simulation, since=began)
 
         simulate(deployment=BRINDLEFIELD, seed=3, scenario=scenario)
@@ -91,22 +95,25 @@
 
         async def scenario(simulation: SimulatedDeployment) -> None:
             await simulation.start()
-            await simulation.until(
-                lambda: len(simulation.nodes["bourse-1"].view.nodes) == len(simulation.proxies) + len(simulation.core),
+            await simulation.wait_until(
+                lambda: (
+                    len(simulation.processes.nodes["bourse-1"].view.nodes)
+                    == len(simulation.processes.proxies) + len(simulation.processes.core)
+                ),
                 seconds=10,
-                what="every node noted",
+                description="every node noted",
             )
             setup = await read_configuration(simulation)
-            await simulation.until(
-                lambda: first_parents(simulation) == parents(setup), seconds=10, what="everyone at its place"
+            await simulation.wait_until(
+                lambda: first_parents(simulation) == parents(setup), seconds=10, description="everyone at its place"
             )
             forecast = forecast_change(setup, Change(gone=("stall-01",))).unwrap()
-            simulation.kill("stall-01")
+            simulation.processes.kill("stall-01")
             after = {**parents(setup), **{proxy: moved["to"] for proxy, moved in forecast["relay_parents"].items()}}
             after.pop("stall-01")
             told["moved"] = forecast["relay_parents"]
-            await simulation.until(
-                lambda: first_parents(simulation) == after, seconds=20, what="the tree has moved as forecast"
+            await simulation.wait_until(
+                lambda: first_parents(simulation) == after, seconds=20, description="the tree has moved as forecast"
             )
 
         simulate(deployment=BRINDLEFIELD, seed=4, scenario=scenario)
@@ -132,16 +139,16 @@
             told["broken"] = forecast_bundle(setup, text.replace("everyone = true", "everyone = false"))
             # Another person's: its own author's call would be one that was sent again, and is confirmed.
             told["really"] = [
-                (await simulation.submit(simulation.deployment.first_bundle(), author="ben")).failure().kind,
-                (await simulation.submit(next_bundle(simulation, number=3, based_on=2))).failure().kind,
+                (await simulation.operators.submit(simulation.deployment.first_bundle(), author="ben")).failure().kind,
+                (await simulation.operators.submit(next_bundle(simulation, number=3, based_on=2))).failure().kind,
             ]
-            told["again"] = isinstance(await simulation.submit(simulation.deployment.first_bundle()), Success)
-            submitted = (await simulation.submit(text)).unwrap()["submitted"]
-            one = (await simulation.sign(2, submitted["digest"])).unwrap()
-            two = (await simulation.advance(2, 1)).unwrap()
+            told["again"] = isinstance(await simulation.operators.submit(simulation.deployment.first_bundle()), Success)
+            submitted = (await simulation.operators.submit(text)).unwrap()["submitted"]
+            one = (await simulation.operators.sign(2, submitted["digest"])).unwrap()
+            two = (await simulation.operators.advance(2, 1)).unwrap()
             told["machines"] = [sorted(one["machines"]), sorted(set(two["machines"]) - set(one["machines"]))]
             credits = next(ask for ask in simulation.deployment.request_kinds if ask.path == "/credits")
-            got = await simulation.send_request(credits, client="v", key="k")
+            got = await simulation.clients.send_request(credits, client="v", key="k")
             told["credits"] = (got.outcome, got.status)
             await asyncio.sleep(0)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -11,7 +11,7 @@
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment, simulate
 from hoistsaddle.testbed.simulation.event_loop import CURRENT_PROCESS
-from hoistsaddle.testbed.simulation.scenarios import next_bundle
+from hoistsaddle.testbed.simulation.scenarios.common import next_bundle
 
 OLD_RELEASE = "stall-05"
 
@@ -39,34 +39,36 @@
         told: dict = {}
 
         def bundles(simulation: SimulatedDeployment) -> dict[str, int]:
-            return {name: simulation.nodes[name].core.view.bundle_number for name in simulation.proxies}
+            return {
+                name: simulation.processes.nodes[name].core.view.bundle_number for name in simulation.processes.proxies
+            }
 
         async def scenario(simulation: SimulatedDeployment) -> None:
             await simulation.start()
             text = next_bundle(simulation, number=2, based_on=1, note="newer")
-            submitted = (await simulation.submit(text)).unwrap()["submitted"]
-            one = (await simulation.sign(2, submitted["digest"])).unwrap()
-            two = (await simulation.advance(2, 1)).unwrap()
+            submitted = (await simulation.operators.submit(text)).unwrap()["submitted"]
+            one = (await simulation.operators.sign(2, submitted["digest"])).unwrap()
+            two = (await simulation.operators.advance(2, 1)).unwrap()
             told["answers"] = (one["accepted"], two["accepted"], two["refused"]["message"], two["refused"]["kind"])
             told["refusal"] = two["machines"][OLD_RELEASE]
             told["bundles"] = bundles(simulation)
             # It refuses, and goes on serving under what it has.
-            told["ready"] = simulation.nodes[OLD_RELEASE].core.ready()
+            told["ready"] = simulation.processes.nodes[OLD_RELEASE].core.ready()
             # The next bundle, which it can read, brings it along.
-            await simulation.roll_out(next_bundle(simulation, number=3, based_on=2))
+            await simulation.operators.roll_out(next_bundle(simulation, number=3, based_on=2))
             told["later"] = bundles(simulation)
-            third = (await simulation.submit(next_bundle(simulation, number=4, based_on=3, note="regretted"))).unwrap()[
-                "submitted"
-            ]
-            assert isinstance(await simulation.sign(4, third["digest"]), Success)
+            third = (
+                await simulation.operators.submit(next_bundle(simulation, number=4, based_on=3, note="regretted"))
+            ).unwrap()["submitted"]
+            assert isinstance(await simulation.operators.sign(4, third["digest"]), Success)
             told["rolling"] = sorted(set(bundles(simulation).values()))
-            aborted = await simulation.as_operator(
+            aborted = await simulation.operators.perform(
                 lambda actions, request: actions.abort(operator="ada", number=4, request=request)
             )
             told["aborted"] = (aborted.unwrap()["accepted"], sorted(set(bundles(simulation).values())))
             # The signature was taken before the abort: it is confirmed again and moves nothing; nobody else can sign.
-            again = (await simulation.sign(4, third["digest"])).unwrap()
-            other = await simulation.sign(4, third["digest"], signer="ada")
+            again = (await simulation.operators.sign(4, third["digest"])).unwrap()
+            other = await simulation.operators.sign(4, third["digest"], signer="ada")
             told["again"] = (again["phase"], sorted(set(bundles(simulation).values())), other.failure().kind)
 
         with mock.patch.object(view, "read_bundle", read_as_an_old_release):
--- a/tests/test_simulated_failures.py
+++ b/tests/test_simulated_failures.py
@@ -14,9 +14,9 @@
 from hoistsaddle.testbed.simulation.runs import Run, carry_out_all
 
 SEEDS = (1, 2, 3)
-NO_SERVICE = ("servers_misbehave", "servers_change", "margins_kept", "isolated", "keys_travel")
+NO_SERVICE = ("servers_misbehave", "servers_change", "retry_margins_kept", "isolated", "keys_travel")
 # Ten minutes and more of simulated time: one seed is enough here.
-LONG = ("gone_forgotten",)
+LONG = ("replaced_machines_forgotten",)
 
 
 class SimulatedFailures(TestCase):
@@ -54,7 +54,7 @@
         )
 
     def test_kadiri(self) -> None:
-        self.check([Run("kadiri", name, 1) for name in ("frozen", "herd_killed", "cut_apart", "anything")])
+        self.check([Run("kadiri", name, 1) for name in ("frozen", "all_processes_killed", "cut_apart", "anything")])
 
     def test_a_seed_gives_the_same_run_again(self) -> None:
         first, again = carry_out_all([Run("thimble", "anything", 5)] * 2)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -22,9 +22,9 @@
 
         async def scenario(simulation: SimulatedDeployment) -> None:
             await simulation.start()
-            await simulation.load(seconds=5, rate=30)
-            for name in simulation.proxies:
-                core = simulation.nodes[name].core
+            await simulation.clients.load(seconds=5, rate=30)
+            for name in simulation.processes.proxies:
+                core = simulation.processes.nodes[name].core
                 usage = [
                     dict(
                         zip(
@@ -44,7 +44,7 @@
                     )
                     for key, amounts in core.usage.items()
                 ]
-                told.append({"stall": name, "life": simulation.nodes[name].incarnation, "usage": usage})
+                told.append({"stall": name, "life": simulation.processes.nodes[name].incarnation, "usage": usage})
 
         simulation = simulate(deployment=DEPLOYMENTS["thimble"], seed=2, scenario=scenario)
         table = table_of(told, read_at=datetime(2026, 12, 1, tzinfo=UTC))
