--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/check.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/check.py
@@ -1,4 +1,4 @@
-"""Longer runs of the model check on all processors, and what they came to."""
+"""Longer runs of the model check on all processors, and their results."""
 
 import os
 import time
@@ -7,54 +7,63 @@
 from datetime import timedelta
 from typing import NamedTuple, cast
 
-from hoistsaddle.testbed.modelcheck.exhaustive import SPACES, ExplorationResult, explore
+from hoistsaddle.testbed.modelcheck.exhaustive import ExplorationResult, explore
 from hoistsaddle.testbed.modelcheck.loss_sequences import SequenceCounterexample, draw_loss_sequences
+from hoistsaddle.testbed.modelcheck.spaces import SPACES
 from hoistsaddle.testbed.modelcheck.walks import Counterexample, WalkTotals, make_smaller, walk_randomly
 
-# Walks from one seed: few enough that a worker looks at the clock often, many enough to be worth drawing.
+# Walks from one seed: few enough that a worker reads the clock often, many enough to be worth drawing.
 WALKS_PER_SEED = 40
-
-
-# Runs of losses one after the other from one seed, and the settling span they are judged by: the platform's shortest.
+# Runs of losses one after the other from one seed, and the settling time they are judged by: the platform's shortest.
 SEQUENCES_PER_SEED = 4
 SETTLE_TIMEOUT = timedelta(seconds=4)
 
 
 class Batch(NamedTuple):
-    """What the walks from one seed came to."""
+    """The results of the walks from one seed."""
 
     seed: int
     total: WalkTotals
     found: Counterexample | None
     # How long each loss took to settle, and the run in which one didn't.
-    spans: list[timedelta]
+    settle_times: list[timedelta]
     unsettled: SequenceCounterexample | None
 
 
 def walk_batch(seed: int, until: float) -> Batch:
-    """The walks and losses of one seed, and the first break among the walks made smaller."""
+    """The walks and losses of one seed, and the first violation among the walks made smaller."""
     total, found = walk_randomly(seed=seed, walks=WALKS_PER_SEED, until=until)
-    spans, unsettled = draw_loss_sequences(seed=seed, runs=SEQUENCES_PER_SEED, settle=SETTLE_TIMEOUT)
-    return Batch(seed, total, make_smaller(found) if found is not None else None, spans, unsettled)
+    settle_times, unsettled = draw_loss_sequences(seed=seed, runs=SEQUENCES_PER_SEED, settle=SETTLE_TIMEOUT)
+    return Batch(seed, total, make_smaller(found) if found is not None else None, settle_times, unsettled)
 
 
-def format_durations(spans: list[timedelta]) -> str:
+def format_durations(durations: list[timedelta]) -> str:
     """Median, 95th of 100 and longest, in seconds."""
-    if not spans:
+    if not durations:
         return "none"
-    ordered = sorted(span.total_seconds() for span in spans)
+    ordered = sorted(duration.total_seconds() for duration in durations)
     middle, late = ordered[len(ordered) // 2], ordered[int(len(ordered) * 0.95)]
     return f"{len(ordered)}, median {middle:.2f} s, 95th of 100 {late:.2f} s, longest {ordered[-1]:.2f} s"
 
 
 def check(*, minutes: float, seed: int, workers: int | None, write_line: Callable[[str], None]) -> int:
-    """Explores every space one step deeper than the tests do, then walks until the time is over; gives the breaks."""
+    """Explores every space one step deeper than the tests do, then walks until the time is over.
+
+    Args:
+        minutes: how long to walk.
+        seed: the first seed.
+        workers: processes at once; one for each processor by default.
+        write_line: takes each line of the results.
+
+    Returns:
+        How many violations were found.
+    """
     workers = workers or os.cpu_count() or 1
     until = time.monotonic() + minutes * 60
     total, broken = WalkTotals(), 0
-    spans: list[timedelta] = []
+    settle_times: list[timedelta] = []
     with ProcessPoolExecutor(workers) as pool:
-        exploring = {pool.submit(_explore, place) for place in range(len(SPACES))}
+        exploring = {pool.submit(_explore, index) for index in range(len(SPACES))}
         walking = {pool.submit(walk_batch, seed + number, until) for number in range(workers)}
         following = seed + workers
         while exploring or walking:
@@ -71,11 +80,11 @@
                     write_line(
                         f"BROKEN seed {batch.seed}: {batch.found.description} (smallest walk: {batch.found.script})"
                     )
-                spans += batch.spans
+                settle_times += batch.settle_times
                 if batch.unsettled is not None:
                     broken += 1
                     write_line(
-                        f"BROKEN seed {batch.seed}: {batch.unsettled.description} (run: {batch.unsettled.turns})"
+                        f"BROKEN seed {batch.seed}: {batch.unsettled.description} (run: {batch.unsettled.sequence})"
                     )
                 if time.monotonic() < until:
                     walking.add(pool.submit(walk_batch, following, until))
@@ -83,10 +92,10 @@
             exploring -= ended
             walking -= ended
     write_line(f"seeds {seed}-{following - 1}: {total}")
-    write_line(f"losses one after the other, settled: {format_durations(spans)}")
+    write_line(f"losses one after the other, settled: {format_durations(settle_times)}")
     write_line(f"{broken} broken")
     return broken
 
 
-def _explore(place: int) -> ExplorationResult:
-    return explore(SPACES[place], depth=SPACES[place].depth + 1)
+def _explore(index: int) -> ExplorationResult:
+    return explore(SPACES[index], depth=SPACES[index].depth + 1)
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/clones.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/clones.py
@@ -1,4 +1,4 @@
-"""Copies and keys of cores, whatever their parts: to go several ways from one state, and to know it again."""
+"""Copies and hashable keys of cores, whatever their parts: to go several ways from one state, and to recognise it."""
 
 import random
 from collections import deque
@@ -6,19 +6,19 @@
 from typing import Any
 
 # Parts of a core are objects of these modules; everything else in it is a plain container or never changes.
-PARTS = "hoistsaddle.raft."
+PART_MODULES = "hoistsaddle.raft."
 _PLAIN = frozenset((int, float, bool, str, bytes, type(None), timedelta))
 
 
-_known_kinds: dict[type, bool] = {}
+_is_part_by_kind: dict[type, bool] = {}
 
 
 def _is_part(kind: type) -> bool:
-    if kind not in _known_kinds:
+    if kind not in _is_part_by_kind:
         # Records and messages of these modules are tuples, which never change.
-        named = any(each.__module__.startswith(PARTS) for each in kind.__mro__)
-        _known_kinds[kind] = named and not issubclass(kind, tuple)
-    return _known_kinds[kind]
+        named = any(each.__module__.startswith(PART_MODULES) for each in kind.__mro__)
+        _is_part_by_kind[kind] = named and not issubclass(kind, tuple)
+    return _is_part_by_kind[kind]
 
 
 def clone(value: Any, known: dict[int, Any] | None = None) -> Any:
@@ -38,10 +38,10 @@
     if not _is_part(kind):
         return value
     if id(value) not in known:
-        twin = known[id(value)] = object.__new__(kind)
-        filled = twin.__dict__
+        copied = known[id(value)] = object.__new__(kind)
+        attributes = copied.__dict__
         for name, each in value.__dict__.items():
-            filled[name] = each if type(each) in _PLAIN else clone(each, known)
+            attributes[name] = each if type(each) in _PLAIN else clone(each, known)
     return known[id(value)]
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/cluster.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/cluster.py
@@ -1,11 +1,11 @@
-"""Replicas of the raft core under a network, disks and a clock that the caller moves; no input or output."""
+"""Replicas of the raft core with a network, disks and a clock that the caller moves; no input or output."""
 
 import random
 from collections.abc import Callable
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from hoistsaddle.common.clock import ZERO, milliseconds
+from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.raft.core import LEADER, RaftCore
 from hoistsaddle.raft.events import (
     Answer,
@@ -31,27 +31,28 @@
 )
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.statemachine.state import initial_state
-from hoistsaddle.testbed.modelcheck.clones import clone
+from hoistsaddle.testbed.modelcheck.faults import InjectedFault
 from hoistsaddle.testbed.modelcheck.invariants import Invariants
+from hoistsaddle.testbed.modelcheck.machine import Machine
 from hoistsaddle.testbed.modelcheck.modeldisk import ChunkRead, ModelDisk
 
 MESH = "modelled"
-# Checkpoints and pieces small enough that a walk of some dozen steps sees them taken, pulled and overtaken.
+# Checkpoints and chunks small enough that a walk of some dozen steps sees them taken, fetched and replaced.
 SMALL_TIMINGS = RaftTimings(checkpoint_records=4, chunk_bytes=160, fetch_records=3)
-# One slice of a run: within it whatever can be delivered is, then every clock ticks once.
+# Within one step of a run whatever can be delivered is, then every clock ticks once.
 TIME_STEP = milliseconds(50)
-# So many rounds of messages and disk jobs fit into one slice at most.
+# So many rounds of messages and disk jobs fit into one step at most.
 MAX_ROUNDS_PER_STEP = 6
-# Messages waiting between two replicas; the oldest is lost beyond it, as a closed connection loses it.
+# Messages in flight between two replicas; the oldest is lost beyond it, as a closed connection loses it.
 LINK_CAPACITY = 12
 
 
 class Packet(NamedTuple):
-    """One message under way. An answer belongs to the life that asked and dies with it."""
+    """One message in flight. An answer belongs to the generation that called and is lost with it."""
 
     sender: int
     receiver: int
-    # The life that made the call, or the one that an answer is for.
+    # The generation that made the call, or the one that an answer is for.
     generation: int
     number: int
     message: tuple
@@ -59,76 +60,15 @@
 
 
 def ticket_of(packet: Packet) -> int:
-    """A call's ticket follows from who called, not from when it arrived: so states reached by other ways are alike.
+    """A call's ticket follows from who called, not from when it arrived: so states reached on other paths are alike.
 
     Its last two digits number copies of one call; clients' tickets are below all of these.
     """
     return ((packet.sender * 1000 + packet.generation) * 10**6 + packet.number) * 100
 
 
-class Machine:
-    """One replica's machine: its disk, and its core while the process runs."""
-
-    def __init__(self, *, disk: ModelDisk) -> None:
-        self.disk = disk
-        self.core: RaftCore | None = None
-        self.generation = 0
-        self.frozen = False
-        # Its disk does nothing until it goes on; what was done before stays.
-        self.stalled = False
-        self.leaving = self.ended = False
-        # Gone for good; nothing of it is ever started again.
-        self.removed = False
-        # How far its clock is before the cluster's: clocks run on by themselves, and nothing may rest on them.
-        self.clock_offset = ZERO
-        # The epoch and life it was last seen to lead in.
-        self.last_led = (0, 0)
-        self.synced = 0
-        # Of a copy that stays as it is: what its content comes to, once that was asked for.
-        self.key = 0
-        self.waiting: list[tuple[int, tuple]] = []
-        self.pending_calls: dict[int, tuple[int, int, int]] = {}
-
-    def copy(self) -> "Machine":
-        """The same machine, to go on with apart from this one."""
-        twin = Machine(disk=self.disk.copy())
-        twin.core = clone(self.core)
-        twin.generation, twin.frozen, twin.leaving, twin.removed = (
-            self.generation,
-            self.frozen,
-            self.leaving,
-            self.removed,
-        )
-        twin.stalled, twin.ended = self.stalled, self.ended
-        twin.clock_offset, twin.last_led, twin.synced = self.clock_offset, self.last_led, self.synced
-        twin.waiting, twin.pending_calls = list(self.waiting), dict(self.pending_calls)
-        return twin
-
-    @property
-    def replica(self) -> int:
-        return self.disk.replica
-
-    @property
-    def answers(self) -> bool:
-        """Whether its process runs and hears what comes."""
-        return self.core is not None and not self.frozen
-
-
-class InjectedFault:
-    """Where an injected fault may change what a core hears or says; this one changes nothing."""
-
-    core_class: type[RaftCore] = RaftCore
-    keeps_incarnation = False
-
-    def filter_event(self, machine: Machine, event: tuple) -> tuple:
-        return event
-
-    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        return commands
-
-
 class Cluster:
-    """All machines of one run, what is under way between them, and the checks that see every step."""
+    """All machines of one run, what is in flight between them, and the invariants that are checked at every step."""
 
     def __init__(
         self,
@@ -152,10 +92,10 @@
         self.tickets = 0
         self.incarnations = 0
         self.events = 0
-        disks = [self._blank(replica) for replica in range(1, size + 1)]
+        disks = [self._blank_disk(replica) for replica in range(1, size + 1)]
         voters = tuple((disk.replica, disk.incarnation) for disk in disks)
         state = initial_state(mesh=MESH, voters=dict(voters), operators={}, level=LEVEL)
-        self.invariants = Invariants(founded=state, wanted=size)
+        self.invariants = Invariants(initial=state, wanted=size)
         self.machines: dict[int, Machine] = {disk.replica: Machine(disk=disk) for disk in disks}
         for disk in disks:
             disk.found(mesh=MESH, voters=voters, state=state)
@@ -163,30 +103,30 @@
             self.start(disk.replica)
 
     def copy(self, *, touching: tuple[int, ...]) -> "Cluster":
-        """The same cluster, in which the machines named may go another way; all others are shared."""
-        twin = object.__new__(Cluster)
-        twin.__dict__.update(self.__dict__)
-        twin.machines = dict(self.machines)
-        twin.in_flight = list(self.in_flight)
-        twin.cuts = set(self.cuts)
-        twin.invariants = self.invariants.copy()
+        """A copy of the cluster in which the machines named may go another way; all others are shared."""
+        copied = object.__new__(Cluster)
+        copied.__dict__.update(self.__dict__)
+        copied.machines = dict(self.machines)
+        copied.in_flight = list(self.in_flight)
+        copied.cuts = set(self.cuts)
+        copied.invariants = self.invariants.copy()
         for replica in touching:
-            machine = twin.machines[replica] = self.machines[replica].copy()
-            twin.invariants.register_disk(machine.disk)
-        return twin
+            machine = copied.machines[replica] = self.machines[replica].copy()
+            copied.invariants.register_disk(machine.disk)
+        return copied
 
     # -- machines ----------------------------------------------------------------------------------------------------
 
-    def _blank(self, replica: int) -> ModelDisk:
+    def _blank_disk(self, replica: int) -> ModelDisk:
         self.incarnations += 1
         return ModelDisk(replica=replica, incarnation=f"disk-{self.incarnations}")
 
     def start(self, replica: int) -> None:
-        """Starts the process from what is synced; a folder that can't be trusted is laid anew first."""
+        """Starts the process from what is synced; a folder that can't be trusted is replaced by a blank one first."""
         machine = self.machines[replica]
         boot = machine.disk.boot()
         if boot is None:
-            machine.disk = self._blank(replica)
+            machine.disk = self._blank_disk(replica)
             self.invariants.register_disk(machine.disk)
             boot = machine.disk.boot()
         machine.generation += 1
@@ -219,53 +159,57 @@
         machine = self.machines[replica]
         machine.core = None
         former = machine.disk.incarnation
-        machine.disk = self._blank(replica)
+        machine.disk = self._blank_disk(replica)
         if self.fault.keeps_incarnation:
             machine.disk.incarnation = former
         self.invariants.register_disk(machine.disk)
 
     def add_spare(self) -> int:
+        """Adds a machine with a blank disk and starts it; gives its replica."""
         replica = max(self.machines) + 1
-        machine = self.machines[replica] = Machine(disk=self._blank(replica))
+        machine = self.machines[replica] = Machine(disk=self._blank_disk(replica))
         self.invariants.register_disk(machine.disk)
         self.start(replica)
-        self._tell_seeds()
+        self._update_seeds()
         return replica
 
     def seeds(self) -> tuple[int, ...]:
-        """Those whom a starting replica is told of: the machines there are."""
+        """The replicas that a starting replica is given: the machines there are."""
         return tuple(sorted(replica for replica, machine in self.machines.items() if not machine.removed))
 
-    def _tell_seeds(self) -> None:
-        """Settings with new seeds reach every process, as RaftShell.revise does it."""
+    def _update_seeds(self) -> None:
+        """Settings with new seeds reach every process, as the raft runner does it."""
         for machine in self.machines.values():
             if machine.core is not None:
                 machine.core.seeds = tuple(dict.fromkeys((*self.seeds(), *machine.core.seeds)))
 
     def remove(self, replica: int) -> None:
+        """The machine is gone for good."""
         machine = self.machines[replica]
         machine.core = None
         machine.removed = True
 
-    def ask_to_leave(self, replica: int, *, span: timedelta) -> None:
-        """Its process is told to end and has this span to hand over; the machine is gone for good after it."""
+    def request_stop(self, replica: int, *, duration: timedelta) -> None:
+        """Asks a process to end, with this long to hand over; the machine is gone for good after it."""
         self.machines[replica].leaving = True
-        self.feed(self.machines[replica], StopRequested(span))
+        self.feed(self.machines[replica], StopRequested(duration))
 
     # -- the network -------------------------------------------------------------------------------------------------
 
     def can_pass(self, packet: Packet) -> bool:
+        """Whether a message can be delivered now."""
         receiver = self.machines[packet.receiver]
         return (packet.sender, packet.receiver) not in self.cuts and not receiver.frozen
 
     def post(self, packet: Packet) -> None:
+        """Puts a message in flight; the oldest one on the link is lost if there are too many."""
         self.in_flight.append(packet)
         between = [each for each in self.in_flight if (each.sender, each.receiver) == (packet.sender, packet.receiver)]
         if len(between) > LINK_CAPACITY:
             self.in_flight.remove(between[0])
 
     def deliver(self, packet: Packet) -> None:
-        """Hands over one message, which the caller has taken from what is under way or kept there to come again."""
+        """Delivers one message, which the caller has removed from those in flight, or left there to arrive again."""
         receiver = self.machines[packet.receiver]
         if packet.is_call:
             sender = self.machines[packet.sender]
@@ -296,6 +240,7 @@
     # -- one core ----------------------------------------------------------------------------------------------------
 
     def feed(self, machine: Machine, event: tuple) -> None:
+        """Gives an event to a core, checks what came of it, and executes its commands."""
         self.events += 1
         event = self.fault.filter_event(machine, event)
         before = self.invariants.before(machine)
@@ -305,17 +250,17 @@
         commands = self.fault.filter_commands(machine, event, commands)
         self.invariants.after(machine, before, commands, self.machines)
         for command in commands:
-            self._carry_out(machine, command)
+            self._execute(machine, command)
         if isinstance(event, Synced):
             ready = [command for after, command in machine.waiting if after <= machine.synced]
             machine.waiting = [pair for pair in machine.waiting if pair[0] > machine.synced]
             for command in ready:
-                self._carry_out(machine, command)
+                self._execute(machine, command)
         if machine.ended:
-            # What it has sent is on its way; the process is gone.
+            # What it has sent is in flight; the process is gone.
             self.remove(machine.replica)
 
-    def _carry_out(self, machine: Machine, command: tuple) -> None:
+    def _execute(self, machine: Machine, command: tuple) -> None:
         match command:
             case Send(after=after) | Answer(after=after) if after > machine.synced:
                 machine.waiting.append((after, command))
@@ -329,7 +274,7 @@
                 machine.disk.jobs.append(command)
             case Ended(why=why):
                 machine.ended = True
-                self.invariants.left(machine, why)
+                self.invariants.ended(machine, why)
             case ProposalResult():
                 self.invariants.concluded(command)
             case ReadResult():
@@ -355,34 +300,45 @@
             self.feed(machine, report)
         return True
 
+    def sync_disks(self, *replicas: int) -> bool:
+        """Does all jobs of these replicas' disks; whether there were any."""
+        done = False
+        for replica in replicas:
+            while self.do_disk_job(replica):
+                done = True
+        return done
+
     def tick(self, replica: int) -> None:
+        """Tells a running core the time."""
         if self.machines[replica].answers:
             self.feed(self.machines[replica], Ticked())
 
     # -- clients -----------------------------------------------------------------------------------------------------
 
     def propose(self, replica: int, payload: bytes) -> int:
+        """A client proposes a record at a replica; gives the ticket."""
         self.tickets += 1
         self.invariants.proposed(self.tickets, payload)
         self.feed(self.machines[replica], ProposalArrived(self.tickets, (payload,)))
         return self.tickets
 
     def read(self, replica: int) -> int:
+        """A client asks a replica for a confirmed read; gives the ticket."""
         self.tickets += 1
-        self.invariants.read_asked(self.tickets)
+        self.invariants.read_requested(self.tickets)
         self.feed(self.machines[replica], ReadArrived(self.tickets))
         return self.tickets
 
     def leader(self) -> int | None:
-        """The one of the newest epoch among those that lead and answer."""
+        """The one of the newest epoch among those that lead and run."""
         leading = [each for each in self.machines.values() if each.answers and each.core.role == LEADER]
         return max(leading, key=lambda each: each.core.epoch).replica if leading else None
 
     # -- time --------------------------------------------------------------------------------------------------------
 
-    def run(self, span: timedelta, *, until: Callable[[], Any] | None = None) -> bool:
-        """Lets everything that can go on go on for this span; true as soon as the wanted moment is there."""
-        end = self.now + span
+    def run(self, duration: timedelta, *, until: Callable[[], Any] | None = None) -> bool:
+        """Lets everything run for this long; true as soon as the condition holds."""
+        end = self.now + duration
         while self.now < end:
             self.now += self.time_step
             for _ in range(MAX_ROUNDS_PER_STEP):
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
@@ -1,6 +1,6 @@
 """Injected faults: each breaks one rule of the raft core in one place, and the checks have to find it.
 
-They change what a core hears or says, or one method of its interface; none reaches into how the core does its work.
+They change the events a core gets, the commands it gives, or one method of its interface; none changes its inner work.
 """
 
 from hoistsaddle.raft.core import LEADER, RaftCore
@@ -19,7 +19,22 @@
     Write,
 )
 from hoistsaddle.rpc.messages import BeginEpochCall, FetchAnswer, FetchCall, VoteAnswer, VoteCall
-from hoistsaddle.testbed.modelcheck.cluster import InjectedFault, Machine
+from hoistsaddle.testbed.modelcheck.machine import Machine
+
+
+class InjectedFault:
+    """Where a fault may change the events and the commands of a core; this one changes nothing."""
+
+    core_class: type[RaftCore] = RaftCore
+    keeps_incarnation = False
+
+    def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        """The event that the core gets instead of this one."""
+        return event
+
+    def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """The commands that are executed instead of these."""
+        return commands
 
 
 class _OneSetOnly(RaftCore):
@@ -34,7 +49,7 @@
 
 
 class VoteUnsynced(InjectedFault):
-    """A vote is told before it is synced."""
+    """A vote is answered before it is synced."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
@@ -118,8 +133,8 @@
     keeps_incarnation = True
 
 
-class CountsWhatItPulls(InjectedFault):
-    """A replica that still pulls its checkpoint claims to be whole."""
+class CountsWhileFetchingSnapshot(InjectedFault):
+    """A replica that still fetches a snapshot claims to have the complete state."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         return [
@@ -213,7 +228,7 @@
     VotesTwice,
     TruncatesCommitted,
     BlankDiskVotes,
-    CountsWhatItPulls,
+    CountsWhileFetchingSnapshot,
     AcknowledgesAtOnce,
     CapturesTooMuch,
     BelievesTheAnswer,
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
@@ -1,7 +1,7 @@
-"""What must hold after each step, judged from outside: by the disks' content and by what was said, not by a core."""
+"""What must hold after each step, judged from outside: by the disks' content and the messages sent, not by a core."""
 
 from functools import cache
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from hoistsaddle.config.items import SERVICE, ItemUpsert, Patch, pack_patch, read_patch
 from hoistsaddle.raft.core import LEADER, RaftCore
@@ -10,18 +10,16 @@
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import PatchItems, pack_command, unpack_command
 from hoistsaddle.statemachine.state import State, initial_state
+from hoistsaddle.testbed.modelcheck.machine import Machine
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
 
-if TYPE_CHECKING:
-    from hoistsaddle.testbed.modelcheck.cluster import Machine
-
 Voters = dict[int, str]
-# Why a replica says it ended, when nothing hangs on it any more.
+# The reason with which a replica ends once nothing depends on it any more.
 HANDED_OVER = "handed over"
 
 
 class InvariantViolated(AssertionError):
-    """A rule that the step just done broke."""
+    """The step just done broke a rule."""
 
     def __init__(self, rule: str, description: str) -> None:
         super().__init__(f"{rule}: {description}")
@@ -38,14 +36,14 @@
 
 
 def order(*, request: int, name: str, revision: int, content: str) -> bytes:
-    """One item with its version and content, as an operator's desk proposes it."""
+    """One item with its version and content, as a registry proposes it for an operator."""
     setting = ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
     return pack_command(PatchItems(f"request-{request}", "desk", "standing", pack_patch(Patch([setting], []))))
 
 
 @cache
 def refuses_other_content() -> bool:
-    """Whether the state machine promises one content for each version: it is asked with a sample."""
+    """Whether the state machine refuses a second content for a version; found out with a sample."""
     state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
     for place, content in enumerate(("this", "that"), start=1):
         state, outcome = apply(
@@ -58,9 +56,14 @@
     return bool(outcome.error)
 
 
+def is_voter_change(record: Record) -> bool:
+    """Whether a record changes the voters; its encoded type is at the beginning of the payload."""
+    return b"Voter" in record.payload[:24]
+
+
 def _voters_after(voters: Voters, record: Record) -> Voters | None:
-    """The voters once this record applies, if it is about them; the state machine says what it does."""
-    if b"Voter" not in record.payload[:24]:
+    """The voters once this record applies, if it changes them, by the state machine itself."""
+    if not is_voter_change(record):
         return None
     state = initial_state(mesh="m", voters=voters, operators={}, level=2**30)
     state, _ = apply(state, offset=1, epoch=1, stamp=state.stamp, payload=record.payload, supported=2**30)
@@ -70,29 +73,29 @@
 class Invariants:
     """The committed log as it came to be, and a check of every step against it."""
 
-    def __init__(self, *, founded: State, wanted: int) -> None:
+    def __init__(self, *, initial: State, wanted: int) -> None:
         self.wanted = wanted
         self.committed: list[Record] = []
-        self.states: list[State] = [founded]
+        self.states: list[State] = [initial]
         # The newest committed record that changed the voters.
-        self.changed_at = 0
+        self.voters_changed_at = 0
         self.leaders: dict[int, tuple[int, int]] = {}
         self.disks: dict[tuple[int, str], ModelDisk] = {}
-        self.checked: dict[tuple[int, int], int] = {}
+        self.checked_up_to: dict[tuple[int, int], int] = {}
         self.orders: dict[int, bytes] = {}
         self.acknowledged: dict[tuple[str, int], bytes] = {}
         self.applied: dict[tuple[str, int], tuple[bool, bytes]] = {}
         self.reads: dict[int, int] = {}
-        self.judges_versions = refuses_other_content()
-        # Figures of a run: how often each check had something to judge.
+        self.checks_versions = refuses_other_content()
+        # How often each check had something to judge.
         self.figures: dict[str, int] = {}
 
     def copy(self) -> "Invariants":
-        """All that is known so far, to go on with apart from this one."""
-        twin = object.__new__(Invariants)
+        """A copy of all that is known so far, which may go another way."""
+        copied = object.__new__(Invariants)
         for name, value in self.__dict__.items():
-            twin.__dict__[name] = value.copy() if isinstance(value, list | dict) else value
-        return twin
+            copied.__dict__[name] = value.copy() if isinstance(value, list | dict) else value
+        return copied
 
     # -- what is known ---------------------------------------------------------------------------------------------
 
@@ -103,6 +106,7 @@
 
     @property
     def voters(self) -> Voters:
+        """The voters by the last committed record."""
         return dict(self.states[-1].voters)
 
     def _count(self, what: str) -> None:
@@ -112,37 +116,40 @@
         return self.committed[offset - 1].epoch if offset > 0 else 0
 
     def register_disk(self, disk: ModelDisk) -> None:
-        """A disk under its incarnation; the former one stays known for what it once held and promised."""
+        """Notes a disk under its incarnation; a former one stays known for what it once held and promised."""
         self.disks[(disk.replica, disk.incarnation)] = disk
 
-    def started(self, machine: "Machine") -> None:
-        self.checked[(machine.replica, machine.generation)] = 0
+    def started(self, machine: Machine) -> None:
+        """Checks the core of a process that was just started."""
+        self.checked_up_to[(machine.replica, machine.generation)] = 0
         self._check_core(machine)
 
     # -- one step ----------------------------------------------------------------------------------------------------
 
-    def before(self, machine: "Machine") -> CoreSnapshot:
+    def before(self, machine: Machine) -> CoreSnapshot:
+        """What a core holds before an event."""
         core = machine.core
         return CoreSnapshot(list(core.log), core.begin.offset, core.complete, core.high_watermark)
 
     def after(
         self,
-        machine: "Machine",
+        machine: Machine,
         before: CoreSnapshot,
         commands: list[tuple],
-        machines: "dict[int, Machine]",
+        machines: dict[int, Machine],
     ) -> None:
+        """Checks a core after an event and the commands that came of it."""
         core = machine.core
         if core.role == LEADER:
             self._check_leading(machine)
             self._check_commit(core, machines)
-        self._check_kept(machine, before)
+        self._check_not_truncated(machine, before)
         self._check_core(machine)
         for command in commands:
             if isinstance(command, Capture):
                 self._check_capture(machine, command)
 
-    def disk_changed(self, machine: "Machine") -> None:
+    def disk_changed(self, machine: Machine) -> None:
         """After disk jobs or a loss of power: no election that the disks allow may lose a committed record."""
         newest = machine.disk.newest
         if newest is not None and (newest.clear or newest.truncate_from >= 0 or machine.core is None):
@@ -150,7 +157,7 @@
 
     # -- leading -----------------------------------------------------------------------------------------------------
 
-    def _check_leading(self, machine: "Machine") -> None:
+    def _check_leading(self, machine: Machine) -> None:
         core = machine.core
         me = (machine.replica, machine.generation)
         known = self.leaders.setdefault(core.epoch, me)
@@ -170,7 +177,7 @@
                     f"{machine.replica} leads epoch {core.epoch} with {votes} synced votes of {sorted(voters)}",
                 )
 
-    def _check_holds_committed(self, machine: "Machine") -> None:
+    def _check_holds_committed(self, machine: Machine) -> None:
         core = machine.core
         if not core.complete or core.last.offset < self.last_committed:
             raise InvariantViolated(
@@ -222,11 +229,9 @@
 
     # -- committing --------------------------------------------------------------------------------------------------
 
-    def _check_commit(self, core: RaftCore, machines: "dict[int, Machine]") -> None:
+    def _check_commit(self, core: RaftCore, machines: dict[int, Machine]) -> None:
         open_changes = [
-            record.offset
-            for record in core.log
-            if record.offset > self.last_committed and b"Voter" in record.payload[:24]
+            record.offset for record in core.log if record.offset > self.last_committed and is_voter_change(record)
         ]
         if len(open_changes) > 1:
             raise InvariantViolated("one change of voters at a time", f"{core.replica} logged those at {open_changes}")
@@ -262,7 +267,7 @@
         )
         if state.voters != self.states[-1].voters:
             self._count("voter changes committed")
-            self.changed_at = record.offset
+            self.voters_changed_at = record.offset
         self.committed.append(record)
         if state.items is not self.states[-1].items:
             self._check_items(state)
@@ -278,7 +283,7 @@
 
     # -- what each core holds ----------------------------------------------------------------------------------------
 
-    def _check_kept(self, machine: "Machine", before: CoreSnapshot) -> None:
+    def _check_not_truncated(self, machine: Machine, before: CoreSnapshot) -> None:
         core = machine.core
         if not before.complete or not core.complete:
             return
@@ -298,33 +303,33 @@
                     f"{machine.replica} dropped {record.offset} of epoch {record.epoch}",
                 )
 
-    def _check_core(self, machine: "Machine") -> None:
+    def _check_core(self, machine: Machine) -> None:
         core = machine.core
         if not core.complete:
-            self.checked[(machine.replica, machine.generation)] = 0
+            self.checked_up_to[(machine.replica, machine.generation)] = 0
             return
         if core.high_watermark > self.last_committed:
             raise InvariantViolated(
                 "logs are equal up to the high-watermark",
-                f"{machine.replica} takes {core.high_watermark} for committed, {self.last_committed} is",
+                f"{machine.replica} treats {core.high_watermark} as committed, {self.last_committed} is",
             )
-        known = self.checked[(machine.replica, machine.generation)]
+        known = self.checked_up_to[(machine.replica, machine.generation)]
         if core.high_watermark > known:
-            self.checked[(machine.replica, machine.generation)] = core.high_watermark
+            self.checked_up_to[(machine.replica, machine.generation)] = core.high_watermark
             self._check_records(machine, after=known)
             if core.state.offset <= self.last_committed and core.state != self.states[core.state.offset]:
                 raise InvariantViolated(
                     "states are equal at equal offsets", f"{machine.replica} has another one at {core.state.offset}"
                 )
 
-    def _check_records(self, machine: "Machine", *, after: int) -> None:
+    def _check_records(self, machine: Machine, *, after: int) -> None:
         for record in machine.core.log:
             if after < record.offset <= machine.core.high_watermark and record != self.committed[record.offset - 1]:
                 raise InvariantViolated(
                     "logs are equal up to the high-watermark", f"{machine.replica} holds another at {record.offset}"
                 )
 
-    def _check_capture(self, machine: "Machine", capture: Capture) -> None:
+    def _check_capture(self, machine: Machine, capture: Capture) -> None:
         self._count("checkpoints")
         checkpoint_id = capture.checkpoint_id
         if checkpoint_id.offset > self.last_committed or capture.state != self.states[checkpoint_id.offset]:
@@ -333,9 +338,9 @@
                 f"{machine.replica} takes one at {checkpoint_id}, committed is {self.last_committed}",
             )
 
-    # -- what is said ------------------------------------------------------------------------------------------------
+    # -- messages ------------------------------------------------------------------------------------------------
 
-    def sent(self, machine: "Machine", message: tuple) -> None:
+    def sent(self, machine: Machine, message: tuple) -> None:
         """A fetch says what its sender holds, a vote request that it votes for itself: both must be synced."""
         if isinstance(message, VoteCall) and not message.pre_vote:
             self._check_vote(machine, (message.epoch, (machine.replica, machine.disk.incarnation)))
@@ -347,23 +352,23 @@
                 f"{machine.replica} claims {message.fetch_offset - 1} of epoch {message.fetch_epoch}",
             )
 
-    def answered(self, machine: "Machine", message: tuple) -> None:
-        """A vote that leaves must be synced."""
+    def answered(self, machine: Machine, message: tuple) -> None:
+        """A vote that is answered must be synced."""
         if not isinstance(message, VoteAnswer) or message.pre_vote or not message.granted:
             return
         if not any(epoch == message.vote_epoch and vote for epoch, vote in machine.disk.ever_voted):
             self._refuse_vote(machine, message.vote_epoch)
 
-    def _check_vote(self, machine: "Machine", vote: tuple[int, tuple[int, str]]) -> None:
+    def _check_vote(self, machine: Machine, vote: tuple[int, tuple[int, str]]) -> None:
         if vote not in machine.disk.ever_voted:
             self._refuse_vote(machine, vote[0])
 
     @staticmethod
-    def _refuse_vote(machine: "Machine", epoch: int) -> None:
-        raise InvariantViolated("a vote leaves only once it is synced", f"{machine.replica} tells one of epoch {epoch}")
+    def _refuse_vote(machine: Machine, epoch: int) -> None:
+        raise InvariantViolated("a vote leaves only once it is synced", f"{machine.replica} sends one of epoch {epoch}")
 
-    def left(self, machine: "Machine", why: str) -> None:
-        """Who ends with everything handed over leaves all that is committed on a majority without it."""
+    def ended(self, machine: Machine, why: str) -> None:
+        """A replica that ended with everything handed over leaves all that is committed on a majority without it."""
         if why != HANDED_OVER:
             return
         self._count("leaves handed over")
@@ -382,16 +387,18 @@
             )
 
     def proposed(self, ticket: int, payload: bytes) -> None:
+        """Notes the payload that a client proposed."""
         self.orders[ticket] = payload
 
     def concluded(self, command: ProposalResult) -> None:
+        """An acknowledged proposal must be committed."""
         payload = self.orders.get(command.ticket)
         if command.error or payload is None:
             return
         self._count("orders acknowledged")
         if command.offset > self.last_committed or self.committed[command.offset - 1].payload != payload:
             raise InvariantViolated("acknowledged records are committed", f"the order of offset {command.offset} isn't")
-        if self.judges_versions and all(not outcome.error for outcome in command.outcomes):
+        if self.checks_versions and all(not outcome.error for outcome in command.outcomes):
             self._check_acknowledged(payload)
 
     def _check_acknowledged(self, payload: bytes) -> None:
@@ -403,10 +410,12 @@
             if self.acknowledged.setdefault(version, setting.said) != setting.said:
                 raise InvariantViolated("one content for each version", f"two contents of {version} were acknowledged")
 
-    def read_asked(self, ticket: int) -> None:
+    def read_requested(self, ticket: int) -> None:
+        """Notes what was committed when a client began to read."""
         self.reads[ticket] = self.last_committed
 
     def read_ready(self, command: ReadResult) -> None:
+        """A confirmed read must show at least what was committed when it began."""
         if command.error:
             return
         self._count("reads confirmed")
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
@@ -1,6 +1,6 @@
-"""Losses one after the other, as the platform counts them: by time, on a network that is well.
+"""Losses one after the other, as the platform counts them: by time, on a network without faults.
 
-A machine counts as lost until its return or successor has been up for the settling span. However the losses follow each
+A machine counts as lost until its return or successor has been up for the settling time. However the losses follow each
 other, each must have settled by then in the log itself, and the cluster serves all the while.
 """
 
@@ -14,14 +14,15 @@
 
 from hoistsaddle.common.clock import ZERO, milliseconds
 from hoistsaddle.raft.runner import TICK
-from hoistsaddle.testbed.modelcheck.cluster import Cluster, Machine
+from hoistsaddle.testbed.modelcheck.cluster import Cluster
 from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated
+from hoistsaddle.testbed.modelcheck.machine import Machine
 from hoistsaddle.testbed.modelcheck.steps import UNIT, Walk
 from hoistsaddle.testbed.modelcheck.walks import StopDrawing
 
 # How often an operator sends an order meanwhile.
-ORDER_EVERY = milliseconds(250)
-# A machine away comes back, or its successor comes up, after at most so many units.
+ORDER_INTERVAL = milliseconds(250)
+# A lost machine comes back, or its successor comes up, after at most so many units.
 MAX_UNITS_AWAY = 40
 MAX_LOSSES = 6
 
@@ -38,12 +39,19 @@
 
 
 class Loss(NamedTuple):
-    """One loss: how, who (0 is the leader), how long nobody is in its place, how long after its span the next comes."""
+    """One loss.
+
+    Attributes:
+        kind: how the machine is lost.
+        victim: which machine; 0 is the leader.
+        units_away: how long nobody is in its place.
+        units_after: how long after its settling time the next loss comes.
+    """
 
     kind: LossKind
-    who: int
-    away: int
-    later: int
+    victim: int
+    units_away: int
+    units_after: int
 
 
 class LossSequence(NamedTuple):
@@ -56,29 +64,31 @@
 
 
 class SequenceResult(NamedTuple):
-    """What a run came to: how long each loss took to settle, from the moment its return or successor was up."""
+    """How long each loss took to settle, from the time when its return or successor was up."""
 
-    spans: tuple[timedelta, ...]
+    settle_times: tuple[timedelta, ...]
 
 
 class SequenceCounterexample(NamedTuple):
-    """A run that broke, and how."""
+    """A sequence that violates a rule, and how."""
 
     description: str
-    turns: LossSequence
+    sequence: LossSequence
 
 
 class _Run:
-    def __init__(self, turns: LossSequence) -> None:
-        self.turns = turns
-        self.cluster = Cluster(size=turns.size, seed=turns.seed, time_step=TICK)
+    """Does one sequence on a cluster of its own."""
+
+    def __init__(self, sequence: LossSequence) -> None:
+        self.sequence = sequence
+        self.cluster = Cluster(size=sequence.size, seed=sequence.seed, time_step=TICK)
         self.walk = Walk(self.cluster)
         self.ordered_at = ZERO
         self.orders = 0
 
-    def go(self) -> SequenceResult:
+    def run(self) -> SequenceResult:
         self._pass(timedelta(seconds=2))
-        return SequenceResult(tuple(self._lose(loss) for loss in self.turns.losses))
+        return SequenceResult(tuple(self._lose(loss) for loss in self.sequence.losses))
 
     def _pass(self, span: timedelta, *, until=lambda: False) -> bool:
         """Time goes by, with an order now and then."""
@@ -87,36 +97,36 @@
             if self.cluster.run(UNIT, until=until):
                 return True
             leader = self.cluster.leader()
-            if leader is not None and self.cluster.now - self.ordered_at >= ORDER_EVERY:
+            if leader is not None and self.cluster.now - self.ordered_at >= ORDER_INTERVAL:
                 self.ordered_at = self.cluster.now
                 self.orders += 1
                 self.walk.order(leader, self.orders)
         return False
 
     def _lose(self, loss: Loss) -> timedelta:
-        victim = self._victim(loss.who)
+        victim = self._victim(loss.victim)
         self.walk.lost.add(victim.replica)
-        self._begin(loss.kind, victim, loss.away)
-        self._pass(UNIT * loss.away)
+        self._begin(loss.kind, victim, loss.units_away)
+        self._pass(UNIT * loss.units_away)
         self._end(loss.kind, victim)
         began = self.cluster.now
-        if not self._pass(self.turns.settle, until=self.walk.is_settled):
+        if not self._pass(self.sequence.settle, until=self.walk.is_settled):
             voters = sorted(self.cluster.invariants.voters.items())
             raise InvariantViolated(
                 "a loss settles within its span",
-                f"{loss.kind} of {victim.replica} has not after {self.turns.settle}: leader {self.cluster.leader()}, "
-                f"voters {voters}",
+                f"{loss.kind} of {victim.replica} has not after {self.sequence.settle}: "
+                f"leader {self.cluster.leader()}, voters {voters}",
             )
-        span = self.cluster.now - began
-        self._pass(self.turns.settle - span + UNIT * loss.later)
-        return span
+        settle_time = self.cluster.now - began
+        self._pass(self.sequence.settle - settle_time + UNIT * loss.units_after)
+        return settle_time
 
-    def _victim(self, who: int) -> Machine:
+    def _victim(self, victim: int) -> Machine:
         voters = sorted(self.cluster.invariants.voters)
         leader = self.cluster.leader()
-        return self.cluster.machines[leader if who == 0 and leader is not None else voters[who % len(voters)]]
+        return self.cluster.machines[leader if victim == 0 and leader is not None else voters[victim % len(voters)]]
 
-    def _begin(self, kind: LossKind, victim: Machine, away: int) -> None:
+    def _begin(self, kind: LossKind, victim: Machine, units_away: int) -> None:
         cluster, replica = self.cluster, victim.replica
         match kind:
             case LossKind.WIPED | LossKind.POWER:
@@ -124,7 +134,7 @@
             case LossKind.REPLACED:
                 cluster.remove(replica)
             case LossKind.LEAVES:
-                cluster.ask_to_leave(replica, span=UNIT * away)
+                cluster.request_stop(replica, duration=UNIT * units_away)
             case LossKind.FROZEN:
                 victim.frozen = True
             case LossKind.CUT_OFF:
@@ -147,15 +157,19 @@
                 cluster.cuts.clear()
 
 
-def run_loss_sequence(turns: LossSequence) -> SequenceResult:
-    """Does the run; raises Broken."""
-    return _Run(turns).go()
+def run_loss_sequence(sequence: LossSequence) -> SequenceResult:
+    """Does the sequence.
+
+    Raises:
+        InvariantViolated: a rule is broken, or a loss doesn't settle in time.
+    """
+    return _Run(sequence).run()
 
 
 def draw_loss_sequences(
     *, seed: int, runs: int, settle: timedelta, sizes: tuple[int, ...] = (3, 5)
 ) -> tuple[list[timedelta], SequenceCounterexample | None]:
-    """So many runs drawn from this seed: the spans in which losses settled, and the first break."""
+    """Draws sequences from a seed and does them; gives how long losses took to settle, and the first violation."""
     spans: list[timedelta] = []
     found: SequenceCounterexample | None = None
     loss = strategies.builds(
@@ -183,13 +197,13 @@
             strategies.lists(loss, min_size=2, max_size=MAX_LOSSES).map(tuple),
         )
     )
-    def check(turns: LossSequence) -> None:
+    def check(sequence: LossSequence) -> None:
         nonlocal found
         try:
-            spans.extend(run_loss_sequence(turns).spans)
+            spans.extend(run_loss_sequence(sequence).settle_times)
         except InvariantViolated as broken:
-            found = SequenceCounterexample(str(broken), turns)
-            raise StopDrawing("the first break is enough") from broken
+            found = SequenceCounterexample(str(broken), sequence)
+            raise StopDrawing("the first violation is enough") from broken
 
     with contextlib.suppress(StopDrawing):
         check()
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
@@ -30,7 +30,7 @@
 
 
 class ChunkRead(NamedTuple):
-    """A piece of a checkpoint for the replica that asked with this ticket."""
+    """A chunk of a checkpoint for the replica that asked with this ticket."""
 
     ticket: int
     answer: FetchSnapshotAnswer
@@ -43,35 +43,37 @@
         self.replica = replica
         self.incarnation = incarnation
         self.newest: Write | None = None
-        self.founded: dict | None = None
+        self.bootstrap_facts: dict | None = None
         self.log: dict[int, Record] = {}
         self.checkpoints: dict[OffsetAndEpoch, bytes] = {}
         self.pulled: dict[OffsetAndEpoch, bytes] = {}
         self.jobs: deque = deque()
-        # What this incarnation held or promised at any moment; a truncation takes nothing away here.
+        # What this incarnation held or promised at any time; a truncation removes nothing here.
         self.ever_held: set[tuple[int, int]] = set()
         self.ever_voted: set[tuple[int, tuple[int, str] | None]] = set()
         self.covered = 0
 
     def copy(self) -> "ModelDisk":
-        """The same content, on which more jobs may be done apart from this one."""
-        twin = ModelDisk(replica=self.replica, incarnation=self.incarnation)
-        twin.newest, twin.founded, twin.covered = self.newest, self.founded, self.covered
-        twin.log, twin.checkpoints, twin.pulled = dict(self.log), dict(self.checkpoints), dict(self.pulled)
-        twin.jobs = deque(self.jobs)
-        twin.ever_held, twin.ever_voted = set(self.ever_held), set(self.ever_voted)
-        return twin
+        """A copy of the content, on which other jobs may be done."""
+        copied = ModelDisk(replica=self.replica, incarnation=self.incarnation)
+        copied.newest, copied.bootstrap_facts, copied.covered = self.newest, self.bootstrap_facts, self.covered
+        copied.log, copied.checkpoints, copied.pulled = dict(self.log), dict(self.checkpoints), dict(self.pulled)
+        copied.jobs = deque(self.jobs)
+        copied.ever_held, copied.ever_voted = set(self.ever_held), set(self.ever_voted)
+        return copied
 
     def found(self, *, mesh: str, voters: tuple[tuple[int, str], ...], state: State) -> None:
         """What founding leaves: the first checkpoint, the mesh and its voters."""
         self.checkpoints[OffsetAndEpoch(0, 0)] = pack_checkpoint(checkpoint_id=OffsetAndEpoch(0, 0), state=state)
-        self.founded = {"mesh": mesh, "voters": voters}
+        self.bootstrap_facts = {"mesh": mesh, "voters": voters}
 
     # -- reading -----------------------------------------------------------------------------------------------------
 
     def boot(self) -> Boot | None:
-        """What a start reads; nothing where the folder has to be laid anew, under another incarnation."""
-        facts = {name: getattr(self.newest, name) for name in _BOOT_FIELDS} if self.newest else self.founded or {}
+        """What a start reads; None where the folder has to be replaced by another incarnation."""
+        facts = (
+            {name: getattr(self.newest, name) for name in _BOOT_FIELDS} if self.newest else self.bootstrap_facts or {}
+        )
         known = Boot(replica=self.replica, incarnation=self.incarnation, **facts)
         if not known.mesh or known.catching:
             return known
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
@@ -6,8 +6,9 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.raft.core import LEADER
-from hoistsaddle.testbed.modelcheck.cluster import Cluster, Machine, Packet
+from hoistsaddle.testbed.modelcheck.cluster import Cluster, Packet
 from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, order
+from hoistsaddle.testbed.modelcheck.machine import Machine
 
 # One unit of a run, and of a clock that moves on by itself.
 UNIT = milliseconds(50)
@@ -16,15 +17,17 @@
 # Names and versions are few, so that orders meet.
 NAMES, VERSIONS, CONTENTS = 2, 6, 2
 # What a healed cluster may take to elect a leader and to commit a new record: some rounds of elections, and the
-# silence after which a blank disk or an old leader is given up.
+# timeout after which a blank disk or an old leader is given up.
 SERVE_TIMEOUT = timedelta(seconds=15)
-# What it may take until every loss has settled: a voter's long silence, an election, a catch-up.
+# What it may take until every loss has settled: the replacement timeout of a voter, an election, a catch-up.
 SETTLE_ALL_TIMEOUT = timedelta(seconds=60)
 # What a replica that was away may take until it holds all that is committed, with nothing in its way any more.
 CATCH_UP_TIMEOUT = timedelta(seconds=15)
 
 
 class StepKind(StrEnum):
+    """What a step does."""
+
     RUN = "run"
     DELIVER = "deliver"
     DROP = "drop"
@@ -54,7 +57,7 @@
 
 
 class Step(NamedTuple):
-    """One step. The numbers choose among what there is at that moment, so that any part of a walk is a walk."""
+    """One step. The numbers choose among what there is at that time, so that any part of a walk is a walk."""
 
     kind: StepKind
     first: int = 0
@@ -65,7 +68,7 @@
 
 
 class Walk:
-    """Carries out steps on a cluster. Whoever is lost counts until the successor or return has settled."""
+    """Does steps on a cluster. A lost machine counts until its successor or return has settled."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -79,35 +82,35 @@
 
     # -- what is there ---------------------------------------------------------------------------------------------
 
-    def _pick(self, number: int, *, wanted) -> Machine | None:
+    def _choose(self, number: int, *, wanted) -> Machine | None:
         found = [each for each in self.cluster.machines.values() if not each.removed and wanted(each)]
         return found[number % len(found)] if found else None
 
-    def _answering(self, number: int) -> Machine | None:
-        return self._pick(number, wanted=lambda each: each.answers)
+    def _choose_answering(self, number: int) -> Machine | None:
+        return self._choose(number, wanted=lambda each: each.answers)
 
-    def _harmed(self, number: int, second: int) -> Machine | None:
-        """Half of all harm is done to whoever leads."""
+    def _fault_target(self, number: int, second: int) -> Machine | None:
+        """The machine that a fault hits: half of the time the leader."""
         leader = self.cluster.leader()
         if leader is not None and second % 2:
             return self.cluster.machines[leader]
-        return self._answering(number)
+        return self._choose_answering(number)
 
-    def _asked(self, first: int, second: int) -> Machine | None:
-        """Mostly whoever leads is asked, sometimes one that only takes itself for the leader, or anybody."""
+    def _call_target(self, first: int, second: int) -> Machine | None:
+        """The machine that a client calls: mostly the leader, sometimes one that believes to lead, or any other."""
         leader = self.cluster.leader()
-        if second % 4 == 0 and (believing := self._pick(first, wanted=_takes_itself_for_leader)):
+        if second % 4 == 0 and (believing := self._choose(first, wanted=_believes_to_lead)):
             return believing
         if second % 4 == 1:
-            return self._answering(first)
+            return self._choose_answering(first)
         return self.cluster.machines[leader] if leader is not None else None
 
     def _packet(self, number: int) -> Packet | None:
         passing = [packet for packet in self.cluster.in_flight if self.cluster.can_pass(packet)]
         return passing[number % len(passing)] if passing else None
 
-    def _counts(self, machine: Machine) -> bool:
-        """Whether losing this disk is a loss: it votes, or somebody counts on it to."""
+    def _is_counted(self, machine: Machine) -> bool:
+        """Whether losing this disk is a loss: it votes, or some core counts it as a voter."""
         sets = [self.cluster.invariants.voters]
         for each in self.cluster.machines.values():
             if each.core is not None:
@@ -115,17 +118,17 @@
         return any(voters.get(machine.replica) == machine.disk.incarnation for voters in sets)
 
     def _may_lose(self, machine: Machine) -> bool:
-        return machine.replica in self.lost or not self._counts(machine) or len(self.lost) < self.tolerance
+        return machine.replica in self.lost or not self._is_counted(machine) or len(self.lost) < self.tolerance
 
     def _lose(self, machine: Machine) -> None:
-        if self._counts(machine):
+        if self._is_counted(machine):
             self.lost.add(machine.replica)
 
     def settle(self) -> None:
         """Forgets losses whose return or successor votes and holds all that is committed.
 
         Until a majority knows that the last change of voters is committed, elections ask the set before it too, and
-        who is lost in that set counts on.
+        who is lost in that set still counts.
         """
         if not self.lost or not self._majority_knows_the_voters():
             return
@@ -157,15 +160,19 @@
             if machine.removed or machine.disk.incarnation != incarnation:
                 continue
             newest, core = machine.disk.newest, machine.core
-            kept = newest is not None and not newest.catching and newest.committed >= invariants.changed_at
-            known_in_memory = core is not None and core.complete and core.high_watermark >= invariants.changed_at
+            kept = newest is not None and not newest.catching and newest.committed >= invariants.voters_changed_at
+            known_in_memory = core is not None and core.complete and core.high_watermark >= invariants.voters_changed_at
             knowing += kept or known_in_memory
         return knowing * 2 > len(invariants.voters)
 
     # -- steps -------------------------------------------------------------------------------------------------------
 
     def take(self, step: Step) -> bool:
-        """Does the step if it can be done now; the checks raise Broken."""
+        """Does the step if it can be done now; whether it could.
+
+        Raises:
+            InvariantViolated: the step breaks a rule.
+        """
         self.done.append(step)
         done = self._take(step)
         self.skipped += not done
@@ -218,7 +225,11 @@
 
     def _work(self, kind: StepKind, first: int, second: int) -> bool:
         cluster = self.cluster
-        machine = self._answering(first) if kind in (StepKind.DISK, StepKind.TICK) else self._asked(first, second)
+        machine = (
+            self._choose_answering(first)
+            if kind in (StepKind.DISK, StepKind.TICK)
+            else self._call_target(first, second)
+        )
         if machine is None:
             return False
         match kind:
@@ -238,6 +249,7 @@
         return True
 
     def order(self, replica: int, number: int) -> int:
+        """Proposes an order at a replica; the number chooses the item and its content. Gives the ticket."""
         self.orders += 1
         return self.cluster.propose(
             replica,
@@ -254,8 +266,8 @@
         if kind == StepKind.HEAL:
             cluster.cuts.clear()
             return True
-        one = self._harmed(first, second)
-        other = self._pick(second, wanted=lambda each: each is not one)
+        one = self._fault_target(first, second)
+        other = self._choose(second, wanted=lambda each: each is not one)
         if one is None or other is None:
             return False
         if kind == StepKind.CUT_OFF:
@@ -269,9 +281,9 @@
 
     def _pause(self, kind: StepKind, first: int, second: int) -> bool:
         if kind in (StepKind.FREEZE, StepKind.STALL_DISK):
-            machine = self._harmed(first, second)
+            machine = self._fault_target(first, second)
         else:
-            machine = self._pick(first, wanted=lambda each: each.frozen if kind == StepKind.THAW else each.stalled)
+            machine = self._choose(first, wanted=lambda each: each.frozen if kind == StepKind.THAW else each.stalled)
         if machine is None:
             return False
         if kind in (StepKind.FREEZE, StepKind.THAW):
@@ -283,11 +295,11 @@
     def _lifecycle(self, kind: StepKind, first: int, second: int) -> bool:
         cluster = self.cluster
         if kind == StepKind.START:
-            machine = self._pick(first, wanted=lambda each: each.core is None)
+            machine = self._choose(first, wanted=lambda each: each.core is None)
             if machine is not None:
                 cluster.start(machine.replica)
             return machine is not None
-        machine = self._harmed(first, second) or self._pick(first, wanted=lambda each: each.core is not None)
+        machine = self._fault_target(first, second) or self._choose(first, wanted=lambda each: each.core is not None)
         if machine is None:
             return False
         if kind == StepKind.CRASH:
@@ -313,16 +325,16 @@
                 if not machine.answers or machine.leaving:
                     return False
                 self._lose(machine)
-                cluster.ask_to_leave(machine.replica, span=UNIT * (1 + second) * 2)
+                cluster.request_stop(machine.replica, duration=UNIT * (1 + second) * 2)
                 if second % 2:
                     cluster.add_spare()
         return True
 
     def _tear(self, machine: Machine, kept: int) -> None:
         self.cluster.crash(machine.replica, kept=kept)
-        counted = self._counts(machine)
+        counted = self._is_counted(machine)
         machine.disk.tear()
-        # An older checkpoint in its place loses nothing; a folder laid anew is another disk.
+        # An older checkpoint in its place loses nothing; a new folder is another disk.
         if machine.disk.boot() is None and counted:
             self.lost.add(machine.replica)
         self.cluster.start(machine.replica)
@@ -330,13 +342,13 @@
     # -- the end -----------------------------------------------------------------------------------------------------
 
     def finish(self) -> None:
-        """Heals everything: within bounds somebody leads, a new record commits, and every loss settles."""
+        """Ends all faults: within bounds somebody leads, a new record commits, and every loss settles."""
         cluster = self.cluster
         cluster.cuts.clear()
         for replica, machine in list(cluster.machines.items()):
             machine.frozen = machine.stalled = False
             if machine.leaving:
-                # Its grace is over; another machine takes its place.
+                # Its time to stop is over; another machine takes its place.
                 cluster.remove(replica)
                 cluster.add_spare()
             if machine.core is None and not machine.removed:
@@ -377,6 +389,7 @@
         return all(machine.core.complete and machine.core.state.offset >= last_committed for machine in running)
 
     def is_settled(self) -> bool:
+        """Whether every loss has settled."""
         self.settle()
         return not self.lost
 
@@ -391,5 +404,5 @@
         return f"leader {cluster.leader()}, voters {known.voters}, committed {known.last_committed}, {cores}"
 
 
-def _takes_itself_for_leader(machine: Machine) -> bool:
+def _believes_to_lead(machine: Machine) -> bool:
     return machine.answers and machine.core.role == LEADER
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
@@ -9,11 +9,12 @@
 from hypothesis import HealthCheck, Phase, given, settings, strategies
 from hypothesis import seed as seeded
 
-from hoistsaddle.testbed.modelcheck.cluster import Cluster, InjectedFault
+from hoistsaddle.testbed.modelcheck.cluster import Cluster
+from hoistsaddle.testbed.modelcheck.faults import InjectedFault
 from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated
 from hoistsaddle.testbed.modelcheck.steps import Step, StepKind, Walk
 
-# How often each kind is drawn: losses are rare, so that between them something happens that they can spoil.
+# How often each kind is drawn: losses are rare, so that something that they can undo happens between them.
 WEIGHTS = {
     StepKind.RUN: 14,
     StepKind.DELIVER: 14,
@@ -49,11 +50,11 @@
 
 
 class StopDrawing(unittest.SkipTest):
-    """Ends a run of the library early; it draws no further example after this."""
+    """Ends a run of hypothesis early; it draws no further example after this."""
 
 
 class Script(NamedTuple):
-    """A whole walk: enough to do it again."""
+    """A whole walk, enough to do it again."""
 
     size: int
     seed: int
@@ -64,7 +65,7 @@
 
 
 class Counterexample(NamedTuple):
-    """A rule that was broken, and a walk that does it."""
+    """A rule that was broken, and a walk that breaks it."""
 
     rule: str
     description: str
@@ -72,7 +73,7 @@
 
 
 class WalkTotals(NamedTuple):
-    """What a number of walks came to."""
+    """The totals of a number of walks."""
 
     walks: int = 0
     steps: int = 0
@@ -114,11 +115,11 @@
 def play(script: Script, *, fault: InjectedFault | None = None) -> Walk:
     """Does a walk and its ending; raises Broken, also for whatever a core raises."""
     walk = Walk(Cluster(size=script.size, seed=script.seed, fault=fault))
-    _go(walk, script)
+    _apply_action(walk, script)
     return walk
 
 
-def _go(walk: Walk, script: Script) -> None:
+def _apply_action(walk: Walk, script: Script) -> None:
     try:
         # Most walks begin with a leader: what a first election alone can break, the exhaustive part looks at.
         walk.take(Step(StepKind.RUN, MAX_UNITS))
@@ -158,7 +159,7 @@
     max_steps: int = MAX_STEPS,
     until: float = float("inf"),
 ) -> tuple[WalkTotals, Counterexample | None]:
-    """So many walks drawn from this seed, fewer once the monotonic moment is over; ends at the first break."""
+    """So many walks drawn from this seed, fewer once the monotonic time until is over; ends at the first violation."""
     total = WalkTotals()
     found: Counterexample | None = None
 
@@ -186,7 +187,7 @@
             raise StopDrawing("no further example is wanted")
         walk = Walk(Cluster(size=script.size, seed=script.seed, fault=fault()))
         try:
-            _go(walk, script)
+            _apply_action(walk, script)
         except InvariantViolated as broken:
             found = Counterexample(broken.rule, str(broken), script)
         total = total.with_walk(walk)
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -15,8 +15,9 @@
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.testbed.modelcheck import faults
 from hoistsaddle.testbed.modelcheck.check import SETTLE_TIMEOUT, format_durations
-from hoistsaddle.testbed.modelcheck.cluster import MESH, Cluster, InjectedFault
-from hoistsaddle.testbed.modelcheck.exhaustive import SPACES, explore
+from hoistsaddle.testbed.modelcheck.cluster import MESH, Cluster
+from hoistsaddle.testbed.modelcheck.exhaustive import explore
+from hoistsaddle.testbed.modelcheck.faults import InjectedFault
 from hoistsaddle.testbed.modelcheck.loss_sequences import (
     Loss,
     LossKind,
@@ -25,6 +26,7 @@
     run_loss_sequence,
 )
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
+from hoistsaddle.testbed.modelcheck.spaces import SPACES
 from hoistsaddle.testbed.modelcheck.steps import Step, StepKind, Walk
 from hoistsaddle.testbed.modelcheck.walks import Script, broken_by, make_smaller, play, walk_randomly
 
@@ -59,7 +61,7 @@
     FaultCase(faults.ForgetsItsVoteOnSync, "a vote leaves only once it is synced"),
     FaultCase(faults.FetchUnsynced, "a fetch claims only what is synced"),
     FaultCase(faults.SyncsAreLies, "a vote leaves only once it is synced"),
-    FaultCase(faults.CountsWhatItPulls, "a fetch claims only what is synced"),
+    FaultCase(faults.CountsWhileFetchingSnapshot, "a fetch claims only what is synced"),
     FaultCase(faults.AppendUnsynced, "commits by majorities that meet", STALLING),
     FaultCase(faults.AppendUnsynced, "commits by majorities that meet", space="order unsynced"),
     FaultCase(faults.CommitsOldEpoch, "only a record of the leader's epoch commits by counting"),
@@ -252,8 +254,8 @@
 
         disk = opened()
         disk.boot()
-        if model.founded is not None:
-            disk.found(mesh=MESH, voters=dict(model.founded["voters"]), operators={}, level=LEVEL)
+        if model.bootstrap_facts is not None:
+            disk.found(mesh=MESH, voters=dict(model.bootstrap_facts["voters"]), operators={}, level=LEVEL)
         for job in done[model.incarnation]:
             match job:
                 case Write():
