--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/core.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/core.py
@@ -6,8 +6,8 @@
 
 from returns.result import Success
 
-from hoistsaddle.statemachine.commands import ClaimHold
-from hoistsaddle.statemachine.state import pack_state
+from hoistsaddle.statemachine.commands import ClaimKey
+from hoistsaddle.statemachine.snapshots import pack_state
 from hoistsaddle.testbed.history import ClaimWritten, ReplicaState
 from hoistsaddle.testbed.process_names import REGISTRY, replica_of, store_name
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
@@ -25,7 +25,7 @@
             continue
         name = random.choice(registries)
         claim = f"claim-{next(simulation.counter)}"
-        command = ClaimHold(f"scope-{claim}", claim, "tester", "digest", f"bucket-{claim}", "service", "tester")
+        command = ClaimKey(f"scope-{claim}", claim, "tester", "digest", f"bucket-{claim}", "service", "tester")
         task = processes.by_name[name].spawn(processes.nodes[name].writer.write(command, within=timedelta(seconds=2)))
         process = processes.by_name[name]
         while not task.done() and not process.dead:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
@@ -156,7 +156,7 @@
 
 
 def _content(item) -> str | None:
-    return None if item.dropped else item.said.decode()
+    return None if item.dropped else item.source.decode()
 
 
 async def orders_sent_again(simulation: SimulatedDeployment) -> None:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/storage.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/storage.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.digests import digests_of
-from hoistsaddle.statemachine.state import data_plane_items
 from hoistsaddle.testbed.history import CopyCorrupted, CopyDiverged
 from hoistsaddle.testbed.process_names import PROXY, REGISTRY, STORE, proxy_name
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
@@ -45,7 +45,7 @@
         leader = processes.leader()
         if leader is not None:
             state = processes.nodes[leader].runner.core.state
-            expected[state.news] = digests_of(data_plane_items(state))
+            expected[state.data_plane_revision] = digests_of(data_plane_items(state))
         for name in processes.running(REGISTRY) + processes.running(PROXY):
             copy = processes.nodes[name].relay.copy
             if copy.revision in expected and digests_of(copy.items) != expected[copy.revision]:
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the code, one for each line of "What must never happen", and where each must be caught."""
+"""Faults injected into the code, one for each line of "What must never happen", and where each must be caught."""
 
 import contextlib
 from collections.abc import Callable
@@ -25,6 +25,8 @@
 
 
 class InjectedFault(NamedTuple):
+    """A deliberate breakage: the line that must catch it, and where it is played."""
+
     name: str
     line: str
     deployment: str
@@ -34,15 +36,15 @@
 
 
 def _newest_revision_alone():
-    plain = revision_history.meet
+    plain = revision_history.compare_revision
 
     def patched(memory, *, revision: int, digest: bytes):
-        overtaken = memory is not None and revision < memory.taken[-1].revision
+        overtaken = memory is not None and revision < memory.accepted[-1].revision
         return (
-            revision_history.RevisionStatus.OVERTAKEN if overtaken else plain(memory, revision=revision, digest=digest)
+            revision_history.RevisionStatus.SUPERSEDED if overtaken else plain(memory, revision=revision, digest=digest)
         )
 
-    return mock.patch("hoistsaddle.statemachine.deduplication.meet", patched)
+    return mock.patch("hoistsaddle.statemachine.deduplication.compare_revision", patched)
 
 
 def _every_claim_granted():
@@ -125,7 +127,11 @@
 
 def _other_credentials_other_client():
     return mock.patch.object(
-        idempotency, "_told_apart", lambda hold, command: (hold.by, hold.who) != (command.by, command.who)
+        idempotency,
+        "_are_distinct_clients",
+        lambda hold, command: (
+            (hold.identified_by, hold.client_digest) != (command.identified_by, command.client_digest)
+        ),
     )
 
 
@@ -177,8 +183,8 @@
     plain = service.state_report
 
     def short(state) -> dict:
-        setup = plain(state)
-        return {**setup, "texts": {number: text[:-1] for number, text in setup["texts"].items()}}
+        report = plain(state)
+        return {**report, "texts": {number: text[:-1] for number, text in report["texts"].items()}}
 
     return mock.patch.object(service, "state_report", short)
 
@@ -198,7 +204,7 @@
 
     def first(state) -> dict:
         kept.append(plain(state))
-        return next((setup for setup in kept if setup["in_force"]), kept[-1])
+        return next((report for report in kept if report["in_force"]), kept[-1])
 
     return mock.patch.object(service, "state_report", first)
 
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -1,4 +1,4 @@
-"""The writer at a machine that reaches no leader: it answers inside the asker's span, truly, and sends little."""
+"""The writer at a machine that reaches no leader: it answers truly within the caller's timeout and sends little."""
 
 import asyncio
 import gc
@@ -24,7 +24,8 @@
 from hoistsaddle.rpc.frame_ages import CallAge
 from hoistsaddle.rpc.messages import UNSET, WriteAnswer, WriteCall
 from hoistsaddle.sidecar.node import SidecarNode
-from hoistsaddle.statemachine.commands import ClaimHold, Outcome, Tick, pack_command, pack_outcome
+from hoistsaddle.statemachine.commands import ClaimKey, Outcome, Tick
+from hoistsaddle.statemachine.encoding import pack_command, pack_outcome
 from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 sys.path.insert(0, str(Path(__file__).parent))
@@ -36,7 +37,7 @@
 
 
 class ScriptedRpcClient:
-    """Answers by a rule of address and moment; None is silence."""
+    """Answers by a rule of address and time; None is no answer."""
 
     def __init__(self, *, loop: SimulatedTimeLoop, rule: Answer) -> None:
         self.loop = loop
@@ -86,7 +87,7 @@
     return kind, (writer.runtime.now() - began).total_seconds()
 
 
-class Promptness(TestCase):
+class CallerTimeouts(TestCase):
     def test_an_order_at_silent_machines_is_told_within_its_span(self) -> None:
         kind, spent = run(lambda address, now: None, lambda writer, rpc_client: timed(writer, within=0.5))
         self.assertThat((kind, round(spent, 3)), Equals((ErrorKind.UNSURE, 0.5)))
@@ -122,7 +123,7 @@
 
 
 class WithoutALeader(TestCase):
-    """Finding 14: each batch was sent again every 20 ms, six at a time, for as long as nobody led."""
+    """Finding 14: each batch was resent every 20 ms, six at a time, for as long as there was no leader."""
 
     def test_few_calls_go_out_whatever_waits(self) -> None:
         span = 20.0
@@ -274,7 +275,7 @@
         registry = SimpleNamespace(
             counters=Counters(owner="r"), writer=SimpleNamespace(write_payloads=write_payloads, leader=1)
         )
-        claim = pack_command(ClaimHold("scope", "claim", "stall", "digest"))
+        claim = pack_command(ClaimKey("scope", "claim", "stall", "digest"))
 
         async def scenario() -> WriteAnswer:
             connection._call_age.set(CallAge(age, False))
--- a/tests/test_sidecar_server_selection.py
+++ b/tests/test_sidecar_server_selection.py
@@ -1,4 +1,4 @@
-"""What an entry's core reads out of a view once: open servers by service, and its part of the further sends."""
+"""What an ingress derives from a configuration: available servers by service, and its share of the retry budget."""
 
 import random
 from datetime import timedelta
@@ -12,7 +12,8 @@
 from hoistsaddle.sidecar import server_selection
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardRequest, RequestArrived
-from hoistsaddle.statemachine.state import GONE, WINDING_DOWN, State, data_plane_items
+from hoistsaddle.statemachine.data_plane import data_plane_items
+from hoistsaddle.statemachine.state import GONE, WINDING_DOWN, State
 from hoistsaddle.statemachine.view import View, read_view
 from hoistsaddle.testbed.scale.sizes import HOST, Size, make_state, prefix_of, proxy_name
 
@@ -54,7 +55,7 @@
     return found
 
 
-class Selecting(TestCase):
+class ServerSelection(TestCase):
     def test_a_new_view_counts_with_the_next_request(self) -> None:
         state = make_state(SIZE)
         core = core_with(view_of(state))
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -1,4 +1,4 @@
-"""A proxy that stops: it serves until its door is quiet, and keeps time to finish what it took if it never is."""
+"""Graceful shutdown of a sidecar: it serves until its listener is idle, and keeps time to finish what it accepted."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -79,13 +79,13 @@
 
     def test_a_closing_proxy_turns_new_ones_back_and_ends_what_it_took(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
-        before = fleet.ask(door="s-1", budget=3.0)
+        before = fleet.ask(ingress="s-1", budget=3.0)
         fleet.cores["s-1"].handle(CloseRequested(), now=fleet.timestamp)
-        after = fleet.ask(door="s-1", budget=3.0)
+        after = fleet.ask(ingress="s-1", budget=3.0)
         reply = fleet.replies[after]
         self.assertThat((reply.status, reply.error.kind), Equals((503, ErrorKind.WINDING_DOWN)))
         self.assertThat(before in fleet.replies, Equals(False))
-        while fleet.serves:
+        while fleet.runs:
             fleet.finish()
         self.assertThat(fleet.replies[before].status, Equals(200))
 
