--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -322,7 +322,7 @@
             if server.proxy == self.settings.name and self.server_state() != READY:
                 continue
             # The newer of the two proxies' bundles decides, here as at the target.
-            bundle = max(self.view.acting.get(server.proxy, self.view.bundle), self.view.bundle, key=number_of)
+            bundle = max(self.view.bundle_by_proxy.get(server.proxy, self.view.bundle), self.view.bundle, key=number_of)
             entry = bundle.select_entry(method=event.method, path=event.path)
             if entry is None or entry.service != server.service or caller not in entry.callers:
                 continue
--- a/packages/raft/src/hoistsaddle/raft/applying.py
+++ b/packages/raft/src/hoistsaddle/raft/applying.py
@@ -55,10 +55,10 @@
     def _tell_changes(self, before: State, outcome: Outcome) -> None:
         if self.state.level != before.level:
             self._announce("release level raised", level=self.state.level)
-        if self.state.purge_offset != before.purged:
+        if self.state.purge_offset != before.purge_offset:
             self._announce("gone forgotten", **outcome.detail)
         # Expiry is everybody's; one voice tells it.
-        if self.state.expired_at != before.swept and self.role == LEADER:
+        if self.state.expired_at != before.expired_at and self.role == LEADER:
             for scope, hold in sorted(before.holds.items()):
                 if scope not in self.state.holds:
-                    self._announce("key expired", scope=scope[:12], entry=hold.entry, was=hold.phase)
+                    self._announce("key expired", scope=scope[:12], entry=hold.route, was=hold.phase)
--- a/packages/registry/src/hoistsaddle/registry/health_reports.py
+++ b/packages/registry/src/hoistsaddle/registry/health_reports.py
@@ -55,7 +55,7 @@
 
     async def answer(self, call: HealthCall) -> HealthAnswer:
         """Forwards a heartbeat to the registry that monitors the nodes; records it here if that gives no answer."""
-        duty = self.view().duties.get(NODE_MONITOR_ROLE)
+        duty = self.view().singleton_roles.get(NODE_MONITOR_ROLE)
         if duty is not None and duty.node != self.node:
             # The monitoring registry must hear every heartbeat; one hop helps a proxy that doesn't know it yet.
             address = self.peers.address_of(duty.node)
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -50,7 +50,7 @@
         """
         was_paused = self.last_checked_at is not None and now - self.last_checked_at > self.health_span / 2
         self.last_checked_at = now
-        duty = view.duties.get(NODE_MONITOR_ROLE)
+        duty = view.singleton_roles.get(NODE_MONITOR_ROLE)
         is_first = min([*live_registries, self.node]) == self.node
         # Without a fresh lease this node can't know whose turn it is, and after a freeze it heard nobody.
         if not fresh or was_paused or not is_first:
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -172,7 +172,7 @@
         elif part == "items":
             content = msgspec.msgpack.encode(
                 [
-                    (*key.split(":", 1), entry.revision, entry.said)
+                    (*key.split(":", 1), entry.revision, entry.source)
                     for key, entry in sorted(state.items.items())
                     if not entry.dropped
                 ]
--- a/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
@@ -132,7 +132,7 @@
         mesh="0123456789abcdef", voters={1: "a" * 12, 2: "b" * 12, 3: "c" * 12}, operators={}, level=3
     )
     items = {
-        key_of(setting.kind, item.name): ItemRecord(1, 1, False, pack_item(item), setting.said)
+        key_of(setting.kind, item.name): ItemRecord(1, 1, False, pack_item(item), setting.source)
         for setting, item in checked_settings(size).sets
     }
     holds = dict(hold_of_number(number) for number in range(size.holds))
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -345,7 +345,7 @@
 
 def _claim(number: int) -> ClaimKey:
     scope, hold = hold_of_number(number)
-    return ClaimKey(scope, hold.claim, hold.proxy, "", scope, "operation", scope, hold.entry, 75, "")
+    return ClaimKey(scope, hold.claim, hold.proxy, "", scope, "operation", scope, hold.route, 75, "")
 
 
 def keyed_claims(meter: Meter, points: list[int]) -> None:
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the product, one or more for each rule of the arcade, and the day on which each must be caught."""
+"""Faults injected into the product, one or more for each rule of the emulator, and the day that must show each."""
 
 import random
 from collections.abc import Callable
@@ -135,6 +135,8 @@
 
 
 class InjectedFault(NamedTuple):
+    """A deliberate breakage: the rules that must find it, and the day on which it is played."""
+
     name: str
     # All of them have to see it.
     rules: tuple[str, ...]
@@ -213,9 +215,9 @@
 
 
 def _some_entries_unknown():
-    plain, draw = ItemConfiguration.select_entry, random.Random(1)
+    plain, rng = ItemConfiguration.select_entry, random.Random(1)
     return mock.patch.object(
-        ItemConfiguration, "select_entry", lambda self, **needs: None if draw.random() < 0.3 else plain(self, **needs)
+        ItemConfiguration, "select_entry", lambda self, **needs: None if rng.random() < 0.3 else plain(self, **needs)
     )
 
 
@@ -324,7 +326,7 @@
 
 
 def _contents_are_not_compared():
-    return mock.patch("hoistsaddle.statemachine.items.check_order", lambda *needs: PatchCheck(None))
+    return mock.patch("hoistsaddle.statemachine.items.check_duplicate", lambda *needs: PatchCheck(None))
 
 
 def _valid_orders_are_refused():
@@ -360,14 +362,14 @@
         slow = milliseconds(600000) if len(starts) > 3 else milliseconds(500)
         return RaftTimings(election_timeout_min=slow, election_timeout_max=slow * 1.5, **needs)
 
-    return mock.patch.object(controller, "Pace", timings)
+    return mock.patch.object(controller, "RaftTimings", timings)
 
 
 def _some_answers_raise():
-    plain, draw = IngressHandler._respond, random.Random(1)
+    plain, rng = IngressHandler._respond, random.Random(1)
 
     def raising(self: IngressHandler, answer: Reply):
-        if draw.random() < 0.05:
+        if rng.random() < 0.05:
             raise RuntimeError("planted")
         return plain(self, answer)
 
--- a/tests/test_injected_faults.py
+++ b/tests/test_injected_faults.py
@@ -1,4 +1,4 @@
-"""Each checker is seen to fail: a fault planted in the code must be caught by the line it breaks."""
+"""Each checker is seen to fail: a fault injected into the code must be caught by the line it breaks."""
 
 import os
 import sys
@@ -23,22 +23,22 @@
     for seed in injected_fault.seeds:
         try:
             with injected_fault.patch():
-                complete = simulate(
+                simulation = simulate(
                     deployment=DEPLOYMENTS[injected_fault.deployment], seed=seed, scenario=injected_fault.scenario
                 )
         except Exception as problem:
             # A run that can't go on shows the fault, but not that its checker sees it.
             return f"{type(problem).__name__}: {str(problem)[:300]}"
-        if check(complete.history, complete.deployment)[injected_fault.line]:
+        if check(simulation.history, simulation.deployment)[injected_fault.line]:
             return True
     return False
 
 
 class InjectedFaults(TestCase):
-    def test_every_line_has_a_plant(self) -> None:
+    def test_every_line_has_an_injected_fault(self) -> None:
         self.assertThat({injected_fault.line for injected_fault in INJECTED_FAULTS}, Equals(set(CHECKERS)))
 
-    def test_every_plant_is_caught(self) -> None:
+    def test_every_injected_fault_is_caught(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(
                 zip(
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -18,9 +18,9 @@
 
 ROOT = Path(__file__).parent.parent
 THIMBLE = DEPLOYMENTS["thimble"]
-PAGES = ("bundles", "draining", "planning", "people", "watching", "replacing-core-machines", "releases")
+PAGES = ("bundles", "draining", "planning", "operator-changes", "watching", "replacing-core-machines", "releases")
 # Run against controllers, which found themselves.
-CONTROLLER_PAGES = ("items", "market")
+CONTROLLER_PAGES = ("items", "controllers")
 # One that goes on until it is interrupted, as a person would.
 ENDLESS = re.compile(r"hoistsaddle watch(?!.*--seconds)")
 DAEMON = re.compile(r"(?:\S+=\S+ )?hoistsaddle (fleet|store|registry|proxy|controller|sidecar) ")
@@ -118,7 +118,7 @@
         self.assertThat(failed, Equals([]))
         self.assertThat(ran, GreaterThan(35))
         there = {path.stem for path in (ROOT / "docs" / "operators").glob("*.md")}
-        # The list of calls has no commands; tests/test_fleet_hardships.py sends each of its calls.
+        # The list of calls has no commands; tests/test_fleet_faults.py sends each of its calls.
         self.assertThat(there - set(PAGES) - {"founding", "api", "platform"}, Equals(set(CONTROLLER_PAGES)))
         # What that page tells runs under the platform alone, so it may hold no commands that nobody tries.
         self.assertThat(commands_of(ROOT / "docs" / "operators" / "platform.md"), Equals([]))
@@ -134,7 +134,7 @@
                     return (await controllers.command("ready"))[0] == 0
 
                 await until(ready)
-                shell = Shell(folder=folder, doors=controllers.doors(), proxies=[])
+                shell = Shell(folder=folder, doors=controllers.operator_addresses(), proxies=[])
                 for page in CONTROLLER_PAGES:
                     path = ROOT / "docs" / "operators" / f"{page}.md"
                     # The first patch stands on the page as the file it would be in git.
--- a/tests/test_sidecar_key_answers.py
+++ b/tests/test_sidecar_key_answers.py
@@ -1,4 +1,4 @@
-"""What a keyed request's repeat is told after each loss, and that it never runs twice: rows of the design's table."""
+"""What the repeat of a keyed request is answered after each loss, and that it never runs twice: the design's table."""
 
 from typing import Any
 
@@ -17,8 +17,8 @@
         super().setUp()
         self.fleet = SidecarBench()
 
-    def pay(self, door: str = "s-1", *, key: str = "k", **changes: Any) -> int:
-        return self.fleet.ask("/pay/x", door=door, key=key, **changes)
+    def pay(self, ingress: str = "s-1", *, key: str = "k", **changes: Any) -> int:
+        return self.fleet.ask("/pay/x", ingress=ingress, key=key, **changes)
 
     def told(self, ticket: int) -> Reply:
         self.assertThat(self.fleet.replies.get(ticket), Not(Is(None)))
@@ -49,7 +49,7 @@
         self.fleet.health(name)
 
 
-class TheHolder(Case):
+class ClaimHolder(Case):
     def test_frozen_it_says_nothing_and_the_repeat_runs_nowhere(self) -> None:
         self.pay()
         self.fleet.finish(body=b"paid")
@@ -74,8 +74,8 @@
         self.pay()
         self.fleet.finish(body=b"paid")
         self.restart("s-1")
-        for door in ("s-2", "s-1"):
-            reply = self.told(self.pay(door))
+        for ingress in ("s-2", "s-1"):
+            reply = self.told(self.pay(ingress))
             self.assertThat((reply.status, reply.error.kind, self.runs()), Equals((503, ErrorKind.SILENT, 1)))
 
     def test_restarted_before_it_sent_anything_its_claim_still_holds(self) -> None:
@@ -98,7 +98,7 @@
         self.assertThat((self.told(late).status, self.runs()), Equals((503, 1)))
 
 
-class TwoSides(Case):
+class TwoIngresses(Case):
     def test_a_claim_at_the_cut_off_side_and_its_repeat_at_the_other(self) -> None:
         """Only one of them can be committed, and nothing is sent before that."""
         write, waiting = self.fleet.write, []
@@ -130,7 +130,7 @@
         self.assertThat((self.told(first).body, self.told(second).status, self.runs()), Equals((b"paid", 409, 1)))
 
 
-class TheLog(Case):
+class ClaimLog(Case):
     def test_a_leader_change_between_claim_and_commit_makes_no_second_claim(self) -> None:
         """The copy at the former leader and the one asked again are both committed: one claim, one run."""
         write, first = self.fleet.write, []
@@ -161,15 +161,15 @@
         self.fleet.finish(body=b"paid")
         for name in list(self.fleet.cores):
             self.restart(name)
-        for door in self.fleet.cores:
-            self.assertThat((self.told(self.pay(door)).status, self.runs()), Equals((503, 1)))
+        for ingress in self.fleet.cores:
+            self.assertThat((self.told(self.pay(ingress)).status, self.runs()), Equals((503, 1)))
 
     def test_lost_before_its_answer_it_is_not_run_again(self) -> None:
         self.pay()
         for name in list(self.fleet.cores):
             self.restart(name)
-        for door in self.fleet.cores:
-            self.assertThat((self.told(self.pay(door)).status, self.runs()), Equals((503, 1)))
+        for ingress in self.fleet.cores:
+            self.assertThat((self.told(self.pay(ingress)).status, self.runs()), Equals((503, 1)))
 
     def test_a_word_of_the_holders_that_comes_too_late_answers_nobody(self) -> None:
         self.pay()
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -1,4 +1,4 @@
-"""The state machine's fences: epochs, lives, serials, and repeats."""
+"""Fencing in the state machine: epochs, incarnations, serials, and repeated commands."""
 
 from datetime import timedelta
 
@@ -109,8 +109,9 @@
             )
             return outcome
 
-        newer = {**ClaimKey("scope", "claim", "stall-1", "digest")._asdict(), "colour": "blue"}
-        self.assertThat(record(msgspec.msgpack.encode(["ClaimHold", newer])).detail["phase"], Equals("granted"))
+        tag, fields = msgspec.msgpack.decode(pack_command(ClaimKey("scope", "claim", "stall-1", "digest")))
+        newer = {**fields, "colour": "blue"}
+        self.assertThat(record(msgspec.msgpack.encode([tag, newer])).detail["phase"], Equals("granted"))
         before = self.state
         # A command nobody here knows isn't passed over: replicas that did would differ from those that don't.
         unknown = record(msgspec.msgpack.encode(["PaintServer", {"colour": "blue"}]))
--- a/tests/test_statemachine_items.py
+++ b/tests/test_statemachine_items.py
@@ -1,4 +1,4 @@
-"""Items: what a patch may say, and what the log makes of it."""
+"""Items: how a patch is validated, and what the state machine makes of it."""
 
 import random
 from datetime import timedelta
@@ -61,7 +61,7 @@
     return ItemUpsert(LIMITS, revision, changes, b"limits as said")
 
 
-class Checks(TestCase):
+class PatchValidation(TestCase):
     def refusal(self, patch: Patch) -> tuple[str, str]:
         match check_patch(patch):
             case Failure(error):
@@ -133,7 +133,7 @@
             self.assertThat(isinstance(read_patch(data), Failure), Equals(True), repr(data))
 
 
-class LookUps(TestCase):
+class RouteLookup(TestCase):
     def configuration_of(self, *entries: RouteItem) -> ItemConfiguration:
         return ItemConfiguration(items={f"entry:{each.name}": each for each in entries})
 
@@ -211,11 +211,11 @@
         ):
             self.assertThat(
                 (outcome.error, outcome.detail),
-                Equals(("", {"number": 0, "changed": [], "offset": before.news})),
+                Equals(("", {"number": 0, "changed": [], "offset": before.data_plane_revision})),
             )
         self.assertThat(
             (self.state.items, self.state.patches, self.state.data_plane_revision),
-            Equals((before.items, before.patches, before.news)),
+            Equals((before.items, before.patches, before.data_plane_revision)),
         )
 
     def test_a_dropped_name_keeps_its_revision(self) -> None:
@@ -247,7 +247,7 @@
             self.assertThat((outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ITEM_BROKEN), True)))
             # From level 4 on the log remembers that it refused it.
             after = self.state._replace(
-                offset=0, mesh_time=timedelta(), expired_at=before.swept, rejected_patches=before.refusals
+                offset=0, mesh_time=timedelta(), expired_at=before.expired_at, rejected_patches=before.rejected_patches
             )
             self.assertThat(after, Equals(before))
 
@@ -273,7 +273,7 @@
             self.patch(service())
             for place, sets in enumerate(order):
                 self.patch(*sets, desk=f"desk-{place}")
-            ends.append({key: (item.revision, item.said) for key, item in self.state.items.items()})
+            ends.append({key: (item.revision, item.source) for key, item in self.state.items.items()})
         self.assertThat(ends[0], Equals(ends[1]))
         self.assertThat(ends[0]["entry:pay"], Equals((9, b"pay as said at 9")))
         self.assertThat(sorted(ends[0]), Equals(["entry:ours", "entry:pay", "entry:theirs", "service:ledger"]))
@@ -384,7 +384,7 @@
         ):
             self.assertThat(
                 (outcome.error, outcome.detail),
-                Equals(("", {"number": 0, "changed": [], "offset": before.news})),
+                Equals(("", {"number": 0, "changed": [], "offset": before.data_plane_revision})),
             )
         for outcome in (
             self.patch(entry(revision=5, hold_seconds=9.0)),
@@ -394,5 +394,5 @@
             self.assertThat(outcome.error, Equals(str(ErrorKind.ITEM_CONFLICT)))
         self.assertThat(
             (self.state.items, self.state.patches, self.state.data_plane_revision),
-            Equals((before.items, before.patches, before.news)),
+            Equals((before.items, before.patches, before.data_plane_revision)),
         )
