--- a/packages/cli/src/hoistsaddle/cli/commands.py
+++ b/packages/cli/src/hoistsaddle/cli/commands.py
@@ -1,19 +1,22 @@
-"""The command line: daemons, operators' calls, the fleet and the watch."""
+"""The command line: programs, operators' calls, the fleet and the watch."""
 
+import errno
 import logging
 import sys
+from collections.abc import Callable
 from datetime import timedelta
 
 import click
 from aiohttp.http_exceptions import HttpProcessingError
-from aiomisc import entrypoint
+from aiomisc import Service, entrypoint
 from loguru import logger
 from returns.result import Failure, Success
 
 from hoistsaddle.cli.fleet_commands import fleet
 from hoistsaddle.cli.item_commands import items
 from hoistsaddle.cli.operator_commands import OPERATOR_COMMANDS
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.cli.output import MISUSED, refuse
+from hoistsaddle.common.errors import InvalidSettings
 from hoistsaddle.common.settings import (
     ControllerSettings,
     ProxySettings,
@@ -24,8 +27,10 @@
 )
 from hoistsaddle.common.shutdown import ShutdownWatchdog
 
-# The grace, in seconds, of programs whose settings name none: longer than any of their own bounds.
-UNNAMED_GRACE = 60.0
+# The grace period of programs whose settings name none: longer than any time-out of their own.
+DEFAULT_GRACE_SECONDS = 60.0
+# The listening address is at fault, and not the data folder.
+ADDRESS_ERRORS = (errno.EADDRINUSE, errno.EADDRNOTAVAIL)
 
 
 def _not_a_clients_fault(record: logging.LogRecord) -> bool:
@@ -33,11 +38,18 @@
     return not (record.exc_info and isinstance(record.exc_info[1], HttpProcessingError))
 
 
-def _run(*, kind: type, service, params_file: str | None, flags: dict) -> None:
-    match read_settings_file(kind=kind, path=params_file, flags=flags):
+def _run(*, kind: type, service: Callable[..., Service], settings_file: str | None, flags: dict) -> None:
+    """Runs a program until it is told to stop.
+
+    Args:
+        kind: The class of its settings.
+        service: Makes the program of its settings.
+        settings_file: The TOML file, if there is one.
+        flags: Settings from the command line, by documented name.
+    """
+    match read_settings_file(kind=kind, path=settings_file, flags=flags):
         case Failure(error):
-            click.echo(f"refused: {error}", err=True)
-            sys.exit(2)
+            refuse(error, status=MISUSED)
         case Success(settings):
             pass
     logging.getLogger("aiohttp.server").addFilter(_not_a_clients_fault)
@@ -45,21 +57,20 @@
     logger.add(sys.stderr, format="{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {message}", level="INFO")
     try:
         with entrypoint(service(settings=settings), log_config=False) as loop:
-            grace = timedelta(seconds=getattr(settings, "grace_seconds", UNNAMED_GRACE))
+            grace = timedelta(seconds=getattr(settings, "grace_seconds", DEFAULT_GRACE_SECONDS))
             ShutdownWatchdog(grace=lambda: grace).watch()
             loop.run_forever()
     except OSError as problem:
-        error = MeshError(
-            ErrorKind.PARAMS,
+        error = InvalidSettings(
             f"It can't start: {problem}.",
-            "Free the address or mend the data folder, or name another in the settings.",
-            "listen" if problem.errno in (98, 99) else "data_folder",
+            field="listen" if problem.errno in ADDRESS_ERRORS else "data_folder",
+            remedy="Free the address or mend the data folder, or name another in the settings.",
         )
-        click.echo(f"refused: {error}", err=True)
-        sys.exit(2)
+        refuse(error, status=MISUSED)
 
 
 def _core_machines(values: tuple[str, ...]) -> list[dict] | None:
+    """The core machines as the settings file would have them; their check is the settings'."""
     machines = []
     for value in values:
         replica, _, rest = value.partition("=")
@@ -76,7 +87,7 @@
 
 
 _settings = click.option(
-    "--params", "--settings", "params_file", type=str, help="TOML file with the fields below; flags win over it."
+    "--params", "--settings", "settings_file", type=str, help="TOML file with the fields below; flags win over it."
 )
 _core = click.option(
     "--core", multiple=True, help="A core machine: REPLICA=STORE_ADDRESS,REGISTRY_ADDRESS. Repeat for each."
@@ -90,14 +101,14 @@
 @click.option("--listen", help="Mesh address, IP:PORT.")
 @click.option("--data-folder")
 @_core
-def store(params_file, core, **flags) -> None:
+def store(settings_file, core, **flags) -> None:
     """Runs the store on a core machine."""
     from hoistsaddle.store.service import StoreService
 
     _run(
         kind=StoreSettings,
         service=StoreService,
-        params_file=params_file,
+        settings_file=settings_file,
         flags={**flags, "core": _core_machines(core)},
     )
 
@@ -109,14 +120,14 @@
 @click.option("--listen", help="Mesh address, IP:PORT.")
 @click.option("--operators", help="Operators' HTTP address, IP:PORT.")
 @_core
-def registry(params_file, core, **flags) -> None:
+def registry(settings_file, core, **flags) -> None:
     """Runs the registry on a core machine."""
     from hoistsaddle.registry.service import RegistryService
 
     _run(
         kind=RegistrySettings,
         service=RegistryService,
-        params_file=params_file,
+        settings_file=settings_file,
         flags={**flags, "core": _core_machines(core)},
     )
 
@@ -129,11 +140,11 @@
 @click.option("--visitors", help="Clients' HTTP address, IP:PORT.")
 @click.option("--inner", help="HTTP address for this machine's own server, IP:PORT.")
 @click.option("--seed", "seeds", multiple=True, help="A registry's mesh address; give three.")
-def proxy(params_file, seeds, **flags) -> None:
+def proxy(settings_file, seeds, **flags) -> None:
     """Runs the proxy beside a server."""
     from hoistsaddle.proxy.service import ProxyService
 
-    _run(kind=ProxySettings, service=ProxyService, params_file=params_file, flags={**flags, "seeds": list(seeds)})
+    _run(kind=ProxySettings, service=ProxyService, settings_file=settings_file, flags={**flags, "seeds": list(seeds)})
 
 
 @main.command()
@@ -147,14 +158,14 @@
     "--cold-start/--no-cold-start", default=None, help="True once: at the first start of all, on blank disks."
 )
 @click.option("--losses", type=int, help="How many core machines may be lost at once.")
-def controller(settings, params_file, seeds, **flags) -> None:
+def controller(settings, settings_file, seeds, **flags) -> None:
     """Runs both core programs in one process, for items. SETTINGS is a TOML file; flags win over it."""
     from hoistsaddle.registry.controller_api import ControllerService
 
     _run(
         kind=ControllerSettings,
         service=ControllerService,
-        params_file=settings or params_file,
+        settings_file=settings or settings_file,
         flags={**flags, "seeds": list(seeds)},
     )
 
@@ -171,26 +182,26 @@
 @click.option("--service", help="The service of the server beside it.")
 @click.option("--server", help="That server's address, IP:PORT.")
 @click.option("--seed", "seeds", multiple=True, help="A controller's registry address, IP:PORT; one to three.")
-def sidecar(settings, params_file, seeds, **flags) -> None:
+def sidecar(settings, settings_file, seeds, **flags) -> None:
     """Runs the proxy that serves items. SETTINGS is a TOML file; flags win over it."""
     from hoistsaddle.sidecar.service import SidecarService
 
     _run(
         kind=SidecarSettings,
         service=SidecarService,
-        params_file=settings or params_file,
+        settings_file=settings or settings_file,
         flags={**flags, "seeds": list(seeds)},
     )
 
 
-# The subcommands' former names, kept for one release.
+# The subcommands' former names, kept for one release by a command that prints a warning.
 FORMER_NAMES = {"warehouse": store, "bourse": registry, "stall": proxy, "market": controller, "broker": sidecar}
 
 
 def _alias(*, former: str, command: click.Command) -> click.Command:
     """The command under its former name: hidden, with a line of warning."""
 
-    def run(**arguments) -> None:
+    def run(**arguments: object) -> None:
         click.echo(
             f"hoistsaddle {former} is now hoistsaddle {command.name}; the former name goes next release", err=True
         )
--- a/packages/cli/src/hoistsaddle/cli/holds.py
+++ b/packages/cli/src/hoistsaddle/cli/holds.py
@@ -1,62 +1,65 @@
-"""`hoistsaddle holds`: the spans the mesh keeps at this moment, on one time line."""
+"""`hoistsaddle holds`: the leases the mesh keeps at this time, on one time line."""
 
 import asyncio
 from collections import defaultdict
 
-import aiohttp
 import click
-import msgspec
 
 from hoistsaddle.cli.caller import call_or_exit
+from hoistsaddle.cli.output import print_json
+from hoistsaddle.cli.proxy_reports import read_reports
 
 
-async def read_retry_budgets(*, stalls: tuple[str, ...]) -> tuple[list[dict], list[str]]:
-    """What each proxy tells of its room for further sends, and which ones gave no answer."""
-    report, silent = [], []
-    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=3)) as session:
-        for proxy in stalls:
-            try:
-                async with session.get(f"http://{proxy}/hoistsaddle/holds") as response:
-                    report.append(msgspec.json.decode(await response.read()))
-            except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
-                silent.append(proxy)
-    return report, silent
+def format_key(key: dict) -> str:
+    """A line on an idempotency key: how long it is kept, for which route, where, and in which phase."""
+    phase = "claimed, still working" if key["phase"] == "claimed" else "settled, its answer is kept"
+    route = f" for {key['entry']}" if key["entry"] else ""
+    return f"  {key['seconds_left']:7.1f} s  key {key['key']}{route} at {key['stall']}: {phase}"
 
 
-def format_holds(holds: dict, retry_budgets: list[dict]) -> list[str]:
-    lines = [f"at {holds['mesh_time_seconds']:.1f} s of mesh time"]
-    for key in holds["keys"]:
-        what = "claimed, still working" if key["phase"] == "claimed" else "settled, its answer is kept"
-        entry = f" for {key['entry']}" if key["entry"] else ""
-        lines.append(f"  {key['seconds_left']:7.1f} s  key {key['key']}{entry} at {key['stall']}: {what}")
-    for server in holds["leaving"]:
-        left = server["no_new_work_in_seconds"]
-        timing = "gets no new work" if not left else f"gets no new work in {left:.1f} s at the latest"
-        forgotten = server["forgotten_in_seconds"]
-        more = "" if forgotten is None else f", is forgotten in {forgotten:.0f} s"
-        name = f"{server['service']} beside {server['stall']} ({server['why']})"
-        lines.append(f"  {left or 0:7.1f} s  {name}: {timing}{more}")
+def format_leaving(server: dict) -> str:
+    """A line on a draining server: when it gets no more work and when it is forgotten."""
+    left = server["no_new_work_in_seconds"]
+    timing = "gets no new work" if not left else f"gets no new work in {left:.1f} s at the latest"
+    forgotten = server["forgotten_in_seconds"]
+    more = "" if forgotten is None else f", is forgotten in {forgotten:.0f} s"
+    name = f"{server['service']} beside {server['stall']} ({server['why']})"
+    return f"  {left or 0:7.1f} s  {name}: {timing}{more}"
+
+
+def format_retry_budgets(budgets: list[dict]) -> list[str]:
+    """A line for each service: what is left of its retry budget, over all proxies."""
     totals: dict[str, list[float]] = defaultdict(lambda: [0, 0.0])
-    for proxy in retry_budgets:
-        for service, room in proxy["room"].items():
-            totals[service][0] += room["part"]
-            totals[service][1] += room["room"]
-    for service, (part, room) in sorted(totals.items()):
-        lines.append(f"  room for further sends to {service}: {room:.1f} of {part:g}")
-    return lines
+    for proxy in budgets:
+        for service, budget in proxy["room"].items():
+            totals[service][0] += budget["part"]
+            totals[service][1] += budget["room"]
+    return [
+        f"  room for further sends to {service}: {left:.1f} of {total:g}"
+        for service, (total, left) in sorted(totals.items())
+    ]
+
+
+def format_holds(holds: dict, retry_budgets: list[dict]) -> list[str]:
+    """All lines."""
+    return [
+        f"at {holds['mesh_time_seconds']:.1f} s of mesh time",
+        *(format_key(key) for key in holds["keys"]),
+        *(format_leaving(server) for server in holds["leaving"]),
+        *format_retry_budgets(retry_budgets),
+    ]
 
 
 @click.command()
-@click.option("--door", "doors", multiple=True, envvar="HOISTSADDLE_DOORS", help="A registry's operators' address.")
-@click.option("--stall", "stalls", multiple=True, envvar="HOISTSADDLE_STALLS", help="A proxy's clients' address.")
+@click.option("--door", "endpoints", multiple=True, envvar="HOISTSADDLE_DOORS", help="A registry's operators' address.")
+@click.option("--stall", "proxies", multiple=True, envvar="HOISTSADDLE_STALLS", help="A proxy's clients' address.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
-def holds(doors, stalls, as_json) -> None:
+def holds(endpoints, proxies, as_json) -> None:
     """Shows keys claimed and settled with the time left, leaving servers, and the room for further sends."""
-    report = call_or_exit(doors=doors, method="GET", path="/holds")
-    retry_budgets, silent = asyncio.run(read_retry_budgets(stalls=stalls))
+    report = call_or_exit(endpoints=endpoints, method="GET", path="/holds")
+    retry_budgets, silent = asyncio.run(read_reports(proxies=proxies, path="/hoistsaddle/holds"))
     if as_json:
-        complete = {**report, "rooms": retry_budgets, "silent": silent}
-        click.echo(msgspec.json.format(msgspec.json.encode(complete)).decode())
+        print_json({**report, "rooms": retry_budgets, "silent": silent})
         return
     for line in format_holds(report, retry_budgets):
         click.echo(line)
--- a/packages/cli/src/hoistsaddle/cli/item_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/item_commands.py
@@ -1,20 +1,20 @@
-"""Commands for items: a patch checked, submitted and read back at a controller's operators' door."""
+"""Commands for items: a patch is checked, submitted and read back at a controller's operators' interface."""
 
-import sys
 from pathlib import Path
-from typing import NoReturn
+from typing import NamedTuple
 
 import click
 from returns.result import Failure, Success
 
-from hoistsaddle.cli.caller import call_or_exit, print_json
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.cli.caller import call_or_exit
+from hoistsaddle.cli.output import print_json, refuse
+from hoistsaddle.common.errors import InvalidItem
 from hoistsaddle.config.items import Patch
 from hoistsaddle.config.patch_text import read_text
 
-_door = click.option(
+_endpoint = click.option(
     "--door",
-    "doors",
+    "endpoints",
     multiple=True,
     envvar="HOISTSADDLE_DOORS",
     help="A controller's operators' address; repeat, or set HOISTSADDLE_DOORS (spaces between).",
@@ -22,23 +22,26 @@
 _file = click.argument("file", type=click.Path(exists=True, dir_okay=False))
 
 
-def _refuse(error: MeshError) -> NoReturn:
-    click.echo(f"refused: {error}", err=True)
-    sys.exit(1)
+class _PatchFile(NamedTuple):
+    """A patch file as it was read: the patch, its bytes, and whether they are JSON or TOML."""
 
+    patch: Patch
+    data: bytes
+    is_json: bool
 
-def _read(file: str) -> tuple[Patch, bytes, bool]:
+
+def _read(file: str) -> _PatchFile:
     """TOML, or JSON by the file's name; checked here before anything is sent."""
-    data, json = Path(file).read_bytes(), file.endswith(".json")
+    data, is_json = Path(file).read_bytes(), file.endswith(".json")
     try:
         text = data.decode()
     except UnicodeDecodeError:
-        _refuse(MeshError(ErrorKind.ITEM_BROKEN, "The file is not UTF-8 text.", "Save it as UTF-8."))
-    match read_text(text, json=json):
+        refuse(InvalidItem("The file is not UTF-8 text."))
+    match read_text(text, json=is_json):
         case Failure(error):
-            _refuse(error)
+            refuse(error)
         case Success(patch):
-            return patch, data, json
+            return _PatchFile(patch, data, is_json)
 
 
 @click.group()
@@ -50,7 +53,7 @@
 @_file
 def check(file) -> None:
     """Checks a patch file without sending it."""
-    patch, _, _ = _read(file)
+    patch = _read(file).patch
     print_json(
         {
             "sets": {f"{each.kind}.{each.item['name']}": each.revision for each in patch.sets},
@@ -60,27 +63,27 @@
 
 
 @items.command()
-@_door
+@_endpoint
 @_file
-def submit(doors, file) -> None:
+def submit(endpoints, file) -> None:
     """Submits a patch; it counts at once, under the standing sign-off. Sent again, it changes nothing."""
-    _, data, json = _read(file)
-    kind = "application/json" if json else "application/toml"
-    print_json(call_or_exit(doors=doors, method="PUT", path="/items", body=data, kind=kind))
+    read = _read(file)
+    kind = "application/json" if read.is_json else "application/toml"
+    print_json(call_or_exit(endpoints=endpoints, method="PUT", path="/items", body=read.data, kind=kind))
 
 
 @items.command("list")
-@_door
-def list_items(doors) -> None:
+@_endpoint
+def list_items(endpoints) -> None:
     """Shows every item that stands, with its revision."""
-    answer = call_or_exit(doors=doors, method="GET", path="/items")
+    answer = call_or_exit(endpoints=endpoints, method="GET", path="/items")
     print_json({"offset": answer["offset"], "items": answer["items"], "dropped": answer["dropped"]})
 
 
 @items.command()
-@_door
-def status(doors) -> None:
+@_endpoint
+def status(endpoints) -> None:
     """Shows who signs for patches and the newest numbered ones."""
-    answer = call_or_exit(doors=doors, method="GET", path="/items")
-    standing = {"desk": answer["desk"], "standing_sign_off": answer["standing_sign_off"]}
-    print_json({**standing, "items": len(answer["items"]), "patches": answer["patches"]})
+    answer = call_or_exit(endpoints=endpoints, method="GET", path="/items")
+    signers = {"desk": answer["desk"], "standing_sign_off": answer["standing_sign_off"]}
+    print_json({**signers, "items": len(answer["items"]), "patches": answer["patches"]})
--- a/packages/cli/src/hoistsaddle/cli/plan.py
+++ b/packages/cli/src/hoistsaddle/cli/plan.py
@@ -4,16 +4,19 @@
 from pathlib import Path
 
 import click
-from returns.result import Failure, Success
+from returns.result import Failure, Result, Success
 
-from hoistsaddle.cli.caller import call_or_exit, print_json
-from hoistsaddle.planner.forecast import Change, forecast_bundle, forecast_change
+from hoistsaddle.cli.caller import call_or_exit
+from hoistsaddle.cli.output import print_json, refuse, refuse_use
+from hoistsaddle.common.errors import MeshError
+from hoistsaddle.planner.bundle_forecast import forecast_bundle
+from hoistsaddle.planner.change_forecast import Change, forecast_change
 
 
 @click.command()
 @click.option(
     "--door",
-    "doors",
+    "endpoints",
     multiple=True,
     envvar="HOISTSADDLE_DOORS",
     help="A registry's operators' address; repeat, or set HOISTSADDLE_DOORS.",
@@ -23,29 +26,27 @@
 @click.option("--undrain", multiple=True, help="A proxy whose mark would be taken away.")
 @click.option("--gone", multiple=True, help="A proxy that would leave.")
 @click.option("--server", multiple=True, help="STALL=SERVICE: a server that would come beside a stall.")
-def plan(doors, file, drain, undrain, gone, server) -> None:
+def plan(endpoints, file, drain, undrain, gone, server) -> None:
     """Shows what a bundle FILE, or a change of servers and nodes, would move. Changes nothing."""
     change = Change(
         tuple(drain), tuple(undrain), tuple(gone), tuple(tuple(each.partition("=")[::2]) for each in server)
     )
     if not file and change == Change():
-        click.echo(
-            "refused: nothing to plan. Remedy: give a bundle file, --drain, --undrain, --gone or --server.", err=True
-        )
-        sys.exit(2)
-    setup = call_or_exit(doors=doors, method="GET", path="/setup")
+        refuse_use("nothing to plan. Remedy: give a bundle file, --drain, --undrain, --gone or --server.")
+    configuration = call_or_exit(endpoints=endpoints, method="GET", path="/setup")
     forecast: dict = {}
-    for name, wanted, weigh in (
-        ("bundle", file, lambda: forecast_bundle(setup, Path(file).read_text(encoding="utf-8", errors="replace"))),
-        ("change", change != Change(), lambda: forecast_change(setup, change)),
-    ):
-        if not wanted:
-            continue
-        match weigh():
-            case Failure(error):
-                click.echo(f"refused: {error}", err=True)
-                sys.exit(1)
-            case Success(found):
-                forecast[name] = found
+    if file:
+        text = Path(file).read_text(encoding="utf-8", errors="replace")
+        forecast["bundle"] = _unwrap(forecast_bundle(configuration, text))
+    if change != Change():
+        forecast["change"] = _unwrap(forecast_change(configuration, change))
     print_json(forecast)
     sys.exit(1 if forecast.get("bundle", {}).get("refused") else 0)
+
+
+def _unwrap(forecast: Result[dict, MeshError]) -> dict:
+    match forecast:
+        case Failure(error):
+            refuse(error)
+        case Success(found):
+            return found
--- a/packages/cli/src/hoistsaddle/cli/watch.py
+++ b/packages/cli/src/hoistsaddle/cli/watch.py
@@ -1,13 +1,21 @@
 """`hoistsaddle watch`: what the mesh does, as it happens."""
 
 import asyncio
-import sys
+from collections.abc import Callable
 
 import aiohttp
 import click
-import msgspec
 
 from hoistsaddle.cli.caller import call_or_exit
+from hoistsaddle.cli.output import refuse_use
+from hoistsaddle.cli.proxy_reports import fetch_report
+
+ROUND_TIMEOUT_SECONDS = 1.5
+ROUND_INTERVAL_SECONDS = 0.2
+# Lower than the number of any event.
+BEFORE_ALL = -1
+# Hours, minutes, seconds and milliseconds in an ISO timestamp.
+TIME_OF_DAY = slice(11, 23)
 
 _TEMPLATES = {
     "bundle submitted": "bundle {number} arrives from {author}",
@@ -49,84 +57,109 @@
 }
 
 
-def format_event(happening: dict) -> str:
-    kind = happening["kind"]
+def format_event(event: dict) -> str:
+    """One event as a line: time of day, owner and what happened."""
+    kind = event["kind"]
     template = _TEMPLATES.get(kind)
-    detail = happening["detail"]
+    detail = event["detail"]
     try:
         text = template.format(**detail) if template else ""
     except KeyError:
-        # A process of another revision may tell it with other details.
+        # A process of another release may give other details.
         text = ""
     text = text or kind + "".join(f" {name}={value}" for name, value in detail.items())
-    return f"{happening['moment'][11:23]}  {happening['owner']:<14} {text}"
+    return f"{event['moment'][TIME_OF_DAY]}  {event['owner']:<14} {text}"
 
 
-async def fetch_events(*, session: aiohttp.ClientSession, address: str) -> dict | None:
-    try:
-        async with session.get(f"http://{address}") as response:
-            return msgspec.json.decode(await response.read()) if response.status == 200 else None
-    except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
-        return None
+class EventFollower:
+    """Reads the new events of several processes, round by round."""
+
+    def __init__(self, *, sources: list[str], past: bool) -> None:
+        """Begins with the next event of each source, or with all it still keeps if `past` is set."""
+        self.sources = sources
+        self.past = past
+        self.newest_seen: dict[str, int] = {}
+
+    async def new_events(self, session: aiohttp.ClientSession) -> list[dict]:
+        """The events since the last round, in the order of their times."""
+        answers = await asyncio.gather(
+            *(fetch_report(session=session, address=self._address(source)) for source in self.sources)
+        )
+        events: list[dict] = []
+        for source, answer in zip(self.sources, answers, strict=True):
+            if answer is not None:
+                events += self._take(source, answer)
+        return sorted(events, key=lambda event: event["moment"])
 
+    def _address(self, source: str) -> str:
+        separator = "&" if "?" in source else "?"
+        return f"{source}{separator}after={self.newest_seen.get(source, BEFORE_ALL)}"
 
-async def follow(*, sources: list[str], seconds: float | None, past: bool, echo) -> None:
+    def _take(self, source: str, answer: dict) -> list[dict]:
+        newest = answer["newest"]
+        # A process that started anew counts from one again: then all its events are new.
+        if newest < self.newest_seen.get(source, BEFORE_ALL):
+            self.newest_seen[source] = BEFORE_ALL
+            return []
+        is_shown = source in self.newest_seen or self.past
+        self.newest_seen[source] = newest
+        return answer["happenings"] if is_shown else []
+
+
+async def follow(*, sources: list[str], seconds: float | None, past: bool, echo: Callable[[str], None]) -> None:
+    """Prints new events until time is up.
+
+    Args:
+        sources: The addresses, with path, of what shows events.
+        seconds: How long to go on; None for ever.
+        past: Whether to begin with the events that are still kept.
+        echo: Prints one line.
+    """
     loop = asyncio.get_running_loop()
     end = None if seconds is None else loop.time() + seconds
-    newest_seen: dict[str, int] = {}
-    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.5)) as session:
+    follower = EventFollower(sources=sources, past=past)
+    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=ROUND_TIMEOUT_SECONDS)) as session:
         while end is None or loop.time() < end:
-            urls = [f"{source}{'&' if '?' in source else '?'}after={newest_seen.get(source, -1)}" for source in sources]
-            gathered = await asyncio.gather(*(fetch_events(session=session, address=address) for address in urls))
-            new_events: list[dict] = []
-            for source, answer in zip(sources, gathered, strict=True):
-                if answer is None:
-                    continue
-                newest, happenings = answer["newest"], answer["happenings"]
-                # A process that started anew counts from one again: then all it says is new.
-                if newest < newest_seen.get(source, -1):
-                    newest_seen[source] = -1
-                    continue
-                if source in newest_seen or past:
-                    new_events += happenings
-                newest_seen[source] = newest
-            for happening in sorted(new_events, key=lambda each: each["moment"]):
-                echo(format_event(happening))
-            await asyncio.sleep(0.2)
+            for event in await follower.new_events(session):
+                echo(format_event(event))
+            await asyncio.sleep(ROUND_INTERVAL_SECONDS)
 
 
 @click.command()
 @click.option(
     "--door",
-    "doors",
+    "endpoints",
     multiple=True,
     envvar="HOISTSADDLE_DOORS",
     help="A registry's operators' address; repeat for each.",
 )
 @click.option(
     "--stall",
-    "stalls",
+    "proxies",
     multiple=True,
     envvar="HOISTSADDLE_STALLS",
     help="A proxy's clients' address; repeat for each.",
 )
 @click.option("--seconds", type=float, help="Stop after this long; without it, watch until interrupted.")
 @click.option("--past", is_flag=True, help="Begin with what the processes still remember.")
-def watch(doors, stalls, seconds, past) -> None:
+def watch(endpoints, proxies, seconds, past) -> None:
     """Shows changes arriving, servers leaving, keys held, core machines catching up, as they happen."""
-    if not doors and not stalls:
-        click.echo(
-            "refused: nothing to watch. Remedy: give --door and --stall, or set HOISTSADDLE_DOORS and "
-            "HOISTSADDLE_STALLS.",
-            err=True,
+    if not endpoints and not proxies:
+        refuse_use(
+            "nothing to watch. Remedy: give --door and --stall, or set HOISTSADDLE_DOORS and HOISTSADDLE_STALLS."
         )
-        sys.exit(2)
-    sources = [f"{door}/happenings" for door in doors]
-    # The registries also speak for the stores. Which there are is read once; each is asked through a door of its own.
-    replicas = sorted(call_or_exit(doors=doors, method="GET", path="/core")["machines"], key=int) if doors else []
-    sources += [f"{doors[place % len(doors)]}/happenings?warehouse={replica}" for place, replica in enumerate(replicas)]
-    sources += [f"{proxy}/hoistsaddle/happenings" for proxy in stalls]
+    sources = [f"{endpoint}/happenings" for endpoint in endpoints]
+    # Registries also show the events of the stores. Which there are is read once; each is read at an endpoint of its
+    # own.
+    replicas = _replicas(endpoints) if endpoints else []
+    for place, replica in enumerate(replicas):
+        sources.append(f"{endpoints[place % len(endpoints)]}/happenings?warehouse={replica}")
+    sources += [f"{proxy}/hoistsaddle/happenings" for proxy in proxies]
     try:
         asyncio.run(follow(sources=sources, seconds=seconds, past=past, echo=click.echo))
     except KeyboardInterrupt:
         pass
+
+
+def _replicas(endpoints: tuple[str, ...]) -> list[str]:
+    return sorted(call_or_exit(endpoints=endpoints, method="GET", path="/core")["machines"], key=int)
--- a/packages/planner/src/hoistsaddle/planner/__init__.py
+++ b/packages/planner/src/hoistsaddle/planner/__init__.py
@@ -0,0 +1,1 @@
+"""Forecasts of what a bundle, or a change of servers and nodes, would move; they change nothing."""
--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -312,7 +312,7 @@
     ) -> tuple[int, dict]:
         data = body.encode() if isinstance(body, str) else msgspec.json.encode(body) if body is not None else b""
         return await call_first_available(
-            doors=doors or self.doors, method=method, path=path, token=token, body=data, seconds=seconds
+            endpoints=doors or self.doors, method=method, path=path, token=token, body=data, seconds=seconds
         )
 
     async def roll_out(self, text: str) -> list[dict]:
--- a/packages/usage/src/hoistsaddle/usage/__init__.py
+++ b/packages/usage/src/hoistsaddle/usage/__init__.py
@@ -0,0 +1,1 @@
+"""What the proxies counted, as tables for accounting."""
--- a/packages/usage/src/hoistsaddle/usage/usage.py
+++ b/packages/usage/src/hoistsaddle/usage/usage.py
@@ -7,14 +7,15 @@
 from pyarrow import csv, parquet
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import InvalidSettings, MeshError
 
+# The columns and the remarks on them are written into every file: they keep their words.
 SCHEMA = pyarrow.schema(
     [
         pyarrow.field(
-            "read_at", pyarrow.timestamp("ms", tz="UTC"), nullable=False, metadata={"about": "when the proxy was read"}
+            "read_at", pyarrow.timestamp("ms", tz="UTC"), nullable=False, metadata={"about": "when the stall was read"}
         ),
-        pyarrow.field("stall", pyarrow.string(), nullable=False, metadata={"about": "the entry's proxy"}),
+        pyarrow.field("stall", pyarrow.string(), nullable=False, metadata={"about": "the entry's stall"}),
         pyarrow.field(
             "life",
             pyarrow.string(),
@@ -24,7 +25,7 @@
         pyarrow.field("service", pyarrow.string(), nullable=False),
         pyarrow.field("entry", pyarrow.string(), nullable=False),
         pyarrow.field(
-            "caller", pyarrow.string(), nullable=False, metadata={"about": "clients, or the calling service"}
+            "caller", pyarrow.string(), nullable=False, metadata={"about": "visitors, or the calling service"}
         ),
         pyarrow.field(
             "outcome",
@@ -41,32 +42,37 @@
 
 
 def table_of(reports: list[dict], *, read_at: datetime) -> pyarrow.Table:
-    """One row for each proxy's life, service, entry, caller and outcome."""
+    """A table with a row for each proxy's process, service, entry, caller and outcome.
+
+    Args:
+        reports: What each proxy reports.
+        read_at: When the reports were read, by the wall clock.
+    """
     rows = [
-        {"read_at": read_at, "stall": each["stall"], "life": each["life"], **row}
-        for each in reports
-        for row in each["usage"]
+        {"read_at": read_at, "stall": report["stall"], "life": report["life"], **row}
+        for report in reports
+        for row in report["usage"]
     ]
     return pyarrow.Table.from_pylist(rows, schema=SCHEMA)
 
 
+def _unknown_format(path: Path) -> MeshError:
+    return InvalidSettings(
+        f"{path.name} ends in neither .parquet nor .csv.", field="out", remedy="Name the file by the format wanted."
+    )
+
+
 def write_usage(table: pyarrow.Table, *, path: Path) -> Result[int, MeshError]:
-    writers = {".parquet": lambda: parquet.write_table(table, path), ".csv": lambda: csv.write_csv(table, path)}
-    if path.suffix not in writers:
-        return Failure(
-            MeshError(
-                ErrorKind.PARAMS,
-                f"{path.name} ends in neither .parquet nor .csv.",
-                "Name the file by the format wanted.",
-                "out",
-            )
-        )
+    """Writes the table as Parquet or CSV, by the file's name, and gives the number of its rows."""
     try:
-        writers[path.suffix]()
+        match path.suffix:
+            case ".parquet":
+                parquet.write_table(table, path)
+            case ".csv":
+                csv.write_csv(table, path)
+            case _:
+                return Failure(_unknown_format(path))
     except OSError as problem:
-        return Failure(
-            MeshError(
-                ErrorKind.PARAMS, f"{path} can't be written: {problem}.", "Name a file that can be written.", "out"
-            )
-        )
+        message = f"{path} can't be written: {problem}."
+        return Failure(InvalidSettings(message, field="out", remedy="Name a file that can be written."))
     return Success(table.num_rows)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,7 +8,9 @@
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
-from hoistsaddle.planner.forecast import Change, forecast_bundle, forecast_change, parents, shares
+from hoistsaddle.planner.bundle_forecast import forecast_bundle
+from hoistsaddle.planner.change_forecast import Change, forecast_change
+from hoistsaddle.planner.distribution import parents, shares
 from hoistsaddle.proxy.node import ProxyNode
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 from hoistsaddle.testbed.history import RunStarted
