--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -40,7 +40,7 @@
 )
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import LEVEL, ClaimKey, Command, CompleteKey, RegisterNode, ReleaseKey
-from hoistsaddle.statemachine.encoding import pack_outcome, unpack_command
+from hoistsaddle.statemachine.encoding import pack_outcome, tag_of, unpack_command
 from hoistsaddle.statemachine.state import GONE, NodeRecord
 from hoistsaddle.statemachine.view import View, read_view
 
@@ -312,7 +312,7 @@
                 await self._raise_level()
 
     async def _write_duty(self, command: Command) -> None:
-        what = type(command).__name__
+        what = tag_of(command)
         match await self.writer.write(command, within=WRITE_TIMEOUT):
             case Success(outcome) if not outcome.error:
                 about = getattr(command, "proxy", "") or getattr(command, "node", "")
