--- a/packages/membership/src/hoistsaddle/membership/long_poll.py
+++ b/packages/membership/src/hoistsaddle/membership/long_poll.py
@@ -1,4 +1,4 @@
-"""Holding a child's poll, the same at a root and at a relay."""
+"""Answering a child's poll late, once there is an update for it; the same at a root and at a relay."""
 
 import asyncio
 from datetime import timedelta
@@ -12,14 +12,22 @@
 
 
 async def answer_long_poll(
-    *, runtime: Runtime, relay: Relay, news: asyncio.Condition, call: PollCall, hold: timedelta = LONG_POLL_TIMEOUT
+    *, runtime: Runtime, relay: Relay, updated: asyncio.Condition, call: PollCall, hold: timedelta = LONG_POLL_TIMEOUT
 ) -> PollAnswer:
-    """A child that knows everything is held until there is news, or for a short while."""
+    """Answers a poll; one of a child that is up to date waits for an update, or until the timeout.
+
+    Args:
+        runtime: Gives the time.
+        relay: Answers from its copy of the configuration.
+        updated: Notified whenever the relay's copy or lease has changed.
+        call: The child's poll.
+        hold: The longest wait.
+    """
     arrived = runtime.now()
     if relay.is_up_to_date(call):
         try:
-            async with asyncio.timeout(hold.total_seconds()), news:
-                await news.wait_for(lambda: not relay.is_up_to_date(call))
+            async with asyncio.timeout(hold.total_seconds()), updated:
+                await updated.wait_for(lambda: not relay.is_up_to_date(call))
         except TimeoutError:
             pass
     now = runtime.now()
--- a/packages/membership/src/hoistsaddle/membership/member.py
+++ b/packages/membership/src/hoistsaddle/membership/member.py
@@ -1,14 +1,17 @@
-"""Sockets and schedule round the membership core, shared by registries and proxies."""
+"""Connections and timers round the membership core, the same for registries and proxies."""
 
 import asyncio
+from collections.abc import Coroutine
 from datetime import timedelta
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from returns.result import Success
 
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.membership.membership import (
     Changed,
+    Command,
+    Event,
     GossipReceived,
     IndirectProbesAnswered,
     Membership,
@@ -28,18 +31,25 @@
 
 
 class MemberTimings(NamedTuple):
-    """How often others are probed, and how long an answer, an opinion and a suspicion may last."""
+    """How often others are probed, and how long an answer and a suspicion may take."""
 
-    period: timedelta = PROBE_INTERVAL
+    probe_interval: timedelta = PROBE_INTERVAL
     probe_timeout: timedelta = PROBE_TIMEOUT
     indirect_probe_timeout: timedelta = INDIRECT_PROBE_TIMEOUT
-    suspicion: timedelta = SUSPICION_TIMEOUT
-    # Turns between two looks at the seeds, and how often a rumour is passed on.
+    suspicion_timeout: timedelta = SUSPICION_TIMEOUT
+    # Ticks between two calls of the seeds; there are two ticks in a probe interval.
     seed_interval: int = 40
+    # How often a state is passed on before everybody is taken to know it; None for ever.
     retransmit_limit: int | None = None
 
 
 class Member:
+    """One process as a member: probes others and answers their probes.
+
+    Attributes:
+        core: What it knows of the members.
+    """
+
     def __init__(
         self,
         *,
@@ -47,97 +57,108 @@
         seeds: list[str],
         runtime: Runtime,
         counters: Counters,
-        pace: MemberTimings = MemberTimings(),  # noqa: B008
+        timings: MemberTimings = MemberTimings(),  # noqa: B008
     ) -> None:
-        self.pace = pace
+        """Knows of nobody else yet.
+
+        Args:
+            me: This member's own state.
+            seeds: Addresses of members through which it finds the others.
+            runtime: Gives time, connections and random numbers.
+            counters: Where probes and changes are counted.
+            timings: Intervals and timeouts.
+        """
         self.core = Membership(
             me=me,
-            seed=runtime.random,
-            period=pace.period,
-            suspicion=pace.suspicion,
-            retransmit_limit=pace.retransmit_limit,
+            rng=runtime.random,
+            probe_interval=timings.probe_interval,
+            suspicion_timeout=timings.suspicion_timeout,
+            retransmit_limit=timings.retransmit_limit,
         )
+        self._timings = timings
         self.seeds = seeds
-        self.runtime = runtime
-        self.counters = counters
-        self.tasks: set[asyncio.Task] = set()
+        self._runtime = runtime
+        self._counters = counters
+        self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        turn = 0
+        """Probes others until it is cancelled."""
+        tick = 0
         while True:
-            # Seeds are asked while nobody else is known, and now and then after, so that two halves find each other.
-            if len(self.core.members) < 2 or turn % self.pace.seed_interval == 0:
+            # Seeds are called while nobody else is known, and now and then after, so that two halves find each other.
+            if len(self.core.members) < 2 or tick % self._timings.seed_interval == 0:
                 for seed in self.seeds:
                     if seed != self.core.me.address:
                         self._spawn(self._meet(seed))
-            turn += 1
-            self._carry_out(self.core.handle(Ticked(), now=self.runtime.now()))
-            await asyncio.sleep(self.pace.period.total_seconds() / 2)
+            tick += 1
+            self._handle(Ticked())
+            await asyncio.sleep(self._timings.probe_interval.total_seconds() / 2)
 
-    def _spawn(self, work) -> None:
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
-
-    def _carry_out(self, commands: list[tuple]) -> None:
-        for command in commands:
-            match command:
-                case Probe():
-                    self._spawn(self._probe(command))
-                case RequestIndirectProbes():
-                    self._spawn(self._probe_indirectly(command))
-                case Changed(member_state=member_state):
-                    self.counters.record_event("member changed", node=member_state.node, state=member_state.state)
-
-    def feed(self, event: tuple) -> None:
-        self._carry_out(self.core.handle(event, now=self.runtime.now()))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _handle(self, event: Event) -> None:
+        for command in self.core.handle(event, now=self._runtime.now()):
+            self._carry_out(command)
+
+    def _carry_out(self, command: Command) -> None:
+        match command:
+            case Probe():
+                self._spawn(self._probe(command))
+            case RequestIndirectProbes():
+                self._spawn(self._probe_indirectly(command))
+            case Changed(member_state=member):
+                self._counters.record_event("member changed", node=member.node, state=member.state)
+
+    async def _call_probe(self, address: str, member_states: tuple[MemberState, ...]) -> ProbeAnswer | None:
+        call = ProbeCall(self.core.me.node, member_states)
+        match await self._runtime.rpc_client.call(address, call, within=self._timings.probe_timeout):
+            case Success(ProbeAnswer() as answer):
+                return answer
+        return None
 
     async def _meet(self, seed: str) -> None:
-        match await self.runtime.rpc_client.call(
-            seed, ProbeCall(self.core.me.node, self.core.member_states()), within=self.pace.probe_timeout
-        ):
-            case Success(ProbeAnswer(node=node, member_states=member_states)):
-                self.feed(ProbeAnswered(node, member_states))
+        answer = await self._call_probe(seed, self.core.member_states())
+        if answer is not None:
+            self._handle(ProbeAnswered(answer.node, answer.member_states))
 
     async def _probe(self, probe: Probe) -> None:
-        self.counters.add("probes.sent")
-        match await self.runtime.rpc_client.call(
-            probe.address, ProbeCall(self.core.me.node, probe.member_states), within=self.pace.probe_timeout
-        ):
-            case Success(ProbeAnswer(node=node, member_states=member_states)) if node == probe.node:
-                self.feed(ProbeAnswered(node, member_states))
-            case _:
-                self.counters.add("probes.missed")
-                self.feed(ProbeTimedOut(probe.node))
-
-    async def _probe_indirectly(self, ask: RequestIndirectProbes) -> None:
-        calls = [
-            self.runtime.rpc_client.call(
-                helper, IndirectProbeCall(self.core.me.node, ask.address), within=self.pace.indirect_probe_timeout
-            )
-            for helper in ask.helpers
-        ]
-        answers = await asyncio.gather(*calls)
+        self._counters.add("probes.sent")
+        answer = await self._call_probe(probe.address, probe.member_states)
+        if answer is not None and answer.node == probe.node:
+            self._handle(ProbeAnswered(answer.node, answer.member_states))
+        else:
+            self._counters.add("probes.missed")
+            self._handle(ProbeTimedOut(probe.node))
+
+    async def _probe_indirectly(self, request: RequestIndirectProbes) -> None:
+        call = IndirectProbeCall(self.core.me.node, request.address)
+        within = self._timings.indirect_probe_timeout
+        answers = await asyncio.gather(
+            *(self._runtime.rpc_client.call(helper, call, within=within) for helper in request.helpers)
+        )
         alive = any(isinstance(answer, Success) and answer.unwrap().alive for answer in answers)
-        self.feed(IndirectProbesAnswered(ask.node, alive))
+        self._handle(IndirectProbesAnswered(request.node, alive))
 
-    async def answer(self, message: tuple) -> tuple | None:
+    async def answer(self, message: tuple) -> ProbeAnswer | IndirectProbeAnswer | None:
+        """The answer to another member's call; None if it is no call of the membership."""
         match message:
             case ProbeCall(asker=asker, member_states=member_states):
-                # One just met hears of everybody; the others only what is new.
+                # A member just met is told of everybody, the others only what is new.
                 complete = not self.core.knows(asker) and self.core.retransmit_limit is not None
-                self.feed(GossipReceived(member_states))
+                self._handle(GossipReceived(member_states))
                 return ProbeAnswer(self.core.me.node, self.core.member_states(complete=complete))
             case IndirectProbeCall(address=address):
-                match await self.runtime.rpc_client.call(
-                    address, ProbeCall(self.core.me.node, self.core.member_states()), within=self.pace.probe_timeout
-                ):
-                    case Success(ProbeAnswer(member_states=member_states)):
-                        self.feed(GossipReceived(member_states))
-                        return IndirectProbeAnswer(True, member_states)
-                return IndirectProbeAnswer(False, ())
+                answer = await self._call_probe(address, self.core.member_states())
+                if answer is None:
+                    return IndirectProbeAnswer(False, ())
+                self._handle(GossipReceived(answer.member_states))
+                return IndirectProbeAnswer(True, answer.member_states)
         return None
 
     def stop(self) -> None:
-        for task in list(self.tasks):
+        """Cancels all calls under way."""
+        for task in list(self._tasks):
             task.cancel()
--- a/packages/membership/src/hoistsaddle/membership/packing.py
+++ b/packages/membership/src/hoistsaddle/membership/packing.py
@@ -1,6 +1,6 @@
-"""Items of the configuration as one compressed block: on thin links a large change must cross in a part of a second.
+"""Items of the configuration as one compressed block: on slow links a large change must arrive within a second.
 
-Names and fields repeat from item to item, so a block is about a seventh of what its items are one by one.
+Names and fields repeat from item to item, so a block is about a seventh of the size of its items one by one.
 """
 
 import zlib
@@ -10,8 +10,8 @@
 
 from hoistsaddle.rpc.messages import ConfigurationItem
 
-# The fastest level: higher ones take twice the time for a tenth less.
-LEVEL = 1
+# zlib's fastest level: higher ones take twice the time for a tenth less.
+COMPRESSION_LEVEL = 1
 # A block that unpacks to more than this is damaged: no configuration is near it.
 MAX_BLOCK_BYTES = 64 * 1024 * 1024
 
@@ -20,12 +20,16 @@
 
 def pack_items(items: Iterable[ConfigurationItem]) -> bytes:
     """The items as one block; empty for none."""
-    transmissions = list(items)
-    return zlib.compress(msgspec.msgpack.encode(transmissions), LEVEL) if transmissions else b""
+    listed = list(items)
+    return zlib.compress(msgspec.msgpack.encode(listed), COMPRESSION_LEVEL) if listed else b""
 
 
 def unpack_items(block: bytes) -> tuple[ConfigurationItem, ...]:
-    """The items of a block. Raises ValueError for one that is damaged."""
+    """The items of a block.
+
+    Raises:
+        ValueError: the block is damaged.
+    """
     if not block:
         return ()
     unpacker = zlib.decompressobj()
--- a/packages/membership/src/hoistsaddle/membership/removal_history.py
+++ b/packages/membership/src/hoistsaddle/membership/removal_history.py
@@ -9,12 +9,14 @@
 class RemovalHistory:
     """The keys that were removed since one revision of the copy.
 
-    Items carry the revision of their last change, so what was set since a child's revision shows in the items. What was
-    removed since leaves no trace there: it is kept here, with the revision at which this relay saw it gone.
+    Items carry the revision of their last change, so the items alone tell what was set since a child's revision. What
+    was removed since leaves no trace there: it is kept here, with the revision at which this relay saw it missing.
+
+    Attributes:
+        since: Every removal after this revision is known; -1 while the copy holds nothing.
     """
 
     def __init__(self) -> None:
-        # Every removal after this revision is known; -1 while the copy holds nothing.
         self.since = -1
         self._removed: dict[str, int] = {}
 
@@ -23,8 +25,8 @@
         self.since = revision
         self._removed = {}
 
-    def note(self, *, before: Mapping[str, object], after: Mapping[str, object], revision: int) -> None:
-        """Takes up what one update of the copy removed, and forgets what it brought back."""
+    def record(self, *, before: Mapping[str, object], after: Mapping[str, object], revision: int) -> None:
+        """Records what one update of the copy removed, and drops what it brought back."""
         for key in before.keys() - after.keys():
             self._removed[key] = revision
         for key in self._removed.keys() & after.keys():
@@ -38,11 +40,11 @@
             self._removed = {key: revision for key, revision in self._removed.items() if revision > oldest}
 
     def reaches_back_to(self, revision: int) -> bool:
-        """Whether all that was removed after `revision` is known here."""
+        """Whether all that was removed after a revision is known here."""
         return 0 <= self.since <= revision
 
     def removed_after(self, revision: int) -> tuple[str, ...]:
-        """The keys that a copy of `revision` may still hold and must drop, in the order of names."""
+        """The keys that a copy of a revision may still hold and must drop, in the order of names."""
         return tuple(sorted(self._keys_after(revision)))
 
     def _keys_after(self, revision: int) -> Iterable[str]:
--- a/packages/planner/src/hoistsaddle/planner/forecast.py
+++ b/packages/planner/src/hoistsaddle/planner/forecast.py
@@ -8,7 +8,7 @@
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.config.bundle import Bundle, Route, digest_of, read_bundle
-from hoistsaddle.membership.relay import select_parents
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.statemachine.state import DRAFT, GONE, READY
 
 
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -12,10 +12,11 @@
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import ProxySettings, SidecarSettings
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.membership.long_poll import LONG_POLL_TIMEOUT, answer_long_poll
 from hoistsaddle.membership.member import Member, MemberTimings
 from hoistsaddle.membership.membership import ALIVE
-from hoistsaddle.membership.relay import Relay, select_parents
+from hoistsaddle.membership.relay import Relay
 from hoistsaddle.proxy.core import ProxyCore
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.messages import (
@@ -128,7 +129,7 @@
         self.health_acknowledged = (0, "")
         me = MemberState(settings.name, "stall", settings.listen, settings.zone, self.incarnation, 0, ALIVE)
         self.member = Member(
-            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, pace=self.member_timings
+            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, timings=self.member_timings
         )
 
     def _core_settings_view(self) -> CoreSettings:
@@ -251,11 +252,11 @@
                 self.feed(ForwardArrived(ticket, message, self._frozen()))
                 return (await future).answer
             case PollCall():
-                if self.relay.heard(message.applied_versions, now=self.runtime.now()):
+                if self.relay.record_applied_versions(message.applied_versions, now=self.runtime.now()):
                     # Somebody below took something up: the own poll may be held just now, so a second one tells it.
                     self._spawn(self._poll_once(self.parent, within=self.poll_span))
                 return await answer_long_poll(
-                    runtime=self.runtime, relay=self.relay, news=self.news, call=message, hold=self.poll_hold
+                    runtime=self.runtime, relay=self.relay, updated=self.news, call=message, hold=self.poll_hold
                 )
             case ProbeCall() | IndirectProbeCall():
                 return await self.member.answer(message)
@@ -390,7 +391,7 @@
             self._refuse_older(address, answer)
             return SAME
         before = self.relay.lease_start
-        if self.relay.polled(answer, sent=sent):
+        if self.relay.accept_answer(answer, sent=sent):
             view = read_view(
                 revision=self.relay.copy.revision,
                 items=self.relay.copy.items,
--- a/packages/registry/src/hoistsaddle/registry/controller.py
+++ b/packages/registry/src/hoistsaddle/registry/controller.py
@@ -36,10 +36,10 @@
 # Keys are claimed by the hundred a second on small machines: so much latency under load halves the leader's fetches.
 VOTER_GAP = milliseconds(10)
 CONTROLLER_MEMBER_TIMINGS = MemberTimings(
-    period=timedelta(seconds=1),
+    probe_interval=timedelta(seconds=1),
     probe_timeout=milliseconds(500),
     indirect_probe_timeout=milliseconds(900),
-    suspicion=timedelta(seconds=2),
+    suspicion_timeout=timedelta(seconds=2),
     seed_interval=20,
     retransmit_limit=6,
 )
@@ -94,7 +94,7 @@
             self.writer.leader = core.leader
         if state.data_plane_revision == self.relay.copy.revision:
             was_fresh = self.relay.fresh(now=self.runtime.now())
-            self.relay.renewed(asked=heard, epoch=state.epoch)
+            self.relay.renew_lease(asked=heard, epoch=state.epoch)
             if not was_fresh and self.relay.fresh(now=self.runtime.now()):
                 await self._notify_children()
             return True
@@ -102,7 +102,7 @@
             self.peer_addresses.learn(replica)
             self.store_addresses.learn(replica)
         items = data_plane_items(state)
-        if not self.relay.confirmed(
+        if not self.relay.accept_read(
             asked=heard,
             mesh=state.mesh,
             revision=state.data_plane_revision,
--- a/packages/registry/src/hoistsaddle/registry/service.py
+++ b/packages/registry/src/hoistsaddle/registry/service.py
@@ -86,7 +86,7 @@
             seeds=[address for address in self.peers.values() if address != settings.listen],
             runtime=runtime,
             counters=self.counters,
-            pace=member_timings,
+            timings=member_timings,
         )
 
     def _peers(self) -> dict[int, str]:
@@ -138,7 +138,7 @@
             mesh, plain = msgspec.msgpack.decode(answer.content)
             items = {key: (revision, value) for key, (revision, value) in plain.items()}
         was_fresh = self.relay.fresh(now=self.runtime.now())
-        if self.relay.confirmed(
+        if self.relay.accept_read(
             asked=asked,
             mesh=mesh,
             revision=answer.revision,
@@ -196,9 +196,9 @@
         return None
 
     async def _poll(self, call: PollCall) -> PollAnswer:
-        self.relay.heard(call.applied_versions, now=self.runtime.now())
+        self.relay.record_applied_versions(call.applied_versions, now=self.runtime.now())
         return await answer_long_poll(
-            runtime=self.runtime, relay=self.relay, news=self.news, call=call, hold=self.poll_hold
+            runtime=self.runtime, relay=self.relay, updated=self.news, call=call, hold=self.poll_hold
         )
 
     async def _write_for_proxy(self, payloads: tuple[bytes, ...]) -> WriteAnswer:
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -11,8 +11,8 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.membership.member import MemberTimings
-from hoistsaddle.membership.relay import select_parents
 from hoistsaddle.proxy.messages import Announce, ReportHealth, StopRequested, SubmitHold
 from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
 from hoistsaddle.rpc.connection import call_age
@@ -72,10 +72,10 @@
     tick = milliseconds(20)
     same_polls = 1
     member_timings = MemberTimings(
-        period=timedelta(seconds=1),
+        probe_interval=timedelta(seconds=1),
         probe_timeout=milliseconds(500),
         indirect_probe_timeout=milliseconds(900),
-        suspicion=timedelta(seconds=2),
+        suspicion_timeout=timedelta(seconds=2),
         seed_interval=20,
         retransmit_limit=6,
     )
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -17,10 +17,12 @@
 
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.config.items import Patch, pack_patch
+from hoistsaddle.membership.configuration_copy import ConfigurationCopy
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.membership.member import MemberTimings
 from hoistsaddle.membership.membership import ALIVE, GossipReceived, Membership, Probe, ProbeAnswered
 from hoistsaddle.membership.membership import Ticked as MemberTicked
-from hoistsaddle.membership.relay import ConfigurationCopy, Relay, select_parents
+from hoistsaddle.membership.relay import Relay
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.messages import ConfigurationChanged
 from hoistsaddle.raft.disk import Disk
@@ -117,7 +119,7 @@
 
 def _relay(items: Items, *, node: int = 0, revision: int = 1) -> Relay:
     relay = Relay(node=proxy_name(node), incarnation=f"{node:012x}", lease_span=timedelta(seconds=1.5))
-    relay.confirmed(asked=ZERO, mesh=MESH, revision=revision, items=items, expected_digests=digests_of(items))
+    relay.accept_read(asked=ZERO, mesh=MESH, revision=revision, items=items, expected_digests=digests_of(items))
     return relay
 
 
@@ -150,7 +152,9 @@
     meter.spend(point, "ask a poll", lambda: child.poll(own=_applied_version(1), now=ZERO))
     meter.spend(point, "answer a poll", lambda: parent.answer(call, now=ZERO))
     meter.spend(
-        point, "take a poll's answer without news", lambda: child.polled(parent.answer(call, now=ZERO), sent=ZERO)
+        point,
+        "take a poll's answer without news",
+        lambda: child.accept_answer(parent.answer(call, now=ZERO), sent=ZERO),
     )
     meter.count(
         point, "a poll without news, both ways", "bytes", _size_of(call) + _size_of(parent.answer(call, now=ZERO))
@@ -257,17 +261,19 @@
 
 
 def _membership_costs(meter: Meter, point: float, size: Size) -> None:
-    pace = MemberTimings(period=timedelta(seconds=1), suspicion=timedelta(seconds=2), retransmit_limit=6)
+    timings = MemberTimings(
+        probe_interval=timedelta(seconds=1), suspicion_timeout=timedelta(seconds=2), retransmit_limit=6
+    )
     member_states = [
         MemberState(entry.node, "stall", entry.address, entry.zone, entry.incarnation, 0, ALIVE)
         for entry in (node_entry(number, size) for number in range(size.nodes))
     ]
     member = Membership(
         me=member_states[0],
-        seed=random.Random(1),
-        period=pace.period,
-        suspicion=pace.suspicion,
-        retransmit_limit=pace.retransmit_limit,
+        rng=random.Random(1),
+        probe_interval=timings.probe_interval,
+        suspicion_timeout=timings.suspicion_timeout,
+        retransmit_limit=timings.retransmit_limit,
     )
     member.handle(GossipReceived(tuple(member_states)), now=ZERO)
     for _ in range(size.nodes):
@@ -276,7 +282,7 @@
 
     def second() -> int:
         nonlocal now
-        now += pace.period
+        now += timings.probe_interval
         (probe,) = [each for each in member.handle(MemberTicked(), now=now) if isinstance(each, Probe)]
         member.handle(ProbeAnswered(probe.node, (member_states[1],)), now=now)
         member.handle(GossipReceived((member_states[2],)), now=now)
@@ -410,7 +416,7 @@
 def _take_all(child: Relay, answers: list) -> None:
     view = _view(child.copy.items)
     for answer in answers:
-        if not child.polled(_pass(answer, answer=True), sent=ZERO):
+        if not child.accept_answer(_pass(answer, answer=True), sent=ZERO):
             raise AssertionError("a change was not taken")
         view = _view(child.copy.items, before=view)
 
@@ -477,7 +483,7 @@
         for parent, child in pairwise(chain):
             call = _pass(child.poll(own=_applied_version(1), now=ZERO), answer=False)
             answer = _pass(parent.answer(call, now=ZERO), answer=True)
-            if not child.polled(answer, sent=ZERO):
+            if not child.accept_answer(answer, sent=ZERO):
                 raise AssertionError("a change was not handed down")
             _view(child.copy.items, before=view)
 
@@ -533,13 +539,13 @@
     items = data_plane_items(make_state(GOAL))
     for point in points:
         child, parent = _relay(items, node=1), _relay(items)
-        child.heard(tuple(_applied_version(number + 2) for number in range(point)), now=ZERO)
+        child.record_applied_versions(tuple(_applied_version(number + 2) for number in range(point)), now=ZERO)
         call = child.poll(own=_applied_version(1), now=ZERO)
         meter.count(point, "a poll", "bytes", _size_of(call))
 
         def heard(child=child, parent=parent) -> None:
             told = _pass(child.poll(own=_applied_version(1), now=ZERO), answer=False)
-            parent.heard(told.applied_versions, now=ZERO)
+            parent.record_applied_versions(told.applied_versions, now=ZERO)
 
         meter.spend(point, "a poll asked, passed and heard", heard, times=20)
 
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -151,12 +151,12 @@
 
 
 def _copies_taken_as_sent():
-    plain = Relay.polled
+    plain = Relay.accept_answer
 
     def blind(self: Relay, answer, *, sent) -> bool:
         return plain(self, answer._replace(expected_digests=()), sent=sent)
 
-    return mock.patch.multiple(Relay, polled=blind, sound=lambda self: True)
+    return mock.patch.multiple(Relay, accept_answer=blind, is_intact=lambda self: True)
 
 
 def _waits_for_ever():
--- a/tests/test_emulator_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -133,7 +133,7 @@
             epoch, revision = news[-1]
             items = {f"item:{place}": (place, b"x") for place in range(revision)}
             if parent.copy.revision <= revision:
-                parent.confirmed(
+                parent.accept_read(
                     asked=now, mesh="m", revision=revision, items=items, expected_digests=digests_of(items), epoch=epoch
                 )
             asked = draw.choice(parents)
@@ -144,7 +144,7 @@
             while late and draw.random() < 0.6:
                 answer, sent = late.pop()
                 before = (child.copy.revision, child.epoch, child.lease_start)
-                child.polled(answer, sent=sent)
+                child.accept_answer(answer, sent=sent)
                 if child.copy.revision < before[0] or child.epoch < before[1]:
                     found.append(f"back from {before}")
                 if child.is_older(revision=answer.revision, epoch=answer.epoch) and child.lease_start != before[2]:
@@ -167,7 +167,7 @@
     def test_a_registry_without_fresh_news_notes_nothing_and_says_so(self) -> None:
         """Its copy still shows the server as reported; the log may have recorded it as gone since."""
         relay = Relay(node="bourse-1", incarnation="life", lease_span=timedelta(seconds=1.5))
-        relay.confirmed(asked=timedelta(seconds=1), mesh="m", revision=1, items={})
+        relay.accept_read(asked=timedelta(seconds=1), mesh="m", revision=1, items={})
         node = SimpleNamespace(address="10.0.0.1:1", zone="z", incarnation="life", state="alive")
         noted: list[str] = []
         registry = SimpleNamespace(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,9 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
-from hoistsaddle.membership import relay as relays
+from hoistsaddle.membership import configuration_copy
+from hoistsaddle.membership.configuration_copy import ConfigurationCopy
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.membership.membership import (
     ALIVE,
     DEAD,
@@ -22,7 +24,7 @@
     Ticked,
 )
 from hoistsaddle.membership.packing import pack_items, unpack_items
-from hoistsaddle.membership.relay import ConfigurationCopy, Relay, select_parents
+from hoistsaddle.membership.relay import Relay
 from hoistsaddle.membership.removal_history import MAX_REMOVALS, RemovalHistory
 from hoistsaddle.rpc.messages import AppliedVersion, ConfigurationItem, MemberState, PollAnswer
 from hoistsaddle.statemachine.digests import RANGES, digests_of, range_of
@@ -48,28 +50,29 @@
 
     def test_a_lease_counts_from_the_polls_sending_minus_the_parents_age(self) -> None:
         root, child = relay("root"), relay("child")
-        root.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
+        root.accept_read(asked=at(10), mesh="m", revision=5, items=items(3))
         # The child's clock shows something else entirely, and the answer is slow.
         call = child.poll(own=OWN, now=at(700))
-        child.polled(root.answer(call, now=at(10.4)), sent=at(700))
+        child.accept_answer(root.answer(call, now=at(10.4)), sent=at(700))
         self.assertThat(child.lease_start, Equals(at(699.6)))
         self.assertThat((child.fresh(now=at(701.0)), child.fresh(now=at(701.1))), Equals((True, False)))
 
     def test_a_lapsed_parent_renews_nothing(self) -> None:
         root, child = relay("root"), relay("child")
-        root.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
+        root.accept_read(asked=at(10), mesh="m", revision=5, items=items(3))
         answer = root.answer(child.poll(own=OWN, now=at(0)), now=at(12))
         self.assertThat(
-            (answer.error, child.polled(answer, sent=at(0)), child.lease_start), Equals(("lease-lapsed", False, None))
+            (answer.error, child.accept_answer(answer, sent=at(0)), child.lease_start),
+            Equals(("lease-lapsed", False, None)),
         )
 
     def test_a_ring_of_relays_starves(self) -> None:
         one, two = relay("one"), relay("two")
-        one.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
+        one.accept_read(asked=at(10), mesh="m", revision=5, items=items(3))
         timestamp = 10.0
         while timestamp < 14:
             for child, parent in ((one, two), (two, one)):
-                child.polled(
+                child.accept_answer(
                     parent.answer(child.poll(own=OWN, now=at(timestamp)), now=at(timestamp + 0.01)), sent=at(timestamp)
                 )
             timestamp += 0.1
@@ -77,9 +80,9 @@
 
     def test_revisions_never_go_back_and_an_older_parent_gives_no_lease(self) -> None:
         old, child = relay("old"), relay("child")
-        old.confirmed(asked=at(10), mesh="m", revision=5, items=items(3))
-        child.confirmed(asked=at(9), mesh="m", revision=6, items=items(2, revision=6))
-        changed = child.polled(old.answer(child.poll(own=OWN, now=at(10)), now=at(10)), sent=at(10))
+        old.accept_read(asked=at(10), mesh="m", revision=5, items=items(3))
+        child.accept_read(asked=at(9), mesh="m", revision=6, items=items(2, revision=6))
+        changed = child.accept_answer(old.answer(child.poll(own=OWN, now=at(10)), now=at(10)), sent=at(10))
         self.assertThat((changed, child.copy.revision, child.lease_start), Equals((False, 6, at(9))))
 
 
@@ -88,8 +91,8 @@
 
     def test_only_ranges_that_differ_travel_and_damage_is_mended(self) -> None:
         root, child = relay("root"), relay("child")
-        root.confirmed(asked=at(1), mesh="m", revision=5, items=items(200))
-        child.polled(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)), sent=at(1))
+        root.accept_read(asked=at(1), mesh="m", revision=5, items=items(200))
+        child.accept_answer(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)), sent=at(1))
         self.assertThat(child.copy.items, Equals(root.copy.items))
         damaged = dict(child.copy.items)
         damaged["server:stall-7"] = (1, b"damage")
@@ -98,7 +101,7 @@
         child.copy.replace(mesh="m", revision=5, items=damaged)
         answer = root.answer(child.poll(own=OWN, now=at(1)), now=at(1))
         self.assertThat(0 < len(unpack_items(answer.block)) < 100, Equals(True))
-        child.polled(answer, sent=at(1))
+        child.accept_answer(answer, sent=at(1))
         self.assertThat(child.copy.items, Equals(root.copy.items))
 
     def test_damage_in_place_shows_at_once_and_a_sound_copy_is_not_digested_again(self) -> None:
@@ -110,7 +113,7 @@
 
         copy = ConfigurationCopy()
         copy.replace(mesh="m", revision=5, items=items(50))
-        self.patch(relays, "digests_of", digests)
+        self.patch(configuration_copy, "digests_of", digests)
         sound = copy.audit()
         self.assertThat(([copy.audit() for _ in range(5)], taken), Equals(([sound] * 5, [50])))
         for damage in ({"server:stall-7": (1, b"damage")}, {"server:stall-7": (9, copy.items["server:stall-7"][1])}):
@@ -126,16 +129,16 @@
 
     def test_what_was_removed_goes_from_every_copy(self) -> None:
         root, child = relay("root"), relay("child")
-        root.confirmed(asked=at(1), mesh="m", revision=5, items=items(10))
-        child.polled(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)), sent=at(1))
-        root.confirmed(asked=at(2), mesh="m", revision=6, items=items(4))
-        child.polled(root.answer(child.poll(own=OWN, now=at(2)), now=at(2)), sent=at(2))
+        root.accept_read(asked=at(1), mesh="m", revision=5, items=items(10))
+        child.accept_answer(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)), sent=at(1))
+        root.accept_read(asked=at(2), mesh="m", revision=6, items=items(4))
+        child.accept_answer(root.answer(child.poll(own=OWN, now=at(2)), now=at(2)), sent=at(2))
         self.assertThat((len(child.copy.items), child.copy.revision), Equals((4, 6)))
 
     def test_another_meshs_news_is_not_taken(self) -> None:
         root, child = relay("root"), relay("child")
-        root.confirmed(asked=at(1), mesh="other", revision=9, items=items(3))
-        child.confirmed(asked=at(1), mesh="m", revision=5, items=items(2))
+        root.accept_read(asked=at(1), mesh="other", revision=9, items=items(3))
+        child.accept_read(asked=at(1), mesh="m", revision=5, items=items(2))
         self.assertThat(root.answer(child.poll(own=OWN, now=at(1)), now=at(1)).error, Equals("wrong-mesh"))
 
 
@@ -143,11 +146,13 @@
     """Only what was set or removed since a child's revision is sent; complete ranges go where that isn't known."""
 
     def confirm(self, root: Relay, revision: int, found: dict[str, tuple[int, bytes]]) -> None:
-        root.confirmed(asked=at(revision), mesh="m", revision=revision, items=found, expected_digests=digests_of(found))
+        root.accept_read(
+            asked=at(revision), mesh="m", revision=revision, items=found, expected_digests=digests_of(found)
+        )
 
     def taught(self, child: Relay, parent: Relay, timestamp: float) -> PollAnswer:
         answer = parent.answer(child.poll(own=OWN, now=at(timestamp)), now=at(timestamp))
-        child.polled(answer, sent=at(timestamp))
+        child.accept_answer(answer, sent=at(timestamp))
         return answer
 
     def family(self, count: int = 200) -> tuple[Relay, Relay]:
@@ -206,7 +211,7 @@
         answer = root.answer(call, now=at(6))
         self.assertThat((answer.only_changes, answer.block, len(answer.items)), Equals((False, b"", 199)))
         # What a parent of a former release says is taken as ever.
-        former.polled(answer, sent=at(6))
+        former.accept_answer(answer, sent=at(6))
         self.assertThat(former.copy.items, Equals(root.copy.items))
 
     def test_a_damaged_block_teaches_nothing_and_whole_ranges_are_asked_for(self) -> None:
@@ -215,7 +220,7 @@
         good = root.answer(child.poll(own=OWN, now=at(6)), now=at(6))
         other = pack_items([ConfigurationItem("server:x", 6, b"x")])
         for block in (good.block[:-3] or b"cut", b"garbage", other[:-4], other + b"more"):
-            child.polled(good._replace(block=block), sent=at(6))
+            child.accept_answer(good._replace(block=block), sent=at(6))
             self.assertThat((child.copy.revision, child.needs_ranges), Equals((5, True)), str(block))
         self.assertThat((self.taught(child, root, 6).only_changes, child.copy.items), Equals((False, root.copy.items)))
 
@@ -233,7 +238,7 @@
         self.confirm(root, 6, items(19, revision=5))
         self.taught(child, root, 6)
         self.confirm(root, 7, items(18, revision=5) | {"server:stall-19": (7, b"back")})
-        child.polled(root.answer(early, now=at(7)), sent=at(5))
+        child.accept_answer(root.answer(early, now=at(7)), sent=at(5))
         self.assertThat((child.copy.items, child.copy.revision), Equals((root.copy.items, 7)))
 
     def test_more_removals_than_are_remembered_send_ranges(self) -> None:
@@ -242,7 +247,7 @@
         found = {f"key-{number}": (1, b"") for number in range(MAX_REMOVALS + 2)}
         for number in range(MAX_REMOVALS + 2):
             fewer = {key: item for key, item in found.items() if key != f"key-{number}"}
-            history.note(before=found, after=fewer, revision=number + 2)
+            history.record(before=found, after=fewer, revision=number + 2)
             found = fewer
         self.assertThat(
             (history.reaches_back_to(1), history.reaches_back_to(3), len(history.removed_after(3))),
@@ -297,9 +302,9 @@
     def membership(self, *, retransmit_limit: int | None = None) -> Membership:
         core = Membership(
             me=self.member("me"),
-            seed=random.Random(1),
-            period=at(0.25),
-            suspicion=at(1.2),
+            rng=random.Random(1),
+            probe_interval=at(0.25),
+            suspicion_timeout=at(1.2),
             retransmit_limit=retransmit_limit,
         )
         core.handle(GossipReceived(tuple(self.member(name) for name in ("one", "two", "three"))), now=at(0))
@@ -380,7 +385,11 @@
         names = [f"n{number}" for number in range(40)]
         cores = {
             name: Membership(
-                me=self.member(name), seed=random.Random(name), period=at(1), suspicion=at(2), retransmit_limit=6
+                me=self.member(name),
+                rng=random.Random(name),
+                probe_interval=at(1),
+                suspicion_timeout=at(2),
+                retransmit_limit=6,
             )
             for name in names
         }
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -284,7 +284,9 @@
 
     def test_members_removed_for_long_are_forgotten(self) -> None:
         me = MemberState("me", "stall", "at-me", "a", "life", 0, ALIVE)
-        core = Membership(me=me, seed=random.Random(1), period=timedelta(0), suspicion=timedelta(seconds=1))
+        core = Membership(
+            me=me, rng=random.Random(1), probe_interval=timedelta(0), suspicion_timeout=timedelta(seconds=1)
+        )
         now = timedelta(seconds=10)
         core.handle(GossipReceived((me._replace(node="other", state=ALIVE),)), now=now)
         core.handle(GossipReceived((me._replace(node="other", state=DEAD, count=1),)), now=now)
@@ -344,22 +346,22 @@
 
         def read(known: int) -> bool:
             said = items if known < revision else None
-            return root.confirmed(
+            return root.accept_read(
                 asked=now, mesh="m", revision=revision, items=said, expected_digests=digests_of(items)
             )
 
         read(root.known_revision())
-        child.polled(root.answer(child.poll(own=own, now=now), now=now), sent=now)
+        child.accept_answer(root.answer(child.poll(own=own, now=now), now=now), sent=now)
         self.assertThat(child.copy.items, Equals(items))
         key = "node:stall-3"
         root.copy.items = {**items, key: (items[key][0], b"damage")}
         answer = root.answer(child.poll(own=own, now=now), now=now)
-        self.assertThat((answer.error, child.polled(answer, sent=now)), Equals(("copy-damaged", False)))
+        self.assertThat((answer.error, child.accept_answer(answer, sent=now)), Equals(("copy-damaged", False)))
         # The next read says that it holds nothing, and takes all of it anew.
         self.assertThat((root.known_revision(), read(revision)), Equals((-1, False)))
         self.assertThat((read(root.known_revision()), root.copy.items), Equals((True, items)))
         child.copy.items = {name: item for name, item in items.items() if name != key}
-        self.assertThat(child.polled(root.answer(child.poll(own=own, now=now), now=now), sent=now), Equals(True))
+        self.assertThat(child.accept_answer(root.answer(child.poll(own=own, now=now), now=now), sent=now), Equals(True))
         self.assertThat(child.copy.items, Equals(items))
         # Changed on its way: what doesn't add up is not taken, and renews nothing.
         child.copy.items = {}
@@ -370,7 +372,7 @@
             told = unpack_items(answer.block) if takes_block else answer.items
             spoilt = (told[0]._replace(value=b"x"), *told[1:])
             changed = {"block": pack_items(spoilt)} if takes_block else {"items": spoilt}
-            self.assertThat(child.polled(answer._replace(**changed), sent=now * 2), Equals(False))
+            self.assertThat(child.accept_answer(answer._replace(**changed), sent=now * 2), Equals(False))
             self.assertThat((child.copy.items, child.lease_start), Equals(({}, before)))
 
 
