--- a/packages/planner/src/hoistsaddle/planner/distribution.py
+++ b/packages/planner/src/hoistsaddle/planner/distribution.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 
 from hoistsaddle.config.bundle import Bundle, read_bundle
-from hoistsaddle.membership.relay import select_parents
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.statemachine.state import GONE, READY
 
 PROXY_KIND = "stall"
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -106,7 +106,7 @@
             seeds=[address for address in self.peers.values() if address != settings.listen],
             runtime=runtime,
             counters=self.counters,
-            pace=member_timings,
+            timings=member_timings,
         )
         self.other_registries = PeerRegistries(addresses=self.peers, own_address=settings.listen, runtime=runtime)
         self.applied_versions = AppliedVersions(
@@ -177,7 +177,7 @@
             mesh, plain = msgspec.msgpack.decode(answer.content)
             items = {key: (revision, value) for key, (revision, value) in plain.items()}
         was_fresh = self.relay.fresh(now=self.runtime.now())
-        if self.relay.confirmed(
+        if self.relay.accept_read(
             asked=sent_at,
             mesh=mesh,
             revision=answer.revision,
@@ -244,11 +244,11 @@
         return None
 
     async def _poll(self, call: PollCall) -> PollAnswer:
-        self.relay.heard(call.applied_versions, now=self.runtime.now())
+        self.relay.record_applied_versions(call.applied_versions, now=self.runtime.now())
         return await answer_long_poll(
             runtime=self.runtime,
             relay=self.relay,
-            news=self.configuration_changed,
+            updated=self.configuration_changed,
             call=call,
             hold=self.long_poll_timeout,
         )
