--- /dev/null
+++ b/tests/test_wire_bytes.py
@@ -0,0 +1,67 @@
+"""The bytes of every message between processes are those that commit 9c419a2 wrote.
+
+`fixtures/wire-9c419a2/frames.txt` was recorded from the untouched code of that commit, before classes and fields were
+renamed: a line is a message's number in mesh.thrift's union and the hex of a frame that carries a sample of it. A
+sample's values follow from the types and places of its fields alone, so that no renaming changes them.
+"""
+
+from datetime import timedelta
+from pathlib import Path
+from typing import Any, get_args, get_origin, get_type_hints
+
+from testtools import TestCase
+from testtools.matchers import Equals
+
+from hoistsaddle.rpc.messages import MESSAGES, mesh_thrift, pack, unpack_frame
+
+RECORDED = Path(__file__).parent / "fixtures" / "wire-9c419a2" / "frames.txt"
+SENT_SECONDS = 1.5
+
+
+def sample(hint: Any, seed: int) -> Any:
+    """A value of the type that the hint names; nested fields count on from the seed."""
+    if hint is bool:
+        return True
+    if hint is int:
+        return seed
+    if hint is str:
+        return f"text-{seed}"
+    if hint is bytes:
+        return bytes([seed % 256, 0, 255])
+    if hint is timedelta:
+        return timedelta(seconds=seed, microseconds=7)
+    if get_origin(hint) is tuple:
+        element = get_args(hint)[0]
+        return tuple(sample(element, seed + place) for place in (1, 2))
+    if get_origin(hint) is dict:
+        key, value = get_args(hint)
+        return {sample(key, seed): sample(value, seed + 1)}
+    hints = get_type_hints(hint)
+    return hint(*(sample(hints[name], seed + place) for place, name in enumerate(hint._fields, start=1)))
+
+
+def recorded_frames() -> dict[int, bytes]:
+    """The recorded frame of each message, by its number in the union."""
+    lines = (line.split() for line in RECORDED.read_text().splitlines())
+    return {int(number): bytes.fromhex(frame) for number, frame in lines}
+
+
+def message_kinds() -> dict[int, Any]:
+    """The class of each message, by its number in the union."""
+    return {number: MESSAGES[entry[2].__name__] for number, entry in mesh_thrift.Message.thrift_spec.items()}
+
+
+class WireBytes(TestCase):
+    def test_every_message_has_a_recorded_frame(self) -> None:
+        self.assertThat(set(message_kinds()), Equals(set(recorded_frames())))
+
+    def test_messages_are_written_as_recorded(self) -> None:
+        frames = recorded_frames()
+        for number, kind in message_kinds().items():
+            data = pack(number=number, answer=number % 2 == 0, message=sample(kind, number), sent=SENT_SECONDS)
+            self.assertThat(data.hex(), Equals(frames[number].hex()), kind.__name__)
+
+    def test_recorded_frames_are_read(self) -> None:
+        for number, kind in message_kinds().items():
+            frame = unpack_frame(recorded_frames()[number])
+            self.assertThat(tuple(frame), Equals((number, number % 2 == 0, sample(kind, number), SENT_SECONDS)))
