--- a/packages/raft/src/hoistsaddle/raft/applying.py
+++ b/packages/raft/src/hoistsaddle/raft/applying.py
@@ -1,64 +1,86 @@
-"""Applies committed records to the state, tells what they changed, and captures checkpoints."""
+"""Applies committed records to the state, announces what they changed, and captures checkpoints."""
+
+from typing import TYPE_CHECKING
 
 from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.raft.events import Capture, OffsetAndEpoch, ProposalResult
-from hoistsaddle.raft.replica import LEADER, Replica
+from hoistsaddle.raft.events import Capture, OffsetAndEpoch
+from hoistsaddle.raft.replica import LEADER
+from hoistsaddle.raft.voters import VoterChange
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import AddVoter, DropVoter, Outcome, ReplaceVoter, SwapVoter
 from hoistsaddle.statemachine.state import State
 
+if TYPE_CHECKING:
+    from hoistsaddle.raft.core import RaftCore
+
+# An expired key's scope is a digest; operators see so many characters of it.
+SHOWN_SCOPE_CHARACTERS = 12
+
 
-class Applying(Replica):
-    """Applies committed records to the state, tells what they changed, and captures checkpoints."""
+class Applying:
+    """Brings the state up to the high watermark."""
 
-    def _apply(self) -> None:
-        while self.state.offset < min(self.high_watermark, self.last.offset) and not self.halted:
-            record = self.log[self.state.offset + 1 - self.begin_offset]
-            before = self.state
-            self.state, outcome = apply(
-                self.state,
+    def __init__(self, core: "RaftCore") -> None:
+        """Begins without a checkpoint under way."""
+        self.core = core
+        # The checkpoint that the disk is storing.
+        self.capturing: OffsetAndEpoch | None = None
+
+    def apply_committed(self) -> None:
+        """Applies every committed record that isn't applied yet, and captures a checkpoint after enough of them."""
+        core = self.core
+        while core.state.offset < min(core.high_watermark, core.last.offset) and not core.halted:
+            record = core.log[core.state.offset + 1 - core.begin_offset]
+            before = core.state
+            core.state, outcome = apply(
+                core.state,
                 offset=record.offset,
                 epoch=record.epoch,
                 stamp=record.stamp,
                 payload=record.payload,
-                supported=self.level,
+                supported=core.level,
             )
             if outcome.error == ErrorKind.OTHER_RELEASE:
-                return self._halt(outcome.message)
-            self._tell_changes(before, outcome)
-            if self.pending_voter_changes and self.pending_voter_changes[0][0] <= record.offset:
-                _, swap = self.pending_voter_changes.pop(0)
-                match swap:
-                    case SwapVoter(replica=replica, old=old, new=new):
-                        self._announce("voter swapped", voter=replica, old=old, new=new)
-                    case AddVoter(replica=replica):
-                        self._announce("voter added", voter=replica, voters=len(self.state.voters))
-                    case DropVoter(replica=replica):
-                        self._announce("voter dropped", voter=replica, voters=len(self.state.voters))
-                    case ReplaceVoter(replica=replica, successor=successor):
-                        self._announce("voter replaced", voter=replica, successor=successor)
+                core.halt(outcome.message)
+                return
+            self._announce_changes(before, outcome)
+            if core.pending_voter_changes and core.pending_voter_changes[0].offset <= record.offset:
+                self._announce_voter_change(core.pending_voter_changes.pop(0).change)
                 # A start that doesn't know it to be committed would ask the set before it too, whose disks may be gone.
-                self._write()
-            ticket = self.ticket_of.pop(record.offset, None)
-            if ticket is not None:
-                held = self.waiting[ticket]
-                held[1].append(outcome)
-                if len(held[1]) == held[0]:
-                    del self.waiting[ticket]
-                    self._out.append(ProposalResult(ticket, "", self.replica, record.offset, tuple(held[1])))
-        latest = self.checkpoint.offset if self.checkpoint else 0
-        if self.capturing is None and self.complete and self.state.offset - latest > self.timings.checkpoint_records:
+                core.persist()
+            core.replication.record_applied(record.offset, outcome)
+        self._capture_if_due()
+
+    def _capture_if_due(self) -> None:
+        core = self.core
+        latest = core.checkpoint.offset if core.checkpoint else 0
+        if self.capturing is None and core.complete and core.state.offset - latest > core.timings.checkpoint_records:
             # The state is immutable, so keeping this reference is the whole capture; records go on applying.
-            self.capturing = OffsetAndEpoch(self.state.offset, self.state.epoch)
-            self._out.append(Capture(self.capturing, self.state))
+            self.capturing = OffsetAndEpoch(core.state.offset, core.state.epoch)
+            core.commands.append(Capture(self.capturing, core.state))
 
-    def _tell_changes(self, before: State, outcome: Outcome) -> None:
-        if self.state.level != before.level:
-            self._announce("release level raised", level=self.state.level)
-        if self.state.purged != before.purged:
-            self._announce("gone forgotten", **outcome.detail)
-        # Expiry is everybody's; one voice tells it.
-        if self.state.swept != before.swept and self.role == LEADER:
+    def _announce_changes(self, before: State, outcome: Outcome) -> None:
+        core = self.core
+        if core.state.level != before.level:
+            core.announce("release level raised", level=core.state.level)
+        if core.state.purged != before.purged:
+            core.announce("gone forgotten", **outcome.detail)
+        # Every replica sees the expiry; the leader alone announces it.
+        if core.state.swept != before.swept and core.role == LEADER:
             for scope, hold in sorted(before.holds.items()):
-                if scope not in self.state.holds:
-                    self._announce("key expired", scope=scope[:12], entry=hold.entry, was=hold.phase)
+                if scope not in core.state.holds:
+                    shown = scope[:SHOWN_SCOPE_CHARACTERS]
+                    core.announce("key expired", scope=shown, entry=hold.entry, was=hold.phase)
+
+    def _announce_voter_change(self, change: VoterChange) -> None:
+        core = self.core
+        voters = len(core.state.voters)
+        match change:
+            case SwapVoter(replica=replica, old=old, new=new):
+                core.announce("voter swapped", voter=replica, old=old, new=new)
+            case AddVoter(replica=replica):
+                core.announce("voter added", voter=replica, voters=voters)
+            case DropVoter(replica=replica):
+                core.announce("voter dropped", voter=replica, voters=voters)
+            case ReplaceVoter(replica=replica, successor=successor):
+                core.announce("voter replaced", voter=replica, successor=successor)
--- a/packages/raft/src/hoistsaddle/raft/voters.py
+++ b/packages/raft/src/hoistsaddle/raft/voters.py
@@ -1,13 +1,25 @@
-"""Logged changes of the set of voters: how one is told from its record, and what set it makes."""
+"""Logged changes of the set of voters: how one is recognised in a record, and what set results from it."""
+
+from typing import NamedTuple
 
 from hoistsaddle.statemachine.commands import AddVoter, DropVoter, ReplaceVoter, SwapVoter, unpack_command
 
+# A replica's number and the incarnation of its disk (KIP-853: ReplicaKey). Plain tuples, as maps of voters give them.
+ReplicaKey = tuple[int, str]
+
 VoterChange = SwapVoter | AddVoter | DropVoter | ReplaceVoter
 
 
+class LoggedVoterChange(NamedTuple):
+    """A change of voters in the log that is not applied yet, and its record's offset."""
+
+    offset: int
+    change: VoterChange
+
+
 def voter_change_in(payload: bytes) -> VoterChange | None:
     """The voter change that a record holds, if it holds one."""
-    # Cheap look first: nearly no record is a voter change.
+    # A cheap test first: nearly no record is a voter change.
     if b"Voter" not in payload[:16]:
         return None
     command = unpack_command(payload)
@@ -22,7 +34,11 @@
         case AddVoter(replica=replica, incarnation=incarnation):
             return {**voters, replica: incarnation}
         case DropVoter(replica=replica):
-            return {each: incarnation for each, incarnation in voters.items() if each != replica}
+            return _without(voters, replica)
         case ReplaceVoter(replica=replica, successor=successor, successor_incarnation=incarnation):
-            return {**{each: life for each, life in voters.items() if each != replica}, successor: incarnation}
+            return {**_without(voters, replica), successor: incarnation}
     return voters
+
+
+def _without(voters: dict[int, str], replica: int) -> dict[int, str]:
+    return {each: incarnation for each, incarnation in voters.items() if each != replica}
--- a/packages/registry/src/hoistsaddle/registry/controller.py
+++ b/packages/registry/src/hoistsaddle/registry/controller.py
@@ -76,7 +76,7 @@
         leader that was cut off, or froze, makes it grow older and never younger.
         """
         core = self.store.runner.core
-        return core.newest if core.complete and not core.halted else None
+        return core.reads.current_as_of if core.complete and not core.halted else None
 
     async def _follow_configuration(self) -> None:
         while True:
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -190,7 +190,7 @@
         votes = core.is_voter() and core.state.voters.get(core.replica) == core.incarnation
         role = core.role if votes else "observer"
         if not core.complete:
-            role = "catching up" if core.mesh or core.fetching_snapshot else "blank"
+            role = "catching up" if core.mesh or core.snapshot_fetcher.checkpoint_id else "blank"
         if core.halted:
             role = "halted"
         return StatusAnswer(
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
@@ -81,7 +81,7 @@
     """A leader commits the records of former epochs by counting."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
-        machine.core.epoch_began = 0
+        machine.core.replication.epoch_began = 0
         return event
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios.py
@@ -665,7 +665,7 @@
             return False
         # The leader must have committed in its own epoch: before that, equal offsets say nothing of the log's end.
         core = complete.nodes[leader].runner.core
-        return core.high_watermark >= core.epoch_began and all(
+        return core.high_watermark >= core.replication.epoch_began and all(
             (replica := complete.nodes[machine.store].runner.core) is not None
             and replica.state.offset == core.last.offset
             for machine in complete.core
--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -359,7 +359,7 @@
 
     def led(self) -> bool:
         node = self.leader()
-        return node is not None and node.core.high_watermark >= node.core.epoch_began > 0
+        return node is not None and node.core.high_watermark >= node.core.replication.epoch_began > 0
 
     def write(self, *, most: timedelta = timedelta(seconds=5)) -> int:
         """One record committed through whoever leads; gives its offset."""
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -15,7 +15,9 @@
 from hoistsaddle.raft import applying
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
+from hoistsaddle.raft.elections import Elections
 from hoistsaddle.raft.events import Answer, RaftTimings, Send
+from hoistsaddle.raft.replication import Replication
 from hoistsaddle.registry.service import Registry
 from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
@@ -140,7 +142,7 @@
 
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch.object(applying, "apply", passing))
-    patches.enter_context(mock.patch.object(RaftCore, "_halt", lambda self, why: None))
+    patches.enter_context(mock.patch.object(RaftCore, "halt", lambda self, why: None))
     return patches
 
 
@@ -218,10 +220,10 @@
 
 def _blank_disks_vote():
     """As if there were no incarnations: a wiped replica goes on voting and counting in its predecessor's place."""
-    plain_vote, plain_lay = RaftCore._vote_call, Disk._lay
+    plain_vote, plain_lay = Elections.vote_call, Disk._lay
 
-    def vote(self: RaftCore, ticket, call) -> None:
-        self.mesh = self.mesh or call.mesh
+    def vote(self: Elections, ticket, call) -> None:
+        self.core.mesh = self.core.mesh or call.mesh
         plain_vote(self, ticket, call)
 
     def lay(self: Disk) -> None:
@@ -229,7 +231,8 @@
         plain_lay(self)
 
     patches = contextlib.ExitStack()
-    patches.enter_context(mock.patch.multiple(RaftCore, is_voter=lambda self: True, _vote_call=vote))
+    patches.enter_context(mock.patch.object(RaftCore, "is_voter", lambda self: True))
+    patches.enter_context(mock.patch.object(Elections, "vote_call", vote))
     patches.enter_context(mock.patch.object(Disk, "_lay", lay))
     return patches
 
@@ -247,18 +250,22 @@
 
 
 def _leader_alone_commits():
-    plain = RaftCore._append
+    plain = RaftCore.append
 
     def counted(self: RaftCore, records) -> None:
         plain(self, records)
         self.durable = self.last.offset
 
-    def single(self: RaftCore) -> None:
-        if self.role == "leader" and self.durable > self.high_watermark:
-            self.high_watermark = self.durable
-            self._apply()
+    def single(self: Replication) -> None:
+        core = self.core
+        if core.role == "leader" and core.durable > core.high_watermark:
+            core.high_watermark = core.durable
+            core.applying.apply_committed()
 
-    return mock.patch.multiple(RaftCore, _append=counted, _advance=single)
+    patches = contextlib.ExitStack()
+    patches.enter_context(mock.patch.object(RaftCore, "append", counted))
+    patches.enter_context(mock.patch.object(Replication, "advance", single))
+    return patches
 
 
 INJECTED_FAULTS = (
--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -141,7 +141,14 @@
     ) -> FetchAnswer | None:
         return self.call(
             FetchCall(
-                "m", replica, incarnation or VOTERS[replica], self.core.epoch, offset, epoch, self.core.round, complete
+                "m",
+                replica,
+                incarnation or VOTERS[replica],
+                self.core.epoch,
+                offset,
+                epoch,
+                self.core.replication.round,
+                complete,
             ),
             later=later,
         )
@@ -256,10 +263,10 @@
         bench = Bench(replica=2)
         bench.call(BeginEpochCall("m", 1, 1))
         records = tuple(Record(offset, 1, timedelta(seconds=offset), claim(offset)) for offset in range(1, 9))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 8, 8, records)))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 8, 8, records)))
         self.assertThat((bench.core.state.offset, bench.core.begin_offset), Equals((8, 1)))
         bench.feed(CheckpointStored(bench.of(Capture)[0].checkpoint_id, 100))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 8, 8)))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 8, 8)))
         self.assertThat(bench.core.begin_offset, Equals(8))
 
 
@@ -269,7 +276,7 @@
         bench.call(BeginEpochCall("m", 3, 1))
         bench.feed(
             AnswerArrived(
-                bench.core.fetch_number,
+                bench.core.log_fetcher.fetch_number,
                 1,
                 FetchAnswer("", 3, 1, 50, 41, checkpoint_offset=40, checkpoint_epoch=2, next_offset=41),
             )
@@ -291,9 +298,11 @@
     def test_once_it_is_loaded_log_and_checkpoints_are_thrown_away_in_one_write(self) -> None:
         bench = self.follower_pulling()
         records = tuple(Record(offset, 3, timedelta(seconds=offset), claim(offset)) for offset in (41, 42))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
         bench.feed(
-            AnswerArrived(bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False))
+            AnswerArrived(
+                bench.core.snapshot_fetcher.call_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False)
+            )
         )
         bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 2), State(mesh="m", offset=40, epoch=2, voters=Map(VOTERS))))
         cleared = [write for write in bench.of(Write) if write.clear]
@@ -312,7 +321,9 @@
             self.assertThat(bench.sent(FetchSnapshotCall)[-1].message.position, Equals(position))
             bench.feed(
                 AnswerArrived(
-                    bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer("", 3, 40, 2, position, data, continues)
+                    bench.core.snapshot_fetcher.call_number,
+                    1,
+                    FetchSnapshotAnswer("", 3, 40, 2, position, data, continues),
                 )
             )
         self.assertThat(
@@ -320,16 +331,16 @@
             Equals([(0, False), (3, False), (6, True)]),
         )
         records = tuple(Record(offset, 3, timedelta(seconds=offset), claim(offset)) for offset in (41, 42))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
         self.assertThat(bench.core.state.offset, Equals(0))
         bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 2), State(mesh="m", offset=40, epoch=2, voters=Map(VOTERS))))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41)))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41)))
         self.assertThat((bench.core.complete, bench.core.state.offset), Equals((True, 42)))
 
     def test_each_of_the_three_errors_restarts_at_offset_and_epoch_zero(self) -> None:
         for error in (SNAPSHOT_NOT_FOUND, OFFSET_OUT_OF_RANGE, NOT_LEADER_FOR_PARTITION):
             bench = self.follower_pulling()
-            bench.feed(AnswerArrived(bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer(error, 3, 40, 2)))
+            bench.feed(AnswerArrived(bench.core.snapshot_fetcher.call_number, 1, FetchSnapshotAnswer(error, 3, 40, 2)))
             bench.feed(Ticked(), later=TIMINGS.fetch_timeout * 2)
             fetch = bench.sent(FetchCall)[-1].message
             self.assertThat((fetch.fetch_offset, fetch.fetch_epoch), Equals((0, 0)), error)
@@ -337,7 +348,9 @@
     def test_a_torn_pull_restarts_too(self) -> None:
         bench = self.follower_pulling()
         bench.feed(
-            AnswerArrived(bench.core.snapshot_fetch_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False))
+            AnswerArrived(
+                bench.core.snapshot_fetcher.call_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False)
+            )
         )
         bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 2), None))
         bench.feed(Ticked(), later=TIMINGS.fetch_timeout * 2)
--- a/tests/test_raft_catch_up.py
+++ b/tests/test_raft_catch_up.py
@@ -66,7 +66,7 @@
         self.sent_to(40)
 
     def answer(self, answer: FetchAnswer, *, leader: int = 0) -> None:
-        self.feed(AnswerArrived(self.core.fetch_number, leader or self.core.leader, answer))
+        self.feed(AnswerArrived(self.core.log_fetcher.fetch_number, leader or self.core.leader, answer))
 
     def sent_to(self, offset: int) -> None:
         end = offset + 10
@@ -78,7 +78,7 @@
         answer = FetchSnapshotAnswer(
             "", 3, pull.checkpoint_offset, pull.checkpoint_epoch, pull.position, data, continues
         )
-        self.feed(AnswerArrived(self.core.snapshot_fetch_number, self.core.leader, answer))
+        self.feed(AnswerArrived(self.core.snapshot_fetcher.call_number, self.core.leader, answer))
 
     def fetched_from(self) -> tuple[int, int, bool]:
         call = self.sent(FetchCall)[-1].message
@@ -101,7 +101,9 @@
         bench = Behind()
         bench.piece(continues=True)
         bench.call(BeginEpochCall("m", 4, 1))
-        self.assertThat((bench.core.fetching_snapshot, bench.fetched_from()), Equals((None, (10, 1, True))))
+        self.assertThat(
+            (bench.core.snapshot_fetcher.checkpoint_id, bench.fetched_from()), Equals((None, (10, 1, True)))
+        )
         bench.answer(FetchAnswer("", 4, 1, 11, 1, records(10, 11, epoch=4)))
         self.assertThat(bench.core.state.offset, Equals(11))
 
@@ -132,7 +134,8 @@
         bench.piece(continues=True)
         bench.answer(FetchAnswer("", 3, 3, 50, 41))
         self.assertThat(
-            (bench.core.snapshot_position, bench.core.fetching_snapshot), Equals((3, OffsetAndEpoch(40, 3)))
+            (bench.core.snapshot_fetcher.position, bench.core.snapshot_fetcher.checkpoint_id),
+            Equals((3, OffsetAndEpoch(40, 3))),
         )
 
     def test_only_a_silence_of_its_own_makes_it_start_over(self) -> None:
@@ -142,7 +145,8 @@
         for end in (60, 80):
             bench.answer(FetchAnswer("", 3, 3, end, end - 4, records(bench.fetched_from()[0], end, epoch=3)))
         self.assertThat(
-            (bench.core.fetching_snapshot, bench.core.snapshot_position), Equals((OffsetAndEpoch(40, 3), 3))
+            (bench.core.snapshot_fetcher.checkpoint_id, bench.core.snapshot_fetcher.position),
+            Equals((OffsetAndEpoch(40, 3), 3)),
         )
         bench.piece()
         bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 3), state_at(40, 3)))
@@ -153,7 +157,7 @@
         frozen.piece(continues=True)
         frozen.sent_to(90)
         self.assertThat(
-            (frozen.core.fetching_snapshot, frozen.core.snapshot_position, frozen.fetched_from()),
+            (frozen.core.snapshot_fetcher.checkpoint_id, frozen.core.snapshot_fetcher.position, frozen.fetched_from()),
             Equals((OffsetAndEpoch(90, 3), 0, (91, 3, False))),
         )
         self.assertThat([chunk.checkpoint_id for chunk in frozen.of(StoreChunk)], Equals([OffsetAndEpoch(40, 3)]))
@@ -179,7 +183,7 @@
         self.assertThat(bench.core.role, Equals(LEADER))
         bench.feed(CheckpointLoaded(OffsetAndEpoch(40, 3), state_at(40, 3)))
         self.assertThat(
-            (bench.core.last, bench.core.fetching_snapshot, bench.core.begin),
+            (bench.core.last, bench.core.snapshot_fetcher.checkpoint_id, bench.core.begin),
             Equals((last, None, OffsetAndEpoch(0, 0))),
         )
 
@@ -217,8 +221,8 @@
             answer = leading.call(call)
             if answer is None:
                 break
-            parted.feed(AnswerArrived(parted.core.fetch_number, 1, answer))
-        self.assertThat((calls <= 3, parted.core.fetching_snapshot), Equals((True, OffsetAndEpoch(7, 1))))
+            parted.feed(AnswerArrived(parted.core.log_fetcher.fetch_number, 1, answer))
+        self.assertThat((calls <= 3, parted.core.snapshot_fetcher.checkpoint_id), Equals((True, OffsetAndEpoch(7, 1))))
 
     def test_an_answer_that_cuts_nothing_is_not_followed_by_the_same_fetch_at_once(self) -> None:
         """As a leader of the former release gives it."""
@@ -230,7 +234,7 @@
         parted.call(BeginEpochCall("m", 1, 1))
         fetches = len(parted.sent(FetchCall))
         answer = FetchAnswer("", 1, 1, 9, 8, diverging_offset=7, diverging_epoch=1)
-        parted.feed(AnswerArrived(parted.core.fetch_number, 1, answer))
+        parted.feed(AnswerArrived(parted.core.log_fetcher.fetch_number, 1, answer))
         self.assertThat(len(parted.sent(FetchCall)), Equals(fetches))
         parted.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
         self.assertThat(len(parted.sent(FetchCall)), Equals(fetches + 1))
@@ -288,9 +292,9 @@
     def test_records_that_came_later_than_a_fetch_waits_still_count(self) -> None:
         bench = Bench(replica=2)
         bench.call(BeginEpochCall("m", 1, 1))
-        first = bench.core.fetch_number
+        first = bench.core.log_fetcher.fetch_number
         bench.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
-        self.assertThat(bench.core.fetch_number != first, Equals(True))
+        self.assertThat(bench.core.log_fetcher.fetch_number != first, Equals(True))
         bench.feed(AnswerArrived(first, 1, FetchAnswer("", 1, 1, 2, 1, records(1, 2, epoch=1))))
         self.assertThat(bench.core.state.offset, Equals(2))
         # The answer to the second fetch brings the same records once more.
@@ -300,9 +304,9 @@
     def test_late_records_never_go_on_a_log_other_than_the_one_they_were_asked_for(self) -> None:
         bench = Behind()
         bench.piece(continues=True)
-        asked = bench.core.fetch_number
+        asked = bench.core.log_fetcher.fetch_number
         bench.call(BeginEpochCall("m", 4, 3))
-        self.assertThat(bench.core.fetching_snapshot, Equals(None))
+        self.assertThat(bench.core.snapshot_fetcher.checkpoint_id, Equals(None))
         bench.feed(AnswerArrived(asked, 3, FetchAnswer("", 3, 3, 50, 41, records(41, 42, epoch=3))))
         bench.feed(AnswerArrived(asked, 3, FetchAnswer("", 4, 3, 50, 41, records(41, 42, epoch=3))))
         self.assertThat(bench.core.last, Equals(OffsetAndEpoch(9, 1)))
@@ -310,9 +314,11 @@
     def test_a_failed_pull_asks_anew_where_to_begin(self) -> None:
         bench = Behind()
         bench.feed(
-            AnswerArrived(bench.core.snapshot_fetch_number, 3, FetchSnapshotAnswer(SNAPSHOT_NOT_FOUND, 3, 40, 3))
+            AnswerArrived(bench.core.snapshot_fetcher.call_number, 3, FetchSnapshotAnswer(SNAPSHOT_NOT_FOUND, 3, 40, 3))
         )
         bench.feed(Ticked(), later=TIMINGS.fetch_timeout + timedelta(milliseconds=15))
         self.assertThat(bench.fetched_from(), Equals((0, 0, False)))
         bench.sent_to(60)
-        self.assertThat((bench.core.fetching_snapshot, bench.core.complete), Equals((OffsetAndEpoch(60, 3), True)))
+        self.assertThat(
+            (bench.core.snapshot_fetcher.checkpoint_id, bench.core.complete), Equals((OffsetAndEpoch(60, 3), True))
+        )
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -179,8 +179,8 @@
     def test_the_one_silent_for_longest_goes_first(self) -> None:
         bench = Growing({**TWO, 3: "three", 4: "four", 5: "five"}, wanted=5, level=LEVEL)
         bench.core.role = CANDIDATE
-        bench.core.pre_vote, bench.core.granted = False, {(1, "one"), (2, "two"), (4, "four")}
-        bench.core._count_votes()
+        bench.core.elections.pre_vote, bench.core.elections.granted = False, {(1, "one"), (2, "two"), (4, "four")}
+        bench.core.elections.count_votes()
         bench.feed(Synced(bench.core.sequence))
         bench.go_on(2, 3, 4, 5, span=2 * SECOND)
         bench.go_on(2, 3, 4, span=SECOND / 2)
@@ -219,7 +219,7 @@
         for handed in (False, True):
             bench = Growing({**TWO, 3: "three"}, replica=3)
             bench.call(BeginEpochCall("m", 1, 1))
-            bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1)))
+            bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1)))
             vote = VoteCall("m", 2, 2, "two", 0, 0, False, LEVEL, handed)
             self.assertThat(bench.call(vote, later=milliseconds(50)).granted, Equals(handed))
 
@@ -268,7 +268,7 @@
             old = (mesh.leader() if seed % 2 else follower(mesh)).replica
             mesh.add(4)
             # Told to stop while the new one still catches up: it waits for it, inside its grace.
-            mesh.until(lambda: any(replica == 4 for replica, _ in mesh.leader().core.progress), most=SETTLE)
+            mesh.until(lambda: any(replica == 4 for replica, _ in mesh.leader().core.replication.progress), most=SETTLE)
             mesh.stop(old)
             self.assertThat(
                 (mesh.votes(4), mesh.votes(old), len(mesh.voters())), Equals((True, False, 3)), f"seed {seed}"
@@ -298,8 +298,8 @@
     def test_a_former_release_leads_and_nobody_waits_for_a_word_it_does_not_know(self) -> None:
         mesh = begun(4)
         leader = mesh.leader()
-        leader.core._tell_leaving = lambda call: 0
-        leader.core._leave_word = lambda life: 0
+        leader.core.leaving.answer_leaving = lambda call: 0
+        leader.core.leaving.decide = lambda key: 0
         self.assertThat(mesh.stop(follower(mesh).replica), LessThan(SECOND))
 
     def test_the_only_voter_hands_everything_to_its_successor(self) -> None:
--- a/tests/test_raft_state_age.py
+++ b/tests/test_raft_state_age.py
@@ -47,9 +47,9 @@
         core = replica(1)
         core.role, core.leader = LEADER, 1
         core.epoch = 5
-        core.granted = {(1, "a"), (2, "b")}
-        core.pre_vote = False
-        core._count_votes()
+        core.elections.granted = {(1, "a"), (2, "b")}
+        core.elections.pre_vote = False
+        core.elections.count_votes()
         return core
 
     def fetch(self, core: RaftCore, *, now: float, offset: int, epoch: int, round_seen: int) -> None:
@@ -63,7 +63,7 @@
         core.handle(Ticked(), now=seconds(0.1))
         self.assertThat(heard(core), Is(None))
         core.handle(Synced(core.sequence), now=seconds(0.1))
-        self.fetch(core, now=0.11, offset=2, epoch=5, round_seen=core.round)
+        self.fetch(core, now=0.11, offset=2, epoch=5, round_seen=core.replication.round)
         core.handle(Ticked(), now=seconds(0.12))
         self.assertThat(core.state.epoch, Equals(5))
         # Dated by when the leader began the round that this fetch had heard of, not by when the fetch came.
@@ -76,7 +76,7 @@
         core.handle(Ticked(), now=seconds(0.2))
         before = heard(core)
         # Sent before the freeze, read twenty seconds later.
-        self.fetch(core, now=20.0, offset=2, epoch=5, round_seen=core.round)
+        self.fetch(core, now=20.0, offset=2, epoch=5, round_seen=core.replication.round)
         core.handle(Ticked(), now=seconds(20.01))
         self.assertThat(core.role, Equals(LEADER))
         self.assertThat(before, LessThan(seconds(0.2)))
@@ -95,7 +95,7 @@
             Record(first + place, 5, seconds(1), pack_command(LeaderNote(1))) for place in range(records)
         )  # fmt: skip
         answer = FetchAnswer("", 5, 1, mark, 1, records_, contact_age=age)
-        core.handle(AnswerArrived(core.fetch_number, 1, answer), now=seconds(now))
+        core.handle(AnswerArrived(core.log_fetcher.fetch_number, 1, answer), now=seconds(now))
 
     def test_it_is_as_fresh_as_its_leaders_contact_counted_from_its_own_fetch(self) -> None:
         core = self.follower()
@@ -136,11 +136,13 @@
         self.assertThat(before, Equals(seconds(0.9)))
         core.handle(
             AnswerArrived(
-                core.fetch_number, 1, FetchAnswer("", 5, 1, 900, 801, checkpoint_offset=800, checkpoint_epoch=5)
+                core.log_fetcher.fetch_number,
+                1,
+                FetchAnswer("", 5, 1, 900, 801, checkpoint_offset=800, checkpoint_epoch=5),
             ),
             now=seconds(1.2),
         )
-        self.assertThat((core.fetching_snapshot is None, heard(core)), Equals((False, before)))
+        self.assertThat((core.snapshot_fetcher.checkpoint_id is None, heard(core)), Equals((False, before)))
         answer = FetchAnswer("", 5, 1, 1, 1, (), contact_age=seconds(0))
-        core.handle(AnswerArrived(core.fetch_number, 1, answer), now=seconds(2.0))
+        core.handle(AnswerArrived(core.log_fetcher.fetch_number, 1, answer), now=seconds(2.0))
         self.assertThat(heard(core), Equals(before))
--- a/tests/test_raft_voter_changes.py
+++ b/tests/test_raft_voter_changes.py
@@ -48,23 +48,23 @@
         """Of the four between founding and now two are gone, which once kept the rest from ever electing anyone."""
         core = started(*GROWN, committed=2)
         self.assertThat(core.voter_sets(), Equals([{**FOUNDERS, 4: "four", 5: "five"}]))
-        self.assertThat(core._majority({(1, "one"), (2, "two"), (5, "five")}), Equals(True))
-        self.assertThat(core._majority({(1, "one"), (2, "two"), (3, "another disk")}), Equals(False))
+        self.assertThat(core.is_majority({(1, "one"), (2, "two"), (5, "five")}), Equals(True))
+        self.assertThat(core.is_majority({(1, "one"), (2, "two"), (3, "another disk")}), Equals(False))
 
     def test_a_swap_known_to_be_committed_no_longer_asks_the_former_disk(self) -> None:
         core = started(pack_command(SwapVoter(2, "two", "two-again")), committed=1)
-        self.assertThat(core._majority({(1, "one"), (2, "two-again")}), Equals(True))
+        self.assertThat(core.is_majority({(1, "one"), (2, "two-again")}), Equals(True))
 
     def test_a_swap_not_known_to_be_committed_asks_both_sets(self) -> None:
         core = started(pack_command(SwapVoter(2, "two", "two-again")))
-        self.assertThat(core._majority({(1, "one"), (2, "two-again")}), Equals(False))
-        self.assertThat(core._majority({(1, "one"), (3, "three")}), Equals(True))
+        self.assertThat(core.is_majority({(1, "one"), (2, "two-again")}), Equals(False))
+        self.assertThat(core.is_majority({(1, "one"), (3, "three")}), Equals(True))
 
     def test_what_is_committed_is_kept_on_disk_and_never_taken_back(self) -> None:
         core = started(*GROWN, committed=2)
-        core._write()
+        core.persist()
         # This life's own high-watermark still begins at the checkpoint.
-        self.assertThat((core.high_watermark, core._out[-1].committed), Equals((0, 2)))
+        self.assertThat((core.high_watermark, core.commands[-1].committed), Equals((0, 2)))
         with tempfile.TemporaryDirectory() as folder:
             disk = Disk(folder=Path(folder), replica=1)
             disk.boot()
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -63,7 +63,7 @@
                 self.core.epoch,
                 last.offset + 1,
                 last.epoch,
-                self.core.round,
+                self.core.replication.round,
                 complete,
                 LEVEL,
             )
@@ -164,8 +164,8 @@
     def test_a_drop_too_needs_the_voters_of_old(self) -> None:
         bench = Growing({**TWO, 3: "three", 4: "four"}, wanted=4)
         bench.core.role = CANDIDATE
-        bench.core.pre_vote, bench.core.granted = False, {(1, "one"), (2, "two"), (3, "three")}
-        bench.core._count_votes()
+        bench.core.elections.pre_vote, bench.core.elections.granted = False, {(1, "one"), (2, "two"), (3, "three")}
+        bench.core.elections.count_votes()
         bench.feed(ProposalArrived(77, (pack_command(DropVoter(4, "four")),)))
         # Two of the three that are left, but only half of the four.
         bench.fetch_from(2)
@@ -194,13 +194,15 @@
             Record(1, 1, timedelta(seconds=1), claim(1)),
             Record(2, 1, timedelta(seconds=2), pack_command(AddVoter(4, "four"))),
         )
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 1, 1, records)))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 1, 1, records)))
         self.assertThat(bench.core.voter_sets()[-1], Contains(4))
         # The next leader never had it.
         bench.call(BeginEpochCall("m", 2, 3))
         bench.feed(
             AnswerArrived(
-                bench.core.fetch_number, 3, FetchAnswer("", 2, 3, 1, 1, diverging_offset=1, diverging_epoch=1)
+                bench.core.log_fetcher.fetch_number,
+                3,
+                FetchAnswer("", 2, 3, 1, 1, diverging_offset=1, diverging_epoch=1),
             )
         )
         self.assertThat((bench.core.last.offset, len(bench.core.voter_sets())), Equals((1, 1)))
@@ -209,20 +211,20 @@
         bench = Growing({**TWO, 3: "three"}, wanted=5)
         bench.call(BeginEpochCall("m", 1, 2))
         added = Record(1, 1, timedelta(seconds=1), pack_command(AddVoter(4, "four")))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 2, FetchAnswer("", 1, 2, 0, 1, (added,))))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 2, FetchAnswer("", 1, 2, 0, 1, (added,))))
         bench.feed(Ticked(), later=timedelta(seconds=2))
         self.assertThat(bench.core.role, Equals(CANDIDATE))
         # All three others are asked, the one that isn't committed yet too.
         self.assertThat(sorted(each.replica for each in bench.sent(VoteCall)), Equals([2, 3, 4]))
-        bench.core.granted = {(1, "one"), (4, "four")}
-        bench.core._count_votes()
-        self.assertThat(bench.core.pre_vote, Equals(True))
-        bench.core.granted = {(1, "one"), (2, "two")}
-        bench.core._count_votes()
-        self.assertThat(bench.core.pre_vote, Equals(True))
-        bench.core.granted = {(1, "one"), (2, "two"), (4, "four")}
-        bench.core._count_votes()
-        self.assertThat(bench.core.pre_vote, Equals(False))
+        bench.core.elections.granted = {(1, "one"), (4, "four")}
+        bench.core.elections.count_votes()
+        self.assertThat(bench.core.elections.pre_vote, Equals(True))
+        bench.core.elections.granted = {(1, "one"), (2, "two")}
+        bench.core.elections.count_votes()
+        self.assertThat(bench.core.elections.pre_vote, Equals(True))
+        bench.core.elections.granted = {(1, "one"), (2, "two"), (4, "four")}
+        bench.core.elections.count_votes()
+        self.assertThat(bench.core.elections.pre_vote, Equals(False))
 
     def test_a_replica_added_by_a_record_it_has_itself_votes(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
@@ -230,7 +232,7 @@
         self.assertThat(bench.core.is_voter(), Equals(False))
         bench.call(BeginEpochCall("m", 1, 1))
         added = Record(1, 1, timedelta(seconds=1), pack_command(AddVoter(4, "four")))
-        bench.feed(AnswerArrived(bench.core.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1, (added,))))
+        bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1, (added,))))
         self.assertThat(bench.core.is_voter(), Equals(True))
 
 
--- a/tests/test_statemachine_patches.py
+++ b/tests/test_statemachine_patches.py
@@ -344,7 +344,7 @@
     def holds(self, offset: int) -> None:
         """Another voter has synced the log up to there."""
         epoch = self.core.epoch_at(offset)
-        call = FetchCall("m", 2, VOTERS[2], self.core.epoch, offset + 1, epoch, self.core.round, True, 4)
+        call = FetchCall("m", 2, VOTERS[2], self.core.epoch, offset + 1, epoch, self.core.replication.round, True, 4)
         self.call(call)
 
     def answers(self, ticket: int) -> list[str]:
