--- a/packages/raft/src/hoistsaddle/raft/checkpoint.py
+++ b/packages/raft/src/hoistsaddle/raft/checkpoint.py
@@ -1,4 +1,7 @@
-"""The checkpoint file: a header, the packed state, and a footer by which a torn file is recognised."""
+"""The checkpoint file: a header, the packed state, and a footer by which a torn file is recognised.
+
+Its name holds the offset and the epoch, as KIP-630 names its snapshots.
+"""
 
 import hashlib
 import re
@@ -6,56 +9,61 @@
 
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import MeshError
+from hoistsaddle.raft.errors import CheckpointOfOtherRelease, CheckpointTorn
 from hoistsaddle.raft.events import OffsetAndEpoch
 from hoistsaddle.statemachine.state import State, pack_state, unpack_state
 
 MAGIC = b"HOISTSADDLE-CHECKPOINT-1\n"
-_mark = struct.Struct("!qq")
-_footer = struct.Struct("!Q32s")
+# The magic of every release but for the form's number and the line's end.
+MAGIC_FAMILY = MAGIC[:-2]
+# Offset and epoch.
+_id_form = struct.Struct("!qq")
+# Length of the body and its SHA-256.
+_footer_form = struct.Struct("!Q32s")
 _file_name = re.compile(r"^(\d{20})-(\d+)\.checkpoint$")
 
 
 def checkpoint_file_name(checkpoint_id: OffsetAndEpoch) -> str:
+    """The name of the checkpoint's file."""
     return f"{checkpoint_id.offset:020d}-{checkpoint_id.epoch}.checkpoint"
 
 
 def parse_checkpoint_file_name(name: str) -> OffsetAndEpoch | None:
+    """The checkpoint that a file of this name holds; None for any other file."""
     found = _file_name.match(name)
     return OffsetAndEpoch(int(found[1]), int(found[2])) if found else None
 
 
 def pack_checkpoint(*, checkpoint_id: OffsetAndEpoch, state: State) -> bytes:
-    body = MAGIC + _mark.pack(*checkpoint_id) + pack_state(state)
-    return body + _footer.pack(len(body), hashlib.sha256(body).digest())
+    """The content of a checkpoint's file."""
+    body = MAGIC + _id_form.pack(*checkpoint_id) + pack_state(state)
+    return body + _footer_form.pack(len(body), hashlib.sha256(body).digest())
 
 
 def unpack_checkpoint(*, checkpoint_id: OffsetAndEpoch, data: bytes) -> Result[State, MeshError]:
-    torn = Failure(
-        MeshError(
-            ErrorKind.CHECKPOINT_TORN,
-            f"{checkpoint_file_name(checkpoint_id)} fails its check.",
-            "It is set aside; an older one or the leader's is used.",
-        )
-    )
-    body, footer = data[: -_footer.size], data[-_footer.size :]
-    family = MAGIC[:-2]
-    if data.startswith(family) and not data.startswith(MAGIC):
-        # Not torn but written by another release; setting it aside would throw away what it holds.
-        return Failure(
-            MeshError(
-                ErrorKind.OTHER_RELEASE,
-                f"{checkpoint_file_name(checkpoint_id)} was written by another release.",
-                "Start the release that wrote it.",
-            )
-        )
-    if len(footer) < _footer.size or not body.startswith(MAGIC):
+    """The state in a checkpoint's file.
+
+    Args:
+        checkpoint_id: What the file's name says that it holds.
+        data: The file's content.
+
+    Returns:
+        CheckpointTorn for a file that fails its check, CheckpointOfOtherRelease for one in an unknown form.
+    """
+    file_name = checkpoint_file_name(checkpoint_id)
+    torn: Result[State, MeshError] = Failure(CheckpointTorn(file_name))
+    body, footer = data[: -_footer_form.size], data[-_footer_form.size :]
+    if data.startswith(MAGIC_FAMILY) and not data.startswith(MAGIC):
+        return Failure(CheckpointOfOtherRelease(file_name))
+    if len(footer) < _footer_form.size or not body.startswith(MAGIC):
         return torn
-    length, digest = _footer.unpack(footer)
+    length, digest = _footer_form.unpack(footer)
     # Length first, digest second: either alone would miss some torn file.
     if length != len(body) or hashlib.sha256(body).digest() != digest:
         return torn
-    place = len(MAGIC)
-    if OffsetAndEpoch(*_mark.unpack(body[place : place + _mark.size])) != checkpoint_id:
+    id_start = len(MAGIC)
+    state_start = id_start + _id_form.size
+    if OffsetAndEpoch(*_id_form.unpack(body[id_start:state_start])) != checkpoint_id:
         return torn
-    return Success(unpack_state(body[place + _mark.size :]))
+    return Success(unpack_state(body[state_start:]))
--- a/packages/raft/src/hoistsaddle/raft/disk.py
+++ b/packages/raft/src/hoistsaddle/raft/disk.py
@@ -1,56 +1,40 @@
-"""A replica's data folder: the log, epoch and vote in sqlite3, checkpoints as files. Used from the disk thread only.
+"""A replica's data folder: the log, epoch and vote in a database, checkpoints as files. Used from the disk thread only.
 
-Something lasts once it is synced: sqlite3 runs with full synchronisation, and a checkpoint is synced under a temporary
-name, renamed, and then its folder is synced. What every mix of kept and lost files boots into is enumerated by
-tests/test_disk_model.py; docs/design/control-under-faults/snapshots.md says why each step stands where it does.
+Something lasts once it is synced. What every mix of kept and lost files boots into is enumerated by
+tests/test_raft_disk_model.py; docs/design/control-under-faults/snapshots.md says why each step stands where it does.
 """
 
-import errno
 import secrets
 import sqlite3
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
-import msgspec
-from returns.result import Failure, Success
-
-from hoistsaddle.common.clock import from_microseconds, to_microseconds
-from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.raft.checkpoint import (
-    checkpoint_file_name,
-    pack_checkpoint,
-    parse_checkpoint_file_name,
-    unpack_checkpoint,
-)
-from hoistsaddle.raft.core import OFFSET_OUT_OF_RANGE, SNAPSHOT_NOT_FOUND
+from hoistsaddle.raft.checkpoint_folder import CheckpointFolder, Chunk
+from hoistsaddle.raft.errors import DataFolderUnusable, NotStarted
 from hoistsaddle.raft.events import Boot, OffsetAndEpoch, Write
-from hoistsaddle.raft.files import Files
+from hoistsaddle.raft.files import ASIDE, Files, set_aside
+from hoistsaddle.raft.log_database import DATABASE_NAME, LogDatabase
 from hoistsaddle.rpc.messages import Record
 from hoistsaddle.statemachine.state import State, initial_state
 
-# Damaged files are kept for whoever looks into them, but only so many: a small disk must not fill up with them.
-MOST_ASIDE = 8
-ASIDE = ".aside-"
-LEDGER = "ledger.sqlite3"
-# A checkpoint that is being written, and one that is being pulled from the leader.
-PART = ".part"
-PULLED = ".pulled"
 # The library's own pages in the write-ahead file before it moves them into the database.
 WRITE_AHEAD_PAGES = 1000
+INCARNATION_BYTES = 8
 
 
-def _holds(*, begin: OffsetAndEpoch, records: tuple[Record, ...], checkpoint_id: OffsetAndEpoch) -> bool:
+def _continues(*, begin: OffsetAndEpoch, records: tuple[Record, ...], checkpoint_id: OffsetAndEpoch) -> bool:
     """Whether the log goes on from the checkpoint: without a gap, and with its own record of that epoch in place."""
-    if any(record.offset != begin.offset + place for place, record in enumerate(records, start=1)):
+    if any(record.offset != begin.offset + distance for distance, record in enumerate(records, start=1)):
         return False
     if checkpoint_id.offset == begin.offset:
         return checkpoint_id.epoch == begin.epoch
-    place = checkpoint_id.offset - begin.offset - 1
-    return place < len(records) and records[place].epoch == checkpoint_id.epoch
+    index = checkpoint_id.offset - begin.offset - 1
+    return index < len(records) and records[index].epoch == checkpoint_id.epoch
 
 
 class Disk:
+    """The data folder of one replica."""
+
     def __init__(
         self,
         *,
@@ -61,274 +45,148 @@
         files: Files | None = None,
         write_ahead_pages: int = WRITE_AHEAD_PAGES,
     ) -> None:
+        """Names the folder; `boot` opens it.
+
+        Args:
+            folder: Where the data is, made if missing.
+            replica: The replica's number.
+            token: Makes a random name of so many bytes, for a new incarnation.
+            synchronous: sqlite3's setting; only simulators, which model lost writes themselves, run without syncs.
+            files: The calls by which the folder changes; a model of power losses passes its own.
+            write_ahead_pages: sqlite3's setting of the same meaning.
+        """
         self.folder = folder
         self.files = files or Files()
         self.write_ahead_pages = write_ahead_pages
         self.token = token
-        # Only the simulator, which models lost writes itself, runs without syncs.
         self.synchronous = synchronous
         self.replica = replica
-        self.checkpoints = folder / "checkpoints"
-        self.connection: sqlite3.Connection | None = None
+        # What was found damaged, in lines for operators.
         self.remarks: list[str] = []
+        self.checkpoints = CheckpointFolder(folder=folder / "checkpoints", files=self.files, remarks=self.remarks)
+        self.database: LogDatabase | None = None
+
+    def _opened(self) -> LogDatabase:
+        if self.database is None:
+            raise NotStarted("the data folder is not open")
+        return self.database
 
     # -- opening -----------------------------------------------------------------------------------------------------
 
     def boot(self) -> Boot:
-        """Reads everything back; what can't be trusted makes this a blank disk with a new incarnation."""
+        """Reads everything back; what can't be trusted makes this a blank disk with a new incarnation.
+
+        Raises:
+            DataFolderUnusable: The disk refuses at present; the votes on it may still be there.
+            DataOfOtherRelease: The folder belongs to another release.
+        """
         try:
-            if self.connection is None:
+            if self.database is None:
                 self._open()
             return self._read()
         except sqlite3.OperationalError as problem:
             # Full, locked or failing: the votes may still be there, so nothing is thrown away.
-            # The next try opens it anew, as what was opened may be half laid.
+            # The next attempt opens it anew, as what was opened may be half made.
             self.close()
-            raise OSError(errno.EIO, f"the ledger can't be used now: {problem}") from problem
+            raise DataFolderUnusable(problem) from problem
         except sqlite3.DatabaseError:
-            # A database that can't be read has lost its votes: lay the folder anew, under a new incarnation.
-            self.remarks.append("the ledger could not be read and was set aside")
+            # A database that can't be read has lost its votes: begin anew, under a new incarnation.
+            self.remarks.append("the log database could not be read and was set aside")
             self.close()
             # The database last: while it is there, the folder is as damaged as it was and this is done again.
-            for part in sorted(self.folder.glob(f"{LEDGER}*"), key=lambda each: each.name == LEDGER):
+            for part in sorted(self.folder.glob(f"{DATABASE_NAME}*"), key=lambda each: each.name == DATABASE_NAME):
                 if ASIDE not in part.name:
-                    self._set_aside(part)
+                    set_aside(self.files, part)
             self.files.sync_folder(self.folder)
             self._open()
             return self._read()
 
     def _open(self) -> None:
-        self.files.make_folder(self.checkpoints)
-        self._tidy()
-        self._connect(self.folder / LEDGER)
+        self.checkpoints.make()
+        self._connect(self.folder / DATABASE_NAME)
         self.files.sync_folder(self.folder)
 
-    def _tidy(self) -> None:
-        """Pieces that a former life left half-made name nothing; they would only take up room."""
-        for path in sorted(self.checkpoints.iterdir()):
-            if path.suffix in (PART, PULLED):
-                self.files.remove(path)
-
-    def _set_aside(self, path: Path) -> None:
-        """Moves what is damaged out of the way; the oldest of such files go first when there are too many."""
-        found = sorted(path.parent.glob(f"*{ASIDE}*"), key=lambda each: int(each.name.rpartition("-")[2]))
-        place = int(found[-1].name.rpartition("-")[2]) + 1 if found else 1
-        for old in found[: max(0, len(found) - MOST_ASIDE + 1)]:
-            self.files.remove(old)
-        self.files.rename(path, path.with_name(f"{path.name}{ASIDE}{place}"))
-
     def _connect(self, path: Path) -> None:
-        self.connection = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
-        self.connection.execute("PRAGMA journal_mode=WAL")
-        self.connection.execute(f"PRAGMA synchronous={self.synchronous}")
-        self.connection.execute(f"PRAGMA wal_autocheckpoint={self.write_ahead_pages}")
-        # Bounds the write-ahead file, so that the folder of a small disk doesn't grow.
-        self.connection.execute("PRAGMA journal_size_limit=4194304")
-        self.connection.execute(
-            "CREATE TABLE IF NOT EXISTS log (place INTEGER PRIMARY KEY, epoch INTEGER, stamp INTEGER, payload BLOB)"
-        )
-        self.connection.execute("CREATE TABLE IF NOT EXISTS facts (name TEXT PRIMARY KEY, value BLOB)")
-        if self._fact("incarnation") is None:
-            self._lay()
-
-    def _lay(self) -> None:
-        """Lays the folder anew: a blank disk under a new incarnation."""
-        # Checkpoints of a former life first: kept beside a new one, a newer mark of theirs would be taken at a later
-        # start for this life's state.
-        former = [path for path in sorted(self.checkpoints.iterdir()) if parse_checkpoint_file_name(path.name)]
-        for path in former:
-            self._set_aside(path)
-        if former:
-            self.files.sync_folder(self.checkpoints)
-        self.connection.execute("BEGIN")
-        self.connection.execute("DELETE FROM log")
-        self.connection.execute("DELETE FROM facts")
-        self._set_fact("incarnation", self.token(8))
-        self.connection.execute("COMMIT")
-
-    def _fact(self, name: str) -> Any:
-        row = self.connection.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
-        return None if row is None else msgspec.msgpack.decode(row[0])
+        self.database = LogDatabase.open(path, synchronous=self.synchronous, write_ahead_pages=self.write_ahead_pages)
+        if self.database.incarnation() is None:
+            self._begin_incarnation()
 
-    def _set_fact(self, name: str, value: object) -> None:
-        self.connection.execute("INSERT OR REPLACE INTO facts VALUES (?, ?)", (name, msgspec.msgpack.encode(value)))
+    def _begin_incarnation(self) -> None:
+        """Begins anew: a blank disk under a new incarnation."""
+        # Checkpoints of a former incarnation first: kept beside a new one, a newer one of theirs would be taken at a
+        # later start for this incarnation's state.
+        self.checkpoints.set_all_aside()
+        self._opened().reset(self.token(INCARNATION_BYTES))
 
     def _read(self) -> Boot:
-        mesh = self._fact("mesh") or ""
-        vote = self._fact("vote")
-        known = Boot(
-            replica=self.replica,
-            incarnation=self._fact("incarnation"),
-            epoch=self._fact("epoch") or 0,
-            vote=tuple(vote) if vote else None,
-            voters=tuple((replica, incarnation) for replica, incarnation in self._fact("voters") or ()),
-            mesh=mesh,
-            begin=OffsetAndEpoch(*(self._fact("begin") or (0, 0))),
-            catching=bool(self._fact("catching")),
-            committed=self._fact("committed") or 0,
-        )
+        database = self._opened()
+        facts = database.facts()
+        known = Boot(replica=self.replica, **facts._asdict())
         # A catch-up that was under way starts over; the votes are still on this disk, so it stays who it is.
-        if not mesh or known.catching:
+        if not known.mesh or known.catching:
             return known
-        records = tuple(
-            Record(offset, epoch, from_microseconds(stamp), payload)
-            for offset, epoch, stamp, payload in self.connection.execute("SELECT * FROM log ORDER BY place")
-        )
-        records = tuple(record for record in records if record.offset > known.begin.offset)
-        found = self._newest_checkpoint(least=known.begin.offset, mesh=mesh)
+        begin = known.begin
+        records = database.records(above=begin.offset)
+        found = self.checkpoints.newest(least=begin.offset, mesh=known.mesh)
         if found is None:
             # No checkpoint in range: the log counts as empty, and votes kept beside such damage can't be trusted.
             self.remarks.append(
-                "no checkpoint in range: the folder was laid anew and this replica rejoins as a blank disk"
+                "no checkpoint in range: the folder was begun anew and this replica rejoins as a blank disk"
             )
-            self._lay()
-            return Boot(replica=self.replica, incarnation=self._fact("incarnation"))
+            self._begin_incarnation()
+            return Boot(replica=self.replica, incarnation=database.facts().incarnation)
         checkpoint_id, state = found
-        begin = known.begin
-        if not _holds(begin=begin, records=records, checkpoint_id=checkpoint_id):
+        if not _continues(begin=begin, records=records, checkpoint_id=checkpoint_id):
             # The checkpoint was synced and the log up to it was not, or the log parts from what was agreed below it:
             # the committed state in the checkpoint stands, and nothing above it in such a log was ever agreed.
             records, begin = (), checkpoint_id
-            self._drop_log(checkpoint_id)
+            # At once: left to the next write, records above it would be found again above that write's own.
+            database.clear_log(checkpoint_id)
         return known._replace(begin=begin, records=records, checkpoint=checkpoint_id, state=state)
 
-    def _drop_log(self, begin: OffsetAndEpoch) -> None:
-        """At once: left to the next write, records above it would be found again above that write's own."""
-        self.connection.execute("BEGIN")
-        self.connection.execute("DELETE FROM log")
-        self._set_fact("begin", begin)
-        self.connection.execute("COMMIT")
+    def bootstrap(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> None:
+        """Begins a mesh: the first checkpoint, at offset and epoch zero, then the facts that make it count.
 
-    def _newest_checkpoint(self, *, least: int, mesh: str) -> tuple[OffsetAndEpoch, State] | None:
-        marks = sorted(
-            (
-                checkpoint_id
-                for path in self.checkpoints.iterdir()
-                if (checkpoint_id := parse_checkpoint_file_name(path.name))
-            ),
-            reverse=True,
-        )
-        for checkpoint_id in marks:
-            if checkpoint_id.offset < least:
-                break
-            path = self.checkpoints / checkpoint_file_name(checkpoint_id)
-            match unpack_checkpoint(checkpoint_id=checkpoint_id, data=path.read_bytes()):
-                case Success(state) if state.mesh == mesh:
-                    return checkpoint_id, state
-                case Success(state):
-                    self.remarks.append(f"{path.name} belongs to mesh {state.mesh} and was set aside")
-                    self._set_aside(path)
-                case Failure(error) if error.kind == ErrorKind.OTHER_RELEASE:
-                    raise OSError(errno.EPROTO, str(error))
-                case Failure(error):
-                    self.remarks.append(str(error))
-                    self._set_aside(path)
-        return None
-
-    def found(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> None:
-        """Founding: the first checkpoint, at offset and epoch zero, then the facts that make it count."""
-        self.store_checkpoint(
+        Args:
+            mesh: The mesh's name.
+            voters: The incarnation of each voter's disk, by replica.
+            operators: The key of each operator, by name.
+            level: The release level of the mesh.
+        """
+        self.checkpoints.store(
             checkpoint_id=OffsetAndEpoch(0, 0),
             state=initial_state(mesh=mesh, voters=voters, operators=operators, level=level),
         )
-        self.connection.execute("BEGIN")
-        self._set_fact("mesh", mesh)
-        self._set_fact("voters", sorted(voters.items()))
-        self.connection.execute("COMMIT")
+        self._opened().bootstrap(mesh=mesh, voters=voters)
 
     # -- writing -----------------------------------------------------------------------------------------------------
 
     def write(self, writes: list[Write]) -> None:
-        """One transaction, so one sync, for everything that was queued."""
-        try:
-            self.connection.execute("BEGIN")
-            for write in writes:
-                if write.clear:
-                    self.connection.execute("DELETE FROM log")
-                if write.truncate_from >= 0:
-                    self.connection.execute("DELETE FROM log WHERE place >= ?", (write.truncate_from,))
-                if write.records:
-                    rows = [
-                        (record.offset, record.epoch, to_microseconds(record.stamp), record.payload)
-                        for record in write.records
-                    ]
-                    self.connection.executemany("INSERT OR REPLACE INTO log VALUES (?, ?, ?, ?)", rows)
-            newest = writes[-1]
-            self.connection.execute("DELETE FROM log WHERE place <= ?", (newest.begin.offset,))
-            facts = {
-                "epoch": newest.epoch,
-                "vote": newest.vote,
-                "voters": newest.voters,
-                "mesh": newest.mesh,
-                "begin": newest.begin,
-                "catching": newest.catching,
-                "committed": newest.committed,
-            }
-            for name, value in facts.items():
-                self._set_fact(name, value)
-            self.connection.execute("COMMIT")
-        except sqlite3.Error:
-            if self.connection.in_transaction:
-                self.connection.execute("ROLLBACK")
-            raise
+        """Carries out everything that was queued, with one sync.
 
-    def _store(self, checkpoint_id: OffsetAndEpoch, data: bytes) -> None:
-        temporary = self.checkpoints / (checkpoint_file_name(checkpoint_id) + PART)
-        try:
-            self.files.write(temporary, data)
-            self.files.sync(temporary)
-        except OSError:
-            # On a full disk half a file would take the room that the log needs.
-            self.files.remove(temporary)
-            raise
-        self.files.rename(temporary, self.checkpoints / checkpoint_file_name(checkpoint_id))
-        self.files.sync_folder(self.checkpoints)
+        Raises:
+            sqlite3.Error: The disk refused; nothing of it is written.
+        """
+        self._opened().write(writes)
 
     def store_checkpoint(self, *, checkpoint_id: OffsetAndEpoch, state: State) -> int:
-        data = pack_checkpoint(checkpoint_id=checkpoint_id, state=state)
-        self._store(checkpoint_id, data)
-        return len(data)
+        """Stores a checkpoint so that it lasts; returns its size in bytes."""
+        return self.checkpoints.store(checkpoint_id=checkpoint_id, state=state)
 
     def store_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, data: bytes, last: bool) -> State | None:
-        """Puts a pulled piece in its place; after the last one the whole file is checked, synced and named."""
-        partial = self.checkpoints / (checkpoint_file_name(checkpoint_id) + PULLED)
-        if not position:
-            # A pull that was given up for a newer checkpoint leaves its pieces behind.
-            for path in sorted(self.checkpoints.glob(f"*{PULLED}")):
-                self.files.remove(path)
-        self.files.write(partial, data, position=position)
-        if not last:
-            return None
-        complete = partial.read_bytes()
-        self.files.remove(partial)
-        match unpack_checkpoint(checkpoint_id=checkpoint_id, data=complete):
-            case Success(state):
-                self._store(checkpoint_id, complete)
-                return state
-            case _:
-                return None
+        """Stores a fetched chunk; after the last one the state, if the whole file is sound."""
+        return self.checkpoints.store_chunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last)
 
-    def read_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, max_bytes: int) -> tuple[str, bytes, bool]:
-        path = self.checkpoints / checkpoint_file_name(checkpoint_id)
-        try:
-            size = path.stat().st_size
-            if not 0 <= position <= size:
-                return OFFSET_OUT_OF_RANGE, b"", False
-            with path.open("rb") as file:
-                file.seek(position)
-                data = file.read(max_bytes)
-        except FileNotFoundError:
-            return SNAPSHOT_NOT_FOUND, b"", False
-        return "", data, position + len(data) < size
+    def read_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, max_bytes: int) -> Chunk:
+        """At most so many bytes of a checkpoint's file, from the position on."""
+        return self.checkpoints.read_chunk(checkpoint_id=checkpoint_id, position=position, max_bytes=max_bytes)
 
     def drop_checkpoints(self, *, below: int, keep: tuple[OffsetAndEpoch, ...] = ()) -> None:
-        for path in sorted(self.checkpoints.iterdir()):
-            checkpoint_id = parse_checkpoint_file_name(path.name.removesuffix(PART).removesuffix(PULLED))
-            if checkpoint_id is not None and checkpoint_id.offset < below and checkpoint_id not in keep:
-                self.files.remove(path)
-        self.files.sync_folder(self.checkpoints)
+        """Removes the checkpoints below the offset, finished or not, except those to keep."""
+        self.checkpoints.drop(below=below, keep=keep)
 
     def close(self) -> None:
-        if self.connection is not None:
-            self.connection.close()
-            self.connection = None
+        """Closes the database; `boot` opens it again."""
+        if self.database is not None:
+            self.database.close()
+            self.database = None
--- a/packages/raft/src/hoistsaddle/raft/disk_jobs.py
+++ b/packages/raft/src/hoistsaddle/raft/disk_jobs.py
@@ -26,12 +26,15 @@
 )
 from hoistsaddle.rpc.messages import FetchSnapshotAnswer
 
+# A write that the disk refused is repeated after this time.
 DISK_RETRY = timedelta(milliseconds=200)
 # How long the end waits for the thread's last write: part of what the hand-over leaves of the grace.
 STOP_TIMEOUT = timedelta(seconds=1)
 
 
 class BootstrapMesh(NamedTuple):
+    """Job: begin a mesh on this disk."""
+
     mesh: str
     voters: dict[int, str]
     operators: dict[str, str]
@@ -39,18 +42,24 @@
 
 
 class MeshBootstrapped(NamedTuple):
-    """boot is None when the disk refused."""
+    """Report: what the disk holds since the mesh began; boot is None when the disk refused."""
 
     boot: Boot | None
 
 
 class ChunkRead(NamedTuple):
+    """Report: the answer to the call that asked for a chunk."""
+
     ticket: int
     answer: FetchSnapshotAnswer
 
 
 class DiskWorker(Protocol):
-    def put(self, job: tuple) -> None: ...
+    """Does a replica's disk jobs in order, beside the loop, and reports them."""
+
+    def put(self, job: tuple) -> None:
+        """Queues a job."""
+        ...
 
     def stop(self) -> bool:
         """Whether it has ended: only then may the disk be closed."""
@@ -58,70 +67,93 @@
 
 
 class DiskJobs:
+    """What each job does on the disk, and how it is reported."""
+
     def __init__(self, *, disk: Disk, counters: Counters) -> None:
+        """Takes an opened disk."""
         self.disk = disk
         self.counters = counters
 
     def do_next(self, jobs: deque) -> tuple | None:
-        """Does the first job and gives its report. A write that can't last raises and stays where it was."""
-        match jobs[0]:
-            case Write():
-                # Everything queued while the last sync ran goes into this one.
-                writes = []
-                for job in jobs:
-                    if not isinstance(job, Write):
-                        break
-                    writes.append(job)
-                began = time.monotonic()
-                self.disk.write(writes)
-                for _ in writes:
-                    jobs.popleft()
-                self.counters.add("disk.syncs")
-                self.counters.add("disk.records", sum(len(write.records) for write in writes))
-                self.counters.gauge("disk.sync_milliseconds", (time.monotonic() - began) * 1000)
-                return Synced(writes[-1].sequence)
-            case job:
-                jobs.popleft()
-                try:
-                    return self._do(job)
-                except (OSError, sqlite3.Error):
-                    self.counters.add("disk.mishaps")
-                    return self._report_error(job)
+        """Does the first job and returns its report, if it has one.
+
+        Raises:
+            OSError, sqlite3.Error: A write failed; it stays the first job, to be repeated.
+        """
+        if isinstance(jobs[0], Write):
+            return self._do_writes(jobs)
+        job = jobs.popleft()
+        try:
+            return self._do(job)
+        except (OSError, sqlite3.Error):
+            self.counters.add("disk.mishaps")
+            return self._report_failure(job)
+
+    def _do_writes(self, jobs: deque) -> Synced:
+        """Everything queued while the last sync ran goes into this one."""
+        writes = []
+        for job in jobs:
+            if not isinstance(job, Write):
+                break
+            writes.append(job)
+        began = time.monotonic()
+        self.disk.write(writes)
+        for _ in writes:
+            jobs.popleft()
+        self.counters.add("disk.syncs")
+        self.counters.add("disk.records", sum(len(write.records) for write in writes))
+        self._gauge_milliseconds("disk.sync_milliseconds", began)
+        return Synced(writes[-1].sequence)
 
     def _do(self, job: tuple) -> tuple | None:
-        began = time.monotonic()
         match job:
-            case Capture(checkpoint_id=checkpoint_id, state=state):
-                size = self.disk.store_checkpoint(checkpoint_id=checkpoint_id, state=state)
-                self.counters.add("checkpoint.generated")
-                self.counters.gauge("checkpoint.generate_milliseconds", (time.monotonic() - began) * 1000)
-                self.counters.gauge("checkpoint.size_bytes", size)
-                return CheckpointStored(checkpoint_id, size)
-            case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
-                state = self.disk.store_chunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last)
-                if not last:
-                    return None
-                self.counters.add("checkpoint.pulled")
-                self.counters.gauge("checkpoint.load_milliseconds", (time.monotonic() - began) * 1000)
-                return CheckpointLoaded(checkpoint_id, state)
-            case ReadChunk(ticket=ticket, epoch=epoch, call=call, max_bytes=max_bytes):
-                checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
-                error, data, continues = self.disk.read_chunk(
-                    checkpoint_id=checkpoint_id, position=call.position, max_bytes=max_bytes
-                )
-                self.counters.add("checkpoint.chunks_served")
-                return ChunkRead(
-                    ticket, FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
-                )
+            case Capture():
+                return self._capture(job)
+            case StoreChunk():
+                return self._store_chunk(job)
+            case ReadChunk():
+                return self._read_chunk(job)
             case BootstrapMesh(mesh=mesh, voters=voters, operators=operators, level=level):
-                self.disk.found(mesh=mesh, voters=voters, operators=operators, level=level)
+                self.disk.bootstrap(mesh=mesh, voters=voters, operators=operators, level=level)
                 return MeshBootstrapped(self.disk.boot())
             case DropCheckpoints(below=below, keep=keep):
                 self.disk.drop_checkpoints(below=below, keep=keep)
         return None
 
+    def _capture(self, job: Capture) -> CheckpointStored:
+        began = time.monotonic()
+        size = self.disk.store_checkpoint(checkpoint_id=job.checkpoint_id, state=job.state)
+        self.counters.add("checkpoint.generated")
+        self._gauge_milliseconds("checkpoint.generate_milliseconds", began)
+        self.counters.gauge("checkpoint.size_bytes", size)
+        return CheckpointStored(job.checkpoint_id, size)
+
+    def _store_chunk(self, job: StoreChunk) -> CheckpointLoaded | None:
+        began = time.monotonic()
+        state = self.disk.store_chunk(
+            checkpoint_id=job.checkpoint_id, position=job.position, data=job.data, last=job.last
+        )
+        if not job.last:
+            return None
+        self.counters.add("checkpoint.pulled")
+        self._gauge_milliseconds("checkpoint.load_milliseconds", began)
+        return CheckpointLoaded(job.checkpoint_id, state)
+
+    def _read_chunk(self, job: ReadChunk) -> ChunkRead:
+        call = job.call
+        checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
+        chunk = self.disk.read_chunk(checkpoint_id=checkpoint_id, position=call.position, max_bytes=job.max_bytes)
+        self.counters.add("checkpoint.chunks_served")
+        return ChunkRead(
+            job.ticket,
+            FetchSnapshotAnswer(chunk.error, job.epoch, *checkpoint_id, call.position, chunk.data, chunk.continues),
+        )
+
+    def _gauge_milliseconds(self, name: str, began: float) -> None:
+        self.counters.gauge(name, (time.monotonic() - began) * 1000)
+
     @staticmethod
-    def _report_error(job: tuple) -> tuple | None:
+    def _report_failure(job: tuple) -> tuple | None:
         match job:
             case Capture(checkpoint_id=checkpoint_id):
                 return CheckpointFailed(checkpoint_id)
@@ -136,6 +168,13 @@
     """The one thread beside the loop: disks stall, and the loop must not."""
 
     def __init__(self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters) -> None:
+        """Starts the thread.
+
+        Args:
+            disk: An opened disk; only the thread uses it from here on.
+            report: Takes the jobs' reports, on the thread.
+            counters: Counts syncs, checkpoints and failures.
+        """
         self.jobs = DiskJobs(disk=disk, counters=counters)
         self.report = report
         self.queue: queue.SimpleQueue = queue.SimpleQueue()
@@ -144,6 +183,7 @@
         self.thread.start()
 
     def put(self, job: tuple) -> None:
+        """Queues a job."""
         self.queue.put(job)
 
     def _run(self) -> None:
@@ -158,7 +198,7 @@
             try:
                 report = self.jobs.do_next(waiting)
             except (sqlite3.Error, OSError):
-                # A write is tried until it lasts: the core sees the wait and steps down if it must.
+                # A write is repeated until it lasts: the core sees the wait and steps down if it must.
                 self.jobs.counters.add("disk.mishaps")
                 if self.stopped.wait(DISK_RETRY.total_seconds()):
                     return
@@ -167,6 +207,7 @@
                 self.report(report)
 
     def stop(self) -> bool:
+        """Ends the thread after the jobs queued so far; false if it hangs in a call of the disk."""
         self.stopped.set()
         self.queue.put(None)
         self.thread.join(STOP_TIMEOUT.total_seconds())
--- /dev/null
+++ b/packages/raft/src/hoistsaddle/raft/log_database.py
@@ -0,0 +1,166 @@
+"""The log, epoch, vote and other facts of a replica, in one sqlite3 database that syncs every transaction.
+
+Tables and the names of facts are the form on disk: they stay as they are.
+"""
+
+import sqlite3
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+
+from hoistsaddle.common.clock import from_microseconds, to_microseconds
+from hoistsaddle.raft.events import OffsetAndEpoch, Write
+from hoistsaddle.rpc.messages import Record
+
+DATABASE_NAME = "ledger.sqlite3"
+# Bounds the write-ahead file, in bytes, so that the folder of a small disk doesn't grow.
+WRITE_AHEAD_BYTES = 4 * 1024 * 1024
+
+
+class Facts(NamedTuple):
+    """What the database says of its replica beside the log."""
+
+    incarnation: str
+    epoch: int
+    vote: tuple[int, str] | None
+    voters: tuple[tuple[int, str], ...]
+    mesh: str
+    begin: OffsetAndEpoch
+    catching: bool
+    committed: int
+
+
+class LogDatabase:
+    """An open database."""
+
+    def __init__(self, connection: sqlite3.Connection) -> None:
+        """Takes a connection over; `open` makes one."""
+        self.connection = connection
+
+    @classmethod
+    def open(cls, path: Path, *, synchronous: str, write_ahead_pages: int) -> "LogDatabase":
+        """Opens the database, and makes its tables where they are missing.
+
+        Args:
+            path: The database's file.
+            synchronous: sqlite3's setting; anything below FULL loses writes with the power.
+            write_ahead_pages: After so many pages the library moves the write-ahead file into the database.
+
+        Raises:
+            sqlite3.OperationalError: The disk is full, locked or failing.
+            sqlite3.DatabaseError: The file is damaged.
+        """
+        connection = sqlite3.connect(path, check_same_thread=False, isolation_level=None)
+        try:
+            connection.execute("PRAGMA journal_mode=WAL")
+            connection.execute(f"PRAGMA synchronous={synchronous}")
+            connection.execute(f"PRAGMA wal_autocheckpoint={write_ahead_pages}")
+            connection.execute(f"PRAGMA journal_size_limit={WRITE_AHEAD_BYTES}")
+            connection.execute(
+                "CREATE TABLE IF NOT EXISTS log (place INTEGER PRIMARY KEY, epoch INTEGER, stamp INTEGER, payload BLOB)"
+            )
+            connection.execute("CREATE TABLE IF NOT EXISTS facts (name TEXT PRIMARY KEY, value BLOB)")
+        except sqlite3.Error:
+            connection.close()
+            raise
+        return cls(connection)
+
+    def close(self) -> None:
+        """Closes the connection."""
+        self.connection.close()
+
+    # -- facts -------------------------------------------------------------------------------------------------------
+
+    def _fact(self, name: str) -> Any:
+        row = self.connection.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
+        return None if row is None else msgspec.msgpack.decode(row[0])
+
+    def _set_fact(self, name: str, value: object) -> None:
+        self.connection.execute("INSERT OR REPLACE INTO facts VALUES (?, ?)", (name, msgspec.msgpack.encode(value)))
+
+    def incarnation(self) -> str | None:
+        """The incarnation of this disk; None for a new database."""
+        return self._fact("incarnation")
+
+    def facts(self) -> Facts:
+        """All facts, with what a new replica knows for those that are not written yet."""
+        vote = self._fact("vote")
+        return Facts(
+            incarnation=self._fact("incarnation"),
+            epoch=self._fact("epoch") or 0,
+            vote=tuple(vote) if vote else None,
+            voters=tuple((replica, incarnation) for replica, incarnation in self._fact("voters") or ()),
+            mesh=self._fact("mesh") or "",
+            begin=OffsetAndEpoch(*(self._fact("begin") or (0, 0))),
+            catching=bool(self._fact("catching")),
+            committed=self._fact("committed") or 0,
+        )
+
+    def records(self, *, above: int) -> tuple[Record, ...]:
+        """The log's records above the offset, in order."""
+        return tuple(
+            Record(offset, epoch, from_microseconds(stamp), payload)
+            for offset, epoch, stamp, payload in self.connection.execute("SELECT * FROM log ORDER BY place")
+            if offset > above
+        )
+
+    # -- changes -----------------------------------------------------------------------------------------------------
+
+    def reset(self, incarnation: str) -> None:
+        """Forgets everything and begins a new incarnation."""
+        self.connection.execute("BEGIN")
+        self.connection.execute("DELETE FROM log")
+        self.connection.execute("DELETE FROM facts")
+        self._set_fact("incarnation", incarnation)
+        self.connection.execute("COMMIT")
+
+    def bootstrap(self, *, mesh: str, voters: dict[int, str]) -> None:
+        """Writes the mesh and its first voters."""
+        self.connection.execute("BEGIN")
+        self._set_fact("mesh", mesh)
+        self._set_fact("voters", sorted(voters.items()))
+        self.connection.execute("COMMIT")
+
+    def clear_log(self, begin: OffsetAndEpoch) -> None:
+        """Drops all records and begins the log at the position."""
+        self.connection.execute("BEGIN")
+        self.connection.execute("DELETE FROM log")
+        self._set_fact("begin", begin)
+        self.connection.execute("COMMIT")
+
+    def write(self, writes: list[Write]) -> None:
+        """Carries the writes out in one transaction, so with one sync.
+
+        Raises:
+            sqlite3.Error: The transaction failed; nothing of it is in the database.
+        """
+        try:
+            self.connection.execute("BEGIN")
+            for write in writes:
+                self._change_log(write)
+            newest = writes[-1]
+            self.connection.execute("DELETE FROM log WHERE place <= ?", (newest.begin.offset,))
+            self._set_fact("epoch", newest.epoch)
+            self._set_fact("vote", newest.vote)
+            self._set_fact("voters", newest.voters)
+            self._set_fact("mesh", newest.mesh)
+            self._set_fact("begin", newest.begin)
+            self._set_fact("catching", newest.catching)
+            self._set_fact("committed", newest.committed)
+            self.connection.execute("COMMIT")
+        except sqlite3.Error:
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
+            raise
+
+    def _change_log(self, write: Write) -> None:
+        if write.clear:
+            self.connection.execute("DELETE FROM log")
+        if write.truncate_from >= 0:
+            self.connection.execute("DELETE FROM log WHERE place >= ?", (write.truncate_from,))
+        if write.records:
+            rows = [
+                (record.offset, record.epoch, to_microseconds(record.stamp), record.payload) for record in write.records
+            ]
+            self.connection.executemany("INSERT OR REPLACE INTO log VALUES (?, ?, ?, ?)", rows)
--- a/packages/raft/src/hoistsaddle/raft/runner.py
+++ b/packages/raft/src/hoistsaddle/raft/runner.py
@@ -1,10 +1,11 @@
-"""Sockets, schedule and disk thread round one ledger core."""
+"""Runs one Raft core: its calls, its timer and its disk thread."""
 
 import asyncio
 import contextlib
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from datetime import timedelta
+from typing import Any
 
 from returns.result import Success
 
@@ -14,6 +15,7 @@
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.disk_jobs import BootstrapMesh, ChunkRead, DiskThread, DiskWorker, MeshBootstrapped
+from hoistsaddle.raft.errors import NotStarted
 from hoistsaddle.raft.events import (
     Announce,
     Answer,
@@ -43,9 +45,13 @@
 
 TICK = timedelta(milliseconds=15)
 CALL_TIMEOUT = timedelta(milliseconds=900)
+# The last messages get this long to leave before the process ends.
+FAREWELL_DELAY = milliseconds(100)
 
 
 class RaftRunner:
+    """Feeds a core with events and carries out its commands."""
+
     def __init__(
         self,
         *,
@@ -58,6 +64,18 @@
         level: int = LEVEL,
         wanted_voters: int = 0,
     ) -> None:
+        """Takes what the replica needs; `start` reads the disk and makes the core.
+
+        Args:
+            disk: The replica's data folder.
+            addresses: The address of each replica, by number.
+            timings: The core's time-outs, intervals and batch sizes.
+            counters: Counts calls and records events.
+            runtime: Clock, chance and connections.
+            make_worker: Makes the worker that does the disk's jobs.
+            level: The highest release level that the replica supports.
+            wanted_voters: How many voters the losses to be borne ask for; 0 where the bootstrap named them for good.
+        """
         self.wanted_voters = wanted_voters
         self.disk = disk
         self.addresses = addresses
@@ -66,19 +84,29 @@
         self.runtime = runtime
         self.make_worker = make_worker
         self.level = level
+        # None until the start.
+        self.core: RaftCore | None = None
+        self.worker: DiskWorker | None = None
+        # The newest write that lasts, and commands that wait for one, each with that write's number.
         self.synced = 0
         self.waiting: list[tuple[int, tuple]] = []
+        # What the core's answers go to, by ticket.
         self.answers: dict[int, asyncio.Future] = {}
         self.tickets = 0
         self.tasks: set[asyncio.Task] = set()
-        self.core: RaftCore | None = None
-        self.founding: asyncio.Future | None = None
+        # Set while a mesh is being bootstrapped on the disk.
+        self.bootstrapping: asyncio.Future | None = None
         self.ended = asyncio.Event()
-        self.worker: DiskWorker | None = None
-        self.loop: asyncio.AbstractEventLoop | None = None
+
+    # -- start and settings ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        self.loop = asyncio.get_running_loop()
+        """Reads the disk, makes the core and starts the timer.
+
+        Raises:
+            OSError: The disk refuses at present, or holds another release's data.
+        """
+        loop = asyncio.get_running_loop()
         began = time.monotonic()
         boot = self.disk.boot()
         self.counters.gauge("checkpoint.load_milliseconds", (time.monotonic() - began) * 1000)
@@ -87,7 +115,11 @@
         self.disk.remarks.clear()
         self.synced = 0
         self.core = self._core_of(boot)
-        self.worker = self.make_worker(disk=self.disk, report=self._report, counters=self.counters)
+        self.worker = self.make_worker(
+            disk=self.disk,
+            report=lambda event: loop.call_soon_threadsafe(self.feed, event),
+            counters=self.counters,
+        )
         self._spawn(self._ticks())
 
     def _core_of(self, boot: Boot) -> RaftCore:
@@ -101,9 +133,25 @@
             wanted_voters=self.wanted_voters,
         )
 
+    def started_core(self) -> RaftCore:
+        """The core.
+
+        Raises:
+            NotStarted: `start` has not made it yet.
+        """
+        if self.core is None:
+            raise NotStarted("the replica is not started")
+        return self.core
+
+    def _started_worker(self) -> DiskWorker:
+        if self.worker is None:
+            raise NotStarted("the replica is not started")
+        return self.worker
+
     def apply_settings(
         self, *, wanted_voters: int, replacement_timeout: timedelta, lag_wait: timedelta, seeds: tuple[int, ...]
     ) -> None:
+        """Takes up settings that changed while the replica runs; seeds are replicas to turn to beside those known."""
         self.wanted_voters = wanted_voters
         self.timings = self.timings._replace(replacement_timeout=replacement_timeout, lag_wait=lag_wait)
         if self.core is not None:
@@ -111,13 +159,17 @@
             self.core.timings = self.timings
             self.core.seeds = tuple(dict.fromkeys((*seeds, *self.core.seeds)))
 
-    async def found(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> bool:
-        """Called while nothing is founded: the core starts over from what founding wrote."""
-        # Until the disk thread is done, nothing the unfounded core does may be written over the founding.
-        self.founding = self.loop.create_future()
-        self.worker.put(BootstrapMesh(mesh, voters, operators, level))
-        boot = await self.founding
-        self.founding = None
+    async def bootstrap(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> bool:
+        """Begins a mesh where none is yet: the core starts over from what the disk then holds.
+
+        Returns:
+            Whether the disk took it.
+        """
+        # Until the disk thread is done, nothing that the present core does may be written over the bootstrap.
+        self.bootstrapping = asyncio.get_running_loop().create_future()
+        self._started_worker().put(BootstrapMesh(mesh, voters, operators, level))
+        boot = await self.bootstrapping
+        self.bootstrapping = None
         if boot is None:
             return False
         self.core = self._core_of(boot)
@@ -125,30 +177,30 @@
         self.waiting = []
         return True
 
-    def _spawn(self, work) -> None:
+    # -- events and commands -----------------------------------------------------------------------------------------
+
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _report(self, event: tuple) -> None:
-        self.loop.call_soon_threadsafe(self.feed, event)
-
     async def _ticks(self) -> None:
         while True:
             await asyncio.sleep(TICK.total_seconds())
             self.feed(Ticked())
 
     def feed(self, event: tuple) -> None:
-        if self.founding is not None:
+        """Hands the core an event, or a waiting call the disk's report on it, and carries out what follows."""
+        if self.bootstrapping is not None:
             if isinstance(event, MeshBootstrapped):
-                self.founding.set_result(event.boot)
+                self.bootstrapping.set_result(event.boot)
             return
         if isinstance(event, ChunkRead):
-            self._settle(event.ticket, event.answer)
+            self._resolve(event.ticket, event.answer)
             return
         if isinstance(event, Synced):
             self.synced = max(self.synced, event.sequence)
-        for command in self.core.handle(event, now=self.runtime.now()):
+        for command in self.started_core().handle(event, now=self.runtime.now()):
             self._carry_out(command)
         if isinstance(event, Synced):
             ready = [command for after, command in self.waiting if after <= self.synced]
@@ -163,17 +215,17 @@
             case Send():
                 self._spawn(self._call(command))
             case Answer(ticket=ticket, message=message):
-                self._settle(ticket, message)
+                self._resolve(ticket, message)
             case Write() | Capture() | StoreChunk() | DropCheckpoints() | ReadChunk():
-                self.worker.put(command)
+                self._started_worker().put(command)
             case ProposalResult(ticket=ticket) | ReadResult(ticket=ticket):
-                self._settle(ticket, command)
+                self._resolve(ticket, command)
             case Announce(kind=kind, detail=detail):
                 self.counters.record_event(kind, **detail)
             case Ended():
                 self.ended.set()
 
-    def _settle(self, ticket: int, message: tuple) -> None:
+    def _resolve(self, ticket: int, message: tuple) -> None:
         future = self.answers.pop(ticket, None)
         if future is not None and not future.done():
             future.set_result(message)
@@ -188,39 +240,44 @@
                 if result.failure().kind == ErrorKind.UNREACHABLE:
                     self.feed(CallRefused(send.replica))
 
-    async def ask(self, make: Callable[[int], tuple]) -> tuple:
-        """Feeds the event made for a fresh ticket and waits for what the core has to say to it."""
+    # -- requests to the core ----------------------------------------------------------------------------------------
+
+    async def _request(self, make_event: Callable[[int], tuple]) -> Any:
+        """Feeds the event made for a fresh ticket and waits for the core's answer to it."""
         self.tickets += 1
-        future = self.answers[self.tickets] = self.loop.create_future()
         ticket = self.tickets
-        self.feed(make(ticket))
+        future = self.answers[ticket] = asyncio.get_running_loop().create_future()
+        self.feed(make_event(ticket))
         try:
             return await future
         finally:
             self.answers.pop(ticket, None)
 
     async def call(self, message: tuple) -> tuple:
-        return await self.ask(lambda ticket: CallArrived(ticket, message))
+        """The core's answer to another replica's call."""
+        return await self._request(lambda ticket: CallArrived(ticket, message))
 
     async def propose(self, payloads: tuple[bytes, ...]) -> ProposalResult:
-        return await self.ask(lambda ticket: ProposalArrived(ticket, payloads))
+        """Appends the payloads to the log; returns once they are applied, or refused."""
+        return await self._request(lambda ticket: ProposalArrived(ticket, payloads))
 
     async def raise_level(self, level: int) -> ProposalResult:
-        return await self.ask(lambda ticket: RaiseArrived(ticket, level))
+        """Raises the release level of the log."""
+        return await self._request(lambda ticket: RaiseArrived(ticket, level))
 
     async def read(self) -> ReadResult:
-        return await self.ask(lambda ticket: ReadArrived(ticket))
+        """The newest state, confirmed by a majority."""
+        return await self._request(lambda ticket: ReadArrived(ticket))
 
     async def stop(self, *, within: timedelta = timedelta()) -> None:
-        """Ends the replica. Within the span it hands over what would hang on fewer disks without it."""
+        """Ends the replica. Within that time it hands over what would hang on fewer disks without it."""
         self.feed(StopRequested(within))
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.ended.wait(), within.total_seconds())
-        # The last words are on their way; they get a moment to leave, no more.
-        await asyncio.sleep(milliseconds(100).total_seconds())
+        await asyncio.sleep(FAREWELL_DELAY.total_seconds())
         for task in list(self.tasks):
             task.cancel()
-        if self.worker.stop():
+        if self._started_worker().stop():
             self.disk.close()
         else:
             # Closing would wait on this loop for the call that hangs in the thread.
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -218,7 +218,7 @@
             return BootstrapAnswer(error, core.mesh, core.incarnation)
         if call.voters.get(core.replica) != core.incarnation:
             return BootstrapAnswer(str(ErrorKind.WRONG_MESH), core.mesh, core.incarnation)
-        if not await self.runner.found(
+        if not await self.runner.bootstrap(
             mesh=call.mesh, voters=call.voters, operators=call.operators, level=min(call.level, core.level)
         ):
             return BootstrapAnswer(str(ErrorKind.DISK), "", core.incarnation)
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
@@ -73,7 +73,7 @@
 def _found(player: RecordedDisk) -> Writer:
     boot = player.do("boot")
     voters = {REPLICA: boot.incarnation, 2: "two", 3: "three"}
-    player.do("found", mesh=MESH, voters=voters, operators={})
+    player.do("bootstrap", mesh=MESH, voters=voters, operators={})
     return Writer(player=player, boot=player.do("boot"))
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -509,7 +509,7 @@
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as folder:
             store = Disk(folder=Path(folder), replica=1)
             store.boot()
-            store.found(mesh=MESH, voters={1: "a"}, operators={}, level=3)
+            store.bootstrap(mesh=MESH, voters={1: "a"}, operators={}, level=3)
             payloads = [pack_command(_claim(number)) for number in range(point)]
             before = sum(path.stat().st_size for path in Path(folder).iterdir())
             offsets = itertools.count(1)
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -220,7 +220,7 @@
 
 def _blank_disks_vote():
     """As if there were no incarnations: a wiped replica goes on voting and counting in its predecessor's place."""
-    plain_vote, plain_lay = Elections.vote_call, Disk._lay
+    plain_vote, plain_lay = Elections.vote_call, Disk._begin_incarnation
 
     def vote(self: Elections, ticket, call) -> None:
         self.core.mesh = self.core.mesh or call.mesh
@@ -233,7 +233,7 @@
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch.object(RaftCore, "is_voter", lambda self: True))
     patches.enter_context(mock.patch.object(Elections, "vote_call", vote))
-    patches.enter_context(mock.patch.object(Disk, "_lay", lay))
+    patches.enter_context(mock.patch.object(Disk, "_begin_incarnation", lay))
     return patches
 
 
--- a/tests/test_emulator_disks.py
+++ b/tests/test_emulator_disks.py
@@ -67,7 +67,7 @@
             with disks.watched():
                 disk = Disk(folder=folder, replica=1, synchronous="OFF")
                 disk.boot()
-                disk.found(mesh="m", voters={1: "a"}, operators={})
+                disk.bootstrap(mesh="m", voters={1: "a"}, operators={})
                 disks.syncs_until_power_loss = seed % 3
                 try:
                     disk.store_checkpoint(checkpoint_id=OffsetAndEpoch(5, 1), state=state._replace(offset=5, epoch=1))
--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -444,7 +444,7 @@
     def founded(self) -> Disk:
         disk = Disk(folder=self.folder, replica=1)
         boot = disk.boot()
-        disk.found(mesh="m", voters={1: boot.incarnation}, operators={})
+        disk.bootstrap(mesh="m", voters={1: boot.incarnation}, operators={})
         return disk
 
     def write(
@@ -551,13 +551,13 @@
                 position += len(data)
             self.assertThat(loaded, Equals(None if spoil else state))
             self.assertThat(
-                (other.checkpoints / checkpoint_file_name(OffsetAndEpoch(3, 4))).exists(), Equals(not spoil)
+                (other.checkpoints.folder / checkpoint_file_name(OffsetAndEpoch(3, 4))).exists(), Equals(not spoil)
             )
         self.assertThat(
             isinstance(
                 unpack_checkpoint(
                     checkpoint_id=OffsetAndEpoch(3, 4),
-                    data=(other.checkpoints / checkpoint_file_name(OffsetAndEpoch(3, 4))).read_bytes(),
+                    data=(other.checkpoints.folder / checkpoint_file_name(OffsetAndEpoch(3, 4))).read_bytes(),
                 ),
                 Success,
             ),
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -253,7 +253,7 @@
         disk = opened()
         disk.boot()
         if model.founded is not None:
-            disk.found(mesh=MESH, voters=dict(model.founded["voters"]), operators={}, level=LEVEL)
+            disk.bootstrap(mesh=MESH, voters=dict(model.founded["voters"]), operators={}, level=LEVEL)
         for job in done[model.incarnation]:
             match job:
                 case Write():
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, GreaterThan
 
-from hoistsaddle.raft import disk
+from hoistsaddle.raft import disk, files
 from hoistsaddle.raft.events import Boot, OffsetAndEpoch
 from hoistsaddle.raft.files import Files
 from hoistsaddle.testbed.diskmodel.check import Findings, RecordedDisk, check, folder_states_of, record
@@ -69,7 +69,7 @@
 
 def _drops_too_soon(player: RecordedDisk) -> None:
     boot = player.do("boot")
-    player.do("found", mesh="m", voters={1: boot.incarnation, 2: "two", 3: "three"}, operators={})
+    player.do("bootstrap", mesh="m", voters={1: boot.incarnation, 2: "two", 3: "three"}, operators={})
     writer = Writer(player=player, boot=player.do("boot"))
     writer.write(records(1, 6, epoch=1))
     writer.begin = OffsetAndEpoch(5, 1)
@@ -110,7 +110,7 @@
         def former_rule(*, begin, records, checkpoint_id) -> bool:
             return checkpoint_id.offset <= (records[-1].offset if records else begin.offset)
 
-        with mock.patch.object(disk, "_holds", former_rule):
+        with mock.patch.object(disk, "_continues", former_rule):
             findings = self.play(SCENARIOS["catching up"], max_broken=FEW)
         self.assertThat(self.found(findings), Contains("a log that parts from its checkpoint"))
 
@@ -190,14 +190,14 @@
         folder = self.folder() / "data"
         former = disk.Disk(folder=folder, replica=1)
         boot = former.boot()
-        former.found(mesh="m", voters={1: boot.incarnation}, operators={})
+        former.bootstrap(mesh="m", voters={1: boot.incarnation}, operators={})
         former.store_checkpoint(checkpoint_id=OffsetAndEpoch(50, 2), state=state_at(OffsetAndEpoch(50, 2)))
         former.close()
         for path in folder.glob("ledger.sqlite3*"):
             path.unlink()
         blank = disk.Disk(folder=folder, replica=1)
         boot = blank.boot()
-        blank.found(mesh="m", voters={1: boot.incarnation}, operators={})
+        blank.bootstrap(mesh="m", voters={1: boot.incarnation}, operators={})
         founded = blank.boot()
         blank.close()
         self.assertThat((founded.checkpoint, founded.incarnation), Equals((OffsetAndEpoch(0, 0), boot.incarnation)))
@@ -214,5 +214,5 @@
             again = disk.Disk(folder=folder, replica=1)
             again.boot()
             again.close()
-        self.assertThat(len(list(folder.glob("*.aside-*"))), Equals(disk.MOST_ASIDE))
+        self.assertThat(len(list(folder.glob("*.aside-*"))), Equals(files.MOST_ASIDE))
         self.assertThat(list((folder / "checkpoints").iterdir()), Equals([]))
--- a/tests/test_raft_voter_changes.py
+++ b/tests/test_raft_voter_changes.py
@@ -68,7 +68,7 @@
         with tempfile.TemporaryDirectory() as folder:
             disk = Disk(folder=Path(folder), replica=1)
             disk.boot()
-            disk.found(mesh="m", voters=FOUNDERS, operators={}, level=LEVEL)
+            disk.bootstrap(mesh="m", voters=FOUNDERS, operators={}, level=LEVEL)
             disk.write([Write(1, 4, None, (), "m", OffsetAndEpoch(0, 0), False, False, -1, (), 7)])
             disk.close()
             again = Disk(folder=Path(folder), replica=1)
