--- a/packages/raft/src/hoistsaddle/raft/applying.py
+++ b/packages/raft/src/hoistsaddle/raft/applying.py
@@ -7,7 +7,7 @@
 from hoistsaddle.raft.replica import LEADER
 from hoistsaddle.raft.voters import VoterChange
 from hoistsaddle.statemachine.apply import apply
-from hoistsaddle.statemachine.commands import AddVoter, DropVoter, Outcome, ReplaceVoter, SwapVoter
+from hoistsaddle.statemachine.commands import AddVoter, Outcome, RemoveVoter, ReplaceVoter, UpdateVoter
 from hoistsaddle.statemachine.state import State
 
 if TYPE_CHECKING:
@@ -63,24 +63,24 @@
         core = self.core
         if core.state.level != before.level:
             core.announce("release level raised", level=core.state.level)
-        if core.state.purged != before.purged:
+        if core.state.purge_offset != before.purge_offset:
             core.announce("gone forgotten", **outcome.detail)
         # Every replica sees the expiry; the leader alone announces it.
-        if core.state.swept != before.swept and core.role == LEADER:
+        if core.state.expired_at != before.expired_at and core.role == LEADER:
             for scope, hold in sorted(before.holds.items()):
                 if scope not in core.state.holds:
                     shown = scope[:SHOWN_SCOPE_CHARACTERS]
-                    core.announce("key expired", scope=shown, entry=hold.entry, was=hold.phase)
+                    core.announce("key expired", scope=shown, entry=hold.route, was=hold.phase)
 
     def _announce_voter_change(self, change: VoterChange) -> None:
         core = self.core
         voters = len(core.state.voters)
         match change:
-            case SwapVoter(replica=replica, old=old, new=new):
+            case UpdateVoter(replica=replica, old=old, new=new):
                 core.announce("voter swapped", voter=replica, old=old, new=new)
             case AddVoter(replica=replica):
                 core.announce("voter added", voter=replica, voters=voters)
-            case DropVoter(replica=replica):
+            case RemoveVoter(replica=replica):
                 core.announce("voter dropped", voter=replica, voters=voters)
             case ReplaceVoter(replica=replica, successor=successor):
                 core.announce("voter replaced", voter=replica, successor=successor)
--- a/packages/raft/src/hoistsaddle/raft/checkpoint.py
+++ b/packages/raft/src/hoistsaddle/raft/checkpoint.py
@@ -9,10 +9,11 @@
 
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import MeshError
-from hoistsaddle.raft.errors import CheckpointOfOtherRelease, CheckpointTorn
+from hoistsaddle.common.errors import MeshError, OtherRelease
+from hoistsaddle.raft.errors import CheckpointTorn
 from hoistsaddle.raft.events import OffsetAndEpoch
-from hoistsaddle.statemachine.state import State, pack_state, unpack_state
+from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
+from hoistsaddle.statemachine.state import State
 
 MAGIC = b"HOISTSADDLE-CHECKPOINT-1\n"
 # The magic of every release but for the form's number and the line's end.
@@ -21,6 +22,7 @@
 _id_form = struct.Struct("!qq")
 # Length of the body and its SHA-256.
 _footer_form = struct.Struct("!Q32s")
+START_WRITER = "Start the release that wrote it."
 _file_name = re.compile(r"^(\d{20})-(\d+)\.checkpoint$")
 
 
@@ -49,13 +51,14 @@
         data: The file's content.
 
     Returns:
-        CheckpointTorn for a file that fails its check, CheckpointOfOtherRelease for one in an unknown form.
+        CheckpointTorn for a file that fails its check, OtherRelease for one in an unknown form.
     """
     file_name = checkpoint_file_name(checkpoint_id)
-    torn: Result[State, MeshError] = Failure(CheckpointTorn(file_name))
+    torn: Result[State, MeshError] = Failure(CheckpointTorn(f"{file_name} fails its check."))
     body, footer = data[: -_footer_form.size], data[-_footer_form.size :]
     if data.startswith(MAGIC_FAMILY) and not data.startswith(MAGIC):
-        return Failure(CheckpointOfOtherRelease(file_name))
+        # Not torn; setting it aside would throw away what it holds.
+        return Failure(OtherRelease(f"{file_name} was written by another release.", remedy=START_WRITER))
     if len(footer) < _footer_form.size or not body.startswith(MAGIC):
         return torn
     length, digest = _footer_form.unpack(footer)
--- a/packages/raft/src/hoistsaddle/raft/core.py
+++ b/packages/raft/src/hoistsaddle/raft/core.py
@@ -55,7 +55,8 @@
     VoteAnswer,
     VoteCall,
 )
-from hoistsaddle.statemachine.commands import LEVEL, Tick, pack_command
+from hoistsaddle.statemachine.commands import LEVEL, Tick
+from hoistsaddle.statemachine.encoding import pack_command
 
 __all__ = [
     "CANDIDATE",
--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -8,7 +8,8 @@
 from hoistsaddle.raft.replica import CANDIDATE, FOLLOWER, LEADER, NOT_LEADER_FOR_PARTITION
 from hoistsaddle.raft.voters import ReplicaKey
 from hoistsaddle.rpc.messages import UNSET, BeginEpochCall, EndEpochCall, FetchAnswer, Heard, VoteAnswer, VoteCall
-from hoistsaddle.statemachine.commands import LeaderNote, pack_command
+from hoistsaddle.statemachine.commands import LeaderChange
+from hoistsaddle.statemachine.encoding import pack_command
 
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
@@ -275,7 +276,7 @@
         core.reads.pending = []
         core.replication.begin_leading()
         core.announce("leading", offset=core.replication.epoch_began)
-        core.append((core.replication.new_record(pack_command(LeaderNote(core.replica))),))
+        core.append((core.replication.new_record(pack_command(LeaderChange(core.replica))),))
         self.call_to_follow(everyone=True)
         core.replication.advance()
 
--- a/packages/raft/src/hoistsaddle/raft/errors.py
+++ b/packages/raft/src/hoistsaddle/raft/errors.py
@@ -2,37 +2,14 @@
 
 import errno
 
-from hoistsaddle.common.errors import ErrorKind, MeshError
+from hoistsaddle.common.errors import ErrorKind, MeshError, TypedError
 
 
-class CheckpointTorn(MeshError):
+class CheckpointTorn(TypedError):
     """A checkpoint file whose length, digest or name doesn't fit its content."""
 
-    __slots__ = ()
-
-    def __new__(cls, file_name: str) -> "CheckpointTorn":
-        """Names the file."""
-        return super().__new__(
-            cls,
-            ErrorKind.CHECKPOINT_TORN,
-            f"{file_name} fails its check.",
-            "It is set aside; an older one or the leader's is used.",
-        )
-
-
-class CheckpointOfOtherRelease(MeshError):
-    """A checkpoint file in a form that this release doesn't know; setting it aside would throw away what it holds."""
-
-    __slots__ = ()
-
-    def __new__(cls, file_name: str) -> "CheckpointOfOtherRelease":
-        """Names the file."""
-        return super().__new__(
-            cls,
-            ErrorKind.OTHER_RELEASE,
-            f"{file_name} was written by another release.",
-            "Start the release that wrote it.",
-        )
+    KIND = ErrorKind.CHECKPOINT_TORN
+    REMEDY = "It is set aside; an older one or the leader's is used."
 
 
 class DataFolderUnusable(OSError):
--- a/packages/raft/src/hoistsaddle/raft/replication.py
+++ b/packages/raft/src/hoistsaddle/raft/replication.py
@@ -10,7 +10,8 @@
 from hoistsaddle.raft.replica import LEADER, NOT_LEADER_FOR_PARTITION, RELEASE_OLD, WRONG_MESH
 from hoistsaddle.raft.voters import ReplicaKey
 from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNANSWERED, UNSET, FetchAnswer, FetchCall, Record
-from hoistsaddle.statemachine.commands import Outcome, RaiseLevel, pack_command
+from hoistsaddle.statemachine.commands import Outcome, RaiseLevel
+from hoistsaddle.statemachine.encoding import pack_command
 
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
@@ -95,7 +96,7 @@
         self.leader_since = core.now
         self.begin_epoch_sent_at = core.now
         # Mesh time goes on from the newest stamp in the log: it stood still while nobody led.
-        self.base_stamp = max(core.log[-1].stamp if core.log else ZERO, core.state.stamp)
+        self.base_stamp = max(core.log[-1].stamp if core.log else ZERO, core.state.mesh_time)
         self.epoch_began = core.last.offset + 1
 
     def has_committed(self) -> bool:
--- a/packages/raft/src/hoistsaddle/raft/voter_changes.py
+++ b/packages/raft/src/hoistsaddle/raft/voter_changes.py
@@ -11,11 +11,11 @@
 from hoistsaddle.statemachine.commands import (
     LEVEL_OF,
     AddVoter,
-    DropVoter,
+    RemoveVoter,
     ReplaceVoter,
-    SwapVoter,
-    pack_command,
+    UpdateVoter,
 )
+from hoistsaddle.statemachine.encoding import pack_command
 
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
@@ -53,7 +53,7 @@
                 continue
             former = progress_of.get((replica, old))
             if former is None or former.heard_at < progress.heard_at:
-                return SwapVoter(replica, old, incarnation)
+                return UpdateVoter(replica, old, incarnation)
         return None
 
     def _growth_or_replacement(self) -> VoterChange | None:
@@ -73,7 +73,7 @@
             successor, successor_incarnation = ready[0]
             return ReplaceVoter(replica, incarnation, successor, successor_incarnation)
         # Before that level: the new one joins next, once this is committed; never fewer than one below what is wanted.
-        return DropVoter(*lost[0]) if lost else None
+        return RemoveVoter(*lost[0]) if lost else None
 
     def _is_ready(self, key: ReplicaKey) -> bool:
         """Whether the replica holds what is committed, keeps up and stays."""
--- a/packages/raft/src/hoistsaddle/raft/voters.py
+++ b/packages/raft/src/hoistsaddle/raft/voters.py
@@ -2,12 +2,13 @@
 
 from typing import NamedTuple
 
-from hoistsaddle.statemachine.commands import AddVoter, DropVoter, ReplaceVoter, SwapVoter, unpack_command
+from hoistsaddle.statemachine.commands import AddVoter, RemoveVoter, ReplaceVoter, UpdateVoter
+from hoistsaddle.statemachine.encoding import unpack_command
 
 # A replica's number and the incarnation of its disk (KIP-853: ReplicaKey). Plain tuples, as maps of voters give them.
 ReplicaKey = tuple[int, str]
 
-VoterChange = SwapVoter | AddVoter | DropVoter | ReplaceVoter
+VoterChange = UpdateVoter | AddVoter | RemoveVoter | ReplaceVoter
 
 
 class LoggedVoterChange(NamedTuple):
@@ -29,11 +30,11 @@
 def apply_voter_change(voters: dict[int, str], change: VoterChange) -> dict[int, str]:
     """The set of voters after the change."""
     match change:
-        case SwapVoter(replica=replica, new=new):
+        case UpdateVoter(replica=replica, new=new):
             return {**voters, replica: new}
         case AddVoter(replica=replica, incarnation=incarnation):
             return {**voters, replica: incarnation}
-        case DropVoter(replica=replica):
+        case RemoveVoter(replica=replica):
             return _without(voters, replica)
         case ReplaceVoter(replica=replica, successor=successor, successor_incarnation=incarnation):
             return {**_without(voters, replica), successor: incarnation}
--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -58,7 +58,8 @@
     VoteAnswer,
     VoteCall,
 )
-from hoistsaddle.statemachine.commands import ClaimHold, RaiseLevel, pack_command
+from hoistsaddle.statemachine.commands import ClaimKey, RaiseLevel
+from hoistsaddle.statemachine.encoding import pack_command
 from hoistsaddle.statemachine.state import State, initial_state
 
 VOTERS = {1: "one", 2: "two", 3: "three"}
@@ -66,11 +67,11 @@
 
 
 def claim(number: int) -> bytes:
-    return pack_command(ClaimHold(f"scope-{number}", f"claim-{number}", "stall", "digest"))
+    return pack_command(ClaimKey(f"scope-{number}", f"claim-{number}", "stall", "digest"))
 
 
 class Bench:
-    """One core on a bench: its writes are synced at once, the rest is kept to be looked at."""
+    """One core without I/O: its writes are synced at once, every other command is recorded."""
 
     def __init__(self, *, replica: int = 1, boot: Boot | None = None) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={})
