--- a/packages/raft/src/hoistsaddle/raft/__init__.py
+++ b/packages/raft/src/hoistsaddle/raft/__init__.py
@@ -0,0 +1,1 @@
+"""The replicated log: elections, replication, changes of voters, snapshots, and its disk."""
--- a/packages/raft/src/hoistsaddle/raft/core.py
+++ b/packages/raft/src/hoistsaddle/raft/core.py
@@ -188,7 +188,7 @@
             return
         if self.elections.is_electable():
             # A pre-vote first: a replica that was merely cut off must not raise everyone's epoch.
-            self.elections.stand(pre_vote=True)
+            self.elections.campaign(pre_vote=True)
         else:
             self.leader = UNSET
             self.elections.postpone()
@@ -217,7 +217,7 @@
         self._log_time()
 
     def _step_down_for_disk(self) -> None:
-        """The disk doesn't write: others are to lead, and are told without waiting for it."""
+        """The disk doesn't write: others are to lead, and hear so without waiting for it."""
         self.announce("disk stalled", since=str(self.disk_delay()))
         for replica in self.others():
             self.number += 1
--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -147,12 +147,12 @@
         self.leader_heard_at = None
         if call.successor == core.replica and self.is_electable():
             core.announce("called to stand", by=call.leader)
-            self.stand(pre_vote=False, handed=True)
+            self.campaign(pre_vote=False, handed=True)
             return
         fraction = RESIGNED_FRACTION if call.successor == UNSET else SUCCESSOR_NAMED_FRACTION
         self.election_at = core.now + self.random_timeout() * fraction
 
-    # -- standing ----------------------------------------------------------------------------------------------------
+    # -- candidacy ---------------------------------------------------------------------------------------------------
 
     def is_electable(self) -> bool:
         """Whether this replica may stand."""
@@ -161,7 +161,7 @@
         stalled = core.disk_delay() > core.timings.disk_stall_timeout / ELECTABLE_STALL_DIVISOR
         return core.complete and core.is_voter() and not core.leaving.stopping and not stalled and not core.halted
 
-    def stand(self, *, pre_vote: bool, handed: bool = False) -> None:
+    def campaign(self, *, pre_vote: bool, handed: bool = False) -> None:
         """Asks all replicas for their votes, or for a pre-vote that raises nobody's epoch.
 
         Args:
@@ -266,7 +266,7 @@
         if not core.is_majority(self.granted):
             return
         if self.pre_vote:
-            self.stand(pre_vote=False)
+            self.campaign(pre_vote=False)
             return
         core.role = LEADER
         core.leader = core.replica
@@ -281,7 +281,7 @@
         core.replication.advance()
 
     def call_to_follow(self, *, everyone: bool) -> None:
-        """Leader: tells the others that it leads, those that fetch only if everyone is to be told."""
+        """Leader: tells the others that it leads, those that fetch only if everyone is to hear it."""
         core = self.core
         core.replication.begin_epoch_sent_at = core.now
         fetching = {
--- a/packages/raft/src/hoistsaddle/raft/replication.py
+++ b/packages/raft/src/hoistsaddle/raft/replication.py
@@ -72,7 +72,7 @@
         self.proposals: dict[int, PendingProposal] = {}
         self.ticket_of: dict[int, int] = {}
         self.leader_since = ZERO
-        # When the others were told last that this replica leads.
+        # When the others were notified last that this replica leads.
         self.begin_epoch_sent_at = ZERO
         # Mesh time when this leader's term began.
         self.base_stamp = ZERO
--- a/packages/raft/src/hoistsaddle/raft/snapshot_fetcher.py
+++ b/packages/raft/src/hoistsaddle/raft/snapshot_fetcher.py
@@ -69,7 +69,7 @@
         self._fetch_chunk()
 
     def abandon(self, why: str) -> None:
-        """Drops what was fetched so far, if anything; without a reason nobody is told."""
+        """Drops what was fetched so far, if anything; without a reason nothing is announced."""
         if self.checkpoint_id is not None and why:
             self.core.announce("catch-up restarts", mishap=why)
         self.checkpoint_id = None
