--- a/packages/rpc/src/hoistsaddle/rpc/connection.py
+++ b/packages/rpc/src/hoistsaddle/rpc/connection.py
@@ -19,7 +19,7 @@
 from hoistsaddle.rpc.frame_ages import Ages, CallAge
 from hoistsaddle.rpc.messages import Frame, PingAnswer, PingCall, pack, unpack_frame
 
-Handler = Callable[[tuple], Awaitable[tuple]]
+Handler = Callable[[tuple], Awaitable[tuple | None]]
 # A peer that is there takes a connection within milliseconds. Waiting longer spends a budget on one that isn't.
 CONNECT_TIMEOUT = timedelta(seconds=1)
 # Where packets wait for longer than that, a connection is still opened for those that call within this.
--- a/packages/store/src/hoistsaddle/store/__init__.py
+++ b/packages/store/src/hoistsaddle/store/__init__.py
@@ -0,0 +1,1 @@
+"""The store program: one replica of the log behind its mesh address."""
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -1,4 +1,4 @@
-"""The store: one ledger replica behind its mesh address."""
+"""The store: one replica of the log behind its mesh address."""
 
 import asyncio
 import errno
@@ -6,7 +6,6 @@
 from datetime import timedelta
 from pathlib import Path
 
-import msgspec
 from aiomisc import Service
 
 from hoistsaddle.common.backoff import ExponentialBackoff
@@ -19,7 +18,6 @@
 from hoistsaddle.raft.events import RaftTimings
 from hoistsaddle.raft.runner import RaftRunner
 from hoistsaddle.rpc.messages import (
-    UNSET,
     BeginEpochCall,
     BootstrapAnswer,
     BootstrapCall,
@@ -30,29 +28,29 @@
     RaiseLevelCall,
     ReadAnswer,
     ReadCall,
-    StatusAnswer,
     StatusCall,
     VoteCall,
     WriteAnswer,
     WriteCall,
 )
-from hoistsaddle.rpc.runtime import RealRuntime, Runtime
+from hoistsaddle.rpc.runtime import RealRuntime, Runtime, Serving
 from hoistsaddle.statemachine.commands import LEVEL
-from hoistsaddle.statemachine.data_plane import data_plane_items
-from hoistsaddle.statemachine.digests import digests_of
 from hoistsaddle.statemachine.encoding import pack_outcome
-from hoistsaddle.statemachine.reports import holds_report, items_report, operators_report, state_report
-from hoistsaddle.statemachine.state import State
+from hoistsaddle.store.state_parts import StateReader
+from hoistsaddle.store.status import status_of
 
-# Of the grace: closing the files and the doors needs the rest, on a slow processor too.
-HAND_OVER_SHARE = 0.5
-# Between two tries to start on a disk that refuses.
+# The part of the grace in which the replica hands over: closing files and listeners needs the rest, on a slow
+# processor too.
+HAND_OVER_FRACTION = 0.5
+# Errors of a disk that may pass: failing, or full.
 PASSING_ERRORS = (errno.EIO, errno.ENOSPC)
+# Between two attempts to start on a disk that refuses.
 START_PAUSE_LEAST = milliseconds(100)
 START_PAUSE_MOST = timedelta(seconds=1)
 
 
 def timings_of(settings: StoreSettings) -> RaftTimings:
+    """The replica's timings, as far as the settings name them."""
     return RaftTimings(
         checkpoint_records=settings.checkpoint_records,
         chunk_bytes=settings.chunk_bytes,
@@ -62,7 +60,7 @@
 
 
 class Store:
-    """One ledger replica and what it answers."""
+    """One replica of the log and what it answers."""
 
     def __init__(
         self,
@@ -75,6 +73,17 @@
         timings: RaftTimings | None = None,
         wanted_voters: int = 0,
     ) -> None:
+        """Takes what the replica needs; `start` reads the disk.
+
+        Args:
+            settings: The program's settings.
+            runtime: Clock, chance and connections.
+            disk: The replica's data folder.
+            make_worker: Makes the worker that does the disk's jobs.
+            addresses: The address of each replica, by number; those of the settings' core if not given.
+            timings: The replica's timings; those of the settings if not given.
+            wanted_voters: How many voters the losses to be borne ask for; 0 where the bootstrap named them for good.
+        """
         self.settings = settings
         self.runtime = runtime
         self.counters = Counters(owner=f"warehouse-{settings.replica}")
@@ -90,8 +99,9 @@
             level=settings.release_level or LEVEL,
             wanted_voters=wanted_voters,
         )
-        # Of the newest news, so that a read costs no digests while nothing changes.
-        self.expected_digests: tuple[int, tuple[int, ...]] = (UNSET, ())
+        self.reader = StateReader()
+        # None until the start.
+        self.server: Serving | None = None
 
     async def _start_runner(self) -> None:
         """Starts the replica once its disk can be read: one that is full lets go again, and the votes on it remain."""
@@ -111,111 +121,56 @@
                 await asyncio.sleep(pause.span.total_seconds())
 
     async def start(self) -> None:
+        """Starts the replica, and then listens at the mesh address."""
         await self._start_runner()
         self.server = await self.runtime.serve(self.settings.listen, self.answer)
+        core = self.runner.started_core()
         self.counters.record_event(
-            "store up",
-            replica=self.settings.replica,
-            incarnation=self.runner.core.incarnation,
-            mesh=self.runner.core.mesh,
+            "store up", replica=self.settings.replica, incarnation=core.incarnation, mesh=core.mesh
         )
 
     async def stop(self) -> None:
-        await self.runner.stop(within=timedelta(seconds=self.settings.grace_seconds * HAND_OVER_SHARE))
-        await self.server.stop()
+        """Hands over within a part of the grace, then closes everything."""
+        await self.runner.stop(within=timedelta(seconds=self.settings.grace_seconds * HAND_OVER_FRACTION))
+        if self.server is not None:
+            await self.server.stop()
         self.runtime.rpc_client.close()
 
     async def answer(self, message: tuple) -> tuple | None:
+        """The answer to another process's call; None for a call that this program doesn't take."""
         self.counters.add(f"calls.{type(message).__name__}")
         match message:
             case FetchCall() | FetchSnapshotCall() | VoteCall() | BeginEpochCall() | EndEpochCall():
                 return await self.runner.call(message)
             case WriteCall(payloads=payloads):
-                concluded = await self.runner.propose(payloads)
-                return WriteAnswer(
-                    concluded.error,
-                    concluded.leader,
-                    tuple(pack_outcome(outcome) for outcome in concluded.outcomes),
-                    concluded.offset,
-                )
-            case ReadCall(part=part, known_revision=known):
-                ready = await self.runner.read()
-                if ready.error:
-                    return ReadAnswer(ready.error, ready.leader)
-                return self._read(part, known, ready.leader, ready.state)
+                return await self._write(payloads)
+            case ReadCall(part=part, known_revision=known_revision):
+                return await self._read(part, known_revision)
             case RaiseLevelCall(level=level):
-                concluded = await self.runner.raise_level(level)
-                return RaiseLevelAnswer(concluded.error, "")
+                result = await self.runner.raise_level(level)
+                return RaiseLevelAnswer(result.error, "")
             case StatusCall(after=after):
-                return self._status(after)
+                return status_of(self.runner.started_core(), counters=self.counters, after=after)
             case BootstrapCall():
-                return await self._found(message)
+                return await self._bootstrap(message)
         return None
 
-    def _read(self, part: str, known: int, leader: int, state: State) -> ReadAnswer:
-        content = b""
-        digests: tuple[int, ...] = ()
-        if part == "news":
-            if self.expected_digests[0] != state.data_plane_revision:
-                self.expected_digests = (state.data_plane_revision, digests_of(data_plane_items(state)))
-            digests = self.expected_digests[1]
-        if part == "news" and state.data_plane_revision > known:
-            content = msgspec.msgpack.encode([state.mesh, data_plane_items(state)])
-        elif part == "setup":
-            content = msgspec.json.encode(state_report(state))
-        elif part == "operators":
-            content = msgspec.json.encode(dict(state.operators))
-        elif part == "changes":
-            content = msgspec.json.encode(operators_report(state))
-        elif part == "standing":
-            content = msgspec.json.encode(items_report(state))
-        elif part == "items":
-            content = msgspec.msgpack.encode(
-                [
-                    (*key.split(":", 1), entry.revision, entry.source)
-                    for key, entry in sorted(state.items.items())
-                    if not entry.dropped
-                ]
-            )
-        elif part == "holds":
-            content = msgspec.json.encode(holds_report(state))
-        return ReadAnswer("", leader, state.data_plane_revision, state.offset, content, digests, state.epoch)
-
-    def _status(self, after: int) -> StatusAnswer:
-        core = self.runner.core
-        self.counters.gauge("ledger.epoch", core.epoch)
-        self.counters.gauge("ledger.last_offset", core.last.offset)
-        self.counters.gauge("ledger.high_watermark", core.high_watermark)
-        self.counters.gauge("ledger.begin_offset", core.begin_offset)
-        self.counters.gauge("ledger.holds", len(core.state.holds))
-        # A vote that only an open change gives counts for nothing yet: with a majority gone it never may.
-        votes = core.is_voter() and core.state.voters.get(core.replica) == core.incarnation
-        role = core.role if votes else "observer"
-        if not core.complete:
-            role = "catching up" if core.mesh or core.snapshot_fetcher.checkpoint_id else "blank"
-        if core.halted:
-            role = "halted"
-        return StatusAnswer(
-            core.mesh,
-            core.replica,
-            core.incarnation,
-            core.epoch,
-            core.leader if core.leader is not None else UNSET,
-            role,
-            core.last.offset,
-            core.high_watermark,
-            core.begin_offset,
-            msgspec.json.encode(self.counters.read()),
-            msgspec.json.encode(self.counters.events(after=after)),
-            core.level,
-            core.halted,
-            core.now - core.unsynced[0][2] if core.unsynced else timedelta(),
-        )
+    async def _write(self, payloads: tuple[bytes, ...]) -> WriteAnswer:
+        result = await self.runner.propose(payloads)
+        outcomes = tuple(pack_outcome(outcome) for outcome in result.outcomes)
+        return WriteAnswer(result.error, result.leader, outcomes, result.offset)
+
+    async def _read(self, part: str, known_revision: int) -> ReadAnswer:
+        result = await self.runner.read()
+        if result.error or result.state is None:
+            return ReadAnswer(result.error, result.leader)
+        return self.reader.read(part, known_revision=known_revision, leader=result.leader, state=result.state)
 
-    async def _found(self, call: BootstrapCall) -> BootstrapAnswer:
-        core = self.runner.core
+    async def _bootstrap(self, call: BootstrapCall) -> BootstrapAnswer:
+        """Begins a mesh on a blank disk."""
+        core = self.runner.started_core()
         if core.mesh:
-            # The same founding repeated is no error; another one is.
+            # The same bootstrap repeated is no error; another one is.
             error = "" if core.mesh == call.mesh else str(ErrorKind.ALREADY_FOUNDED)
             return BootstrapAnswer(error, core.mesh, core.incarnation)
         if call.voters.get(core.replica) != core.incarnation:
@@ -229,11 +184,16 @@
 
 
 class StoreService(Service):
+    """The store as a program's service."""
+
     def __init__(self, *, settings: StoreSettings) -> None:
+        """Names the settings; `start` makes the store with real connections and a real disk."""
         super().__init__()
         self.store_settings = settings
+        self.node: Store | None = None
 
     async def start(self) -> None:
+        """Starts the store and reports that it runs."""
         settings = self.store_settings
         self.node = Store(
             settings=settings,
@@ -244,4 +204,6 @@
         self.start_event.set()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        await self.node.stop()
+        """Stops the store, if it was started."""
+        if self.node is not None:
+            await self.node.stop()
--- a/tests/test_store_start.py
+++ b/tests/test_store_start.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import errno
+from datetime import timedelta
 from types import SimpleNamespace
 
 from testtools import TestCase
@@ -9,6 +10,7 @@
 
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.store.service import Store
+from hoistsaddle.store.status import status_of
 from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 
@@ -66,9 +68,9 @@
             complete=True,
             halted="",
             level=4,
-            unsynced=[],
+            disk_delay=timedelta,
         )
-        return Store._status(SimpleNamespace(runner=SimpleNamespace(core=core), counters=Counters(owner="s")), 0).role
+        return status_of(core, counters=Counters(owner="s"), after=0).role
 
     def test_a_vote_that_only_an_open_change_gives_is_no_standing(self) -> None:
         self.assertThat(self.role(voters={1: "old", 2: "two", 3: "three"}), Equals("observer"))
