--- a/packages/membership/src/hoistsaddle/membership/member.py
+++ b/packages/membership/src/hoistsaddle/membership/member.py
@@ -123,7 +123,7 @@
 
     async def answer(self, message: tuple) -> tuple | None:
         match message:
-            case ProbeCall(asker=asker, member_states=member_states):
+            case ProbeCall(caller=asker, member_states=member_states):
                 # One just met hears of everybody; the others only what is new.
                 complete = not self.core.knows(asker) and self.core.retransmit_limit is not None
                 self.feed(GossipReceived(member_states))
--- a/packages/raft/src/hoistsaddle/raft/core.py
+++ b/packages/raft/src/hoistsaddle/raft/core.py
@@ -47,11 +47,11 @@
     UNSET,
     BeginEpochCall,
     EndEpochCall,
+    EpochAcknowledged,
     FetchAnswer,
     FetchCall,
     FetchSnapshotAnswer,
     FetchSnapshotCall,
-    Heard,
     VoteAnswer,
     VoteCall,
 )
@@ -164,8 +164,8 @@
                 self.snapshot_fetcher.chunk_answer(number, message)
             case VoteAnswer():
                 self.elections.vote_answer(message)
-            case Heard():
-                self.elections.heard(message)
+            case EpochAcknowledged():
+                self.elections.epoch_acknowledged(message)
 
     def _synced(self, sequence: int) -> None:
         while self.unsynced and self.unsynced[0].sequence <= sequence:
--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -7,7 +7,15 @@
 from hoistsaddle.raft.events import ProposalResult, ReadResult
 from hoistsaddle.raft.replica import CANDIDATE, FOLLOWER, LEADER, NOT_LEADER_FOR_PARTITION
 from hoistsaddle.raft.voters import ReplicaKey
-from hoistsaddle.rpc.messages import UNSET, BeginEpochCall, EndEpochCall, FetchAnswer, Heard, VoteAnswer, VoteCall
+from hoistsaddle.rpc.messages import (
+    UNSET,
+    BeginEpochCall,
+    EndEpochCall,
+    EpochAcknowledged,
+    FetchAnswer,
+    VoteAnswer,
+    VoteCall,
+)
 from hoistsaddle.statemachine.commands import LeaderChange
 from hoistsaddle.statemachine.encoding import pack_command
 
@@ -117,14 +125,14 @@
         # A leader of another mesh is no leader here; a blank disk takes the first that calls.
         if (not core.mesh or call.mesh == core.mesh) and call.epoch >= core.epoch and call.leader != core.replica:
             self.follow(call.epoch, call.leader)
-        core.answer(ticket, Heard(core.epoch))
+        core.answer(ticket, EpochAcknowledged(core.epoch))
 
     def end_epoch_call(self, ticket: int, call: EndEpochCall) -> None:
         """A leader says that it resigns."""
         self._leader_resigned(call)
-        self.core.answer(ticket, Heard(self.core.epoch))
+        self.core.answer(ticket, EpochAcknowledged(self.core.epoch))
 
-    def heard(self, answer: Heard) -> None:
+    def epoch_acknowledged(self, answer: EpochAcknowledged) -> None:
         """A replica's answer to the call of a leader."""
         # A higher epoch elsewhere means this leadership is over or can't reach that replica: stand again.
         if answer.epoch > self.core.epoch:
@@ -147,7 +155,7 @@
         self.leader_heard_at = None
         if call.successor == core.replica and self.is_electable():
             core.announce("called to stand", by=call.leader)
-            self.campaign(pre_vote=False, handed=True)
+            self.campaign(pre_vote=False, leadership_transfer=True)
             return
         fraction = RESIGNED_FRACTION if call.successor == UNSET else SUCCESSOR_NAMED_FRACTION
         self.election_at = core.now + self.random_timeout() * fraction
@@ -161,12 +169,12 @@
         stalled = core.disk_delay() > core.timings.disk_stall_timeout / ELECTABLE_STALL_DIVISOR
         return core.complete and core.is_voter() and not core.leaving.stopping and not stalled and not core.halted
 
-    def campaign(self, *, pre_vote: bool, handed: bool = False) -> None:
+    def campaign(self, *, pre_vote: bool, leadership_transfer: bool = False) -> None:
         """Asks all replicas for their votes, or for a pre-vote that raises nobody's epoch.
 
         Args:
             pre_vote: Whether the replicas only say how they would vote.
-            handed: Whether the leader named this replica for its place.
+            leadership_transfer: Whether the leader named this replica for its place.
         """
         core = self.core
         core.role = CANDIDATE
@@ -188,7 +196,7 @@
             position.epoch,
             pre_vote,
             core.level,
-            handed,
+            leadership_transfer,
         )
         for replica in core.others():
             core.send(replica, call)
@@ -238,7 +246,7 @@
         What KIP-996 and Raft's thesis call the leader's stickiness.
         """
         core = self.core
-        if call.handed:
+        if call.leadership_transfer:
             return False
         if core.role == LEADER:
             return True
--- a/packages/registry/src/hoistsaddle/registry/controller_api.py
+++ b/packages/registry/src/hoistsaddle/registry/controller_api.py
@@ -18,7 +18,7 @@
 from hoistsaddle.rpc.messages import ReadAnswer
 from hoistsaddle.rpc.runtime import RealRuntime
 
-KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
+KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 CONNECT_TIMEOUT = milliseconds(350)
 READ_TIMEOUT = timedelta(seconds=3)
 
@@ -89,7 +89,7 @@
 
     async def start(self) -> None:
         Path(self.controller_settings.data_folder).mkdir(parents=True, exist_ok=True)
-        runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
+        runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, local_calls=True)
         self.controller = Controller(settings=self.controller_settings, runtime=runtime)
         await self.controller.start()
         self.door = ControllerApi(controller=self.controller)
--- a/packages/registry/src/hoistsaddle/registry/service.py
+++ b/packages/registry/src/hoistsaddle/registry/service.py
@@ -19,7 +19,7 @@
 from hoistsaddle.registry.node_monitor import NodeMonitor
 from hoistsaddle.registry.operator_api import OperatorApi
 from hoistsaddle.registry.writer import NO_LEADER, Writer
-from hoistsaddle.rpc.connection import call_age
+from hoistsaddle.rpc.call_context import call_age
 from hoistsaddle.rpc.messages import (
     UNSET,
     AppliedVersion,
--- a/packages/rpc/src/hoistsaddle/rpc/__init__.py
+++ b/packages/rpc/src/hoistsaddle/rpc/__init__.py
@@ -0,0 +1,1 @@
+"""Connections and messages between the processes of a mesh."""
--- /dev/null
+++ b/packages/rpc/src/hoistsaddle/rpc/codec.py
@@ -0,0 +1,142 @@
+"""Messages to and from thrift's binary form, and the frame that carries one.
+
+mesh.thrift's structs have the names of the message classes and of their fields; only the numbers there are on the wire.
+"""
+
+import re
+from collections.abc import Callable
+from datetime import timedelta
+from functools import cache
+from pathlib import Path
+from typing import Any, NamedTuple, get_args, get_origin, get_type_hints
+
+import thriftpy2
+from thriftpy2.protocol import TCyBinaryProtocolFactory
+from thriftpy2.utils import deserialize, serialize
+
+from hoistsaddle.common.clock import from_microseconds, to_microseconds
+from hoistsaddle.rpc import messages
+
+mesh_thrift = thriftpy2.load(str(Path(__file__).with_name("mesh.thrift")), module_name="hoistsaddle_mesh_thrift")
+_protocol = TCyBinaryProtocolFactory()
+MICROSECONDS = 1e6
+
+Converter = Callable[[Any], Any]
+
+
+def _is_message(hint: Any) -> bool:
+    return isinstance(hint, type) and hasattr(hint, "_fields")
+
+
+# Every message and every record inside one, by the name of its class and of its struct.
+MESSAGES: dict[str, Any] = {name: value for name in messages.__all__ if _is_message(value := getattr(messages, name))}
+
+
+@cache
+def tag_of(kind: Any) -> str:
+    """The name of the union's field that holds messages of this class."""
+    return re.sub(r"(?<!^)(?=[A-Z])", "_", kind.__name__).lower()
+
+
+def _writer_of(hint: Any) -> Converter | None:
+    """Turns a field's value into its thrift form; None where the two are the same."""
+    if hint is timedelta:
+        return to_microseconds
+    if get_origin(hint) is tuple:
+        write = _writer_of(get_args(hint)[0])
+        return list if write is None else lambda values: [write(value) for value in values]
+    return to_thrift if _is_message(hint) else None
+
+
+def _reader_of(hint: Any) -> Converter | None:
+    """Turns a field's thrift form into its value; None where the two are the same."""
+    if hint is timedelta:
+        return from_microseconds
+    if get_origin(hint) is tuple:
+        read = _reader_of(get_args(hint)[0])
+        if read is None:
+            return lambda values: tuple(values or ())
+        return lambda values: tuple([read(value) for value in values or ()])
+    if get_origin(hint) is dict:
+        return lambda value: dict(value or {})
+    if hint is bytes:
+        return lambda value: value if isinstance(value, bytes) else (value or "").encode()
+    return from_thrift if _is_message(hint) else None
+
+
+class _Field(NamedTuple):
+    """One field of a message, with what turns it into thrift and back."""
+
+    name: str
+    write: Converter | None
+    read: Converter | None
+    has_default: bool
+
+
+@cache
+def _fields_of(kind: Any) -> tuple[_Field, ...]:
+    # Looking the hints up for each message was half of a busy controller's processor time: once a kind is enough.
+    hints = get_type_hints(kind)
+    return tuple(
+        _Field(name, _writer_of(hints[name]), _reader_of(hints[name]), name in kind._field_defaults)
+        for name in kind._fields
+    )
+
+
+def to_thrift(message: Any) -> object:
+    """The thrift struct of a message."""
+    kind: Any = type(message)
+    struct = getattr(mesh_thrift, kind.__name__)()
+    for field, value in zip(_fields_of(kind), message, strict=True):
+        setattr(struct, field.name, value if field.write is None else field.write(value))
+    return struct
+
+
+def from_thrift(struct: object) -> tuple:
+    """The message in a thrift struct."""
+    kind = MESSAGES[type(struct).__name__]
+    values = {}
+    for field in _fields_of(kind):
+        value = getattr(struct, field.name)
+        # A field an older sender doesn't know arrives unset and falls back to the tuple's default.
+        if value is None and field.has_default:
+            continue
+        values[field.name] = value if field.read is None else field.read(value)
+    return kind(**values)
+
+
+class Frame(NamedTuple):
+    """One message on a connection; number pairs an answer with its call."""
+
+    number: int
+    answer: bool
+    # None for one that only a newer release knows.
+    message: tuple | None
+    # Its sender's monotonic clock in seconds; 0 where it says nothing.
+    sent: float = 0.0
+
+
+def pack(*, number: int, answer: bool, message: tuple, sent: float = 0.0) -> bytes:
+    """The bytes of a frame, without the length before it.
+
+    Args:
+        number: Pairs an answer with its call.
+        answer: Whether it is one.
+        message: The message.
+        sent: The own monotonic clock in seconds; 0 to say nothing.
+    """
+    union = mesh_thrift.Message(**{tag_of(type(message)): to_thrift(message)})
+    sent_microseconds = round(sent * MICROSECONDS) or None
+    return serialize(mesh_thrift.Frame(number=number, answer=answer, message=union, sent=sent_microseconds), _protocol)
+
+
+def unpack_frame(data: bytes) -> Frame:
+    """The frame in these bytes."""
+    frame = deserialize(mesh_thrift.Frame(), data, _protocol)
+    message = next((from_thrift(value) for value in vars(frame.message).values() if value is not None), None)
+    return Frame(frame.number, bool(frame.answer), message, (frame.sent or 0) / MICROSECONDS)
+
+
+def unpack(data: bytes) -> tuple[int, bool, tuple | None]:
+    """Number, whether it is an answer, and the message."""
+    return unpack_frame(data)[:3]
--- a/packages/rpc/src/hoistsaddle/rpc/frame_ages.py
+++ b/packages/rpc/src/hoistsaddle/rpc/frame_ages.py
@@ -8,13 +8,13 @@
 
 from typing import NamedTuple
 
-# Seconds. A least difference counts in its own span and the next one that brings calls: drift of two clocks stays far
+# Seconds. A least difference counts in its own window and the next one that brings calls: drift of two clocks stays far
 # below a millisecond meanwhile, and a clock that was set back with its machine is believed again after two of them.
-OFFSET_SPAN = 5.0
+OFFSET_WINDOW = 5.0
 
 
 class CallAge(NamedTuple):
-    """Seconds since a call was written, as far as its line can know."""
+    """Seconds since a call was written, as far as its connection can know."""
 
     age: float = 0.0
     # The first frame of its connection has nothing to be compared with: it is as old as the connection at the most,
@@ -22,17 +22,28 @@
     first: bool = True
 
 
-class Ages:
+class FrameAges:
     """The ages of the frames of one connection, whose sender's clock is one."""
 
     def __init__(self, *, accepted: float) -> None:
+        """Begins with the connection.
+
+        Args:
+            accepted: When the connection was accepted, in seconds of the own monotonic clock.
+        """
         self.accepted = accepted
-        # When the present span began, and the least differences of it and of the span before.
+        # When the present window began, and the least differences of it and of the window before.
         self.began = 0.0
         self.least: float | None = None
-        self.before = 0.0
+        self.least_before = 0.0
 
     def age(self, *, sent: float, now: float) -> CallAge:
+        """The age of a frame that is read now.
+
+        Args:
+            sent: Its sender's monotonic clock in seconds; 0 where it says nothing.
+            now: The own monotonic clock in seconds.
+        """
         if not sent:
             # A former release's frame says nothing of its sender's clock.
             return CallAge(0.0, True)
@@ -40,9 +51,9 @@
         if self.least is None:
             # Nothing on a connection is older than the connection: that much of the difference may be age.
             age = now - self.accepted
-            self.began, self.least, self.before = now, difference - age, difference - age
+            self.began, self.least, self.least_before = now, difference - age, difference - age
             return CallAge(age, True)
-        if now - self.began >= OFFSET_SPAN:
-            self.began, self.before, self.least = now, self.least, difference
+        if now - self.began >= OFFSET_WINDOW:
+            self.began, self.least_before, self.least = now, self.least, difference
         self.least = min(self.least, difference)
-        return CallAge(difference - min(self.least, self.before), False)
+        return CallAge(difference - min(self.least, self.least_before), False)
--- a/packages/rpc/src/hoistsaddle/rpc/mesh.thrift
+++ b/packages/rpc/src/hoistsaddle/rpc/mesh.thrift
@@ -1,4 +1,5 @@
-// What hoistsaddle's processes say to each other. One union: its set field is the message's tag.
+// The messages between the processes of a mesh. One union: its set field is the tag of the message.
+// Only numbers and types stand on the wire: names may change, numbers never.
 // Times are microseconds. An offset of -1 means "not set".
 
 struct Record { 1: i64 offset, 2: i64 epoch, 3: i64 stamp, 4: binary payload }
@@ -7,39 +8,39 @@
 struct FetchAnswer { 1: string error, 2: i64 epoch, 3: i64 leader, 4: i64 high_watermark, 5: i64 begin_offset, 6: list<Record> records, 7: i64 diverging_offset, 8: i64 diverging_epoch, 9: i64 checkpoint_offset, 10: i64 checkpoint_epoch, 11: i64 next_offset, 12: i64 round, 13: i64 leave, 14: i64 contact_age }
 struct FetchSnapshotCall { 1: i64 replica, 2: i64 epoch, 3: i64 checkpoint_offset, 4: i64 checkpoint_epoch, 5: i64 position, 6: i64 max_bytes }
 struct FetchSnapshotAnswer { 1: string error, 2: i64 epoch, 3: i64 checkpoint_offset, 4: i64 checkpoint_epoch, 5: i64 position, 6: binary data, 7: bool continues }
-struct VoteCall { 1: string mesh, 2: i64 epoch, 3: i64 replica, 4: string incarnation, 5: i64 last_offset, 6: i64 last_epoch, 7: bool pre_vote, 8: i64 level, 9: bool handed }
+struct VoteCall { 1: string mesh, 2: i64 epoch, 3: i64 replica, 4: string incarnation, 5: i64 last_offset, 6: i64 last_epoch, 7: bool pre_vote, 8: i64 level, 9: bool leadership_transfer }
 struct VoteAnswer { 1: i64 epoch, 2: i64 replica, 3: string incarnation, 4: bool granted, 5: bool pre_vote, 6: i64 vote_epoch }
 struct BeginEpochCall { 1: string mesh, 2: i64 epoch, 3: i64 leader }
 struct EndEpochCall { 1: i64 epoch, 2: i64 leader, 3: i64 successor }
-struct Heard { 1: i64 epoch }
+struct EpochAcknowledged { 1: i64 epoch }
 
 struct BootstrapCall { 1: string mesh, 2: map<i64, string> voters, 3: map<string, string> operators, 4: i64 level }
 struct BootstrapAnswer { 1: string error, 2: string mesh, 3: string incarnation }
-struct StatusCall { 1: string asker, 2: i64 after }
+struct StatusCall { 1: string caller, 2: i64 after }
 struct StatusAnswer { 1: string mesh, 2: i64 replica, 3: string incarnation, 4: i64 epoch, 5: i64 leader, 6: string role, 7: i64 last_offset, 8: i64 high_watermark, 9: i64 begin_offset, 10: binary counters, 11: binary events, 12: i64 level, 13: string halted, 14: i64 unsynced }
 
 struct RaiseLevelCall { 1: i64 level }
 struct RaiseLevelAnswer { 1: string error, 2: string message }
 
-struct WriteCall { 1: string asker, 2: list<binary> payloads }
+struct WriteCall { 1: string caller, 2: list<binary> payloads }
 struct WriteAnswer { 1: string error, 2: i64 leader, 3: list<binary> outcomes, 4: i64 offset }
-struct ReadCall { 1: string asker, 2: string part, 3: i64 known_revision }
+struct ReadCall { 1: string caller, 2: string part, 3: i64 known_revision }
 struct ReadAnswer { 1: string error, 2: i64 leader, 3: i64 revision, 4: i64 offset, 5: binary content, 6: list<i64> digests, 7: i64 epoch }
 
 struct AppliedVersion { 1: string node, 2: i64 revision, 3: i64 bundle, 4: string refusal, 5: string incarnation, 6: i64 refused_bundle }
 struct ConfigurationItem { 1: string key, 2: i64 revision, 3: binary value }
 struct PollCall { 1: string node, 2: string incarnation, 3: string mesh, 4: i64 revision, 5: list<i64> digests, 6: list<AppliedVersion> applied_versions, 7: bool takes_changes, 8: bool takes_block }
 struct PollAnswer { 1: string error, 2: string mesh, 3: i64 revision, 4: i64 lease_age, 5: list<i64> ranges, 6: list<ConfigurationItem> items, 7: list<i64> expected_digests, 8: i64 epoch, 9: bool only_changes, 10: list<string> removed, 11: binary block }
-struct AppliedVersionsCall { 1: string asker }
+struct AppliedVersionsCall { 1: string caller }
 struct AppliedVersionsAnswer { 1: list<AppliedVersion> applied_versions, 2: i64 level }
 
 struct HealthCall { 1: string node, 2: string incarnation, 3: string address, 4: string zone, 5: string service_name, 6: string instance, 7: string server, 8: string state, 9: i64 serial, 10: i64 seen, 11: i64 level }
 struct HealthAnswer { 1: string error, 2: string state, 3: i64 serial }
 
 struct MemberState { 1: string node, 2: string kind, 3: string address, 4: string zone, 5: string incarnation, 6: i64 count, 7: string state }
-struct ProbeCall { 1: string asker, 2: list<MemberState> member_states }
+struct ProbeCall { 1: string caller, 2: list<MemberState> member_states }
 struct ProbeAnswer { 1: string node, 2: list<MemberState> member_states }
-struct IndirectProbeCall { 1: string asker, 2: string address }
+struct IndirectProbeCall { 1: string caller, 2: string address }
 struct IndirectProbeAnswer { 1: bool alive, 2: list<MemberState> member_states }
 
 struct BundleForwardCall { 1: string send, 2: string caller, 3: string client, 4: string service_name, 5: string target, 6: string instance, 7: i64 bundle, 8: string entry, 9: i64 budget, 10: string method, 11: string path, 12: map<string, string> headers, 13: binary body, 14: string hold, 15: i64 answer_bytes, 16: i64 ordinal }
@@ -48,18 +49,18 @@
 // A request under items, on its way to the proxy beside the server that is to run it. Headers are packed name, value pairs.
 struct ForwardCall { 1: string send, 2: string service_name, 3: string target, 4: string instance, 5: i64 budget, 6: i64 aim, 7: i64 rank, 8: string entry, 9: string method, 10: binary path, 11: binary headers, 12: binary body, 13: string caller, 14: string client_attempt_id, 15: i64 ordinal, 16: bool repeatable }
 struct ForwardAnswer { 1: string send, 2: string outcome, 3: string error, 4: i64 status, 5: binary headers, 6: binary body, 7: i64 load, 8: i64 room, 9: i64 took }
-// What became of an attempt whose connection broke: send is its id, life the life of the sidecar that it went to.
+// What became of an attempt whose connection broke: send is its id, life the incarnation of the sidecar that it went to.
 struct FollowCall { 1: string send, 2: string life, 3: i64 budget }
 struct AbandonCall { 1: string send }
 struct AbandonAnswer { 1: bool known }
 struct ClaimQueryCall { 1: string claim }
 struct ClaimQueryAnswer { 1: string standing, 2: i64 status, 3: binary headers, 4: binary body }
-struct PingCall { 1: string asker }
+struct PingCall { 1: string caller }
 struct PingAnswer { 1: string node }
 
 union Message {
   1: FetchCall fetch_call, 2: FetchAnswer fetch_answer, 3: FetchSnapshotCall fetch_snapshot_call, 4: FetchSnapshotAnswer fetch_snapshot_answer,
-  5: VoteCall vote_call, 6: VoteAnswer vote_answer, 7: BeginEpochCall begin_epoch_call, 8: EndEpochCall end_epoch_call, 9: Heard heard,
+  5: VoteCall vote_call, 6: VoteAnswer vote_answer, 7: BeginEpochCall begin_epoch_call, 8: EndEpochCall end_epoch_call, 9: EpochAcknowledged epoch_acknowledged,
   10: BootstrapCall bootstrap_call, 11: BootstrapAnswer bootstrap_answer, 12: StatusCall status_call, 13: StatusAnswer status_answer,
   14: WriteCall write_call, 15: WriteAnswer write_answer, 16: ReadCall read_call, 17: ReadAnswer read_answer,
   18: PollCall poll_call, 19: PollAnswer poll_answer, 20: AppliedVersionsCall applied_versions_call, 21: AppliedVersionsAnswer applied_versions_answer,
@@ -71,6 +72,6 @@
   38: FollowCall follow_call, 39: AbandonCall abandon_call, 40: AbandonAnswer abandon_answer
 }
 
-// One frame on a line: number pairs an answer with its call.
+// One frame on a connection: number pairs an answer with its call.
 // sent: the sender's monotonic clock as the frame was written, in microseconds; calls only.
 struct Frame { 1: i64 number, 2: bool answer, 3: Message message, 4: i64 sent }
--- a/packages/rpc/src/hoistsaddle/rpc/runtime.py
+++ b/packages/rpc/src/hoistsaddle/rpc/runtime.py
@@ -1,4 +1,4 @@
-"""What a node needs of the world: a clock, chance, names, lines. The simulator has another of the same shape."""
+"""What a node needs of the world: a clock, chance, names, connections. The simulator has another of the same shape."""
 
 import random
 import secrets
@@ -11,44 +11,77 @@
 
 from hoistsaddle.common.clock import monotonic_now
 from hoistsaddle.common.errors import MeshError
-from hoistsaddle.rpc.connection import CONNECT_TIMEOUT, ConnectionFaults, Handler, KeepAlive, RpcClient, RpcServer
+from hoistsaddle.rpc.client import CONNECT_TIMEOUT, RpcClient
+from hoistsaddle.rpc.connection import KeepAlive
+from hoistsaddle.rpc.connection_faults import ConnectionFaults
+from hoistsaddle.rpc.server import Handler, RpcServer
 
 
 class Calls(Protocol):
+    """Calls to other processes, as RpcClient makes them."""
+
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = ...
-    ) -> Result[tuple, MeshError]: ...
+    ) -> Result[tuple, MeshError]:
+        """Calls the process at the address."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes all connections."""
+        ...
 
 
 class Serving(Protocol):
-    async def stop(self) -> None: ...
+    """A listener, as RpcServer is one."""
+
+    async def stop(self) -> None:
+        """Stops listening."""
+        ...
 
 
 class Runtime(Protocol):
+    """Clock, chance, names and connections of one process."""
+
     random: random.Random
 
     @property
-    def rpc_client(self) -> Calls: ...
+    def rpc_client(self) -> Calls:
+        """Calls to other processes."""
+        ...
 
-    def now(self) -> timedelta: ...
+    def now(self) -> timedelta:
+        """The time of the process's monotonic clock."""
+        ...
 
-    def token(self, size: int) -> str: ...
+    def token(self, size: int) -> str:
+        """A random name of so many bytes, in hex."""
+        ...
 
-    async def serve(self, address: str, handler: Handler) -> Serving: ...
+    async def serve(self, address: str, handler: Handler) -> Serving:
+        """Listens at the address."""
+        ...
 
 
 class RealRuntime:
+    """The runtime of a real process."""
+
     def __init__(
         self,
         *,
         line_faults: str = "",
         keep_alive: KeepAlive | None = None,
         connect_timeout: timedelta = CONNECT_TIMEOUT,
-        home: bool = False,
+        local_calls: bool = False,
     ) -> None:
-        self.home = home
+        """Begins without connections.
+
+        Args:
+            line_faults: The file in which tests order cuts of connections; empty for none.
+            keep_alive: How connections with calls under way are checked.
+            connect_timeout: How long a call waits for a connection.
+            local_calls: Whether calls to an address that this process serves are calls of a function.
+        """
+        self.local_calls = local_calls
         self.random = random.Random()
         self.rpc_client = RpcClient(
             faults=ConnectionFaults(path=Path(line_faults)) if line_faults else None,
@@ -57,14 +90,17 @@
         )
 
     def now(self) -> timedelta:
+        """The time of the process's monotonic clock."""
         return monotonic_now()
 
     def token(self, size: int) -> str:
+        """A random name of so many bytes, in hex."""
         return secrets.token_hex(size)
 
     async def serve(self, address: str, handler: Handler) -> RpcServer:
+        """Listens at the address."""
         server = RpcServer(address=address, handler=handler, traffic=self.rpc_client.traffic)
         await server.start()
-        if self.home:
-            self.rpc_client.home[address] = handler
+        if self.local_calls:
+            self.rpc_client.local_handlers[address] = handler
         return server
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -15,7 +15,7 @@
 from hoistsaddle.membership.relay import select_parents
 from hoistsaddle.proxy.messages import Announce, ReportHealth, StopRequested, SubmitHold
 from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
-from hoistsaddle.rpc.connection import call_age
+from hoistsaddle.rpc.call_context import call_age
 from hoistsaddle.rpc.messages import (
     AbandonCall,
     ClaimQueryAnswer,
--- a/packages/sidecar/src/hoistsaddle/sidecar/service.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/service.py
@@ -18,7 +18,7 @@
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.sidecar.server_connections import ServerConnectionPool
 
-KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
+KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 CONNECT_TIMEOUT = milliseconds(350)
 # A stopping proxy ends once nobody has called its door for so long: the platform then sends its clients elsewhere.
 QUIET = milliseconds(500)
@@ -38,7 +38,7 @@
 
     async def start(self) -> None:
         settings = self.sidecar_settings
-        runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
+        runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, local_calls=True)
         self.server_connections = ServerConnectionPool(
             header_names=self.header_names, counters=Counters(owner=settings.name)
         )
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
@@ -7,7 +7,7 @@
 from returns.result import Failure
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.rpc.connection import CONNECT_TIMEOUT
+from hoistsaddle.rpc.client import CONNECT_TIMEOUT
 from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess
 from hoistsaddle.testbed.simulation.world import World
 
--- a/packages/testbed/src/hoistsaddle/testbed/scale/clock.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/clock.py
@@ -43,7 +43,7 @@
     """The daemons' runtime on the stretched clock, with chance and names that a seed settles."""
 
     def __init__(self, *, stretch: float, seed: str) -> None:
-        super().__init__(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, home=True)
+        super().__init__(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, local_calls=True)
         self.stretch = stretch
         self.random = random.Random(seed)
         self._names = random.Random(f"names {seed}")
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -25,6 +25,7 @@
 from hoistsaddle.proxy.messages import ConfigurationChanged
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import OffsetAndEpoch, Write
+from hoistsaddle.rpc.codec import pack, unpack
 from hoistsaddle.rpc.messages import (
     AppliedVersion,
     MemberState,
@@ -32,8 +33,6 @@
     ProbeCall,
     Record,
     WriteCall,
-    pack,
-    unpack,
 )
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardAnswered, ForwardArrived, RequestArrived, ServerAnswered
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
@@ -15,7 +15,7 @@
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.disk_jobs import DISK_RETRY, DiskJobs
-from hoistsaddle.rpc.connection import CONNECT_TIMEOUT, Handler
+from hoistsaddle.rpc.client import CONNECT_TIMEOUT
 from hoistsaddle.rpc.messages import (
     BeginEpochCall,
     BundleForwardCall,
@@ -24,6 +24,7 @@
     VoteCall,
     WriteCall,
 )
+from hoistsaddle.rpc.server import Handler
 from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess, SimulatedTimeLoop
 
 NO_CONNECTION = Failure(MeshError(ErrorKind.UNREACHABLE, "no connection", "simulated"))
--- a/tests/emulator_witness.py
+++ b/tests/emulator_witness.py
@@ -13,7 +13,8 @@
 from loguru import logger
 
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.rpc.messages import PollAnswer, pack
+from hoistsaddle.rpc.codec import pack
+from hoistsaddle.rpc.messages import PollAnswer
 from hoistsaddle.testbed.emulator.checkers import check
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.emulator import Emulator
--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -13,8 +13,10 @@
 from hoistsaddle.common.settings import SidecarSettings
 from hoistsaddle.config.items import ItemConfiguration, ServiceItem
 from hoistsaddle.proxy.messages import ConfigurationChanged
-from hoistsaddle.rpc.connection import KeepAlive, RpcClient, RpcServer
+from hoistsaddle.rpc.client import RpcClient
+from hoistsaddle.rpc.connection import KeepAlive
 from hoistsaddle.rpc.messages import WriteAnswer, WriteCall
+from hoistsaddle.rpc.server import RpcServer
 from hoistsaddle.sidecar.header_names import HeaderNames
 from hoistsaddle.sidecar.listener import IngressHandler, open_listener
 from hoistsaddle.sidecar.messages import HealthReported
@@ -28,7 +30,7 @@
 from stepped_clock import EventCounter, step
 
 HEADER_NAMES = HeaderNames()
-KEEP_ALIVE = KeepAlive(every=milliseconds(250), span=milliseconds(900))
+KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 CORE = "127.0.0.1:9"
 BUDGET = 3.0
 REPEATABLE = ("read",)
@@ -199,7 +201,7 @@
         self.random = random.Random(seed)
         self.life = life
         self.rpc_client = RpcClient(keep_alive=KEEP_ALIVE, connect_timeout=milliseconds(350))
-        self.rpc_client.home[CORE] = core
+        self.rpc_client.local_handlers[CORE] = core
 
     def now(self) -> timedelta:
         return timedelta(seconds=asyncio.get_running_loop().time())
--- a/tests/test_membership_polling.py
+++ b/tests/test_membership_polling.py
@@ -10,7 +10,7 @@
 
 from hoistsaddle.common.settings import SidecarSettings
 from hoistsaddle.proxy.node import MOST_LATE_POLLS
-from hoistsaddle.rpc.connection import silent_at
+from hoistsaddle.rpc.errors import no_response
 from hoistsaddle.rpc.messages import PollAnswer, PollCall
 from hoistsaddle.sidecar.node import SidecarNode
 
@@ -52,7 +52,7 @@
         start = self.starts.pop(0)
         self.timestamp += 0.3
         if start is None:
-            return Failure(silent_at(address))
+            return Failure(no_response(address))
         # The age counts from when the poll was sent.
         return Success(PollAnswer("", "m", 1, timedelta(seconds=self.timestamp - 0.3 - start)))
 
@@ -144,7 +144,7 @@
             spans.append(within)
             if within > node.poll_span:
                 await asyncio.Event().wait()
-            return Failure(silent_at(address))
+            return Failure(no_response(address))
 
         script.call = call
         node = SidecarNode(settings=PARAMS, runtime=script, serve=None)
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -19,8 +19,8 @@
 from hoistsaddle.proxy.messages import HoldAnswered, SubmitHold
 from hoistsaddle.registry.service import KEY_WRITE_TIMEOUT, Registry
 from hoistsaddle.registry.writer import MAX_BACKOFF, MAX_BATCHES_IN_FLIGHT, Writer
-from hoistsaddle.rpc import connection
-from hoistsaddle.rpc.connection import silent_at
+from hoistsaddle.rpc.call_context import set_call_age
+from hoistsaddle.rpc.errors import no_response
 from hoistsaddle.rpc.frame_ages import CallAge
 from hoistsaddle.rpc.messages import UNSET, WriteAnswer, WriteCall
 from hoistsaddle.sidecar.node import SidecarNode
@@ -49,7 +49,7 @@
         answer = self.rule(address, self.loop.time() - 1000.0)
         if answer is None:
             await asyncio.sleep(within.total_seconds())
-            return Failure(silent_at(address))
+            return Failure(no_response(address))
         await asyncio.sleep(0.001)
         if isinstance(answer, Success) and not answer.unwrap().error:
             told = pack_outcome(Outcome("", "", "", "", {"number": 1}))
@@ -278,7 +278,7 @@
         claim = pack_command(ClaimKey("scope", "claim", "stall", "digest"))
 
         async def scenario() -> WriteAnswer:
-            connection._call_age.set(CallAge(age, False))
+            set_call_age(CallAge(age, False))
             return await Registry._write_for_proxy(registry, (claim,))
 
         return asyncio.run(scenario()), spans
--- a/tests/test_rpc_connections.py
+++ b/tests/test_rpc_connections.py
@@ -15,12 +15,16 @@
 from testtools.matchers import Equals, IsInstance
 
 from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.rpc.connection import OUT, KeepAlive, RpcClient, RpcServer, Traffic, _Connection
-from hoistsaddle.rpc.messages import PingAnswer, PingCall, ProbeAnswer, ProbeCall, pack, unpack
+from hoistsaddle.rpc.client import RpcClient
+from hoistsaddle.rpc.codec import pack, unpack
+from hoistsaddle.rpc.connection import Connection, KeepAlive
+from hoistsaddle.rpc.framing import OUT, Traffic
+from hoistsaddle.rpc.messages import PingAnswer, PingCall, ProbeAnswer, ProbeCall
 from hoistsaddle.rpc.runtime import RealRuntime
+from hoistsaddle.rpc.server import RpcServer
 from stepped_clock import EventCounter, run_stepped, step
 
-KEEP_ALIVE = KeepAlive(every=timedelta(seconds=1), span=timedelta(seconds=3))
+KEEP_ALIVE = KeepAlive(interval=timedelta(seconds=1), timeout=timedelta(seconds=3))
 CALL = ProbeCall("asker", ())
 ANSWER = ProbeAnswer("answerer", ())
 
@@ -259,7 +263,7 @@
                 return ANSWER if message == CALL else None
 
             # Nobody listens there.
-            rpc_client.home["127.0.0.1:1"] = handler
+            rpc_client.local_handlers["127.0.0.1:1"] = handler
             told = await rpc_client.call("127.0.0.1:1", CALL, within=timedelta(seconds=1))
             self.assertThat(told, Equals(Success(ANSWER)))
             self.assertThat(rpc_client._connections, Equals({}))
@@ -281,7 +285,7 @@
                 done.count_event()
                 return ANSWER
 
-            rpc_client.home["home"] = handler
+            rpc_client.local_handlers["home"] = handler
             call = asyncio.ensure_future(rpc_client.call("home", CALL, within=timedelta(seconds=2)))
             await began.reach(1)
             await step(1)
@@ -303,7 +307,7 @@
                 called.append(message)
                 return ANSWER
 
-            rpc_client.home["home"] = handler
+            rpc_client.local_handlers["home"] = handler
             told = await rpc_client.call("home", CALL, within=timedelta(seconds=1), still=lambda: False)
             self.assertThat((told.failure().kind, called), Equals((ErrorKind.UNREACHABLE, [])))
 
@@ -315,9 +319,9 @@
 
         async def work() -> None:
             for home in (True, False):
-                runtime = RealRuntime(home=home)
+                runtime = RealRuntime(local_calls=home)
                 server = await runtime.serve("127.0.0.1:0", handler)
-                self.assertThat("127.0.0.1:0" in runtime.rpc_client.home, Equals(home))
+                self.assertThat("127.0.0.1:0" in runtime.rpc_client.local_handlers, Equals(home))
                 await server.stop()
 
         run_stepped(work())
@@ -339,10 +343,10 @@
         )
 
         async def work() -> list[bool]:
-            line = _Connection(reader=asyncio.StreamReader(), writer=writer, traffic=Traffic(), keep_alive=KEEP_ALIVE)
+            line = Connection(reader=asyncio.StreamReader(), writer=writer, traffic=Traffic(), keep_alive=KEEP_ALIVE)
             line.pending[1] = asyncio.get_running_loop().create_future()
             line.write(number=1, message=CALL)
-            line.feel()
+            line.start_checks()
             closed = []
             for second in range(12):
                 # They go on for eight seconds, which is far more than the span, and then no more.
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -10,7 +10,7 @@
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.proxy.messages import NOT_RUN
 from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
-from hoistsaddle.rpc.frame_ages import OFFSET_SPAN, Ages, CallAge
+from hoistsaddle.rpc.frame_ages import OFFSET_WINDOW, CallAge, FrameAges
 from hoistsaddle.sidecar.messages import ForwardArrived, ForwardRequest, RequestArrived, RunOnServer
 from sidecar_bench import SidecarBench
 
@@ -19,7 +19,7 @@
     return timedelta(seconds=amount)
 
 
-class FrameAges(TestCase):
+class AgesOfFrames(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.connect(1)
@@ -27,7 +27,7 @@
         self.offset = 5000.0
 
     def connect(self, timestamp: float) -> None:
-        self.ages = Ages(accepted=timestamp)
+        self.ages = FrameAges(accepted=timestamp)
 
     def age(self, *, sent: float, way: float) -> float:
         return round(self.ages.age(sent=sent + self.offset, now=sent + way).age, 6)
@@ -56,7 +56,7 @@
         self.offset -= 30
         ages = [self.age(sent=10 + each, way=0.01) for each in range(12)]
         self.assertThat((ages[0], ages[-1]), Equals((30.0, 0.0)))
-        self.assertThat(sum(each > 0 for each in ages) <= OFFSET_SPAN + 1, Equals(True), str(ages))
+        self.assertThat(sum(each > 0 for each in ages) <= OFFSET_WINDOW + 1, Equals(True), str(ages))
 
     def test_no_age_is_ever_more_than_its_true_one_with_steady_clocks(self) -> None:
         """Whatever the ways are like: a call counts as younger than it is, never as older, but for the first."""
--- a/tests/test_rpc_messages.py
+++ b/tests/test_rpc_messages.py
@@ -7,7 +7,8 @@
 from thriftpy2.protocol import TCyBinaryProtocolFactory
 from thriftpy2.utils import serialize
 
-from hoistsaddle.rpc.messages import MESSAGES, BundleForwardCall, FetchAnswer, Record, mesh_thrift, pack, tag_of, unpack
+from hoistsaddle.rpc.codec import MESSAGES, mesh_thrift, pack, tag_of, unpack
+from hoistsaddle.rpc.messages import BundleForwardCall, FetchAnswer, Record
 
 
 class ThriftMessages(TestCase):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,8 +16,9 @@
 from testtools.matchers import Contains, Equals
 
 from hoistsaddle.cli.fleet_commands import fleet
-from hoistsaddle.rpc.connection import RpcClient, RpcServer
+from hoistsaddle.rpc.client import RpcClient
 from hoistsaddle.rpc.messages import ProbeAnswer, ProbeCall
+from hoistsaddle.rpc.server import RpcServer
 from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
 from hoistsaddle.testbed.scale.clock import make_loop
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -12,7 +12,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from hoistsaddle.rpc.messages import MESSAGES, mesh_thrift, pack, unpack_frame
+from hoistsaddle.rpc.codec import MESSAGES, mesh_thrift, pack, unpack_frame
 
 RECORDED = Path(__file__).parent / "fixtures" / "wire-9c419a2" / "frames.txt"
 SENT_SECONDS = 1.5
