--- a/packages/membership/src/hoistsaddle/membership/member.py
+++ b/packages/membership/src/hoistsaddle/membership/member.py
@@ -145,7 +145,7 @@
     async def answer(self, message: tuple) -> ProbeAnswer | IndirectProbeAnswer | None:
         """The answer to another member's call; None if it is no call of the membership."""
         match message:
-            case ProbeCall(asker=asker, member_states=member_states):
+            case ProbeCall(caller=asker, member_states=member_states):
                 # A member just met is told of everybody, the others only what is new.
                 complete = not self.core.knows(asker) and self.core.retransmit_limit is not None
                 self._handle(GossipReceived(member_states))
--- a/packages/registry/src/hoistsaddle/registry/local_registry.py
+++ b/packages/registry/src/hoistsaddle/registry/local_registry.py
@@ -68,7 +68,7 @@
         core = self.store.runner.core
         if core is None or not core.complete or core.halted:
             return None
-        return core.newest
+        return core.reads.current_as_of
 
     async def _follow_configuration(self) -> None:
         while True:
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -19,7 +19,7 @@
 from hoistsaddle.registry.node_monitor import NodeMonitor
 from hoistsaddle.registry.peers import PeerRegistries
 from hoistsaddle.registry.writer import NO_LEADER, Writer
-from hoistsaddle.rpc.connection import call_age
+from hoistsaddle.rpc.call_context import call_age
 from hoistsaddle.rpc.messages import (
     UNSET,
     AppliedVersionsAnswer,
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -27,6 +27,7 @@
 from hoistsaddle.proxy.messages import ConfigurationChanged
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import OffsetAndEpoch, Write
+from hoistsaddle.rpc.codec import pack, unpack
 from hoistsaddle.rpc.messages import (
     AppliedVersion,
     MemberState,
@@ -34,8 +35,6 @@
     ProbeCall,
     Record,
     WriteCall,
-    pack,
-    unpack,
 )
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardAnswered, ForwardArrived, RequestArrived, ServerAnswered
@@ -518,7 +517,7 @@
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as folder:
             store = Disk(folder=Path(folder), replica=1)
             store.boot()
-            store.found(mesh=MESH, voters={1: "a"}, operators={}, level=3)
+            store.bootstrap(mesh=MESH, voters={1: "a"}, operators={}, level=3)
             payloads = [pack_command(_claim(number)) for number in range(point)]
             before = sum(path.stat().st_size for path in Path(folder).iterdir())
             offsets = itertools.count(1)
