--- a/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
@@ -1,4 +1,4 @@
-"""What operators order: items at rising versions, and what was ever sent of each."""
+"""The changes that operators submit: routes at rising revisions, and what was ever submitted of each."""
 
 import random
 from typing import Any, NamedTuple
@@ -9,40 +9,43 @@
 from hoistsaddle.testbed.emulator.site import ONCE_PER_KEY, REPEATABLE, Route
 
 Routes = tuple[tuple[str, int, Route | None], ...]
-# Routes that come during a day, and the one that servers call among themselves.
+# Name prefixes of routes that are added during a day, and of the one for nested calls.
 NEW, INNER = "r-new", "r-peek"
-# Holds and aims that a route may be given, in seconds.
-HOLDS, AIMS = (1.0, 2.0, 4.0), (0.3, 0.5, 0.8)
+# Time-outs and latency targets that a route may be given, in seconds.
+TIMEOUTS, LATENCY_TARGETS = (1.0, 2.0, 4.0), (0.3, 0.5, 0.8)
 
 
 class ChangeRequest(NamedTuple):
+    """A change as it is submitted, with the routes that it sets or (None) removes."""
+
     name: str
     body: bytes
     routes: Routes
 
 
-class Composed(NamedTuple):
-    """An order, and the routes on which it can be seen at once."""
+class ComposedChange(NamedTuple):
+    """A change, and the routes on which requests show whether it is in force."""
 
     change_request: ChangeRequest
-    probed: list[Route]
+    visible_routes: list[Route]
 
 
 class ChangeRequestBook:
-    """Writes the orders. The history gets each one as it is written."""
+    """Composes the changes, and records each in the history as it is composed."""
 
     def __init__(self, *, environment: Environment) -> None:
         self.environment = environment
         self.revision = 0
-        # Every version ever sent in a proper order, newest last.
+        # Every version of a route in a valid change, in the order of submission.
         self.versions: dict[str, list[tuple[int, Route | None]]] = {}
-        self.added = 0
+        self.routes_added = 0
 
     def next_revision(self) -> int:
+        """A revision above all former ones."""
         self.revision += self.environment.random.randint(1, 4)
         return self.revision
 
-    def _said(self, route: Route, revision: int) -> dict[str, Any]:
+    def _encode_route(self, route: Route, revision: int) -> dict[str, Any]:
         return adapter("samples").route(
             name=route.name,
             host=route.host,
@@ -56,113 +59,122 @@
             revision=revision,
         )
 
-    def standing_routes(self) -> list[Route]:
+    def current_routes(self) -> list[Route]:
+        """The routes as they were last submitted, without the removed ones."""
         newest = [max(versions, key=lambda each: each[0])[1] for versions in self.versions.values()]
         return [route for route in newest if route is not None]
 
-    def _usual(self) -> list[Route]:
-        return [route for route in self.standing_routes() if not route.name.startswith((NEW, INNER))]
+    def _initial_routes(self) -> list[Route]:
+        """The current routes that clients have called from the start."""
+        return [route for route in self.current_routes() if not route.name.startswith((NEW, INNER))]
 
-    def _keep(
-        self, body: bytes, routes: Routes, said: dict[str, Any], *, proper: bool, contested: bool
+    def _record(
+        self, body: bytes, routes: Routes, encoded_routes: dict[str, Any], *, valid: bool, contested: bool
     ) -> ChangeRequest:
         change_request = ChangeRequest(f"order-{next(self.environment.counter)}", body, routes)
         self.environment.history.add(
-            ChangeSubmitted(self.environment.now(), change_request.name, routes, proper, said, contested)
+            ChangeSubmitted(self.environment.now(), change_request.name, routes, valid, encoded_routes, contested)
         )
         return change_request
 
-    def proper(
+    def valid_change(
         self,
-        sets: list[Route],
-        drops: tuple[str, ...] = (),
+        changed: list[Route],
+        removed: tuple[str, ...] = (),
         *,
         first: bool = False,
         revision: int | None = None,
         contested: bool = False,
     ) -> ChangeRequest:
+        """Sets and removes routes at one revision, by default a new one; the first change brings the services, too."""
         number = self.next_revision() if revision is None else revision
         samples = adapter("samples")
-        said = [self._said(route, number) for route in sets]
+        encoded = [self._encode_route(route, number) for route in changed]
         services = [
             samples.service(name=service_spec.name, revision=number)
             for service_spec in self.environment.day.site.services
         ]
         body = samples.call(
-            routes=said,
+            routes=encoded,
             services=services if first else [],
             constraints=samples.limits(revision=number) if first else None,
-            removed=[(name, number) for name in drops],
+            removed=[(name, number) for name in removed],
         )
-        routes = (*((route.name, number, route) for route in sets), *((name, number, None) for name in drops))
-        for name, at, route in routes:
-            self.versions.setdefault(name, []).append((at, route))
-        by_name = {each["name"]: each for each in said}
-        return self._keep(body, routes, by_name, proper=True, contested=contested)
+        routes = (*((route.name, number, route) for route in changed), *((name, number, None) for name in removed))
+        for name, at_revision, route in routes:
+            self.versions.setdefault(name, []).append((at_revision, route))
+        by_name = {route["name"]: route for route in encoded}
+        return self._record(body, routes, by_name, valid=True, contested=contested)
 
-    def _new(self, rng: random.Random, *, kinds: tuple[str, ...] = (REPEATABLE, ONCE_PER_KEY)) -> Route:
+    def _new_route(self, rng: random.Random, *, kinds: tuple[str, ...] = (REPEATABLE, ONCE_PER_KEY)) -> Route:
         site = self.environment.day.site
-        self.added += 1
-        name = f"{NEW}-{self.added}"
+        self.routes_added += 1
+        name = f"{NEW}-{self.routes_added}"
         kind, part = rng.choice(kinds), ((rng.choice(site.services).name, 1.0),)
         return Route(name, rng.choice(site.routes).host, f"/{name}/", kind, part, 2.0, 0.5, 2, 2)
 
-    def change(self, how: str, rng: random.Random) -> Composed:
+    def compose(self, how: str, rng: random.Random) -> ComposedChange:
+        """A valid change of the given kind, or an added route where there is none to drop or repeat."""
         services = [service_spec.name for service_spec in self.environment.day.site.services]
-        extra = [route for route in self.standing_routes() if route.name.startswith(NEW)]
-        if how in ("drop", "idle") and not extra:
+        added = [route for route in self.current_routes() if route.name.startswith(NEW)]
+        if how in ("drop", "idle") and not added:
             how = "add"
         match how:
             case "add":
-                route = self._new(rng)
-                return Composed(self.proper([route]), [route])
+                route = self._new_route(rng)
+                return ComposedChange(self.valid_change([route]), [route])
             case "drop":
-                route = rng.choice(extra)
-                return Composed(self.proper([], (route.name,)), [route])
+                route = rng.choice(added)
+                return ComposedChange(self.valid_change([], (route.name,)), [route])
             case "idle":
-                return Composed(self.proper([rng.choice(extra)]), [])
+                return ComposedChange(self.valid_change([rng.choice(added)]), [])
             case "split":
-                some = rng.sample(services, 2)
-                parts = ((some[0], float(rng.randint(1, 9))), (some[1], 5.0))
-                route = rng.choice(self._usual())._replace(parts=parts)
-                return Composed(self.proper([route]), [route])
+                first, second = rng.sample(services, 2)
+                parts = ((first, float(rng.randint(1, 9))), (second, 5.0))
+                route = rng.choice(self._initial_routes())._replace(parts=parts)
+                return ComposedChange(self.valid_change([route]), [route])
             case "move":
-                route = rng.choice(self._usual())._replace(parts=((rng.choice(services), 1.0),))
-                return Composed(self.proper([route]), [route])
+                route = rng.choice(self._initial_routes())._replace(parts=((rng.choice(services), 1.0),))
+                return ComposedChange(self.valid_change([route]), [route])
             case _:
-                route = rng.choice(self._usual())._replace(hold=rng.choice(HOLDS), aim=rng.choice(AIMS))
-                return Composed(self.proper([route]), [])
-
-    def contest(self, operators: int, rng: random.Random) -> list[ChangeRequest]:
-        """One version of one route for all desks, each with a content of its own."""
-        route, revision = rng.choice(self._usual()), self.next_revision()
+                route = rng.choice(self._initial_routes())._replace(
+                    hold=rng.choice(TIMEOUTS), aim=rng.choice(LATENCY_TARGETS)
+                )
+                return ComposedChange(self.valid_change([route]), [])
+
+    def contested_changes(self, operators: int, rng: random.Random) -> list[ChangeRequest]:
+        """One revision of one route from several operators, each with a content of its own."""
+        route, revision = rng.choice(self._initial_routes()), self.next_revision()
         services = [service_spec.name for service_spec in self.environment.day.site.services]
         contents = [
-            route._replace(parts=((services[place % len(services)], 1.0),), rank=place // len(services))
-            for place in range(operators)
+            route._replace(parts=((services[number % len(services)], 1.0),), rank=number // len(services))
+            for number in range(operators)
         ]
-        return [self.proper([each], revision=revision, contested=True) for each in contents]
+        return [self.valid_change([content], revision=revision, contested=True) for content in contents]
 
-    def large(self, count: int, rng: random.Random) -> ChangeRequest:
-        return self.proper([self._new(rng, kinds=(REPEATABLE,)) for _ in range(count)])
+    def large_change(self, count: int, rng: random.Random) -> ChangeRequest:
+        """So many new routes at once."""
+        return self.valid_change([self._new_route(rng, kinds=(REPEATABLE,)) for _ in range(count)])
 
-    def old(self, rng: random.Random) -> ChangeRequest:
-        """A version that was overtaken, as it was first sent."""
+    def outdated_change(self, rng: random.Random) -> ChangeRequest:
+        """The oldest version of a route, as it was first submitted."""
         name = rng.choice(list(self.versions))
         revision, route = min(self.versions[name], key=lambda each: each[0])
-        return self.proper([route] if route else [], () if route else (name,), revision=revision)
+        return self.valid_change([route] if route else [], () if route else (name,), revision=revision)
 
-    def bad(self, how: str, rng: random.Random) -> ChangeRequest:
-        """One item of it is right and would show; one is wrong, so neither may count."""
+    def invalid_change(self, how: str, rng: random.Random) -> ChangeRequest:
+        """Two routes, one of which is invalid in the given way: neither may come into force."""
         samples = adapter("samples")
         services = [service_spec.name for service_spec in self.environment.day.site.services]
         number = self.next_revision()
-        first, second = rng.sample(self._usual(), 2)
-        right = first._replace(parts=((rng.choice(services), 1.0),))
-        beside = how == "unknown service" and len(second.parts) > 1 and rng.random() < 0.5
-        wrong = samples.spoiled(self._said(second, number), how=how, services=services, beside_split=beside)
-        body = samples.call(routes=[self._said(right, number), wrong])
+        first, second = rng.sample(self._initial_routes(), 2)
+        valid = first._replace(parts=((rng.choice(services), 1.0),))
+        beside_split = how == "unknown service" and len(second.parts) > 1 and rng.random() < 0.5
+        invalid = samples.spoiled(
+            self._encode_route(second, number), how=how, services=services, beside_split=beside_split
+        )
+        body = samples.call(routes=[self._encode_route(valid, number), invalid])
         if how == "torn":
             body = body[: len(body) * 2 // 3]
-        routes = ((right.name, number, right), (second.name, number, second))
-        return self._keep(body, routes, {}, proper=False, contested=False)
+        routes = ((valid.name, number, valid), (second.name, number, second))
+        return self._record(body, routes, {}, valid=False, contested=False)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/clients.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Clients and servers' own calls: what is asked at a machine's door, and asked again as the platform's page says."""
+"""Clients and nested calls of servers: what is sent to a machine's proxy, and retried by the platform's rules."""
 
 import asyncio
 from collections import deque
@@ -13,15 +13,22 @@
 from hoistsaddle.testbed.emulator.scheduled_events import TAKEN
 from hoistsaddle.testbed.emulator.servers import Server, digest_of
 from hoistsaddle.testbed.emulator.site import ONCE_PER_KEY, REPEATABLE, RequestKind, Route
+from hoistsaddle.testbed.emulator.statuses import NOT_RUN, OK
 
-PROMISES = (408, 421, 429, 503)
+# Statuses after which no client retries.
 NOT_RETRIED = (400, 401, 404, 413, 431)
-# A client's node may be silent for so long before a repeatable request goes elsewhere.
+LATENCY_SECONDS = 0.0003
+# How long a client waits for a connection to a machine without power.
+CONNECT_TIMEOUT_SECONDS = 1.0
+DEFAULT_BACKOFF_SECONDS = 0.02
+# The share of retries that wait as `Retry-After` asks; the others come at once.
+PATIENT_SHARE = 0.9
+# A frozen proxy may leave a repeatable request unread for so long before its client gives up.
 UNREAD_TIMEOUT_SECONDS = 1.0
 
 
 class Call:
-    """A request as a door reads it: the parts of aiohttp's request that the doors use."""
+    """A request as a handler reads it: the parts of aiohttp's request that the handlers use."""
 
     def __init__(self, *, method: str, path: str, headers: list[tuple[str, str]], body: bytes) -> None:
         self.method = method
@@ -34,17 +41,21 @@
         self.body = body
 
     async def read(self) -> bytes:
+        """The body, as aiohttp's request returns it."""
         return self.body
 
 
 class Clients:
+    """Generates the requests of a day."""
+
     def __init__(self, *, environment: Environment) -> None:
         self.environment = environment
         self.random = environment.random
-        # Keys of good answers, to be sent again after the day's last fault.
+        # Keyed requests that were served (kind, route, path, key), to be repeated after the final fault.
         self.answered: deque[tuple[RequestKind, Route, str, str]] = deque(maxlen=25)
 
-    async def load(self, *, until: float) -> None:
+    async def generate_load(self, *, until: float) -> None:
+        """Sends requests of all kinds at the site's rate until this time."""
         environment = self.environment
         request_kinds = environment.day.site.request_kinds
         weights = [request_kind.weight for request_kind in request_kinds]
@@ -61,19 +72,21 @@
         key = f"key-{next(environment.counter)}" if route.kind == ONCE_PER_KEY else ""
         path = f"{route.prefix}{next(environment.counter)}"
         until = environment.now() + request_kind.deadline
-        for left in range(request_kind.retries, -1, -1):
+        for retries_left in range(request_kind.retries, -1, -1):
             result = await self._attempt(request_kind, route, machine, path, key, until)
-            if not left or not self._may_retry(route, result):
+            if not retries_left or not self._may_retry(route, result):
                 break
-            remains = until - environment.now()
-            # Some don't wait as they are told.
-            wait = min(result.retry_after or 0.02, remains / 3) if self.random.random() < 0.9 else 0.0
-            await asyncio.sleep(max(0.0, wait))
+            remaining = until - environment.now()
+            backoff = 0.0
+            if self.random.random() < PATIENT_SHARE:
+                backoff = min(result.retry_after or DEFAULT_BACKOFF_SECONDS, remaining / 3)
+            await asyncio.sleep(max(0.0, backoff))
             if environment.now() >= until:
                 return
-        if key and result.outcome == "answered" and result.status == 200:
+        if key and result.outcome == "answered" and result.status == OK:
             self.answered.append((request_kind, route, path, key))
-        if key and request_kind.again and result.status == 200 and self.random.random() < request_kind.again:
+        repeated = request_kind.repeated_share
+        if key and repeated and result.status == OK and self.random.random() < repeated:
             await asyncio.sleep(self.random.uniform(0.05, 8.0))
             elsewhere = environment.pick_machine(self.random.choice(environment.day.site.zones))
             if elsewhere:
@@ -87,12 +100,12 @@
             return False
         if route.kind in (REPEATABLE, ONCE_PER_KEY):
             return True
-        return result.outcome == "unreached" or result.status in PROMISES
+        return result.outcome == "unreached" or result.status in NOT_RUN
 
-    def send_keys_again(self, *, seconds: float) -> None:
-        """Each key that was answered shortly before the last fault is sent again, some of them more than once."""
+    def repeat_answered_keys(self, *, seconds: float) -> None:
+        """Repeats the keyed requests served last within so many seconds, some of them twice."""
 
-        async def send(request_kind: RequestKind, route: Route, path: str, key: str) -> None:
+        async def repeat(request_kind: RequestKind, route: Route, path: str, key: str) -> None:
             for _ in range(self.random.choice((1, 1, 2))):
                 await asyncio.sleep(self.random.uniform(0.0, seconds / 2))
                 machine = self.environment.pick_machine(self.random.choice(self.environment.day.site.zones))
@@ -101,16 +114,17 @@
                     await self._attempt(request_kind, route, machine, path, key, until)
 
         for request_kind, route, path, key in self.answered:
-            self.environment.create_task(send(request_kind, route, path, key))
+            self.environment.create_task(repeat(request_kind, route, path, key))
 
     async def probe(self, route: Route, machine: str) -> None:
-        """A request straight at a node, on a route that was just added or dropped."""
+        """One request at a machine, on a route that was just added or removed."""
         path = f"{route.prefix}{next(self.environment.counter)}"
         key = f"key-{next(self.environment.counter)}" if route.kind == ONCE_PER_KEY else ""
         request_kind = RequestKind(route.name, 0.0, 0.02, 2.0, 0)
         await self._attempt(request_kind, route, machine, path, key, self.environment.now() + request_kind.deadline)
 
     async def call_nested(self, server: Server, name: str, run: str, until: float) -> RequestResult:
+        """A call of a server that runs a request, through the sidecar beside it."""
         route = self.environment.route_of(name)
         request_kind = self.environment.request_kind_of(route.prefix)
         path = f"{route.prefix}{next(self.environment.counter)}"
@@ -130,10 +144,10 @@
     ) -> RequestResult:
         environment = self.environment
         attempt = f"a-{next(environment.counter):08x}"
-        left = until - environment.now()
+        remaining = until - environment.now()
         body = b"" if route.kind == REPEATABLE else f"{path} {key} ".encode() * 4
         method = "POST" if body else "GET"
-        headers = adapter("samples").request_headers(host=route.host, attempt=attempt, left=left, key=key)
+        headers = adapter("samples").request_headers(host=route.host, attempt=attempt, left=remaining, key=key)
         process = environment.processes[machine]
         environment.history.add(
             RequestSent(
@@ -154,38 +168,38 @@
         answer = await self._deliver(machine, Call(method=method, path=path, headers=headers, body=body), until, route)
         result = self._read(attempt, answer)
         environment.history.add(result)
-        if key and result.outcome == "answered" and result.status == 200:
+        if key and result.outcome == "answered" and result.status == OK:
             environment.on_trigger(TAKEN, machine)
         return result
 
     async def _deliver(self, machine: str, call: Call, until: float, route: Route) -> Any:
-        """The answer, or how there was none."""
+        """The proxy's answer, or the outcome where there is none."""
         environment = self.environment
         process = environment.processes[machine]
-        await asyncio.sleep(0.0003)
-        if not process.open or process.life.dead:
-            # A machine without power says nothing, and a new connection is given a second.
-            powered_off = process.powered_off
-            await asyncio.sleep(max(0.0, min(1.0, until - environment.now())) if powered_off else 0.0)
+        await asyncio.sleep(LATENCY_SECONDS)
+        if not process.open or process.simulated.dead:
+            # A machine without power doesn't refuse the connection: it times out.
+            timeout = min(CONNECT_TIMEOUT_SECONDS, until - environment.now()) if process.powered_off else 0.0
+            await asyncio.sleep(max(0.0, timeout))
             return "unreached"
-        if process.life.frozen and route.kind == REPEATABLE:
-            patience = min(UNREAD_TIMEOUT_SECONDS, (until - environment.now()) / 3)
+        if process.simulated.frozen and route.kind == REPEATABLE:
+            timeout = min(UNREAD_TIMEOUT_SECONDS, (until - environment.now()) / 3)
         else:
-            patience = until - environment.now()
-        task = process.life.spawn(process.door.handle(call))
+            timeout = until - environment.now()
+        task = process.simulated.spawn(process.ingress.handle(call))
         process.pending[task] = None
         task.add_done_callback(lambda done: process.pending.pop(done, None))
         connection = process.connection()
-        ways = {task, process.ended, connection}
-        await asyncio.wait(ways, timeout=max(0.0, patience), return_when=asyncio.FIRST_COMPLETED)
+        ends = {task, process.ended, connection}
+        await asyncio.wait(ends, timeout=max(0.0, timeout), return_when=asyncio.FIRST_COMPLETED)
         process.close_connection(connection)
         if not task.done():
             return "broken" if process.ended.done() or connection.done() else "given up"
         if task.cancelled():
-            # The door lets go of the connection.
+            # The handler closes the connection.
             return "broken"
         if task.exception() is not None:
-            environment.fault(f"{machine}'s door raised {task.exception()!r}")
+            environment.record_failure(f"{machine}'s handler raised {task.exception()!r}")
             return "broken"
         return task.result()
 
@@ -193,7 +207,8 @@
         now = self.environment.now()
         if isinstance(answer, str):
             return RequestResult(now, attempt, answer)
-        after = answer.headers.get("Retry-After")
+        retry_after = answer.headers.get("Retry-After")
         seal = answer.headers.get(adapter("samples").SEAL, "")
         body = digest_of(bytes(answer.body or b""))
-        return RequestResult(now, attempt, "answered", answer.status, seal, body, float(after) if after else None)
+        retry_seconds = float(retry_after) if retry_after else None
+        return RequestResult(now, attempt, "answered", answer.status, seal, body, retry_seconds)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/configuration_rules.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/configuration_rules.py
@@ -1,6 +1,10 @@
-"""The rules on orders and what is in force: for operators, and as it shows in what machines serve."""
+"""The rules on configuration changes: as operators see them, and as they show in how machines handle requests.
+
+Each rule returns a line for every violation that it found.
+"""
 
 from collections import defaultdict
+from typing import NamedTuple
 
 from hoistsaddle.testbed.emulator.history import (
     ChangeAnswered,
@@ -10,178 +14,216 @@
     FinalChange,
     RequestSent,
 )
-from hoistsaddle.testbed.emulator.history_index import CONFIRMED, HistoryIndex
+from hoistsaddle.testbed.emulator.history_index import NO_REVISION, HistoryIndex, ObservedHandling
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 from hoistsaddle.testbed.emulator.site import BOUNDS, Route
+from hoistsaddle.testbed.emulator.statuses import OK, is_refusal
+
+# A large change has this many seconds more for each of its routes.
+SECONDS_PER_ROUTE = 0.003
+NEVER = 1e9
 
-# A large order has this much longer for each route.
-ROUTE_SECONDS = 0.003
+AnswerGiven = ChangeAnswered | ChangeAnswerLost
 
 
-def configured(index: HistoryIndex) -> list[str]:
+def acknowledged_changes_apply(index: HistoryIndex) -> list[str]:
+    """A connected machine handles requests by a version no older than the one acknowledged `apply_s` before."""
     found = []
-    for sent in index.sent.values():
-        shown = index.handled(sent)
-        if shown is None:
+    for request in index.requests.values():
+        handling = index.handling_of(request)
+        if handling is None:
             continue
-        result = index.result.get(sent.attempt)
-        runs = index.ran[sent.attempt]
-        end = runs[0].at if runs else result.at
-        floor = index.floor(sent.route, sent.at - BOUNDS["apply_s"])
-        if floor < 0 or not index.timeline.connected(sent.machine, sent.at):
+        end = index.handled_at(request)
+        acknowledged = index.acknowledged_revision(request.route, request.at - BOUNDS["apply_s"])
+        if acknowledged <= NO_REVISION or not index.timeline.is_connected(request.machine, request.at):
             continue
-        may = [each for each in index.versions[sent.route] if each.revision >= floor and each.sent <= end]
-        if not any(index.fits(version, shown) for version in may):
+        possible = [
+            version
+            for version in index.versions[request.route]
+            if version.revision >= acknowledged and version.submitted_at <= end
+        ]
+        if not any(handling.fits(version) for version in possible):
             found.append(
-                f"{sent.attempt} on {sent.route} by {sent.machine} at {sent.at:.2f}: {shown}, though revision {floor} "
-                "was acknowledged before"
+                f"{request.attempt} on {request.route} by {request.machine} at {request.at:.2f}: {handling}, though "
+                f"revision {acknowledged} was acknowledged before"
             )
     return found
 
 
-def gone_back(index: HistoryIndex) -> list[str]:
-    """Within one life of a machine's processes, what was seen in force there stays at least as new."""
+class _Observation(NamedTuple):
+    """What a machine's handling of one request reveals, and when."""
+
+    request: RequestSent
+    at: float
+    handling: ObservedHandling
+
+
+def versions_never_go_back(index: HistoryIndex) -> list[str]:
+    """Within one incarnation of a machine's program, the version in force never becomes older."""
     found = []
+    observations = []
+    for request in index.requests.values():
+        handling = index.handling_of(request)
+        if handling is not None:
+            observations.append(_Observation(request, index.handled_at(request), handling))
+    # By machine, incarnation and route: times, and the oldest revision that explains what was seen.
     seen: dict[tuple[str, int, str], list[tuple[float, int]]] = defaultdict(list)
-    shows: list[tuple[RequestSent, float, tuple[str, str]]] = []
-    for sent in index.sent.values():
-        shown = index.handled(sent)
-        if shown is not None:
-            runs, result = index.ran[sent.attempt], index.result.get(sent.attempt)
-            shows.append((sent, runs[0].at if runs else result.at, shown))
-    for sent, at, shown in shows:
-        fit = [each for each in index.versions.get(sent.route, ()) if each.sent <= at and index.fits(each, shown)]
-        if shown[0] == "run" and fit:
-            seen[sent.machine, sent.life, sent.route].append((at, fit[0].revision))
-    for sent, at, shown in shows:
+    for request, at, handling in observations:
+        revisions = _explaining_revisions(index, request, at, handling)
+        if not handling.unknown_route and revisions:
+            seen[request.machine, request.incarnation, request.route].append((at, revisions[0]))
+    for request, at, handling in observations:
         before = [
             revision
-            for when, revision in seen[sent.machine, sent.life, sent.route]
-            if when + BOUNDS["revert_slack_s"] < sent.at
+            for seen_at, revision in seen[request.machine, request.incarnation, request.route]
+            if seen_at + BOUNDS["revert_slack_s"] < request.at
         ]
-        fit = [each for each in index.versions.get(sent.route, ()) if each.sent <= at and index.fits(each, shown)]
-        newest = max((version.revision for version in fit), default=-1)
+        newest = max(_explaining_revisions(index, request, at, handling), default=NO_REVISION)
         if before and newest < max(before):
-            found.append(f"{sent.attempt} on {sent.route}: {sent.machine} went back from {max(before)} to {newest}")
+            found.append(
+                f"{request.attempt} on {request.route}: {request.machine} went back from {max(before)} to {newest}"
+            )
     return found
 
 
-def orders(index: HistoryIndex) -> list[str]:
-    """Nothing invalid is acknowledged; what is proper is, within its time, while all is calm."""
+def _explaining_revisions(
+    index: HistoryIndex, request: RequestSent, at: float, handling: ObservedHandling
+) -> list[int]:
+    """The revisions submitted by then that explain the handling, oldest first."""
+    return [
+        version.revision
+        for version in index.versions.get(request.route, ())
+        if version.submitted_at <= at and handling.fits(version)
+    ]
+
+
+def changes_are_judged_rightly(index: HistoryIndex) -> list[str]:
+    """No invalid change is acknowledged; a valid one is, within `ack_s`, while the core is stable."""
     found = []
-    proper = {submitted.change_request: submitted for submitted in index.history.of(ChangeSubmitted)}
-    first: dict[str, float] = {}
-    for said in _said(index):
-        submitted = proper[said.change_request]
-        if said.status == CONFIRMED:
-            if isinstance(said, ChangeAnswered):
-                first.setdefault(said.change_request, said.at)
-            if not submitted.proper:
-                found.append(f"{said.change_request} is invalid, and {said.machine} acknowledged it")
-        elif submitted.proper and not submitted.contested and _refusal(said.status):
-            found.append(f"{said.change_request} is valid, and {said.machine} refused it with {said.status}")
-    for submitted in proper.values():
-        end = submitted.at + BOUNDS["ack_s"] + ROUTE_SECONDS * len(submitted.routes)
-        # A machine's other troubles, also a leader's disk, are no excuse; answers that were lost on their way are.
-        calm = index.timeline.settled_over(submitted.at, end) and not index.timeline.cut(submitted.at, end)
-        lost = any(unheard.change_request == submitted.change_request for unheard in index.history.of(ChangeAnswerLost))
+    changes = {submitted.change_request: submitted for submitted in index.history.of(ChangeSubmitted)}
+    acknowledged_at: dict[str, float] = {}
+    for answer in _answers_given(index):
+        submitted = changes[answer.change_request]
+        if answer.status == OK:
+            if isinstance(answer, ChangeAnswered):
+                acknowledged_at.setdefault(answer.change_request, answer.at)
+            if not submitted.valid:
+                found.append(f"{answer.change_request} is invalid, and {answer.machine} acknowledged it")
+        elif submitted.valid and not submitted.contested and is_refusal(answer.status):
+            found.append(f"{answer.change_request} is valid, and {answer.machine} refused it with {answer.status}")
+    for submitted in changes.values():
+        end = submitted.at + BOUNDS["ack_s"] + SECONDS_PER_ROUTE * len(submitted.routes)
+        # Other faults of single machines, also of the leader's disk, are no excuse; lost answers are.
+        stable = index.timeline.is_core_stable_during(submitted.at, end)
+        connected = not index.timeline.has_partition(submitted.at, end)
+        lost = any(lost.change_request == submitted.change_request for lost in index.history.of(ChangeAnswerLost))
         over = index.history.events[-1].at >= end
-        due = submitted.proper and not submitted.contested and not lost
-        if due and calm and over and first.get(submitted.change_request, 1e9) > end:
+        due = submitted.valid and not submitted.contested and not lost
+        late = acknowledged_at.get(submitted.change_request, NEVER) > end
+        if due and stable and connected and over and late:
             found.append(
-                f"{submitted.change_request} sent at {submitted.at:.2f} "
+                f"{submitted.change_request} submitted at {submitted.at:.2f} "
                 f"had no acknowledgement after {BOUNDS['ack_s']} s"
             )
     return found
 
 
-def _said(index: HistoryIndex) -> list[ChangeAnswered | ChangeAnswerLost]:
-    """Every answer that a core machine gave to an order, heard or lost, in the order of time."""
-    answers: list[ChangeAnswered | ChangeAnswerLost] = [
-        *index.history.of(ChangeAnswered),
-        *index.history.of(ChangeAnswerLost),
-    ]
-    return sorted(answers, key=lambda each: each.at)
+def _answers_given(index: HistoryIndex) -> list[AnswerGiven]:
+    """Every answer that a core machine gave to a change, whether or not it arrived, in the order of time."""
+    answers: list[AnswerGiven] = [*index.history.of(ChangeAnswered), *index.history.of(ChangeAnswerLost)]
+    return sorted(answers, key=lambda answer: answer.at)
 
 
-def _refusal(status: int) -> bool:
-    return 400 <= status < 500 and status not in (408, 429)
+def _confirmed_changes(index: HistoryIndex) -> set[str]:
+    return {answer.change_request for answer in _answers_given(index) if answer.status == OK}
 
 
-def taken(index: HistoryIndex) -> list[str]:
-    """An order that was confirmed, heard or not, is never refused when it is sent again."""
+def confirmed_changes_stay_confirmed(index: HistoryIndex) -> list[str]:
+    """A change that was confirmed, whether or not the answer arrived, isn't refused when it is submitted again."""
     found = []
-    confirmed: dict[str, ChangeAnswered | ChangeAnswerLost] = {}
-    for said in _said(index):
-        before = confirmed.get(said.change_request)
-        if said.status == CONFIRMED:
-            confirmed.setdefault(said.change_request, said)
-        elif before is not None and _refusal(said.status):
+    confirmed: dict[str, AnswerGiven] = {}
+    for answer in _answers_given(index):
+        before = confirmed.get(answer.change_request)
+        if answer.status == OK:
+            confirmed.setdefault(answer.change_request, answer)
+        elif before is not None and is_refusal(answer.status):
             found.append(
-                f"{said.change_request} was confirmed by {before.machine} at {before.at:.2f}, "
-                f"and refused with {said.status} by {said.machine} at {said.at:.2f}"
+                f"{answer.change_request} was confirmed by {before.machine} at {before.at:.2f}, "
+                f"and refused with {answer.status} by {answer.machine} at {answer.at:.2f}"
             )
     return found
 
 
-def one_content(index: HistoryIndex) -> list[str]:
-    """Of several contents under one version of an item, one is confirmed; not all are refused."""
+def one_content_per_revision(index: HistoryIndex) -> list[str]:
+    """Of several contents under one revision of a route, one is confirmed; not all are refused."""
     found = []
-    confirmed = {said.change_request for said in _said(index) if said.status == CONFIRMED}
-    refusals = {said.change_request for said in _said(index) if _refusal(said.status)}
+    confirmed = _confirmed_changes(index)
+    refused = {answer.change_request for answer in _answers_given(index) if is_refusal(answer.status)}
     contents: dict[tuple[str, int], dict[str, Route | None]] = defaultdict(dict)
     for submitted in index.history.of(ChangeSubmitted):
-        if submitted.proper:
+        if submitted.valid:
             for name, revision, route in submitted.routes:
                 contents[name, revision][submitted.change_request] = route
-    for (name, revision), by_order in contents.items():
-        kept = {change_request: route for change_request, route in by_order.items() if change_request in confirmed}
+    for (name, revision), by_change in contents.items():
+        kept = {change_request: route for change_request, route in by_change.items() if change_request in confirmed}
         if len(set(kept.values())) > 1:
             found.append(f"{name} at {revision} was confirmed with {len(set(kept.values()))} contents: {sorted(kept)}")
-        elif not kept and set(by_order) <= refusals:
-            found.append(f"{name} at {revision}: {sorted(by_order)} were all refused, and none was confirmed")
+        elif not kept and set(by_change) <= refused:
+            found.append(f"{name} at {revision}: {sorted(by_change)} were all refused, and none was confirmed")
     return found
 
 
-def majority(index: HistoryIndex) -> list[str]:
-    """No losses that had to be borne take the majority away for good: the order of the last calm is confirmed."""
-    found = []
-    confirmed = {said.change_request for said in _said(index) if said.status == CONFIRMED}
-    for last in index.history.of(FinalChange):
-        if index.timeline.settled_over(last.at, last.at + BOUNDS["ack_s"]) and last.change_request not in confirmed:
-            found.append(f"{last.change_request}, sent in calm at the end, was never confirmed")
-    return found
+def majority_is_kept(index: HistoryIndex) -> list[str]:
+    """No tolerated losses take the majority away for good: the final change, without faults, is confirmed."""
+    confirmed = _confirmed_changes(index)
+    return [
+        f"{final.change_request}, submitted at the end without faults, was never confirmed"
+        for final in index.history.of(FinalChange)
+        if index.timeline.is_core_stable_during(final.at, final.at + BOUNDS["ack_s"])
+        and final.change_request not in confirmed
+    ]
 
 
-def read_back(index: HistoryIndex) -> list[str]:
+def reads_match_confirmed_changes(index: HistoryIndex) -> list[str]:
+    """At the end every core machine that answers returns each route at least as new as confirmed, as encoded."""
     found = []
-    said: dict[tuple[str, int, Route], dict] = {}
+    encoded: dict[tuple[str, int, Route], dict] = {}
     for submitted in index.history.of(ChangeSubmitted):
-        if submitted.proper:
+        if submitted.valid:
             for name, revision, route in submitted.routes:
                 if route is not None:
-                    said[name, revision, route] = submitted.said[name]
+                    encoded[name, revision, route] = submitted.encoded_routes[name]
     reads = index.history.of(ConfigurationRead)
     if reads and all(read.routes is None for read in reads):
         found.append("no core machine answered when read back")
     for read in reads:
-        if read.routes is None:
+        if read.routes is not None:
+            found += _check_read(index, read.machine, read.routes, encoded)
+    return found
+
+
+def _check_read(
+    index: HistoryIndex, machine: str, routes: dict[str, dict], encoded: dict[tuple[str, int, Route], dict]
+) -> list[str]:
+    found = []
+    for name, versions in index.versions.items():
+        confirmed = index.confirmed_revision(name)
+        returned = routes.get(name)
+        # A change without a clear answer may be in force or not.
+        possible = [version for version in versions if version.revision >= confirmed]
+        if returned is None:
+            if confirmed > NO_REVISION and not any(version.route is None for version in possible):
+                found.append(f"{machine}: {name} is missing, {confirmed} was confirmed")
             continue
-        for name, versions in index.versions.items():
-            floor = index.given(name)
-            told = read.routes.get(name)
-            # An order without a clear answer may be in force or not.
-            may = [version for version in versions if version.revision >= floor]
-            if told is None:
-                if floor >= 0 and not any(version.route is None for version in may):
-                    found.append(f"{read.machine}: {name} is missing, {floor} was confirmed")
-                continue
-            revision = adapter("samples").revision_of(told)
-            if revision < floor:
-                found.append(f"{read.machine}: {name} is at {revision}, {floor} was confirmed")
-            elif told not in [
-                said[name, revision, version.route] for version in may if version.revision == revision and version.route
-            ]:
-                found.append(f"{read.machine}: {name} at {revision} is not what was sent")
-        found += [f"{read.machine}: {name} was never sent" for name in read.routes if name not in index.versions]
+        revision = adapter("samples").revision_of(returned)
+        contents = [
+            encoded[name, revision, version.route]
+            for version in possible
+            if version.revision == revision and version.route
+        ]
+        if revision < confirmed:
+            found.append(f"{machine}: {name} is at {revision}, {confirmed} was confirmed")
+        elif returned not in contents:
+            found.append(f"{machine}: {name} at {revision} is not what was submitted")
+    found += [f"{machine}: {name} was never submitted" for name in routes if name not in index.versions]
     return found
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/control_plane_days.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/control_plane_days.py
@@ -1,4 +1,4 @@
-"""The lanes of a day that is about the control side: losses in every form, and orders that race, storm and repeat."""
+"""Events of a day about the control plane: core faults in every form, and changes that race, storm and repeat."""
 
 import random
 
@@ -26,11 +26,15 @@
 )
 from hoistsaddle.testbed.emulator.site import BOUNDS, Site
 
-# A cut or freeze that outlasts every lease and retry span: it takes most of a day.
-LONG = (16.0, 18.0)
-LONG_DAYS = 0.25
-# A loss begins this soon after the former one has settled.
-SOON = (0.05, 1.0)
+# A partition or freeze that outlasts every lease and retry: it takes most of a day. Least and longest seconds.
+LONG_FAULT_SECONDS = (16.0, 18.0)
+LONG_FAULT_SHARE = 0.25
+# The next fault begins so many seconds after the former one has settled.
+FAULT_GAP_SECONDS = (0.05, 1.0)
+# The last seconds of a day, beyond `settle_s`, without new faults.
+CALM_SECONDS = 2.0
+# The leader is drawn twice as often as any other core machine.
+LEADER_TWICE = (LEADER, LEADER)
 KINDS = (
     "kill",
     "power",
@@ -48,104 +52,130 @@
     "planned",
     "reset",
 )
+# In a control-plane day, how often all core machines lose power when they fail together.
+HERD_POWER_SHARE = 0.7
 
 
-def _calm_from(seconds: float) -> float:
-    return seconds - BOUNDS["settle_s"] - 2
+def end_of_faults(seconds: float) -> float:
+    """When, in a day of so many seconds, the last fault must be over."""
+    return seconds - BOUNDS["settle_s"] - CALM_SECONDS
 
 
 def control_plane_events(rng: random.Random, site: Site, seconds: float) -> list[ScheduledEvent]:
-    """Losses of the core one after the other, each right after the former one has settled, or one long one."""
+    """Core faults one after the other, each right after the former one has settled, or a single long one."""
     core = tuple(machine.name for machine in site.core)
-    found: list[ScheduledEvent] = []
+    events: list[ScheduledEvent] = []
     at = rng.uniform(1.5, 4)
-    if rng.random() < LONG_DAYS:
-        return [_long(rng, site, at)]
-    while at < _calm_from(seconds) - 3:
-        span = rng.uniform(0.8, 3)
-        found += _loss(rng, rng.choice(KINDS), at, span, core)
-        # A lost machine counts as lost for a while after its return: the next trouble waits, as the losses borne say.
-        at += span + BOUNDS["settle_s"] + rng.uniform(*SOON)
-    return found
+    if rng.random() < LONG_FAULT_SHARE:
+        return [_long_fault(rng, site, at)]
+    while at < end_of_faults(seconds) - 3:
+        duration = rng.uniform(0.8, 3)
+        events += _core_fault(rng, rng.choice(KINDS), at, duration, core)
+        # A machine counts as lost for a while after its return: no more than tolerated are lost at once.
+        at += duration + BOUNDS["settle_s"] + rng.uniform(*FAULT_GAP_SECONDS)
+    return events
 
 
-def _long(rng: random.Random, site: Site, at: float) -> ScheduledEvent:
+def _long_fault(rng: random.Random, site: Site, at: float) -> ScheduledEvent:
     core = tuple(machine.name for machine in site.core)
-    one, span = rng.choice([LEADER, LEADER, *core]), rng.uniform(*LONG)
+    machine, duration = rng.choice([*LEADER_TWICE, *core]), rng.uniform(*LONG_FAULT_SECONDS)
     match rng.choice(("cut", "sides", "one way", "freeze", "disk")):
         case "cut":
-            return Partition(at, (one,), core, span)
+            return Partition(at, (machine,), core, duration)
         case "sides":
-            # Some sidecars are on its side: it alone could tell them of anything new.
-            sidecars = tuple(machine.name for machine in site.sidecars)
+            # Some sidecars are on its side: only from it could they learn of a change.
+            sidecars = tuple(sidecar.name for sidecar in site.sidecars)
             beside = rng.sample(sidecars, max(1, len(sidecars) // 3))
-            return Partition(at, (one, *beside), (*core, *sidecars), span)
+            return Partition(at, (machine, *beside), (*core, *sidecars), duration)
         case "one way":
-            return Partition(at, (one,), core, span, one_way=True)
+            return Partition(at, (machine,), core, duration, one_way=True)
         case "freeze":
-            return Freeze(at, (one,), span)
-    return DiskFault(at, one, span, "stalled")
+            return Freeze(at, (machine,), duration)
+    return DiskFault(at, machine, duration, "stalled")
 
 
-def _loss(rng: random.Random, kind: str, at: float, span: float, core: tuple[str, ...]) -> list[ScheduledEvent]:
-    one = rng.choice([LEADER, LEADER, *core])
+def simple_fault(
+    rng: random.Random,
+    kind: str,
+    *,
+    at: float,
+    duration: float,
+    machine: str,
+    core: tuple[str, ...],
+    herd_power_share: float,
+) -> ScheduledEvent | None:
+    """A fault that takes one core machine, or all at once ("herd"); None for a kind that is none of these."""
     match kind:
         case "kill":
-            return [Kill(at, (one,), span)]
+            return Kill(at, (machine,), duration)
         case "power":
-            return [Kill(at, (one,), span, power=True)]
+            return Kill(at, (machine,), duration, power=True)
         case "wipe":
-            return [Kill(at, (one,), span, power=True, wipe=True)]
+            return Kill(at, (machine,), duration, power=True, wipe=True)
         case "freeze":
-            return [Freeze(at, (one,), span)]
+            return Freeze(at, (machine,), duration)
         case "cut":
-            return [Partition(at, (one,), core, span)]
+            return Partition(at, (machine,), core, duration)
         case "one way":
-            return [Partition(at, (one,), core, span, one_way=True)]
+            return Partition(at, (machine,), core, duration, one_way=True)
         case "disk":
-            return [DiskFault(at, one, span, rng.choice(("full", "stalled")))]
+            return DiskFault(at, machine, duration, rng.choice(("full", "stalled")))
         case "herd":
-            return [Kill(at, core, span / 3, power=rng.random() < 0.7)]
+            return Kill(at, core, duration / 3, power=rng.random() < herd_power_share)
         case "stop":
-            return [Stop(at, one, 0.5)]
+            return Stop(at, machine, 0.5)
+    return None
+
+
+def _core_fault(
+    rng: random.Random, kind: str, at: float, duration: float, core: tuple[str, ...]
+) -> list[ScheduledEvent]:
+    machine = rng.choice([*LEADER_TWICE, *core])
+    simple = simple_fault(
+        rng, kind, at=at, duration=duration, machine=machine, core=core, herd_power_share=HERD_POWER_SHARE
+    )
+    if simple is not None:
+        return [simple]
+    match kind:
         case "reset":
             return [
-                ResetConnections(at + place * 0.4, core, rng.choice((0.5, 1.0))) for place in range(rng.choice((1, 3)))
+                ResetConnections(at + number * 0.4, core, rng.choice((0.5, 1.0)))
+                for number in range(rng.choice((1, 3)))
             ]
         case "replace" | "planned":
-            # Half of the time down: what stays of the span is its successor's.
-            return [ReplaceCore(at, one, span / 2, planned=kind == "planned")]
-    when = rng.choice((ACKNOWLEDGED, ACKNOWLEDGED, SENT, TAKEN, SNAPSHOT, SNAPSHOT))
-    # Whatever it waits for comes about soon: a change of its own goes with it.
-    fault = TriggeredFault(at, rng.choice(("kill", "power", "wipe")), span, when)
+            # Half of the time down: the rest of the duration is its successor's.
+            return [ReplaceCore(at, machine, duration / 2, planned=kind == "planned")]
+    trigger = rng.choice((ACKNOWLEDGED, ACKNOWLEDGED, SENT, TAKEN, SNAPSHOT, SNAPSHOT))
+    # A change of its own goes with it, so that the trigger comes about soon.
+    fault = TriggeredFault(at, rng.choice(("kill", "power", "wipe")), duration, trigger)
     return [fault, Change(at + 0.1, "times", rng.randrange(1000))]
 
 
 def change_events(rng: random.Random, seconds: float) -> list[ScheduledEvent]:
-    """Orders in every form: races on one version, storms, large ones, repeats, and answers that are lost."""
-    found: list[ScheduledEvent] = []
+    """Changes in every form: races on one revision, storms, large ones, repeats, and answers that are lost."""
+    events: list[ScheduledEvent] = []
     if rng.random() < 0.6:
         at = rng.uniform(1, seconds / 2)
-        found.append(LostAnswers(at, rng.uniform(0.5, 0.9), rng.uniform(3, seconds - at - 6)))
+        events.append(LostAnswers(at, rng.uniform(0.5, 0.9), rng.uniform(3, seconds - at - 6)))
     if rng.random() < 0.5:
         gap = rng.choice((0.05, 0.1, 0.3))
-        found.append(ChangeStorm(rng.uniform(1, seconds - 8), rng.choice((20, 40, 80)), gap, rng.randrange(1000)))
+        events.append(ChangeStorm(rng.uniform(1, seconds - 8), rng.choice((20, 40, 80)), gap, rng.randrange(1000)))
     if rng.random() < 0.25:
-        found.append(LargeChange(rng.uniform(1, seconds - 6), rng.randint(40, 200)))
+        events.append(LargeChange(rng.uniform(1, seconds - 6), rng.randint(40, 200)))
     at = rng.uniform(1, 3)
     while at < seconds - 5:
         match rng.choice(("again", "again", "contest", "contest", "race", "old", "bad")):
             case "again":
-                found.append(RepeatChange(at, rng.randrange(1000)))
+                events.append(RepeatChange(at, rng.randrange(1000)))
             case "contest":
-                found.append(Change(at, "move", rng.randrange(1000), operators=rng.choice((2, 2, 4)), contested=True))
+                events.append(Change(at, "move", rng.randrange(1000), operators=rng.choice((2, 2, 4)), contested=True))
             case "race":
                 how = rng.choice(("split", "move", "times"))
-                found.append(Change(at, how, rng.randrange(1000), operators=rng.choice((2, 8))))
+                events.append(Change(at, how, rng.randrange(1000), operators=rng.choice((2, 8))))
             case "old":
-                found.append(InvalidChange(at, "old", rng.randrange(1000)))
+                events.append(InvalidChange(at, "old", rng.randrange(1000)))
             case "bad":
                 how = rng.choice(("torn", "unknown service", "below 0", "no hold", "aim", "kind"))
-                found.append(InvalidChange(at, how, rng.randrange(1000)))
+                events.append(InvalidChange(at, how, rng.randrange(1000)))
         at += rng.uniform(0.8, 4)
-    return found
+    return events
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/day.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/day.py
@@ -1,9 +1,14 @@
-"""A day of the emulated platform: a site and what happens on it, drawn by a seed."""
+"""A day of the emulated platform: a site and what happens on it, drawn from a seed."""
 
 import random
 from typing import NamedTuple
 
-from hoistsaddle.testbed.emulator.control_plane_days import change_events, control_plane_events
+from hoistsaddle.testbed.emulator.control_plane_days import (
+    change_events,
+    control_plane_events,
+    end_of_faults,
+    simple_fault,
+)
 from hoistsaddle.testbed.emulator.scheduled_events import (
     ACKNOWLEDGED,
     LEADER,
@@ -29,24 +34,24 @@
 
 
 class Day(NamedTuple):
+    """A site, its events by time, and the seconds of traffic before the final fault."""
+
     seed: int
     site: Site
     events: tuple[ScheduledEvent, ...]
     seconds: float
 
 
-# So many days of all are about the control side.
-CONTROL_DAYS = 0.65
-# What the plain core lane draws.
+# The share of days that are about the control plane.
+CONTROL_PLANE_SHARE = 0.65
+# How often all core machines lose power when they fail together on another day.
+HERD_POWER_SHARE = 0.5
+# The kinds of faults that `_core_faults` draws.
 CORE_FAULTS = (Kill, Freeze, Partition, DiskFault, Stop, TriggeredFault)
 
 
-def _calm_from(seconds: float) -> float:
-    return seconds - BOUNDS["settle_s"] - 2
-
-
-def _of_core(trouble: ScheduledEvent) -> bool:
-    match trouble:
+def _concerns_core(event: ScheduledEvent) -> bool:
+    match event:
         case Kill(machines=names) | Freeze(machines=names) | Partition(machines=names):
             return any(name == LEADER or is_core(name) for name in names)
         case DiskFault(machine=name) | Stop(machine=name):
@@ -55,74 +60,58 @@
 
 
 def _core_faults(rng: random.Random, site: Site, seconds: float) -> list[ScheduledEvent]:
-    """One trouble of the core after the other."""
-    found: list[ScheduledEvent] = []
-    calm_from = _calm_from(seconds)
-    core = [machine.name for machine in site.core]
+    """One fault of the core after the other."""
+    events: list[ScheduledEvent] = []
+    end = end_of_faults(seconds)
+    core = tuple(machine.name for machine in site.core)
     at = rng.uniform(2, 6)
-    while at < calm_from - 5:
-        span = rng.uniform(1, 4)
-        one = rng.choice([LEADER, *core])
-        match rng.choice(("kill", "power", "wipe", "freeze", "cut", "one way", "disk", "herd", "stop", "after")):
-            case "kill":
-                found.append(Kill(at, (one,), span))
-            case "power":
-                found.append(Kill(at, (one,), span, power=True))
-            case "wipe":
-                found.append(Kill(at, (one,), span, power=True, wipe=True))
-            case "freeze":
-                found.append(Freeze(at, (one,), span))
-            case "cut":
-                found.append(Partition(at, (one,), tuple(core), span))
-            case "one way":
-                found.append(Partition(at, (one,), tuple(core), span, one_way=True))
-            case "disk":
-                found.append(DiskFault(at, one, span, rng.choice(("full", "stalled"))))
-            case "herd":
-                found.append(Kill(at, tuple(core), span / 3, power=rng.random() < 0.5))
-            case "stop":
-                found.append(Stop(at, one, 0.5))
-            case "after":
-                found.append(TriggeredFault(at, rng.choice(("kill", "power", "wipe")), span))
-        # A lost machine counts as lost for a while after its return: the next trouble waits, as the losses borne say.
-        at += span + BOUNDS["settle_s"] + rng.uniform(0.5, 4)
-    return found
+    while at < end - 5:
+        duration = rng.uniform(1, 4)
+        machine = rng.choice([LEADER, *core])
+        kind = rng.choice(("kill", "power", "wipe", "freeze", "cut", "one way", "disk", "herd", "stop", "after"))
+        fault = simple_fault(
+            rng, kind, at=at, duration=duration, machine=machine, core=core, herd_power_share=HERD_POWER_SHARE
+        )
+        events.append(fault or TriggeredFault(at, rng.choice(("kill", "power", "wipe")), duration))
+        # A machine counts as lost for a while after its return: no more than tolerated are lost at once.
+        at += duration + BOUNDS["settle_s"] + rng.uniform(0.5, 4)
+    return events
 
 
 def _sidecar_faults(rng: random.Random, site: Site, seconds: float) -> list[ScheduledEvent]:
-    """Troubles of the machines beside the servers, and of the servers."""
-    found: list[ScheduledEvent] = []
-    calm_from = _calm_from(seconds)
+    """Faults of the machines beside the servers, and of the servers."""
+    events: list[ScheduledEvent] = []
+    end = end_of_faults(seconds)
     core = [machine.name for machine in site.core]
     sidecars = [machine.name for machine in site.sidecars]
     services = [service_spec.name for service_spec in site.services]
     at = rng.uniform(2, 8)
-    while at < calm_from - 3:
-        span = rng.uniform(1, 5)
+    while at < end - 3:
+        duration = rng.uniform(1, 5)
         some = tuple(rng.sample(sidecars, rng.choice((1, 1, 2, max(2, len(sidecars) // 2)))))
         match rng.choice(("kill", "herd", "freeze", "cut", "one way", "misbehave", "crash", "nothing")):
             case "kill":
-                found.append(Kill(at, some[:1], span, power=rng.random() < 0.5))
+                events.append(Kill(at, some[:1], duration, power=rng.random() < 0.5))
             case "herd":
-                found.append(Kill(at, some, span / 2, power=rng.random() < 0.5))
+                events.append(Kill(at, some, duration / 2, power=rng.random() < 0.5))
             case "freeze":
-                found.append(Freeze(at, some[:2], span))
+                events.append(Freeze(at, some[:2], duration))
             case "cut":
-                found.append(Partition(at, some[:1], (*core, *sidecars), span))
+                events.append(Partition(at, some[:1], (*core, *sidecars), duration))
             case "one way":
-                found.append(Partition(at, some[:1], (*core, *sidecars), span, one_way=True))
+                events.append(Partition(at, some[:1], (*core, *sidecars), duration, one_way=True))
             case "misbehave":
                 how = rng.choice(("lost", "cut", "failure"))
-                found.append(Misbehave(at, rng.choice(services), rng.uniform(0.02, 0.3), span, how))
+                events.append(Misbehave(at, rng.choice(services), rng.uniform(0.02, 0.3), duration, how))
             case "crash":
-                found.append(CrashServer(at, some[0], span))
+                events.append(CrashServer(at, some[0], duration))
         at += rng.uniform(2, 8)
-    return found
+    return events
 
 
 def _planned_events(rng: random.Random, site: Site, seconds: float) -> list[ScheduledEvent]:
-    """Releases, stops, changes and broken orders."""
-    found: list[ScheduledEvent] = []
+    """Restarts, planned stops, changes and invalid changes."""
+    events: list[ScheduledEvent] = []
     sidecars = [machine.name for machine in site.sidecars]
     services = [service_spec.name for service_spec in site.services]
     at = rng.uniform(1, 4)
@@ -130,50 +119,50 @@
         machine = rng.choice(sidecars)
         match rng.choice(("release", "release", "replace", "stop", "change", "change", "change", "race", "bad")):
             case "release":
-                found.append(RestartServer(at, machine))
+                events.append(RestartServer(at, machine))
             case "replace":
-                found.append(ReassignAddress(at, machine, rng.choice(services)))
+                events.append(ReassignAddress(at, machine, rng.choice(services)))
             case "stop":
-                found.append(Stop(at, machine, 0.5))
+                events.append(Stop(at, machine, 0.5))
             case "change":
                 how = rng.choice(("add", "drop", "split", "move", "times", "idle"))
-                found.append(Change(at, how, rng.randrange(1000)))
+                events.append(Change(at, how, rng.randrange(1000)))
             case "race":
-                found.append(Change(at, rng.choice(("split", "move", "times")), rng.randrange(1000), operators=2))
+                events.append(Change(at, rng.choice(("split", "move", "times")), rng.randrange(1000), operators=2))
             case "bad":
                 how = rng.choice(("torn", "unknown service", "below 0", "no hold", "aim", "kind", "old"))
-                found.append(InvalidChange(at, how, rng.randrange(1000)))
+                events.append(InvalidChange(at, how, rng.randrange(1000)))
         at += rng.uniform(0.8, 4)
-    return found
+    return events
 
 
 def draw_day(seed: int, *, small: bool = False, seconds: float = 26.0) -> Day:
-    """Three lanes side by side: the core's troubles one after the other, sidecars' troubles, and planned work.
+    """Three sequences side by side: faults of the core, faults of the sidecars, and planned work.
 
-    Two days of three are about the control side, with lanes of their own for the core and the operators.
+    Two days of three are about the control plane: they have other faults of the core, and more changes.
     """
     site = draw_site(seed, small=small)
     rng = random.Random(f"day {seed}")
-    # Drawn apart: what came later leaves the days of former seeds as they were.
+    # Drawn apart, so that the other days of a seed stay as they were before there were such days.
     control = random.Random(f"control {seed}")
-    about_control = control.random() < CONTROL_DAYS
-    closing = rng.choice(("", "kill", "power", "wipe"))
-    found = _core_faults(rng, site, seconds)
-    found += _sidecar_faults(rng, site, seconds)
-    found += _planned_events(rng, site, seconds)
-    if about_control:
-        found = [each for each in found if not isinstance(each, CORE_FAULTS) or not _of_core(each)]
-        found += control_plane_events(control, site, seconds)
-        found += change_events(control, seconds)
+    about_control_plane = control.random() < CONTROL_PLANE_SHARE
+    final_fault = rng.choice(("", "kill", "power", "wipe"))
+    events = _core_faults(rng, site, seconds)
+    events += _sidecar_faults(rng, site, seconds)
+    events += _planned_events(rng, site, seconds)
+    if about_control_plane:
+        events = [each for each in events if not isinstance(each, CORE_FAULTS) or not _concerns_core(each)]
+        events += control_plane_events(control, site, seconds)
+        events += change_events(control, seconds)
         site = site._replace(snapshot_records=control.choice((40, 150, 600)))
     more = random.Random(f"more {seed}")
     sidecars = [machine.name for machine in site.sidecars]
     if more.random() < 0.3:
-        found.append(RewriteSettings(more.uniform(1, seconds - 4)))
+        events.append(RewriteSettings(more.uniform(1, seconds - 4)))
     if more.random() < 0.5:
         service = more.choice([service_spec.name for service_spec in site.services])
-        found.append(ReassignAddress(more.uniform(2, seconds - 6), more.choice(sidecars), service, crash=True))
-    if closing:
-        when = control.choice((ACKNOWLEDGED, SENT, TAKEN)) if about_control else ACKNOWLEDGED
-        found.append(FinalFault(seconds, closing, rng.uniform(0.5, 1.5), when))
-    return Day(seed, site, tuple(sorted(found, key=lambda each: each.at)), seconds)
+        events.append(ReassignAddress(more.uniform(2, seconds - 6), more.choice(sidecars), service, crash=True))
+    if final_fault:
+        trigger = control.choice((ACKNOWLEDGED, SENT, TAKEN)) if about_control_plane else ACKNOWLEDGED
+        events.append(FinalFault(seconds, final_fault, rng.uniform(0.5, 1.5), trigger))
+    return Day(seed, site, tuple(sorted(events, key=lambda each: each.at)), seconds)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/disks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/disks.py
@@ -1,8 +1,8 @@
-"""What a core machine's folder is after a loss of power: names that no sync of their folder covers are kept or lost.
+"""What a core machine's folder holds after a loss of power: names that no sync of their folder covers may be lost.
 
-The simulated disk worker does a job once its sync is over, so a machine that is killed between two jobs has whole ones
-only. Power, though, may go in the midst of a job: then the job is done up to one of its syncs, and each file made,
-renamed or removed since the last sync of its folder goes its own way, drawn by lot.
+The simulated disk worker does a job once its sync is over, so a machine that is killed between two jobs has complete
+ones only. Power, though, may be lost during a job: then the job is done up to one of its syncs, and each file that was
+created, renamed or removed since the last sync of its folder is kept or lost at random, independently of the others.
 """
 
 import os
@@ -18,21 +18,22 @@
 from hoistsaddle.raft.events import Capture, StoreChunk
 from hoistsaddle.testbed.simulation.world import SimulatedDiskWorker
 
-# sqlite3 syncs its folder by itself once a new write-ahead file holds something; its index of that file it makes anew.
+# Part of the database's file names. sqlite3 syncs its folder itself once a new write-ahead log holds something.
 DATABASE = "sqlite3"
+# The database's index of its write-ahead log, which it can make anew.
 INDEX_SUFFIX = "-shm"
-# A job under way when the power goes is begun this often; the other times nothing of it had reached the disk.
+# How often a job in progress has reached the disk in part when the power is lost.
 JOB_BEGUN_PROBABILITY = 0.7
 # No job of a disk syncs more often than this.
 MAX_SYNCS_PER_JOB = 3
 
 
 class PowerLostError(Exception):
-    """The power went at this sync: nothing behind it happened."""
+    """The power was lost at this sync: nothing after it happened."""
 
 
 def _files(folder: Path) -> dict[str, int]:
-    """Names and the files they stand for; the database looks after its own."""
+    """Names with the inodes they stand for, without the database's files."""
     found = [path for path in sorted(folder.iterdir()) if not path.is_dir() and DATABASE not in path.name]
     return {path.name: path.stat().st_ino for path in found}
 
@@ -42,26 +43,27 @@
 
     def __init__(self, *, folder: Path) -> None:
         self.folder = folder
-        self.kept = folder.with_name(f"{folder.name}.synced")
+        self.links = folder.with_name(f"{folder.name}.synced")
         # By folder: the names that a sync covered, and the file each stood for.
         self.synced: dict[Path, dict[str, int]] = {}
         # Files whose content was being synced when the power went.
         self.torn: set[Path] = set()
 
-    def folder_synced(self, folder: Path) -> None:
-        self.kept.mkdir(parents=True, exist_ok=True)
+    def record_sync(self, folder: Path) -> None:
+        """All names in the folder are on the disk now."""
+        self.links.mkdir(parents=True, exist_ok=True)
         names = self.synced[folder] = _files(folder)
         for name, number in names.items():
-            link = self.kept / str(number)
+            link = self.links / str(number)
             if not link.exists():
                 os.link(folder / name, link)
         needed = {str(number) for each in self.synced.values() for number in each.values()}
-        for link in self.kept.iterdir():
+        for link in self.links.iterdir():
             if link.name not in needed:
                 link.unlink()
 
     def lose_power(self, rng: random.Random) -> None:
-        """Every name that changed since its folder was synced is as it is now or as it was, each by itself."""
+        """Each name that changed since its folder was synced stays as it is or becomes as it was, at random."""
         folders = [self.folder, *(path for path in sorted(self.folder.iterdir()) if path.is_dir())]
         for path in sorted(self.torn):
             if path.exists() and rng.random() < 0.5:
@@ -75,27 +77,29 @@
                 path = folder / name
                 path.unlink(missing_ok=True)
                 if name in before:
-                    shutil.copyfile(self.kept / str(before[name]), path)
+                    shutil.copyfile(self.links / str(before[name]), path)
             # What is there after the loss is on the disk.
-            self.folder_synced(folder)
+            self.record_sync(folder)
         self.torn.clear()
 
     def forget(self) -> None:
+        """Drops all copies: the folder was wiped."""
         self.synced.clear()
-        shutil.rmtree(self.kept, ignore_errors=True)
+        shutil.rmtree(self.links, ignore_errors=True)
 
 
 class EmulatedDiskWorker(SimulatedDiskWorker):
-    """Says when it is about to write a snapshot, so that a fault can strike right then."""
+    """Calls `on_snapshot` when a snapshot is about to be written, so that a fault can strike right then."""
 
-    def __init__(self, *, snapshot: Callable[[], None], **needs: Any) -> None:
-        super().__init__(**needs)
-        self.snapshot = snapshot
+    def __init__(self, *, on_snapshot: Callable[[], None], **arguments: Any) -> None:
+        super().__init__(**arguments)
+        self.on_snapshot = on_snapshot
 
     def put(self, job: tuple) -> None:
+        """Queues a job, as the worker of a real disk does."""
         super().put(job)
         if isinstance(job, Capture | StoreChunk):
-            self.snapshot()
+            self.on_snapshot()
 
 
 class Disks:
@@ -104,10 +108,11 @@
     def __init__(self, *, rng: random.Random) -> None:
         self.rng = rng
         self.synced_folders: dict[Path, SyncedFolder] = {}
-        # Syncs that are left until the power goes; None is no loss of power.
+        # Syncs left until the power is lost; None while no loss is simulated.
         self.syncs_until_power_loss: int | None = None
 
     def add(self, folder: Path) -> None:
+        """Watches the folder of one more machine."""
         folder = folder.resolve()
         self.synced_folders.setdefault(folder, SyncedFolder(folder=folder))
 
@@ -126,16 +131,16 @@
         if self.syncs_until_power_loss is not None:
             self.syncs_until_power_loss -= 1
         if path.is_dir():
-            synced_folder.folder_synced(path)
+            synced_folder.record_sync(path)
 
     @contextmanager
-    def watched(self) -> Iterator[None]:
-        """While this lasts, syncs are noted instead of done: the simulated disk takes its time elsewhere."""
+    def intercept_syncs(self) -> Iterator[None]:
+        """Within this context `os.fsync` is recorded instead of done; the simulated worker takes its time."""
         with mock.patch.object(os, "fsync", self._sync):
             yield
 
     def tear(self, worker: SimulatedDiskWorker) -> None:
-        """What the worker was at when the power went may be on the disk, whole or up to one of its syncs."""
+        """The worker's jobs in progress at a loss of power may be done, completely or up to one of their syncs."""
         if not worker.busy or self.rng.random() >= JOB_BEGUN_PROBABILITY:
             return
         self.syncs_until_power_loss = self.rng.randrange(MAX_SYNCS_PER_JOB)
@@ -148,9 +153,9 @@
         finally:
             self.syncs_until_power_loss = None
 
-    def lose_power(self, folder: Path, ledger: dict[Path, bytes]) -> None:
-        """`ledger`: the database's files as they were when the power went, before anything was closed."""
-        for path, data in ledger.items():
+    def lose_power(self, folder: Path, database: dict[Path, bytes]) -> None:
+        """Leaves of a folder what is on the disk, and its database as it was before anything was closed."""
+        for path, data in database.items():
             if path.name.endswith(INDEX_SUFFIX) and self.rng.random() < 0.5:
                 path.unlink(missing_ok=True)
             else:
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py
@@ -1,4 +1,4 @@
-"""The emulator of the users' platform, played in simulated time round the product's own programs."""
+"""The emulator of the users' platform: plays a day in simulated time with the product's own programs."""
 
 import asyncio
 import contextvars
@@ -38,31 +38,48 @@
 
 # From the machines' start to the first traffic.
 LEAD_SECONDS = 5.0
+# The first configuration may take so much longer before traffic starts anyway.
+FIRST_CONFIGURATION_SECONDS = 20.0
+# Traffic goes on for so long after the time that the platform allows for recovery.
 AFTER_FINAL_FAULT_SECONDS = 5.0
-# The last part of a successor's address; no machine of a site has such a one.
-SUCCESSOR_NUMBERS = 100
+# How long changes in flight are waited for at the end, and the calm before the final change, beyond `contact_s`.
+CHANGES_IN_FLIGHT_SECONDS = 5.0
+CALM_SECONDS = 1.5
+# The longest wait for the trigger of the final fault.
+TRIGGER_TIMEOUT_SECONDS = 1.0
+READY_CHECK_SECONDS = 1.0
+# A machine gets no more work after so many failed ready checks in a row.
+MISSES_UNTIL_NOT_READY = 2
+CONTROL_LATENCY_SECONDS = 0.001
+# The last part of the first successor's address; no machine of a site has such a one.
+FIRST_SUCCESSOR_NUMBER = 100
+# What a request outside all of the site's kinds is taken for.
+OTHER_REQUEST_KIND = RequestKind("", 0.0, 0.02, 2.0, 0)
 
 
 class Emulator:
+    """One day of the platform: its machines, servers, clients, operators and faults; see `Environment`."""
+
     def __init__(self, *, day: Day, loop: SimulatedTimeLoop, folder: Path) -> None:
         self.day = day
         self.loop = loop
+        # Part of what a seed gives: with another text the same day would go another way.
         self.random = random.Random(f"arena {day.seed}")
         self.world = EmulatedWorld(loop=loop, seed=day.seed, folder=folder)
         self.world.sync_seconds = day.site.sync_seconds
         self.world.disks = Disks(rng=random.Random(f"disks {day.seed}"))
         self.history = History()
         self.counter = itertools.count(1)
-        # Servers, clients and operators are no part of any machine's life.
+        # Servers, clients and operators belong to no machine's process.
         self.outside = contextvars.copy_context()
         self.tasks: set[asyncio.Task] = set()
         self.processes: dict[str, Process] = {}
         self.machines: dict[str, SidecarMachine] = {}
         self.core: dict[str, CoreMachine] = {machine.name: machine for machine in day.site.core}
-        # Replaced core machines by name, and who came in their place.
+        # By the name of a replaced core machine: its successor's.
         self.successors: dict[str, str] = {}
-        # The operator's list of core machines as it was from each moment on.
-        self.lists: list[tuple[float, list[CoreMachine]]] = [(0.0, list(day.site.core))]
+        # The operators' list of core machines, with the time since when it was so.
+        self.seed_lists: list[tuple[float, list[CoreMachine]]] = [(0.0, list(day.site.core))]
         self.servers: dict[str, Server] = {}
         self.ready: dict[str, bool] = {}
         self.misbehaviours: dict[str, tuple[float, str]] = {}
@@ -70,13 +87,15 @@
         self.clients = Clients(environment=self)
         self.operators = Operators(environment=self)
         self.fault_injector = FaultInjector(environment=self)
-        self.lives = itertools.count(1)
+        self.incarnations = itertools.count(1)
         self.trigger_waiters: dict[asyncio.Future, str] = {}
 
     def now(self) -> float:
+        """Seconds of simulated time."""
         return self.loop.time()
 
     def create_task(self, work: Coroutine) -> asyncio.Task:
+        """Runs work that belongs to no machine's process."""
         task = self.loop.create_task(work, context=self.outside.copy())
         self.tasks.add(task)
         task.add_done_callback(self._done)
@@ -87,247 +106,264 @@
         if not task.cancelled() and task.exception() is not None:
             self.loop.errors.append({"message": "the emulator itself", "exception": task.exception()})
 
-    def fault(self, what: str) -> None:
+    def record_failure(self, what: str) -> None:
+        """Records that a program under test ended or raised by itself."""
         self.history.add(ProgramFailed(self.now(), what))
 
     def observe_counters(self, counters: Any) -> None:
-        plain = counters.record_event
+        """Collects the events that a program counts, for people to read."""
+        record_original = counters.record_event
 
         def record_event(kind: str, **detail: Any) -> None:
             self.events.append((round(self.now(), 4), counters.owner, kind, detail))
-            plain(kind, **detail)
+            record_original(kind, **detail)
 
         counters.record_event = record_event
 
-    async def within(self, task: asyncio.Task, seconds: float) -> None:
+    async def wait_for(self, task: asyncio.Task, seconds: float) -> None:
+        """Waits for a task, but not longer than this; the task goes on."""
         await asyncio.wait({task}, timeout=seconds)
 
-    # -- what others look up -----------------------------------------------------------------------------------------
-
     def route_of(self, name: str) -> Route:
+        """The site's route of this name."""
         return next(route for route in self.day.site.routes if route.name == name)
 
     def request_kind_of(self, path: str) -> RequestKind:
-        for request_kind in (*self.day.site.request_kinds, *self.day.site.inner):
+        """The kind of request that a path belongs to."""
+        for request_kind in (*self.day.site.request_kinds, *self.day.site.nested_kinds):
             if path.startswith(self.route_of(request_kind.route).prefix):
                 return request_kind
-        return RequestKind("", 0.0, 0.02, 2.0, 0)
+        return OTHER_REQUEST_KIND
 
     def misbehaviour_of(self, service: str) -> str:
+        """How the next answer of the service goes wrong; empty if it doesn't."""
         share, how = self.misbehaviours.get(service, (0.0, ""))
         return how if self.random.random() < share else ""
 
     def pick_machine(self, zone: str) -> str:
-        """A machine of the zone whose clients get work: of those that are ready, unless those are fewer than half."""
-        there = [name for name, machine in self.machines.items() if machine.zone == zone]
-        ready = [name for name in there if self.ready.get(name)]
-        some = ready if len(ready) * 2 >= len(there) else there
-        return self.random.choice(some) if some else ""
+        """A machine of the zone for a client's request: a ready one, unless fewer than half of them are ready."""
+        present = [name for name, machine in self.machines.items() if machine.zone == zone]
+        ready = [name for name in present if self.ready.get(name)]
+        candidates = ready if len(ready) * 2 >= len(present) else present
+        return self.random.choice(candidates) if candidates else ""
 
     async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any:
-        """A call at a machine's control door; None is no answer."""
+        """A call of a machine's control interface; None if no answer came within so many seconds."""
         process = self.processes.get(machine)
-        await asyncio.sleep(0.001)
-        if process is None or not process.open or process.life.dead:
+        await asyncio.sleep(CONTROL_LATENCY_SECONDS)
+        if process is None or not process.open or process.simulated.dead:
             await asyncio.sleep(within if process is not None and process.powered_off else 0.0)
             return None
         call = Call(method=method, path=path, headers=[], body=body)
-        task = process.life.spawn(process.control.handle(call))
+        task = process.simulated.spawn(process.control.handle(call))
         await asyncio.wait({task, process.ended}, timeout=within, return_when=asyncio.FIRST_COMPLETED)
         if not task.done() or task.cancelled():
             return None
         if task.exception() is not None:
-            self.fault(f"{machine}'s control door raised {task.exception()!r}")
+            self.record_failure(f"{machine}'s control interface raised {task.exception()!r}")
             return None
         return task.result()
 
     def leader(self) -> str:
-        leading = [(process.leads(), name) for name, process in self.processes.items() if process.leads()]
+        """The core machine that leads in the newest epoch, else any."""
+        leading = [(process.led_epoch(), name) for name, process in self.processes.items() if process.led_epoch()]
         return max(leading)[1] if leading else next(iter(self.core))
 
-    # -- machines ----------------------------------------------------------------------------------------------------
-
     def start(self, name: str, *, cold: bool = False) -> None:
+        """Starts a machine's program; cold is the first start of the whole site."""
         machine = self.machines.get(name) or self.core[name]
         self.world.powered_off.discard(machine.host)
-        process = self.processes[name] = Process(environment=self, machine=machine, number=next(self.lives))
+        process = self.processes[name] = Process(environment=self, machine=machine, number=next(self.incarnations))
         process.start(cold=cold)
 
     def seeds(self) -> list[CoreMachine]:
-        """The core as the operator's list has it, which lags."""
-        known = [core for since, core in self.lists if since <= self.now() - BOUNDS["seed_lag_s"]]
-        return known[-1] if known else self.lists[0][1]
+        """The core machines on the operators' list, which lags by `seed_lag_s`."""
+        known = [core for since, core in self.seed_lists if since <= self.now() - BOUNDS["seed_lag_s"]]
+        return known[-1] if known else self.seed_lists[0][1]
 
     def current_name(self, name: str) -> str:
+        """The name of the machine, or of the successor that replaced it."""
         while name in self.successors:
             name = self.successors[name]
         return name
 
     def add_successor(self, name: str) -> None:
-        """An empty machine at another address in the place of this one."""
+        """Starts an empty core machine at another address in the place of this one."""
         old, number = self.core.pop(name), len(self.successors)
-        host = f"{old.host.rpartition('.')[0]}.{SUCCESSOR_NUMBERS + number}"
+        host = f"{old.host.rpartition('.')[0]}.{FIRST_SUCCESSOR_NUMBER + number}"
         new = CoreMachine(f"{CORE}x{number}", host, old.zone)
         self.successors[name] = new.name
         self.core[new.name] = new
-        self.lists.append((self.now(), list(self.core.values())))
+        self.seed_lists.append((self.now(), list(self.core.values())))
         self.start(new.name)
 
-    async def _watch(self, name: str) -> None:
-        """The platform's ready check, once a second."""
+    async def _check_readiness(self, name: str) -> None:
+        """The platform's ready check, for as long as the machine is there."""
         misses = 0
         while name in self.machines:
             process = self.processes[name]
-            good = False
-            if process.open and not process.life.dead and not process.life.frozen:
-                task = process.life.spawn(process.ready())
-                await asyncio.wait({task, process.ended}, timeout=1.0, return_when=asyncio.FIRST_COMPLETED)
-                good = task.done() and not task.cancelled() and task.exception() is None and task.result()
-            misses = 0 if good else misses + 1
-            if good:
+            ready = await self._is_ready(process)
+            misses = 0 if ready else misses + 1
+            if ready:
                 self.ready[name] = True
-            elif misses >= 2:
+            elif misses >= MISSES_UNTIL_NOT_READY:
                 self.ready[name] = False
-            await asyncio.sleep(1.0)
+            await asyncio.sleep(READY_CHECK_SECONDS)
+
+    @staticmethod
+    async def _is_ready(process: Process) -> bool:
+        if not process.open or process.simulated.dead or process.simulated.frozen:
+            return False
+        task = process.simulated.spawn(process.ready())
+        await asyncio.wait({task, process.ended}, timeout=READY_CHECK_SECONDS, return_when=asyncio.FIRST_COMPLETED)
+        return task.done() and not task.cancelled() and task.exception() is None and task.result()
 
     def add_machine(self, machine: SidecarMachine, *, cold: bool = False) -> None:
+        """Adds and starts a machine with its server and its ready check."""
         self.machines[machine.name] = machine
         self.start(machine.name, cold=cold)
         self.new_server(machine)
-        self.create_task(self._watch(machine.name))
+        self.create_task(self._check_readiness(machine.name))
 
     def new_server(self, machine: SidecarMachine) -> None:
+        """Starts a new server beside a machine's sidecar."""
         server = self.servers[machine.name] = Server(environment=self, machine=machine, service=machine.service)
         self.create_task(server.send_heartbeats())
 
-    # -- the day -----------------------------------------------------------------------------------------------------
-
     async def play(self) -> None:
+        """Plays the whole day."""
         day = self.day
-        for machine in day.site.core:
-            self.start(machine.name, cold=True)
-        for sidecar in day.site.sidecars:
-            self.add_machine(sidecar, cold=True)
-        setup = self.create_task(self.operators.first_configuration())
+        await self._start_site()
         began = self.now()
-        await asyncio.sleep(LEAD_SECONDS)
-        if not setup.done():
-            await self.within(setup, 20.0)
-        began = self.now()
-        closing = next((each for each in day.events if isinstance(each, FinalFault)), None)
-        after = BOUNDS["recovery_s"] + AFTER_FINAL_FAULT_SECONDS if closing else 0.0
-        until = began + day.seconds + after
-        loading = self.create_task(self.clients.load(until=until))
+        final_fault = next((event for event in day.events if isinstance(event, FinalFault)), None)
+        after = BOUNDS["recovery_s"] + AFTER_FINAL_FAULT_SECONDS if final_fault else 0.0
+        load = self.create_task(self.clients.generate_load(until=began + day.seconds + after))
         for event in day.events:
             if not isinstance(event, FinalFault):
-                self.create_task(self._later(began + event.at, event))
+                self.create_task(self._run_event(began + event.at, event))
         await asyncio.sleep(day.seconds)
-        if closing is not None:
-            await self._close(closing)
-        await loading
-        # Orders under way come to their end, and what is in force is read back in calm.
-        for task in list(self.operators.open):
-            await self.within(task, 5.0)
-        await asyncio.sleep(BOUNDS["contact_s"] + 1.5)
-        await self.operators.final_change()
+        if final_fault is not None:
+            await self._run_final_fault(final_fault)
+        await load
+        await self._read_final_state()
+        self._check_tasks()
+
+    async def _start_site(self) -> None:
+        """Starts all machines and submits the first configuration."""
+        for machine in self.day.site.core:
+            self.start(machine.name, cold=True)
+        for sidecar in self.day.site.sidecars:
+            self.add_machine(sidecar, cold=True)
+        configured = self.create_task(self.operators.first_configuration())
+        await asyncio.sleep(LEAD_SECONDS)
+        if not configured.done():
+            await self.wait_for(configured, FIRST_CONFIGURATION_SECONDS)
+
+    async def _read_final_state(self) -> None:
+        """Lets changes in flight end, and reads what is in force once all is calm."""
+        for task in list(self.operators.in_flight):
+            await self.wait_for(task, CHANGES_IN_FLIGHT_SECONDS)
+        await asyncio.sleep(BOUNDS["contact_s"] + CALM_SECONDS)
+        await self.operators.submit_final_change()
         await self.operators.read_back(seconds=BOUNDS["contact_s"] + 1)
-        self._look_over()
 
-    def _look_over(self) -> None:
+    def _check_tasks(self) -> None:
+        """Records the programs' tasks that failed by themselves."""
         for name, process in self.processes.items():
             for task in getattr(process.node, "tasks", ()):
-                if not process.life.dead and task.done() and not task.cancelled() and task.exception() is not None:
-                    self.fault(f"{name}: {task.exception()!r}")
+                if not process.simulated.dead and task.done() and not task.cancelled() and task.exception() is not None:
+                    self.record_failure(f"{name}: {task.exception()!r}")
 
-    async def _later(self, at: float, event: ScheduledEvent) -> None:
+    async def _run_event(self, at: float, event: ScheduledEvent) -> None:
         await asyncio.sleep(at - self.now())
         match event:
             case Change():
-                await self.operators.change(event)
+                await self.operators.submit_changes(event)
             case ChangeStorm():
-                await self.operators.storm(event)
+                await self.operators.submit_storm(event)
             case LargeChange():
-                await self.operators.large(event)
+                await self.operators.submit_large_change(event)
             case RepeatChange():
-                await self.operators.again(event)
+                await self.operators.repeat_change(event)
             case LostAnswers():
                 await self.operators.lose_answers(event)
             case InvalidChange():
-                await self.operators.invalid_change(event)
+                await self.operators.submit_invalid_change(event)
             case FinalFault():
                 pass
-            case trouble:
-                await self.fault_injector.carry_out(trouble)
+            case fault:
+                await self.fault_injector.inject(fault)
 
-    def on_trigger(self, when: str, machine: str = "") -> None:
-        """An order was sent or confirmed, or a keyed request answered."""
-        self.fault_injector.on_trigger(when, machine)
-        for future in [future for future, trigger_waiters in self.trigger_waiters.items() if trigger_waiters == when]:
+    def on_trigger(self, trigger: str, machine: str = "") -> None:
+        """Something that a triggered fault may wait for came about, at this machine if it matters."""
+        self.fault_injector.on_trigger(trigger, machine)
+        for future in [future for future, awaited in self.trigger_waiters.items() if awaited == trigger]:
             del self.trigger_waiters[future]
             future.set_result(None)
 
-    async def _until(self, when: str, *, most: float) -> None:
+    async def _wait_for_trigger(self, trigger: str) -> None:
         future = self.loop.create_future()
-        self.trigger_waiters[future] = when
-        await asyncio.wait({future}, timeout=most)
+        self.trigger_waiters[future] = trigger
+        await asyncio.wait({future}, timeout=TRIGGER_TIMEOUT_SECONDS)
         self.trigger_waiters.pop(future, None)
 
-    async def _close(self, closing: FinalFault) -> None:
-        """Everything at once: right after the core's word, soon after an order was sent, or after a keyed answer."""
-        self.create_task(self.operators.change(Change(0.0, "split", self.day.seed)))
-        match closing.when:
-            case when if when == SENT:
-                await asyncio.sleep(self.random.uniform(*TRIGGER_DELAY_SECONDS))
-            case when:
-                await self._until(when, most=1.0)
-        struck = self.now()
-        await self.fault_injector.strike_all(closing.how, closing.seconds)
-        self.history.add(FinalFaultEnded(struck, self.now()))
-        self.clients.send_keys_again(seconds=BOUNDS["recovery_s"])
+    async def _run_final_fault(self, final_fault: FinalFault) -> None:
+        """Submits a change, waits for the trigger, and strikes all machines at once."""
+        self.create_task(self.operators.submit_changes(Change(0.0, "split", self.day.seed)))
+        if final_fault.trigger == SENT:
+            await asyncio.sleep(self.random.uniform(*TRIGGER_DELAY_SECONDS))
+        else:
+            await self._wait_for_trigger(final_fault.trigger)
+        struck_at = self.now()
+        await self.fault_injector.strike_all(final_fault.how, final_fault.seconds)
+        self.history.add(FinalFaultEnded(struck_at, self.now()))
+        self.clients.repeat_answered_keys(seconds=BOUNDS["recovery_s"])
 
 
 class PlayedDay(NamedTuple):
+    """What is left of a day that was played."""
+
     history: History
-    # What the programs said of themselves: to look at, never to judge by.
+    # What the programs counted: (time, owner, kind, detail), for people to read; no check depends on it.
     events: list[tuple[float, str, str, dict]]
 
 
 def _run(day: Day, loop: SimulatedTimeLoop) -> PlayedDay:
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-emulator-") as folder:
-        environment = Emulator(day=day, loop=loop, folder=Path(folder))
+        emulator = Emulator(day=day, loop=loop, folder=Path(folder))
         try:
-            with environment.world.disks.watched():
-                loop.run_until_complete(environment.play())
+            with emulator.world.disks.intercept_syncs():
+                loop.run_until_complete(emulator.play())
             errors = list(loop.errors)
         finally:
-            for process in environment.processes.values():
+            for process in emulator.processes.values():
                 process.kill()
-            for task in environment.tasks:
+            for task in emulator.tasks:
                 task.cancel()
             loop.close()
         for error in errors:
             if isinstance(error.get("exception"), asyncio.CancelledError):
                 # A stopping program's task was killed before it could see that it was cancelled.
                 continue
-            environment.fault(f"{error.get('message')}: {error.get('exception')!r}")
-        return PlayedDay(environment.history, environment.events)
+            emulator.record_failure(f"{error.get('message')}: {error.get('exception')!r}")
+        return PlayedDay(emulator.history, emulator.events)
 
 
 def play(day: Day) -> PlayedDay:
-    """Plays one day in simulated time and gives its history."""
+    """Plays one day in simulated time and returns its history."""
     logger.disable("hoistsaddle")
-    # For good: what a killed life never awaited may be found long after.
+    # For good: what a killed process never awaited may be found long after.
     warnings.filterwarnings("ignore", message="coroutine '.*' was never awaited", category=RuntimeWarning)
-    loop, burial = SimulatedTimeLoop(), SimulatedTimeLoop()
+    loop, cleanup_loop = SimulatedTimeLoop(), SimulatedTimeLoop()
     asyncio.set_event_loop(loop)
     try:
         return _run(day, loop)
     finally:
-        # What killed lives left unfinished is collected now, and what its last lines start meets no later day.
-        asyncio.set_event_loop(burial)
+        # What killed processes left unfinished is collected now, so that its clean-up code meets no later day.
+        asyncio.set_event_loop(cleanup_loop)
         del loop
         gc.collect()
-        burial.close()
+        cleanup_loop.close()
         gc.collect()
         asyncio.set_event_loop(None)
         logger.enable("hoistsaddle")
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
@@ -1,4 +1,4 @@
-"""What machines, servers, clients and operators see of the day that is played round them."""
+"""What machines, servers, clients and operators see of the emulator that runs them."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 
 
 class Environment(Protocol):
-    """The day as its parts see it; the arena is the one that there is."""
+    """The emulator as its parts see it."""
 
     day: Day
     loop: SimulatedTimeLoop
@@ -22,54 +22,72 @@
     world: Any
     history: History
     counter: "itertools.count[int]"
-    # By machine: its process of now, and the server beside it.
+    # By machine: its present process, and the server beside it.
     processes: dict[str, Any]
     servers: dict[str, Any]
     clients: Any
-    # Core machines of now by name; replaced ones are gone from it.
+    # The present core machines by name, without those that were replaced.
     core: dict[str, CoreMachine]
     machines: dict[str, SidecarMachine]
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Seconds of simulated time."""
 
-    def create_task(self, work: Coroutine) -> asyncio.Task: ...
+    def create_task(self, work: Coroutine) -> asyncio.Task:
+        """Runs work that belongs to no machine's process."""
 
-    def fault(self, what: str) -> None: ...
+    def record_failure(self, what: str) -> None:
+        """Records that a program under test ended or raised by itself."""
 
-    def observe_counters(self, counters: Any) -> None: ...
+    def observe_counters(self, counters: Any) -> None:
+        """Collects the events that a program counts, for people to read."""
 
-    async def within(self, task: asyncio.Task, seconds: float) -> None: ...
+    async def wait_for(self, task: asyncio.Task, seconds: float) -> None:
+        """Waits for a task, but not longer than this; the task goes on."""
 
-    def seeds(self) -> list[CoreMachine]: ...
+    def seeds(self) -> list[CoreMachine]:
+        """The core machines on the operators' list, which lags by `seed_lag_s`."""
 
-    def route_of(self, name: str) -> Route: ...
+    def route_of(self, name: str) -> Route:
+        """The site's route of this name."""
 
-    def request_kind_of(self, path: str) -> RequestKind: ...
+    def request_kind_of(self, path: str) -> RequestKind:
+        """The kind of request that a path belongs to."""
 
-    def misbehaviour_of(self, service: str) -> str: ...
+    def misbehaviour_of(self, service: str) -> str:
+        """How the next answer of the service goes wrong; empty if it doesn't."""
 
-    def pick_machine(self, zone: str) -> str: ...
+    def pick_machine(self, zone: str) -> str:
+        """A machine of the zone for a client's request; empty if there is none."""
 
-    async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any: ...
+    async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any:
+        """A call of a machine's control interface; None if no answer came within so many seconds."""
 
-    def on_trigger(self, when: str, machine: str = "") -> None: ...
+    def on_trigger(self, trigger: str, machine: str = "") -> None:
+        """Something that a triggered fault may wait for came about, at this machine if it matters."""
 
 
 class Machines(Environment, Protocol):
-    """What carries out the troubles may do to the machines."""
+    """What the fault injector may do to the machines, too."""
 
     ready: dict[str, bool]
     # By service: the share of its answers that go wrong, and how.
     misbehaviours: dict[str, tuple[float, str]]
 
-    def leader(self) -> str: ...
+    def leader(self) -> str:
+        """The core machine that leads, else any."""
 
-    def current_name(self, name: str) -> str: ...
+    def current_name(self, name: str) -> str:
+        """The name of the machine, or of the successor that replaced it."""
 
-    def start(self, name: str, *, cold: bool = False) -> None: ...
+    def start(self, name: str, *, cold: bool = False) -> None:
+        """Starts a machine's program; cold is the first start of the whole site."""
 
-    def add_machine(self, machine: SidecarMachine, *, cold: bool = False) -> None: ...
+    def add_machine(self, machine: SidecarMachine, *, cold: bool = False) -> None:
+        """Adds and starts a machine with its server and its ready check."""
 
-    def add_successor(self, name: str) -> None: ...
+    def add_successor(self, name: str) -> None:
+        """Starts an empty core machine at another address in the place of this one."""
 
-    def new_server(self, machine: SidecarMachine) -> None: ...
+    def new_server(self, machine: SidecarMachine) -> None:
+        """Starts a new server beside a machine's sidecar."""
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/fault_timeline.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/fault_timeline.py
@@ -1,73 +1,78 @@
-"""When a machine was in touch and the core settled, from the troubles made and nothing that the product says."""
+"""When machines were connected and the core was stable, from the injected faults and nothing that the product says."""
 
 import bisect
 from typing import NamedTuple
 
-from hoistsaddle.testbed.emulator.history import FaultEnded, FaultStarted, FinalFaultEnded, History
+from hoistsaddle.testbed.emulator.history import FaultEnded, FaultStarted, History
 from hoistsaddle.testbed.emulator.site import BOUNDS, Site, is_core
 
-# A request's own bounds begin a little after a trouble's end is written down.
-FOR_EVER = 1e9
+# The end, in seconds, of a fault that never ended.
+FOREVER = 1e9
 
 
 class FaultInterval(NamedTuple):
+    """One fault on one machine, from its start to its end in seconds of simulated time."""
+
     start: float
     end: float
     machine: str
     kind: str
     planned: bool
 
+    def overlaps(self, start: float, end: float) -> bool:
+        """Whether any part of the fault lies in this interval."""
+        return self.start <= end and self.end >= start
+
 
 class FaultTimeline:
+    """The day's faults by time and machine."""
+
     def __init__(self, *, history: History, site: Site) -> None:
-        self.contact = BOUNDS["contact_s"]
+        self.contact_seconds = BOUNDS["contact_s"]
         # A replaced machine's successor takes its place: their number stays.
         self.core_size = len(site.core)
-        ends = {ended_fault.number: ended_fault.at for ended_fault in history.of(FaultEnded)}
+        ends = {ended.number: ended.at for ended in history.of(FaultEnded)}
         self.intervals = [
-            FaultInterval(fault.at, ends.get(fault.number, FOR_EVER), fault.machine, fault.kind, fault.planned)
+            FaultInterval(fault.at, ends.get(fault.number, FOREVER), fault.machine, fault.kind, fault.planned)
             for fault in history.of(FaultStarted)
         ]
         self.by_machine: dict[str, list[FaultInterval]] = {}
         for interval in self.intervals:
             self.by_machine.setdefault(interval.machine, []).append(interval)
-        # A disk's trouble is its machine's alone; every other trouble of a core machine moves the core.
+        # A disk fault concerns its machine alone; every other fault of a core machine may change the leader.
         core = [interval for interval in self.intervals if is_core(interval.machine) and interval.kind != "disk"]
         self.core_intervals = core
         self.core_timestamps = sorted({timestamp for interval in core for timestamp in (interval.start, interval.end)})
-        self.closed = [closed.at for closed in history.of(FinalFaultEnded)]
-
-    def faulty(self, machine: str, start: float, end: float) -> bool:
-        """Whether any trouble of the machine touches this span."""
-        return any(interval.start <= end and interval.end >= start for interval in self.by_machine.get(machine, ()))
-
-    def unplanned(self, start: float, end: float) -> bool:
-        """Whether any trouble that nobody planned touches this span, wherever."""
-        return any(
-            not interval.planned and interval.start <= end and interval.end >= start for interval in self.intervals
-        )
-
-    def cut(self, start: float, end: float) -> bool:
-        """Whether any link was in trouble within this span."""
-        return any(
-            interval.kind == "cut" and interval.start <= end and interval.end >= start for interval in self.intervals
-        )
-
-    def settled(self, timestamp: float) -> bool:
-        """More than half of the core runs and is connected, and nothing happened to it lately."""
-        place = bisect.bisect_left(self.core_timestamps, timestamp - self.contact)
-        if place < len(self.core_timestamps) and self.core_timestamps[place] <= timestamp:
+
+    def is_faulty(self, machine: str, start: float, end: float) -> bool:
+        """Whether any fault of the machine overlaps this interval."""
+        return any(interval.overlaps(start, end) for interval in self.by_machine.get(machine, ()))
+
+    def has_unplanned_fault(self, start: float, end: float) -> bool:
+        """Whether any fault that nobody planned overlaps this interval, on whichever machine."""
+        return any(not interval.planned and interval.overlaps(start, end) for interval in self.intervals)
+
+    def has_partition(self, start: float, end: float) -> bool:
+        """Whether any link was cut within this interval."""
+        return any(interval.kind == "cut" and interval.overlaps(start, end) for interval in self.intervals)
+
+    def _core_changes(self, start: float, end: float) -> bool:
+        """Whether a fault of the core starts or ends within this interval."""
+        position = bisect.bisect_left(self.core_timestamps, start)
+        return position < len(self.core_timestamps) and self.core_timestamps[position] <= end
+
+    def is_core_stable(self, at: float) -> bool:
+        """Whether a majority of the core runs and is connected, without a change for `contact_s` before."""
+        if self._core_changes(at - self.contact_seconds, at):
             return False
-        out = {interval.machine for interval in self.core_intervals if interval.start <= timestamp <= interval.end}
-        return (self.core_size - len(out)) * 2 > self.core_size
-
-    def settled_over(self, start: float, end: float) -> bool:
-        """Settled all the while: it changes only where something happens to the core."""
-        place = bisect.bisect_left(self.core_timestamps, start)
-        happens = place < len(self.core_timestamps) and self.core_timestamps[place] <= end
-        return self.settled(start) and not happens
-
-    def connected(self, machine: str, timestamp: float, *, until: float | None = None) -> bool:
-        """From `contact_s` before the moment on, until another one if it is given."""
-        end = timestamp if until is None else max(timestamp, until)
-        return self.settled_over(timestamp, end) and not self.faulty(machine, timestamp - self.contact, end)
+        faulty = {interval.machine for interval in self.core_intervals if interval.start <= at <= interval.end}
+        return (self.core_size - len(faulty)) * 2 > self.core_size
+
+    def is_core_stable_during(self, start: float, end: float) -> bool:
+        """Whether the core is stable all the while: that changes only where one of its faults starts or ends."""
+        return self.is_core_stable(start) and not self._core_changes(start, end)
+
+    def is_connected(self, machine: str, at: float, *, until: float | None = None) -> bool:
+        """Whether the machine had no fault, and the core was stable, from `contact_s` before `at` until `until`."""
+        end = at if until is None else max(at, until)
+        return self.is_core_stable_during(at, end) and not self.is_faulty(machine, at - self.contact_seconds, end)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/history.py
@@ -1,4 +1,7 @@
-"""What clients, servers and operators of the emulator saw, and the troubles made: all that its checkers read."""
+"""What clients, servers and operators of the emulator observed, and the faults injected: all that its checkers read.
+
+Times are seconds of simulated time. Identifiers of attempts, runs and changes are unique in a history.
+"""
 
 from collections import defaultdict
 from typing import Any, NamedTuple, TypeVar
@@ -9,13 +12,13 @@
 
 
 class RequestSent(NamedTuple):
-    """One try of a client, or of a server's own call, at a machine's door."""
+    """One attempt of a client, or of a server's nested call, at the proxy of a machine."""
 
     at: float
     attempt: str
     machine: str
-    # The life of the machine's process, counted by the emulator.
-    life: int
+    # Which process of the machine, counted by the emulator.
+    incarnation: int
     service: str
     route: str
     method: str
@@ -23,7 +26,7 @@
     body: str
     key: str
     deadline: float
-    # The run that made this call; empty for a client's.
+    # The run that made this nested call; empty for a client's request.
     parent: str = ""
 
 
@@ -35,11 +38,13 @@
     service: str
     instance: str
     machine: str
-    # The server's word that it is another one.
+    # The request was meant for another instance, and the server says so.
     misdirected: bool
 
 
 class RunStarted(NamedTuple):
+    """A server began to work on a request."""
+
     at: float
     run: str
     attempt: str
@@ -54,7 +59,7 @@
 
 
 class RunEnded(NamedTuple):
-    """A server ended its work; whole says whether its answer went out whole."""
+    """A server ended its work; complete says whether its answer was sent completely."""
 
     at: float
     run: str
@@ -64,32 +69,33 @@
 
 
 class RequestResult(NamedTuple):
-    """How a try ended: answered, broken (closed without an answer), unreached, or given up by its client."""
+    """How an attempt ended: answered, broken (closed without an answer), unreached, or given up by its client."""
 
     at: float
     attempt: str
     outcome: str
     status: int = 0
+    # The run whose server gave the answer; empty for a proxy's own answer.
     seal: str = ""
     body: str = ""
     retry_after: float | None = None
 
 
 class ChangeSubmitted(NamedTuple):
-    """An operator's order is sent for the first time. Routes by name with their revision; None drops."""
+    """An operator submits a change for the first time. Routes by name with their revision; None removes one."""
 
     at: float
     change_request: str
     routes: tuple[tuple[str, int, Route | None], ...]
-    proper: bool
-    # Every item with the operator's own words, to compare with what is read back.
-    said: dict[str, Any]
-    # Other orders use the same version for another content: one of them may be confirmed, the others refused.
+    valid: bool
+    # Every route as it was encoded by the operator, to compare with what is read back.
+    encoded_routes: dict[str, Any]
+    # Other changes use the same revision for other contents: one of them may be confirmed, the others refused.
     contested: bool = False
 
 
 class ChangeAnswered(NamedTuple):
-    """The operator got an answer to an order; 0 is silence."""
+    """The operator got an answer to a change; status 0 is a time-out."""
 
     at: float
     change_request: str
@@ -98,7 +104,7 @@
 
 
 class ChangeAnswerLost(NamedTuple):
-    """A core machine's answer to an order, lost on its way: the operator knows nothing of it."""
+    """A core machine's answer to a change was lost on the way: the operator doesn't know of it."""
 
     at: float
     change_request: str
@@ -107,14 +113,14 @@
 
 
 class FinalChange(NamedTuple):
-    """The order that is sent in calm at the day's end: whoever has a majority can take it."""
+    """The change submitted at the end of the day, without faults: a core with a majority can commit it."""
 
     at: float
     change_request: str
 
 
 class HeartbeatAcknowledged(NamedTuple):
-    """A sidecar acknowledged what its server said."""
+    """A sidecar acknowledged a heartbeat of its server."""
 
     at: float
     machine: str
@@ -123,14 +129,16 @@
 
 
 class ProcessStarted(NamedTuple):
+    """A program started on a machine; incarnation is the emulator's count of processes."""
+
     at: float
     machine: str
     service: str
-    life: int
+    incarnation: int
 
 
 class FaultStarted(NamedTuple):
-    """Trouble begins on a machine. planned: by the operator's own hand."""
+    """A fault begins on a machine; planned is one by an operator's own hand."""
 
     at: float
     number: int
@@ -140,19 +148,21 @@
 
 
 class FaultEnded(NamedTuple):
+    """The fault of this number ended."""
+
     at: float
     number: int
 
 
 class FinalFaultEnded(NamedTuple):
-    """The day's last fault struck; back is when the machines returned."""
+    """The day's last fault struck at `at`; the machines returned at `recovered_at`."""
 
     at: float
-    back: float
+    recovered_at: float
 
 
 class ConfigurationRead(NamedTuple):
-    """What one core machine said at the end; None is no answer."""
+    """What one core machine returned when its configuration was read at the end; None is no answer."""
 
     at: float
     machine: str
@@ -160,20 +170,24 @@
 
 
 class ProgramFailed(NamedTuple):
-    """A program of ours ended or raised by itself."""
+    """A program under test ended or raised by itself."""
 
     at: float
     what: str
 
 
 class History:
+    """All events of a day, in order and by kind."""
+
     def __init__(self) -> None:
         self.events: list[Any] = []
         self.by_kind: dict[type, list] = defaultdict(list)
 
     def add(self, event: NamedTuple) -> None:
+        """Appends an event."""
         self.events.append(event)
         self.by_kind[type(event)].append(event)
 
     def of(self, kind: type[Event]) -> list[Event]:
+        """The events of one kind, in order."""
         return self.by_kind[kind]
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/history_index.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/history_index.py
@@ -1,7 +1,8 @@
-"""The history of a day with what several rules ask of it."""
+"""Lookups over the history of a day that several rules share."""
 
 from collections import defaultdict
 from functools import cached_property
+from typing import NamedTuple
 
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.fault_timeline import FaultTimeline
@@ -16,117 +17,139 @@
     RunStarted,
 )
 from hoistsaddle.testbed.emulator.site import REPEATABLE, Route
+from hoistsaddle.testbed.emulator.statuses import OK, UNKNOWN_ROUTE, is_success
 
-CONFIRMED = 200
-# Answers after which nothing of an order counts.
-REFUSED = (400, 409, 412, 413, 422)
+# Stands for "no revision yet".
+NO_REVISION = -1
 
 
 class Version:
-    """One item at one revision, as an operator sent it in a proper order."""
+    """One route at one revision, as an operator submitted it in a valid change; route None removes it."""
 
-    def __init__(self, *, revision: int, route: Route | None, sent: float) -> None:
+    def __init__(self, *, revision: int, route: Route | None, submitted_at: float) -> None:
         self.revision = revision
         self.route = route
-        self.sent = sent
-        # When the operator heard of it, and when a core machine said so first, heard or not.
-        self.acknowledged: float | None = None
-        self.given: float | None = None
-        # Every order that holds it was refused.
-        self.refused = True
+        self.submitted_at = submitted_at
+        # When the operator got the confirmation.
+        self.acknowledged_at: float | None = None
+        # When a core machine first sent a confirmation that was lost.
+        self.confirmed_at: float | None = None
 
     def allows(self, service: str) -> bool:
+        """Whether requests on the route may run at this service."""
         return self.route is not None and any(name == service and weight > 0 for name, weight in self.route.parts)
 
 
+class ObservedHandling(NamedTuple):
+    """What a request reveals about the configuration in force: the service that ran it, or that it had no route."""
+
+    service: str
+    unknown_route: bool = False
+
+    def fits(self, version: Version) -> bool:
+        """Whether this version in force explains the handling."""
+        return version.route is None if self.unknown_route else version.allows(self.service)
+
+
 class HistoryIndex:
-    """The history with what several rules ask of it."""
+    """The history by attempt, run and version, with the timeline of faults."""
 
     def __init__(self, *, history: History, day: Day) -> None:
         self.history = history
         self.day = day
         self.timeline = FaultTimeline(history=history, site=day.site)
-        self.sent = {sent.attempt: sent for sent in history.of(RequestSent)}
-        self.result = {result.attempt: result for result in history.of(RequestResult)}
-        self.ran: dict[str, list[RunStarted]] = defaultdict(list)
-        for ran in history.of(RunStarted):
-            self.ran[ran.attempt].append(ran)
-        self.replied = {replied.run: replied for replied in history.of(RunEnded)}
-        self.runs = {ran.run: ran for ran in history.of(RunStarted)}
-        self.kinds = {route.name: route.kind for route in day.site.routes}
-        # Routes that came during the day, too.
+        self.requests = {request.attempt: request for request in history.of(RequestSent)}
+        self.results = {result.attempt: result for result in history.of(RequestResult)}
+        self.runs_by_attempt: dict[str, list[RunStarted]] = defaultdict(list)
+        for started in history.of(RunStarted):
+            self.runs_by_attempt[started.attempt].append(started)
+        self.ended_runs = {ended.run: ended for ended in history.of(RunEnded)}
+        self.runs = {started.run: started for started in history.of(RunStarted)}
+        self.route_kinds = {route.name: route.kind for route in day.site.routes}
+        # Also those of routes that were added during the day.
         for submitted in history.of(ChangeSubmitted):
-            self.kinds.update((name, route.kind) for name, _, route in submitted.routes if route is not None)
+            self.route_kinds.update((name, route.kind) for name, _, route in submitted.routes if route is not None)
 
     @cached_property
     def versions(self) -> dict[str, list[Version]]:
-        """Each item's versions in proper orders, in their order. Desks may give one version several contents."""
+        """Each route's versions in valid changes, by revision. Operators may give one revision several contents."""
         found: dict[str, dict[tuple[int, Route | None], Version]] = defaultdict(dict)
-        of_order: dict[str, list[Version]] = {}
+        by_change: dict[str, list[Version]] = {}
         for submitted in self.history.of(ChangeSubmitted):
-            if not submitted.proper:
+            if not submitted.valid:
                 continue
-            these = []
+            versions = []
             for name, revision, route in submitted.routes:
                 version = found[name].get((revision, route))
                 if version is None:
-                    version = found[name][revision, route] = Version(revision=revision, route=route, sent=submitted.at)
-                these.append(version)
-            of_order[submitted.change_request] = these
-        for told in self.history.of(ChangeAnswered):
-            if told.status == CONFIRMED:
-                for version in of_order.get(told.change_request, ()):
-                    if version.acknowledged is None:
-                        version.acknowledged = told.at
-        for unheard in self.history.of(ChangeAnswerLost):
-            if unheard.status == CONFIRMED:
-                for version in of_order.get(unheard.change_request, ()):
-                    version.given = min(version.given or unheard.at, unheard.at)
-        return {name: self._possible(these) for name, these in found.items()}
+                    version = Version(revision=revision, route=route, submitted_at=submitted.at)
+                    found[name][revision, route] = version
+                versions.append(version)
+            by_change[submitted.change_request] = versions
+        for answered in self.history.of(ChangeAnswered):
+            if answered.status == OK:
+                for version in by_change.get(answered.change_request, ()):
+                    if version.acknowledged_at is None:
+                        version.acknowledged_at = answered.at
+        for lost in self.history.of(ChangeAnswerLost):
+            if lost.status == OK:
+                for version in by_change.get(lost.change_request, ()):
+                    version.confirmed_at = min(version.confirmed_at or lost.at, lost.at)
+        return {name: self._possible(versions) for name, versions in found.items()}
 
     @staticmethod
-    def _possible(these: dict[tuple[int, Route | None], Version]) -> list[Version]:
-        """Without contents that can't be in force, because another one was acknowledged under their version."""
-        settled = {version.revision for version in these.values() if version.acknowledged is not None}
-        left = [
-            version for version in these.values() if version.acknowledged is not None or version.revision not in settled
+    def _possible(versions: dict[tuple[int, Route | None], Version]) -> list[Version]:
+        """Without contents that can't be in force, because another one was acknowledged under their revision."""
+        decided = {version.revision for version in versions.values() if version.acknowledged_at is not None}
+        possible = [
+            version
+            for version in versions.values()
+            if version.acknowledged_at is not None or version.revision not in decided
         ]
-        return sorted(left, key=lambda version: version.revision)
+        return sorted(possible, key=lambda version: version.revision)
 
-    def floor(self, name: str, timestamp: float) -> int:
-        """The newest revision acknowledged by then; -1 is none."""
+    def acknowledged_revision(self, route: str, at: float) -> int:
+        """The newest revision of a route acknowledged to an operator by then, or NO_REVISION."""
         return max(
             (
                 version.revision
-                for version in self.versions.get(name, ())
-                if version.acknowledged is not None and version.acknowledged <= timestamp
+                for version in self.versions.get(route, ())
+                if version.acknowledged_at is not None and version.acknowledged_at <= at
             ),
-            default=-1,
+            default=NO_REVISION,
         )
 
-    def given(self, name: str) -> int:
-        """The newest revision that a core machine confirmed, whether or not its word arrived; -1 is none."""
+    def confirmed_revision(self, route: str) -> int:
+        """The newest revision that a core machine confirmed, whether or not its answer arrived, or NO_REVISION."""
         return max(
             (
                 version.revision
-                for version in self.versions.get(name, ())
-                if version.acknowledged is not None or version.given is not None
+                for version in self.versions.get(route, ())
+                if version.acknowledged_at is not None or version.confirmed_at is not None
             ),
-            default=-1,
+            default=NO_REVISION,
         )
 
-    def handled(self, sent: RequestSent) -> tuple[str, str] | None:
-        """What a request shows of the configuration: run by a service, or refused as unknown."""
-        if self.ran[sent.attempt]:
-            return ("run", self.ran[sent.attempt][0].service)
-        result = self.result.get(sent.attempt)
-        if result is not None and result.status == 404 and not result.seal:
-            return ("unknown", "")
+    def handling_of(self, request: RequestSent) -> ObservedHandling | None:
+        """What the request reveals about the configuration in force; None where it reveals nothing."""
+        runs = self.runs_by_attempt[request.attempt]
+        if runs:
+            return ObservedHandling(runs[0].service)
+        result = self.results.get(request.attempt)
+        if result is not None and result.status == UNKNOWN_ROUTE and not result.seal:
+            return ObservedHandling("", unknown_route=True)
         return None
 
-    def fits(self, version: Version, shown: tuple[str, str]) -> bool:
-        kind, service = shown
-        return version.allows(service) if kind == "run" else version.route is None
+    def handled_at(self, request: RequestSent) -> float:
+        """When the handling was observed: the start of its first run, else its answer."""
+        runs = self.runs_by_attempt[request.attempt]
+        return runs[0].at if runs else self.results[request.attempt].at
+
+    def is_repeatable(self, request: RequestSent) -> bool:
+        """Whether the request's route allows it to run more than once."""
+        return self.route_kinds.get(request.route) == REPEATABLE
 
-    def repeatable(self, sent: RequestSent) -> bool:
-        return self.kinds.get(sent.route) == REPEATABLE
+    def was_served(self, request: RequestSent) -> bool:
+        """Whether the attempt got a success."""
+        result = self.results.get(request.attempt)
+        return result is not None and result.outcome == "answered" and is_success(result.status)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
@@ -1,4 +1,4 @@
-"""The emulator's machines: the product's own programs under the platform's settings, their doors, and how they end."""
+"""The emulator's machines: the product's own programs under the platform's settings, and how they end."""
 
 import asyncio
 from datetime import timedelta
@@ -13,7 +13,7 @@
 from hoistsaddle.registry.addresses import number_of_host
 from hoistsaddle.registry.controller import Controller
 from hoistsaddle.sidecar.listener import IngressHandler
-from hoistsaddle.sidecar.messages import RunOnServer, ServerFailed
+from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered, ServerFailed
 from hoistsaddle.sidecar.node import SidecarNode
 from hoistsaddle.sidecar.service import CLOSING_SHARE, QUIET
 from hoistsaddle.testbed.emulator.disks import EmulatedDiskWorker, database_files
@@ -21,44 +21,47 @@
 from hoistsaddle.testbed.emulator.history import ProcessStarted
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 from hoistsaddle.testbed.emulator.scheduled_events import SNAPSHOT
+from hoistsaddle.testbed.emulator.servers import PORT as SERVER_PORT
 from hoistsaddle.testbed.emulator.site import BOUNDS, CoreMachine, SidecarMachine
 from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess
 from hoistsaddle.testbed.simulation.world import SimulatedRuntime, wipe
 
-# What a closing door waits before it lets go of its connections, and then for what still runs on them.
-GRACE_LEFT = 0.15
-DOOR_SPAN = 0.2
+# What a closing listener waits before it closes its connections, and then for what still runs on them, in seconds.
+CLOSE_DELAY_SECONDS = 0.15
+CLOSE_TIMEOUT_SECONDS = 0.2
+MAX_SEEDS = 3
+POLL_SECONDS = 0.02
 
 
 class Process:
-    """One life of a machine's program."""
+    """One process of a machine's program, from its start to its end."""
 
     def __init__(self, *, environment: Environment, machine: CoreMachine | SidecarMachine, number: int) -> None:
         self.environment = environment
         self.machine = machine
         self.number = number
         self.service = machine.service if isinstance(machine, SidecarMachine) else ""
-        self.life = SimulatedProcess(name=machine.name, loop=environment.loop)
-        self.runtime = SimulatedRuntime(world=environment.world, life=self.life)
+        self.simulated = SimulatedProcess(name=machine.name, loop=environment.loop)
+        self.runtime = SimulatedRuntime(world=environment.world, life=self.simulated)
         self.ended: asyncio.Future = environment.loop.create_future()
         self.pending: dict[asyncio.Task, None] = {}
-        # Connections that may be reset: of clients here, and from here to the server beside.
+        # Connections that may be reset: of clients to here, and from here to the server beside.
         self.connections: dict[asyncio.Future, None] = {}
         self.open = False
         self.powered_off = False
-        self.stopping_since: float | None = None
         self.node: Any = None
         self.worker: EmulatedDiskWorker | None = None
-        self.door: Any = None
+        self.ingress: Any = None
         self.control: Any = None
         environment.history.add(ProcessStarted(environment.now(), machine.name, self.service, number))
 
-    def settings(self, *, cold: bool) -> Any:
+    def write_settings(self, *, cold: bool) -> Any:
+        """Writes the machine's settings file, and reads it as the platform's start-up does."""
         environment, machine = self.environment, self.machine
-        # At the first start all get the same three, later whichever the operator's list begins with.
+        # At the first start all get the same seeds, later any of the operators' list.
         known = environment.seeds()
-        seeds = known[:3] if cold else environment.random.sample(known, min(3, len(known)))
-        written = adapter("samples").settings(
+        seeds = known[:MAX_SEEDS] if cold else environment.random.sample(known, min(MAX_SEEDS, len(known)))
+        encoded = adapter("samples").settings(
             node=machine.name,
             host=machine.host,
             zone=machine.zone,
@@ -68,20 +71,22 @@
             bounds=BOUNDS,
             folder=str(self.folder) if isinstance(machine, CoreMachine) else None,
             service=self.service,
-            server=f"{machine.host}:8301" if self.service else "",
+            server=f"{machine.host}:{SERVER_PORT}" if self.service else "",
         )
         path = environment.world.folder / f"{machine.name}.json"
-        path.write_bytes(written)
+        path.write_bytes(encoded)
         return adapter("headers").read_settings(str(path))
 
     @property
     def folder(self) -> Path:
+        """The data folder of a core machine."""
         return self.environment.world.folder / f"data-{self.machine.name}"
 
     def start(self, *, cold: bool) -> None:
-        settings = self.settings(cold=cold)
-        self.life.context.run(self._make, settings)
-        self.life.spawn(self._boot())
+        """Starts the program; cold is the first start of the whole site."""
+        settings = self.write_settings(cold=cold)
+        self.simulated.context.run(self._make, settings)
+        self.simulated.spawn(self._boot())
 
     def _make(self, settings: Any) -> None:
         handlers, headers = adapter("handlers"), adapter("headers")
@@ -96,12 +101,12 @@
                 synchronous="OFF",
             )
 
-            def make_worker(**needs: Any) -> EmulatedDiskWorker:
+            def make_worker(**arguments: Any) -> EmulatedDiskWorker:
                 self.worker = EmulatedDiskWorker(
                     world=self.environment.world,
-                    life=self.life,
-                    snapshot=lambda: self.environment.on_trigger(SNAPSHOT, self.machine.name),
-                    **needs,
+                    life=self.simulated,
+                    on_snapshot=lambda: self.environment.on_trigger(SNAPSHOT, self.machine.name),
+                    **arguments,
                 )
                 return self.worker
 
@@ -110,31 +115,31 @@
         else:
             daemon_settings = check_settings(headers.sidecar_settings(settings)).unwrap()
             self.node = SidecarNode(settings=daemon_settings, runtime=self.runtime, serve=self._serve)
-            self.door = IngressHandler(node=self.node, header_names=headers.HEADER_NAMES)
+            self.ingress = IngressHandler(node=self.node, header_names=headers.HEADER_NAMES)
             self.control = handlers.HeartbeatHandler(node=self.node)
         self.environment.observe_counters(self.node.counters)
 
-    def rewrite(self) -> None:
-        """The settings file is another one, and the program takes it up as it runs."""
-        if self.life.dead or self.life.frozen or not self.open:
+    def rewrite_settings(self) -> None:
+        """Writes new settings, and applies them to the running program."""
+        if self.simulated.dead or self.simulated.frozen or not self.open:
             return
-        settings, headers = self.settings(cold=False), adapter("headers")
+        settings, headers = self.write_settings(cold=False), adapter("headers")
         if isinstance(self.machine, CoreMachine):
             daemon_settings = self._core_settings(headers.controller_settings(settings))
         else:
             daemon_settings = headers.sidecar_settings(settings)
-        self.life.context.run(self.node.apply_settings, check_settings(daemon_settings).unwrap())
+        self.simulated.context.run(self.node.apply_settings, check_settings(daemon_settings).unwrap())
 
     def _core_settings(self, daemon_settings: Any) -> Any:
-        """On some days snapshots come often, so that machines are lost, and catch up, in their midst."""
+        """With the day's snapshot interval: on some days machines fail and catch up while one is written."""
         return msgspec.structs.replace(daemon_settings, checkpoint_records=self.environment.day.site.snapshot_records)
 
     async def _boot(self) -> None:
         await self.node.start()
         self.open = True
 
-    async def _serve(self, serve: RunOnServer) -> tuple:
-        work = self.environment.create_task(self.environment.servers[self.machine.name].serve(serve))
+    async def _serve(self, command: RunOnServer) -> ServerAnswered | ServerFailed:
+        work = self.environment.create_task(self.environment.servers[self.machine.name].serve(command))
         connection = self.connection()
         try:
             await asyncio.wait({work, connection}, return_when=asyncio.FIRST_COMPLETED)
@@ -142,70 +147,74 @@
             self.close_connection(connection)
         if work.done():
             return work.result()
-        # The server works on, and nobody hears what comes of it.
+        # The server works on, and its answer is lost.
         return ServerFailed(
-            serve.number, False, MeshError(ErrorKind.ANSWER_BROKEN, "The connection broke.", "simulated")
+            command.number, False, MeshError(ErrorKind.ANSWER_BROKEN, "The connection broke.", "simulated")
         )
 
     def connection(self) -> asyncio.Future:
-        """Done once this connection is reset."""
+        """Opens a connection: a future that is done once it is reset."""
         connection = self.environment.loop.create_future()
         self.connections[connection] = None
         return connection
 
     def close_connection(self, connection: asyncio.Future) -> None:
+        """Forgets a connection that was closed."""
         self.connections.pop(connection, None)
 
     def reset(self, share: float) -> None:
+        """Resets a share of the connections."""
         for connection in list(self.connections):
             if not connection.done() and self.environment.random.random() < share:
                 connection.set_result(None)
 
     async def ready(self) -> bool:
+        """What the platform's ready check says."""
         answer = await adapter("handlers").ready_door(self.node, None)
         return answer.status == 200
 
     async def wind_down(self) -> None:
-        """What SIGTERM does, step by step as the services of the house do it."""
+        """What SIGTERM does, in the steps of the product's own services."""
         environment = self.environment
-        self.stopping_since = environment.now()
         if isinstance(self.machine, CoreMachine):
-            await environment.within(self.life.spawn(self.node.stop()), BOUNDS["grace_s"])
+            await environment.wait_for(self.simulated.spawn(self.node.stop()), BOUNDS["grace_s"])
             return
         end = environment.now() + BOUNDS["grace_s"]
         most = timedelta(seconds=BOUNDS["grace_s"]) * (1 - CLOSING_SHARE)
-        await environment.within(self.life.spawn(self.node.wind_down(quiet=QUIET, most=most)), BOUNDS["grace_s"])
+        await environment.wait_for(self.simulated.spawn(self.node.wind_down(quiet=QUIET, most=most)), BOUNDS["grace_s"])
         self.open = False
-        await asyncio.sleep(GRACE_LEFT)
-        end = min(end, environment.now() + DOOR_SPAN)
-        while self.pending and environment.now() < end and not self.life.dead:
-            await asyncio.sleep(0.02)
+        await asyncio.sleep(CLOSE_DELAY_SECONDS)
+        end = min(end, environment.now() + CLOSE_TIMEOUT_SECONDS)
+        while self.pending and environment.now() < end and not self.simulated.dead:
+            await asyncio.sleep(POLL_SECONDS)
 
     def kill(self, *, power: bool = False) -> None:
-        if self.life.dead:
+        """Ends the process at once; without power also what its disk had not synced."""
+        if self.simulated.dead:
             return
-        self.environment.world.kill(self.life, power=power)
+        self.environment.world.kill(self.simulated, power=power)
         self.powered_off = power
         if power:
             self.environment.world.powered_off.add(self.machine.host)
         if isinstance(self.machine, CoreMachine):
             if power and self.worker is not None:
                 self.environment.world.disks.tear(self.worker)
-            ledger = database_files(self.folder) if power else {}
+            database = database_files(self.folder) if power else {}
             self.node.store.runner.disk.close()
             if power:
-                self.environment.world.disks.lose_power(self.folder, ledger)
+                self.environment.world.disks.lose_power(self.folder, database)
         self.open = False
         if not self.ended.done():
             self.ended.set_result(None)
 
     def wipe(self) -> None:
+        """Empties the data folder."""
         self.environment.world.disks.forget(self.folder)
         wipe(self.folder)
 
-    def leads(self) -> int:
-        """The epoch this machine leads, or 0."""
-        if not isinstance(self.machine, CoreMachine) or self.life.dead or self.life.frozen:
+    def led_epoch(self) -> int:
+        """The epoch in which this machine leads, or 0."""
+        if not isinstance(self.machine, CoreMachine) or self.simulated.dead or self.simulated.frozen:
             return 0
         core = self.node.store.runner.core
         return core.epoch if core is not None and core.role == "leader" else 0
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
@@ -1,4 +1,4 @@
-"""The emulator's network: machines that lose power say nothing, and connections may be reset."""
+"""The emulator's network: machines without power are silent, and connections may be reset."""
 
 import asyncio
 from collections.abc import Iterable
@@ -11,47 +11,51 @@
 from hoistsaddle.testbed.simulation.event_loop import SimulatedProcess
 from hoistsaddle.testbed.simulation.world import World
 
-# How long a line with a pulse takes to miss a machine that says nothing.
-PULSE_SECONDS = 0.9
-_silent = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
+# How long a connection's keep-alive takes to notice that a machine is silent.
+KEEP_ALIVE_SECONDS = 0.9
+_NO_ANSWER = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
 
 
 class EmulatedWorld(World):
-    """A world whose machines may lose power: then nothing comes back, not even a reset."""
+    """A simulated world whose machines may lose power: then nothing comes back, not even a reset."""
 
-    def __init__(self, **needs: Any) -> None:
-        super().__init__(**needs)
+    def __init__(self, **arguments: Any) -> None:
+        super().__init__(**arguments)
         self.disks: Any = None
         self.powered_off: set[str] = set()
         self.slow = 0.002
         self.repeated = 0.002
-        # Calls under way: who calls, and the host that is called.
-        self.under_way: dict[asyncio.Future, tuple[str, str]] = {}
+        # Calls in flight: the machine that calls, and the host that is called.
+        self.calls: dict[asyncio.Future, tuple[str, str]] = {}
 
     def start_call(
-        self, life: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
+        self, process: SimulatedProcess, address: str, message: tuple, future: asyncio.Future, within: float
     ) -> None:
+        """Starts a call; one to a host without power times out."""
         host = address.partition(":")[0]
-        self.under_way[future] = (life.name, host)
-        future.add_done_callback(lambda done: self.under_way.pop(done, None))
+        self.calls[future] = (process.name, host)
+        future.add_done_callback(lambda done: self.calls.pop(done, None))
         if host in self.powered_off:
-            span = min(within, CONNECT_TIMEOUT.total_seconds())
-            # No listener stands there: the plain world's answer, only later.
+            timeout = min(within, CONNECT_TIMEOUT.total_seconds())
+            # Nobody listens there: the answer of a host with power, only later.
             self.loop.call_later(
-                span, lambda: World.start_call(self, life, address, message, future, within), context=life.context
+                timeout,
+                lambda: World.start_call(self, process, address, message, future, within),
+                context=process.context,
             )
             return
-        super().start_call(life, address, message, future, within)
+        super().start_call(process, address, message, future, within)
 
-    def kill(self, life: SimulatedProcess, *, power: bool = False) -> None:
-        waiting = self.pending.pop(life, {}) if power else {}
-        super().kill(life)
+    def kill(self, process: SimulatedProcess, *, power: bool = False) -> None:
+        """Ends a process; without power its callers notice only by the keep-alive."""
+        waiting = self.pending.pop(process, {}) if power else {}
+        super().kill(process)
         for future in waiting:
-            self.loop.call_later(PULSE_SECONDS, self._settle, future, _silent)
+            self.loop.call_later(KEEP_ALIVE_SECONDS, self._settle, future, _NO_ANSWER)
 
     def reset(self, *, names: Iterable[str], hosts: Iterable[str], share: float) -> None:
-        """Calls from or to these machines break off; what was received already goes on there, unheard."""
-        some, at = set(names), set(hosts)
-        for future, (caller, host) in list(self.under_way.items()):
-            if (caller in some or host in at) and self.random.random() < share:
-                self.loop.call_later(self.latency(), self._settle, future, _silent)
+        """A share of the calls from or to these machines breaks off; requests that arrived are still handled."""
+        callers, called = set(names), set(hosts)
+        for future, (caller, host) in list(self.calls.items()):
+            if (caller in callers or host in called) and self.random.random() < share:
+                self.loop.call_later(self.latency(), self._settle, future, _NO_ANSWER)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
@@ -1,9 +1,9 @@
-"""The operators: how orders are sent, sent again after lost answers, and what is read back at the end."""
+"""The operators: how changes are submitted, submitted again after lost answers, and read back at the end."""
 
 import asyncio
 import random
 
-from hoistsaddle.testbed.emulator.change_requests import ChangeRequest, ChangeRequestBook, Composed
+from hoistsaddle.testbed.emulator.change_requests import ChangeRequest, ChangeRequestBook, ComposedChange
 from hoistsaddle.testbed.emulator.environment import Environment
 from hoistsaddle.testbed.emulator.history import ChangeAnswered, ChangeAnswerLost, ConfigurationRead, FinalChange
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
@@ -18,44 +18,56 @@
     RepeatChange,
 )
 from hoistsaddle.testbed.emulator.site import BOUNDS, Route
+from hoistsaddle.testbed.emulator.statuses import FINAL_REFUSALS, OK, is_refusal
 
-FINAL = (400, 409, 412, 413, 422)
-CONFIRMED = 200
 ANSWER_TIMEOUT_SECONDS = 1.0
 SUBMIT_TIMEOUT_SECONDS = 40.0
-# So many orders may be under way at once, as the platform's page says.
+FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = 0.05, 1.0
+READ_RETRY_SECONDS = 0.1
+# An operator gives a change up after so many client errors.
+MAX_REFUSALS = 3
+# So many changes may be in flight at once, by the platform's rules.
 MAX_IN_FLIGHT = 8
 STORM_KINDS = ("add", "drop", "split", "move", "times", "idle", "idle")
 
 
 class Operators:
+    """Submits the day's changes to the core and reads the configuration back."""
+
     def __init__(self, *, environment: Environment) -> None:
         self.environment = environment
         self.random = environment.random
         self.book = ChangeRequestBook(environment=environment)
-        self.open: dict[asyncio.Task, None] = {}
-        # Orders with a confirmation that was heard, to be sent again.
+        self.in_flight: dict[asyncio.Task, None] = {}
+        # Changes whose confirmation arrived, to be submitted again.
         self.confirmed: list[ChangeRequest] = []
-        # Of the answers to operators, so many are lost now.
+        # The share of the answers to operators that is lost at present.
         self.answer_loss_probability = 0.0
 
     async def first_configuration(self) -> bool:
-        return await self._send(self.book.proper(list(self.environment.day.site.routes), first=True)) == CONFIRMED
+        """Submits all routes and services of the site; True if that was confirmed."""
+        change_request = self.book.valid_change(list(self.environment.day.site.routes), first=True)
+        return await self._submit(change_request) == OK
 
-    def _machines(self, begin: str) -> list[str]:
+    def _submission_order(self, first: str) -> list[str]:
+        """The core machines in random order, but for the first one if it is given."""
         names = [machine.name for machine in self.environment.seeds()]
         self.random.shuffle(names)
-        if begin in names:
-            names.remove(begin)
-            names.insert(0, begin)
+        if first in names:
+            names.remove(first)
+            names.insert(0, first)
         return names
 
-    async def _send(self, change_request: ChangeRequest, *, begin: str = "") -> int:
-        """Until there is a clear answer, to one core machine after the other, with growing pauses."""
+    async def _submit(self, change_request: ChangeRequest, *, first: str = "") -> int:
+        """Submits to one core machine after the other, with backoff, until there is a clear answer.
+
+        Returns the status of that answer; 0 if there was none in time.
+        """
         environment = self.environment
         samples = adapter("samples")
-        names = self._machines(begin)
-        pause, until, odd = 0.05, environment.now() + SUBMIT_TIMEOUT_SECONDS, 0
+        names = self._submission_order(first)
+        backoff, refusals = FIRST_BACKOFF_SECONDS, 0
+        until = environment.now() + SUBMIT_TIMEOUT_SECONDS
         environment.on_trigger(SENT)
         while environment.now() < until:
             name = names[0]
@@ -69,79 +81,92 @@
                 status = 0
                 await asyncio.sleep(ANSWER_TIMEOUT_SECONDS)
             environment.history.add(ChangeAnswered(environment.now(), change_request.name, status, name))
-            odd += 400 <= status < 500 and status not in (408, 429)
-            if status == CONFIRMED:
+            refusals += is_refusal(status)
+            if status == OK:
                 self.confirmed.append(change_request)
                 environment.on_trigger(ACKNOWLEDGED, name)
                 return status
-            if status in FINAL or odd >= 3:
+            if status in FINAL_REFUSALS or refusals >= MAX_REFUSALS:
                 return status
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, 1.0)
+            await asyncio.sleep(backoff)
+            backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
         return 0
 
-    def spawn(self, change_request: ChangeRequest, *, begin: str = "") -> asyncio.Task:
-        task = self.environment.create_task(self._send(change_request, begin=begin))
-        self.open[task] = None
-        task.add_done_callback(lambda done: self.open.pop(done, None))
+    def _start_submission(self, change_request: ChangeRequest, *, first: str = "") -> asyncio.Task:
+        task = self.environment.create_task(self._submit(change_request, first=first))
+        self.in_flight[task] = None
+        task.add_done_callback(lambda done: self.in_flight.pop(done, None))
         return task
 
-    async def _room(self) -> None:
-        while len(self.open) >= MAX_IN_FLIGHT:
-            await asyncio.wait(list(self.open), return_when=asyncio.FIRST_COMPLETED)
+    async def _wait_for_capacity(self) -> None:
+        """Until one more change may be in flight."""
+        while len(self.in_flight) >= MAX_IN_FLIGHT:
+            await asyncio.wait(list(self.in_flight), return_when=asyncio.FIRST_COMPLETED)
 
-    async def change(self, change: Change) -> None:
+    async def submit_changes(self, change: Change) -> None:
+        """One change, or a race of several operators; then requests that show whether it is in force."""
         rng = random.Random(change.pick)
         names = [machine.name for machine in self.environment.seeds()]
-        await self._room()
+        await self._wait_for_capacity()
         if change.contested:
-            composed = [Composed(change_request, []) for change_request in self.book.contest(change.operators, rng)]
+            composed = [
+                ComposedChange(change_request, [])
+                for change_request in self.book.contested_changes(change.operators, rng)
+            ]
         else:
-            composed = [self.book.change(change.how, rng) for _ in range(change.operators)]
+            composed = [self.book.compose(change.how, rng) for _ in range(change.operators)]
         tasks = [
-            self.spawn(each.change_request, begin=names[(change.pick + operator) % len(names)])
+            self._start_submission(each.change_request, first=names[(change.pick + operator) % len(names)])
             for operator, each in enumerate(composed)
         ]
-        # The desks' calls are under way at once.
+        # The operators' calls are in flight at once.
         for task in tasks:
-            if await task != CONFIRMED:
+            if await task != OK:
                 return
-        await self._probe([route for each in composed for route in each.probed])
+        await self._probe([route for each in composed for route in each.visible_routes])
 
-    async def storm(self, storm: ChangeStorm) -> None:
+    async def submit_storm(self, storm: ChangeStorm) -> None:
+        """Many changes, each submitted whether or not the former ones are answered."""
         rng = random.Random(storm.pick)
-        for _ in range(storm.orders):
-            await self._room()
-            self.spawn(self.book.change(rng.choice(STORM_KINDS), rng).change_request)
+        for _ in range(storm.changes):
+            await self._wait_for_capacity()
+            self._start_submission(self.book.compose(rng.choice(STORM_KINDS), rng).change_request)
             await asyncio.sleep(storm.gap)
 
-    async def large(self, large: LargeChange) -> None:
-        await self._room()
-        await self.spawn(self.book.large(large.routes, random.Random(large.routes)))
+    async def submit_large_change(self, large: LargeChange) -> None:
+        """One change with many new routes."""
+        await self._wait_for_capacity()
+        await self._start_submission(self.book.large_change(large.routes, random.Random(large.routes)))
 
-    async def again(self, again: RepeatChange) -> None:
-        """What was confirmed is confirmed again, however much came after it."""
+    async def repeat_change(self, repeat: RepeatChange) -> None:
+        """Submits a confirmed change again: it is confirmed again, however much came after it."""
         if self.confirmed:
-            await self._room()
-            await self.spawn(self.confirmed[again.pick % len(self.confirmed)])
+            await self._wait_for_capacity()
+            await self._start_submission(self.confirmed[repeat.pick % len(self.confirmed)])
 
     async def lose_answers(self, lost: LostAnswers) -> None:
+        """Loses a share of the answers to operators for a while."""
         self.answer_loss_probability = lost.share
         await asyncio.sleep(lost.seconds)
         self.answer_loss_probability = 0.0
 
-    async def invalid_change(self, bad: InvalidChange) -> None:
-        rng = random.Random(bad.pick)
-        await self._room()
-        await self.spawn(self.book.old(rng) if bad.how == "old" else self.book.bad(bad.how, rng))
-
-    async def final_change(self) -> None:
-        """One more change in calm. A core that has lost its majority for ever can't take it."""
-        composed = self.book.change("times", random.Random(self.environment.day.seed))
+    async def submit_invalid_change(self, invalid: InvalidChange) -> None:
+        """A change that must be refused, or one that is out of date."""
+        rng = random.Random(invalid.pick)
+        await self._wait_for_capacity()
+        outdated = invalid.how == "old"
+        change_request = self.book.outdated_change(rng) if outdated else self.book.invalid_change(invalid.how, rng)
+        await self._start_submission(change_request)
+
+    async def submit_final_change(self) -> None:
+        """One more change without faults: a core that has lost its majority for good can't commit it."""
+        composed = self.book.compose("times", random.Random(self.environment.day.seed))
         self.environment.history.add(FinalChange(self.environment.now(), composed.change_request.name))
-        await self.environment.within(self.spawn(composed.change_request), BOUNDS["ack_s"] + ANSWER_TIMEOUT_SECONDS)
+        submission = self._start_submission(composed.change_request)
+        await self.environment.wait_for(submission, BOUNDS["ack_s"] + ANSWER_TIMEOUT_SECONDS)
 
     async def _probe(self, routes: list[Route]) -> None:
+        """Requests in every zone on routes that just changed: at once, when they must be in force, and later."""
         for wait in (0.0, BOUNDS["apply_s"] + 0.05, 1.0):
             await asyncio.sleep(wait)
             for route in routes:
@@ -151,7 +176,7 @@
                         self.environment.create_task(self.environment.clients.probe(route, machine))
 
     async def read_back(self, *, seconds: float) -> None:
-        """Asks every core machine, again and again for this long."""
+        """Reads the configuration from every core machine, retrying for so many seconds."""
         samples = adapter("samples")
 
         async def read(name: str) -> None:
@@ -160,10 +185,10 @@
                 answer = await self.environment.control(
                     name, samples.READ, samples.CONFIG_PATH, b"", within=ANSWER_TIMEOUT_SECONDS
                 )
-                done = answer is not None and answer.status == CONFIRMED
+                done = answer is not None and answer.status == OK
                 if done or self.environment.now() >= until:
                     break
-                await asyncio.sleep(0.1)
+                await asyncio.sleep(READ_RETRY_SECONDS)
             routes = samples.read_complete(answer.body) if done else None
             self.environment.history.add(ConfigurationRead(self.environment.now(), name, routes))
 
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/platform_adapter.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/platform_adapter.py
@@ -1,6 +1,6 @@
-"""The platform's side of the emulator: its adapter, found beside the product's packages in the checkout.
+"""The platform's adapter, found beside the product's packages in the checkout.
 
-The product doesn't know the adapter; only this stand-in of the platform speaks to the product through it.
+The product doesn't know the adapter; only the emulator, which stands in for the platform, uses it.
 """
 
 import importlib
@@ -12,7 +12,7 @@
 
 
 def adapter(name: str) -> Any:
-    """A module of the adapter. Its folder is no installed package: the deployment puts it beside the others."""
+    """Imports a module of the adapter, which is no installed package: a deployment puts it beside the others."""
     if str(FOLDER) not in sys.path:
         sys.path.append(str(FOLDER))
     return importlib.import_module(f"hoistsaddle.adapter.{name}")
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/request_rules.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/request_rules.py
@@ -1,4 +1,7 @@
-"""The rules on requests: whose answer it is, how often it ran, where, and what a stop or a fault may cost."""
+"""The rules on requests: whose answer a client gets, how often and where a request runs, what a stop may cost.
+
+Each rule returns a line for every violation that it found.
+"""
 
 from collections import Counter, defaultdict
 
@@ -12,221 +15,261 @@
     RequestSent,
     RunStarted,
 )
-from hoistsaddle.testbed.emulator.history_index import HistoryIndex
+from hoistsaddle.testbed.emulator.history_index import NO_REVISION, HistoryIndex
 from hoistsaddle.testbed.emulator.site import BOUNDS
+from hoistsaddle.testbed.emulator.statuses import CONFLICT, NOT_RUN, is_success
 
-PROMISES = (408, 421, 429, 503)
-PROMISED_OWN = (408, 421, 429)
-# A reading of the history by simulated time needs no slack but for what is written down a moment later.
+# Refusals of a proxy for which a configured route is no argument.
+ALLOWED_REFUSALS = (408, 421, 429)
+# An event is recorded up to this many seconds after it happened in simulated time.
 SLACK_SECONDS = 0.02
+# A route without a time-out of its own, in seconds.
+NO_TIMEOUT = 1e9
+# Wrong refusals that a day may have: this many, and one for so many requests.
+TOLERATED_REFUSALS = 5
+REQUESTS_PER_REFUSAL = 500
 
 
-def mixed(index: HistoryIndex) -> list[str]:
+def answers_belong_to_requests(index: HistoryIndex) -> list[str]:
+    """A success is the complete answer of a run of the same request, or of the first run of its key."""
     found = []
-    first_of_key: dict[str, str] = {}
-    for ran in index.history.of(RunStarted):
-        if ran.key:
-            first_of_key.setdefault(ran.key, ran.run)
+    first_run_of_key: dict[str, str] = {}
+    for started in index.history.of(RunStarted):
+        if started.key:
+            first_run_of_key.setdefault(started.key, started.run)
     for result in index.history.of(RequestResult):
-        if result.outcome != "answered" or not 200 <= result.status < 300:
+        if result.outcome != "answered" or not is_success(result.status):
             continue
-        sent, replied = index.sent[result.attempt], index.replied.get(result.seal)
-        ran = index.runs.get(result.seal)
-        if ran is None or replied is None or replied.body != result.body or replied.status != result.status:
-            found.append(f"{result.attempt} got a success that no server gave whole")
-        elif ran.attempt != result.attempt and (not sent.key or ran.key != sent.key):
-            found.append(f"{result.attempt} got the answer of {ran.attempt}")
-        elif sent.key and first_of_key.get(sent.key) != result.seal:
+        request, ended = index.requests[result.attempt], index.ended_runs.get(result.seal)
+        started_run = index.runs.get(result.seal)
+        if started_run is None or ended is None or (ended.body, ended.status) != (result.body, result.status):
+            found.append(f"{result.attempt} got a success that no server gave completely")
+        elif started_run.attempt != result.attempt and (not request.key or started_run.key != request.key):
+            found.append(f"{result.attempt} got the answer of {started_run.attempt}")
+        elif request.key and first_run_of_key.get(request.key) != result.seal:
             found.append(f"{result.attempt} got {result.seal}, not its key's first run")
     return found
 
 
-def unasked(index: HistoryIndex) -> list[str]:
+def runs_match_requests(index: HistoryIndex) -> list[str]:
+    """A server runs only what was sent, and knows the true caller."""
     found = []
-    for ran in index.history.of(RunStarted):
-        sent = index.sent.get(ran.attempt)
-        if sent is None or (ran.method, ran.path, ran.body, ran.key) != (sent.method, sent.path, sent.body, sent.key):
-            found.append(f"{ran.run} runs what nobody sent as {ran.attempt}")
-        elif ran.caller != sent.service:
-            found.append(f"{ran.run} says its caller is {ran.caller!r}, and it began beside {sent.service!r}")
+    for started in index.history.of(RunStarted):
+        request = index.requests.get(started.attempt)
+        content = (started.method, started.path, started.body, started.key)
+        if request is None or content != (request.method, request.path, request.body, request.key):
+            found.append(f"{started.run} runs what nobody sent as {started.attempt}")
+        elif started.caller != request.service:
+            found.append(f"{started.run} names {started.caller!r} as its caller, which was {request.service!r}")
     return found
 
 
-def twice(index: HistoryIndex) -> list[str]:
+def runs_at_most_once(index: HistoryIndex) -> list[str]:
+    """A request that isn't repeatable runs once, and a key once within its window."""
     found = []
-    keys: dict[str, list[RunStarted]] = defaultdict(list)
-    for attempt, runs in index.ran.items():
-        sent = index.sent.get(attempt)
-        if sent is not None and not index.repeatable(sent) and len(runs) > 1:
+    runs_of_key: dict[str, list[RunStarted]] = defaultdict(list)
+    for attempt, runs in index.runs_by_attempt.items():
+        request = index.requests.get(attempt)
+        if request is not None and not index.is_repeatable(request) and len(runs) > 1:
             found.append(f"{attempt} ran {len(runs)} times")
-        for ran in runs:
-            if ran.key:
-                keys[ran.key].append(ran)
+        for started in runs:
+            if started.key:
+                runs_of_key[started.key].append(started)
     first_sent: dict[str, float] = {}
-    for sent in index.sent.values():
-        if sent.key:
-            first_sent[sent.key] = min(sent.at, first_sent.get(sent.key, sent.at))
-    for key, runs in keys.items():
+    for request in index.requests.values():
+        if request.key:
+            first_sent[request.key] = min(request.at, first_sent.get(request.key, request.at))
+    for key, runs in runs_of_key.items():
         runs.sort()
         if len(runs) > 1 and runs[1].at < first_sent[key] + BOUNDS["key_window_s"]:
             found.append(f"{key} ran as {runs[0].run} at {runs[0].at:.2f} and {runs[1].run} at {runs[1].at:.2f}")
     return found
 
 
-def refused(index: HistoryIndex) -> list[str]:
+def not_run_means_not_run(index: HistoryIndex) -> list[str]:
+    """A request answered with a status that promises it ran nowhere did run nowhere."""
     return [
-        f"{result.attempt} was told {result.status}, and {index.ran[result.attempt][0].run} ran it"
+        f"{result.attempt} was answered {result.status}, and {index.runs_by_attempt[result.attempt][0].run} ran it"
         for result in index.history.of(RequestResult)
-        if result.status in PROMISES and index.ran[result.attempt] and not index.repeatable(index.sent[result.attempt])
+        if result.status in NOT_RUN
+        and index.runs_by_attempt[result.attempt]
+        and not index.is_repeatable(index.requests[result.attempt])
     ]
 
 
-def denied(index: HistoryIndex) -> list[str]:
+def configured_routes_are_accepted(index: HistoryIndex) -> list[str]:
+    """A connected proxy doesn't reject requests on a route that is in force, but for a few."""
     found = []
     for result in index.history.of(RequestResult):
-        sent = index.sent[result.attempt]
-        own = result.outcome == "answered" and not result.seal and 300 <= result.status < 500
-        if not own or result.status in PROMISED_OWN or (result.status == 409 and sent.key):
+        request = index.requests[result.attempt]
+        by_proxy = result.outcome == "answered" and not result.seal and 300 <= result.status < 500
+        if not by_proxy or result.status in ALLOWED_REFUSALS or (result.status == CONFLICT and request.key):
             continue
-        floor = index.floor(sent.route, sent.at - BOUNDS["apply_s"])
-        may = [
+        acknowledged = index.acknowledged_revision(request.route, request.at - BOUNDS["apply_s"])
+        possible = [
             version
-            for version in index.versions.get(sent.route, ())
-            if version.revision >= floor and version.sent <= result.at
+            for version in index.versions.get(request.route, ())
+            if version.revision >= acknowledged and version.submitted_at <= result.at
         ]
-        if floor >= 0 and all(each.route for each in may) and index.timeline.connected(sent.machine, sent.at):
+        configured = acknowledged > NO_REVISION and all(version.route for version in possible)
+        if configured and index.timeline.is_connected(request.machine, request.at):
             found.append(
-                f"{result.attempt} on {sent.route} was told {result.status} by {sent.machine} at {result.at:.2f}"
+                f"{result.attempt} on {request.route} was answered {result.status} by {request.machine} "
+                f"at {result.at:.2f}"
             )
-    return found if len(found) > 5 + len(index.sent) / 500 else []
+    return found if len(found) > TOLERATED_REFUSALS + len(index.requests) / REQUESTS_PER_REFUSAL else []
 
 
-def routed(index: HistoryIndex) -> list[str]:
+def runs_at_allowed_services(index: HistoryIndex) -> list[str]:
+    """A request runs only at a service to which some submitted version of its route leads."""
     found = []
-    for attempt, runs in index.ran.items():
-        sent = index.sent.get(attempt)
-        for ran in runs:
-            ever = [] if sent is None else index.versions.get(sent.route, [])
-            if sent and not any(version.allows(ran.service) and version.sent <= ran.at for version in ever):
-                found.append(f"{ran.run} of {sent.route} ran at {ran.service}, which no configuration ever sent allows")
+    for attempt, runs in index.runs_by_attempt.items():
+        request = index.requests.get(attempt)
+        if request is None:
+            continue
+        versions = index.versions.get(request.route, [])
+        for started in runs:
+            if not any(version.allows(started.service) and version.submitted_at <= started.at for version in versions):
+                found.append(
+                    f"{started.run} of {request.route} ran at {started.service}, which no submitted version allows"
+                )
     return found
 
 
-def drained(index: HistoryIndex) -> list[str]:
+def draining_servers_get_nothing(index: HistoryIndex) -> list[str]:
+    """A server whose leaving was acknowledged gets no more requests after `drain_s`."""
     found = []
-    leaving: dict[str, float] = {}
+    leaving_since: dict[str, float] = {}
     for heartbeat in index.history.of(HeartbeatAcknowledged):
-        if heartbeat.state != "ready" and index.timeline.connected(heartbeat.machine, heartbeat.at):
-            leaving.setdefault(heartbeat.instance, heartbeat.at)
+        if heartbeat.state != "ready" and index.timeline.is_connected(heartbeat.machine, heartbeat.at):
+            leaving_since.setdefault(heartbeat.instance, heartbeat.at)
     for arrived in index.history.of(RequestArrived):
-        since = leaving.get(arrived.instance)
-        sent = index.sent.get(arrived.attempt)
-        if since is None or sent is None or arrived.misdirected or arrived.at <= since + BOUNDS["drain_s"]:
+        since = leaving_since.get(arrived.instance)
+        request = index.requests.get(arrived.attempt)
+        if since is None or request is None or arrived.misdirected or arrived.at <= since + BOUNDS["drain_s"]:
             continue
-        if all(index.timeline.connected(each, sent.at, until=arrived.at) for each in (sent.machine, arrived.machine)):
+        machines = (request.machine, arrived.machine)
+        if all(index.timeline.is_connected(machine, request.at, until=arrived.at) for machine in machines):
             found.append(f"{arrived.attempt} reached {arrived.instance} {arrived.at - since:.2f} s after it left")
     return found
 
 
-def lost(index: HistoryIndex) -> list[str]:
-    """Around planned stops: requests read whole and then broken off, or answered in their working server's place."""
+def planned_stops_lose_nothing(index: HistoryIndex) -> list[str]:
+    """A stopping proxy neither breaks off requests that it read nor answers in a working server's place."""
     found = []
     stops = [fault for fault in index.history.of(FaultStarted) if fault.kind == "stop"]
-    grace, contact = BOUNDS["grace_s"], BOUNDS["contact_s"]
+    grace_seconds = BOUNDS["grace_s"]
     for result in index.history.of(RequestResult):
-        sent = index.sent[result.attempt]
-        near = [
-            fault for fault in stops if fault.machine == sent.machine and fault.at <= result.at <= fault.at + grace + 1
+        request = index.requests[result.attempt]
+        stops_around = [
+            stop
+            for stop in stops
+            if stop.machine == request.machine and stop.at <= result.at <= stop.at + grace_seconds + 1
         ]
-        if not near or index.timeline.unplanned(sent.at - contact, result.at):
+        if not stops_around:
             continue
-        if result.at >= sent.deadline - SLACK_SECONDS or result.at >= sent.at + _hold(index, sent) - SLACK_SECONDS:
+        if index.timeline.has_unplanned_fault(request.at - BOUNDS["contact_s"], result.at):
             continue
-        work = [(ran, index.replied.get(ran.run)) for ran in index.ran[result.attempt]]
-        if any(reply is not None and not reply.complete for _, reply in work):
+        timeout_at = min(request.deadline, request.at + _timeout_of(index, request))
+        if result.at >= timeout_at - SLACK_SECONDS:
             continue
-        late = near[-1].at + grace / 2
-        if any(reply is None or reply.at > late for _, reply in work):
+        ends = [index.ended_runs.get(started.run) for started in index.runs_by_attempt[result.attempt]]
+        if any(ended is not None and not ended.complete for ended in ends):
+            continue
+        late = stops_around[-1].at + grace_seconds / 2
+        if any(ended is None or ended.at > late for ended in ends):
             continue
         if result.outcome == "broken":
-            found.append(f"{result.attempt} was broken off at {sent.machine} as it stopped")
-        own = result.outcome == "answered" and not result.seal and result.status >= 500 and result.status != 503
-        if own and any(reply is None or reply.at > result.at for _, reply in work):
+            found.append(f"{result.attempt} was broken off at {request.machine} as it stopped")
+        by_proxy = result.outcome == "answered" and not result.seal and result.status >= 500 and result.status != 503
+        if by_proxy and any(ended is None or ended.at > result.at for ended in ends):
             found.append(
-                f"{result.attempt} was told {result.status} by {sent.machine}, stopping, while its server worked"
+                f"{result.attempt} was answered {result.status} by {request.machine}, stopping, while its server worked"
             )
     return found
 
 
-def _hold(index: HistoryIndex, sent: RequestSent) -> float:
-    holds = [version.route.hold for version in index.versions.get(sent.route, ()) if version.route]
-    return min(holds, default=1e9)
+def _timeout_of(index: HistoryIndex, request: RequestSent) -> float:
+    """The shortest time-out that any version of the request's route gives, in seconds."""
+    timeouts = [version.route.hold for version in index.versions.get(request.route, ()) if version.route]
+    return min(timeouts, default=NO_TIMEOUT)
 
 
-def budget(index: HistoryIndex) -> list[str]:
+def retries_stay_in_budget(index: HistoryIndex) -> list[str]:
     """Arrivals beyond the first of each request, in any window, against the requests for the service."""
-    window, half = BOUNDS["budget_window_s"], BOUNDS["budget_window_s"] / 2
+    window = BOUNDS["budget_window_s"]
+    requests = _request_times(index)
+    found = []
+    for service, retries in _retry_times(index).items():
+        for end in retries:
+            used = sum(end - window < at <= end for at in retries)
+            most = max(
+                sum(end - window - delay < at <= end - delay for at in requests[service])
+                for delay in (0.0, window / 2, window)
+            )
+            allowed = BOUNDS["budget_ratio"] * most + BOUNDS["budget_margin"]
+            if used > allowed:
+                found.append(f"{service}: {used} retries in {window:.0f} s to {end:.2f}, {allowed:.1f} allowed")
+    return found
+
+
+def _retry_times(index: HistoryIndex) -> dict[str, list[float]]:
+    """By service, when requests arrived beyond the first of each, and nested calls of such runs."""
     retries: dict[str, list[float]] = defaultdict(list)
-    met: Counter[str] = Counter()
-    repeats: set[str] = set()
+    arrivals: Counter[str] = Counter()
+    repeated_runs: set[str] = set()
     for event in index.history.events:
         match event:
             case RequestArrived(attempt=attempt, service=service, at=at):
-                met[attempt] += 1
-                sent = index.sent.get(attempt)
-                parent = index.runs.get(sent.parent) if sent is not None else None
-                if met[attempt] > 1 or (parent is not None and parent.run in repeats):
+                arrivals[attempt] += 1
+                request = index.requests.get(attempt)
+                parent = index.runs.get(request.parent) if request is not None else None
+                if arrivals[attempt] > 1 or (parent is not None and parent.run in repeated_runs):
                     retries[service].append(at)
-            case RunStarted(attempt=attempt, run=run) if met[attempt] > 1:
-                repeats.add(run)
-    asked: dict[str, list[float]] = defaultdict(list)
-    for sent in index.sent.values():
-        names = {
-            name
-            for version in index.versions.get(sent.route, ())
+            case RunStarted(attempt=attempt, run=run) if arrivals[attempt] > 1:
+                repeated_runs.add(run)
+    return retries
+
+
+def _request_times(index: HistoryIndex) -> dict[str, list[float]]:
+    """By service, when requests were sent on routes of which any version leads there."""
+    times: dict[str, list[float]] = defaultdict(list)
+    for request in index.requests.values():
+        services = {
+            service
+            for version in index.versions.get(request.route, ())
             if version.route
-            for name, weight in version.route.parts
+            for service, _ in version.route.parts
         }
-        for name in names:
-            asked[name].append(sent.at)
-    found = []
-    for service, timestamps in retries.items():
-        for end in timestamps:
-            used = sum(end - window < each <= end for each in timestamps)
-            most = max(
-                sum(end - window - back < each <= end - back for each in asked[service]) for back in (0.0, half, window)
-            )
-            allowed = BOUNDS["budget_ratio"] * most + BOUNDS["budget_margin"]
-            if used > allowed:
-                found.append(
-                    f"{service}: {used} further arrivals in {window:.0f} s to {end:.2f}, {allowed:.1f} allowed"
-                )
-    return found
+        for service in services:
+            times[service].append(request.at)
+    return times
 
 
-def recovered(index: HistoryIndex) -> list[str]:
+def serves_again_after_final_fault(index: HistoryIndex) -> list[str]:
+    """A quarter of the requests is served again `recovery_s` after the last fault, if a quarter was before it."""
     found = []
-    for closed in index.history.of(FinalFaultEnded):
-        after = closed.back + BOUNDS["recovery_s"]
-        own = [sent for sent in index.sent.values() if not sent.parent]
-        before = [_served(index, sent) for sent in own if sent.at < closed.at]
-        late = [_served(index, sent) for sent in own if sent.at > after]
-        if before and late and sum(before) * 4 >= len(before) and sum(late) * 4 < len(late):
-            found.append(f"{sum(late)} of {len(late)} were served after the closing fault")
+    client_requests = [request for request in index.requests.values() if not request.parent]
+    for final_fault in index.history.of(FinalFaultEnded):
+        recovered_at = final_fault.recovered_at + BOUNDS["recovery_s"]
+        before = [index.was_served(request) for request in client_requests if request.at < final_fault.at]
+        after = [index.was_served(request) for request in client_requests if request.at > recovered_at]
+        if before and after and sum(before) * 4 >= len(before) and sum(after) * 4 < len(after):
+            found.append(f"{sum(after)} of {len(after)} were served after the final fault")
     return found
 
 
-def _served(index: HistoryIndex, sent: RequestSent) -> bool:
-    result = index.result.get(sent.attempt)
-    return result is not None and result.outcome == "answered" and 200 <= result.status < 300
+def programs_keep_running(index: HistoryIndex) -> list[str]:
+    """No program ends or raises by itself."""
+    return [failure.what for failure in index.history.of(ProgramFailed)]
 
 
-def stands(index: HistoryIndex) -> list[str]:
-    return [fault.what for fault in index.history.of(ProgramFailed)]
-
-
-def serves(index: HistoryIndex) -> list[str]:
-    """A day that serves nearly nothing would break no other rule."""
-    own = [sent for sent in index.sent.values() if not sent.parent and sent.route.startswith("r-")]
-    served = sum(_served(index, sent) for sent in own)
-    return [f"{served} of {len(own)} requests were served"] if served * 3 < len(own) else []
+def day_has_traffic(index: HistoryIndex) -> list[str]:
+    """A third of the clients' requests is served: a day that serves nearly nothing would break no other rule."""
+    client_requests = [
+        request for request in index.requests.values() if not request.parent and request.route.startswith("r-")
+    ]
+    served = sum(index.was_served(request) for request in client_requests)
+    if served * 3 < len(client_requests):
+        return [f"{served} of {len(client_requests)} requests were served"]
+    return []
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/scheduled_events.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/scheduled_events.py
@@ -1,12 +1,14 @@
-"""What may happen on a day: plain data, so that a failing day can be made smaller."""
+"""What may happen on a day: plain data, so that a failing day can be made smaller.
 
-from typing import NamedTuple
+In every event `at` counts seconds from the start of traffic, `seconds` is how long it lasts, and `pick` seeds what is
+drawn when it comes about.
+"""
 
-# What happens. `at` counts from the start of traffic.
+from typing import NamedTuple
 
 
 class Kill(NamedTuple):
-    """Processes end at once; power also takes what a disk had not synced, and the machine says nothing while down."""
+    """Processes end at once; power also loses what a disk had not synced, and the machine is silent while down."""
 
     at: float
     machines: tuple[str, ...]
@@ -16,13 +18,15 @@
 
 
 class Freeze(NamedTuple):
+    """Processes stand still (SIGSTOP) and go on later."""
+
     at: float
     machines: tuple[str, ...]
     seconds: float
 
 
 class Partition(NamedTuple):
-    """Nothing passes from these machines to the others, nor back unless it is one way; among themselves it does."""
+    """No message passes from these machines to the others, nor back unless it is one way."""
 
     at: float
     machines: tuple[str, ...]
@@ -32,6 +36,8 @@
 
 
 class DiskFault(NamedTuple):
+    """A machine's disk is "full" or "stalled"."""
+
     at: float
     machine: str
     seconds: float
@@ -39,7 +45,7 @@
 
 
 class Stop(NamedTuple):
-    """SIGTERM, and a new start."""
+    """A machine's program gets SIGTERM, and is started again."""
 
     at: float
     machine: str
@@ -47,7 +53,7 @@
 
 
 class Misbehave(NamedTuple):
-    """A share of a service's answers is lost, cut short or a failure."""
+    """A share of a service's answers is "lost", "cut" short or a "failure"."""
 
     at: float
     service: str
@@ -57,14 +63,14 @@
 
 
 class RestartServer(NamedTuple):
-    """A server leaves in order and a new life of it comes, on the same machine."""
+    """A server drains and leaves, and a new instance of it starts on the same machine."""
 
     at: float
     machine: str
 
 
 class ReassignAddress(NamedTuple):
-    """A server leaves in order or crashes, its machine is stopped, and its address goes to another service's server."""
+    """A server leaves or crashes, its machine is stopped, and its address goes to another service's server."""
 
     at: float
     machine: str
@@ -73,7 +79,7 @@
 
 
 class CrashServer(NamedTuple):
-    """A server ends without a word."""
+    """A server ends without deregistering."""
 
     at: float
     machine: str
@@ -81,9 +87,9 @@
 
 
 class Change(NamedTuple):
-    """A proper order: add, drop, split, move, times or idle. Several at once are a race of desks.
+    """A valid change of the configuration: add, drop, split, move, times or idle; several operators race.
 
-    contested: all desks use one version for contents of their own, so that only one of them may be confirmed.
+    contested: all operators use one revision for contents of their own, so that only one may be confirmed.
     """
 
     at: float
@@ -94,30 +100,30 @@
 
 
 class ChangeStorm(NamedTuple):
-    """Many proper orders one after the other, as many under way at once as the platform allows."""
+    """Many valid changes one after the other, as many in flight as the platform allows; `gap` is in seconds."""
 
     at: float
-    orders: int
+    changes: int
     gap: float
     pick: int
 
 
 class LargeChange(NamedTuple):
-    """One order with many new routes."""
+    """One change with many new routes."""
 
     at: float
     routes: int
 
 
 class RepeatChange(NamedTuple):
-    """An order that was confirmed before is sent once more, to any machine."""
+    """A change that was confirmed before is submitted once more, to any machine."""
 
     at: float
     pick: int
 
 
 class LostAnswers(NamedTuple):
-    """A share of the answers to the operators is lost on its way: they send the same again, elsewhere first."""
+    """A share of the answers to the operators is lost on the way: they submit the same again, elsewhere first."""
 
     at: float
     share: float
@@ -125,19 +131,21 @@
 
 
 class InvalidChange(NamedTuple):
+    """A change that must be refused; `how` names what is wrong with it."""
+
     at: float
     how: str
     pick: int
 
 
 class RewriteSettings(NamedTuple):
-    """The settings files change under the running programs."""
+    """The settings files change while the programs run."""
 
     at: float
 
 
 class ReplaceCore(NamedTuple):
-    """A core machine goes for good, and an empty one takes its place at another address.
+    """A core machine is lost for good, and an empty one takes its place at another address.
 
     planned: the new one starts first, then the old one gets SIGTERM. Otherwise it comes `seconds` after the loss.
     """
@@ -156,30 +164,31 @@
     share: float
 
 
-# When a fault that waits for something strikes: right after the core's word to an operator, a moment after an order
-# was sent, acknowledged or not, right after a keyed request was answered, or as a core machine writes a snapshot.
+# What a triggered fault waits for: a confirmation was sent to an operator, a change was submitted (confirmed or not),
+# a keyed request was answered, or a core machine begins to write a snapshot.
 ACKNOWLEDGED, SENT, TAKEN, SNAPSHOT = "acknowledged", "sent", "taken", "snapshot"
 
 
 class TriggeredFault(NamedTuple):
-    """The core machine that acknowledges the next order, or writes a snapshot, is harmed; otherwise the leader."""
+    """The core machine that acknowledges the next change, or writes a snapshot, fails; otherwise the leader."""
 
     at: float
     how: str
     seconds: float
-    when: str = ACKNOWLEDGED
+    trigger: str = ACKNOWLEDGED
 
 
 class FinalFault(NamedTuple):
-    """The day's last fault: kill, power, or wipe: as many disks as may be lost, the other machines' power now and then.
+    """The day's last fault: "kill", "power" or "wipe".
 
-    "wipe and power" takes their power always.
+    "wipe" takes as many disks as may be lost, and at random the other machines' power; "wipe and power" takes their
+    power always.
     """
 
     at: float
     how: str
     seconds: float
-    when: str = ACKNOWLEDGED
+    trigger: str = ACKNOWLEDGED
 
 
 ScheduledFault = (
@@ -197,8 +206,8 @@
     | RewriteSettings
     | TriggeredFault
 )
-# The operators' own doings.
+# What operators do.
 OperatorAction = Change | ChangeStorm | LargeChange | RepeatChange | LostAnswers | InvalidChange
 ScheduledEvent = ScheduledFault | OperatorAction | FinalFault
-# A core machine that is named when its time comes.
+# Names whichever core machine leads when the event comes about.
 LEADER = "leader"
