--- a/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
@@ -1,4 +1,4 @@
-"""The application servers beside the sidecars: slots, a short queue, lives, beats, and the ways they go wrong."""
+"""The application servers beside the sidecars: slots, a short queue, heartbeats, and the ways they go wrong."""
 
 import asyncio
 import hashlib
@@ -10,49 +10,60 @@
 from hoistsaddle.testbed.emulator.environment import Environment
 from hoistsaddle.testbed.emulator.history import HeartbeatAcknowledged, RequestArrived, RunEnded, RunStarted
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
-from hoistsaddle.testbed.emulator.site import BOUNDS, SidecarMachine
+from hoistsaddle.testbed.emulator.site import BOUNDS, RequestKind, SidecarMachine
+from hoistsaddle.testbed.emulator.statuses import OK
 
 HEARTBEAT_SECONDS = 1.5
-# A server that just started takes twice as long for a while.
-SLOW_START_SECONDS = 3.0
+# A server that just started takes so many times as long for a while.
+SLOW_START_SECONDS, SLOW_START_FACTOR = 3.0, 2.0
+# How long a leaving server tries to say so, and then how long its last requests may take.
+LEAVE_TIMEOUT_SECONDS, LEAVE_RETRY_SECONDS, LAST_RUNS_SECONDS = 4.0, 0.3, 2.0
+HEARTBEAT_TIMEOUT_SECONDS = 1.0
+POLL_SECONDS = 0.02
+# Run times vary by a log-normal factor, up to this one.
+RUN_TIME_MU, RUN_TIME_SIGMA, MAX_RUN_TIME_FACTOR = -0.1, 0.5, 5.0
+MISDIRECTED, BUSY, FAILED, TIMED_OUT = 421, 503, 500, 504
+PORT = 8301
 
 
 def digest_of(data: bytes) -> str:
+    """A short digest by which the history compares bodies."""
     return hashlib.sha256(data).hexdigest()[:16]
 
 
 class Server:
-    """One life of one server."""
+    """One instance of an application server."""
 
     def __init__(self, *, environment: Environment, machine: SidecarMachine, service: str) -> None:
         self.environment = environment
         self.machine = machine
         self.service = service
         self.instance = f"i-{next(environment.counter):06x}"
-        self.address = f"{machine.host}:8301"
+        self.address = f"{machine.host}:{PORT}"
         service_spec = next(each for each in environment.day.site.services if each.name == service)
         self.slots, self.queue = service_spec.slots, service_spec.queue
         self.began = environment.now()
         self.leaving = False
         self.ended = False
         self.heartbeats = 0
-        self.acknowledged: set[str] = set()
         self.working = 0
         self.waiting: deque[asyncio.Future] = deque()
-        self.works: dict[asyncio.Future, None] = {}
-
-    # -- beats -------------------------------------------------------------------------------------------------------
+        # Runs under way: a future of each, done once the server ends.
+        self.runs: dict[asyncio.Future, None] = {}
 
     async def send_heartbeats(self) -> None:
+        """A heartbeat every HEARTBEAT_SECONDS, more or less, until the server ends."""
         while not self.ended:
-            await self.beat()
+            await self.send_heartbeat()
             await asyncio.sleep(HEARTBEAT_SECONDS * self.environment.random.uniform(0.9, 1.1))
 
-    async def beat(self) -> bool:
+    async def send_heartbeat(self) -> bool:
+        """Tells the sidecar the server's state; True if it was acknowledged."""
         self.heartbeats += 1
         cold = max(0.0, self.began + SLOW_START_SECONDS - self.environment.now())
         leaving = self.leaving
-        body = adapter("samples").beat(
+        samples = adapter("samples")
+        body = samples.beat(
             service=self.service,
             address=self.address,
             zone=self.machine.zone,
@@ -61,78 +72,76 @@
             cold=cold,
             number=self.heartbeats,
         )
-        samples = adapter("samples")
-        return await self._tell(samples.BEAT, body, samples.LEAVING if leaving else samples.READY)
+        return await self._report(samples.BEAT, body, samples.LEAVING if leaving else samples.READY)
 
-    async def _tell(self, method: str, body: bytes, state: str) -> bool:
+    async def _report(self, method: str, body: bytes, state: str) -> bool:
         path = adapter("samples").instance_path(self.instance)
-        answer = await self.environment.control(self.machine.name, method, path, body, within=1.0)
+        answer = await self.environment.control(self.machine.name, method, path, body, within=HEARTBEAT_TIMEOUT_SECONDS)
         if answer is None or answer.status >= 300:
             return False
-        self.acknowledged.add(state)
         self.environment.history.add(
             HeartbeatAcknowledged(self.environment.now(), self.machine.name, self.instance, state)
         )
         return True
 
     async def leave(self) -> None:
-        """A planned end: says so, serves on for the span promised and somewhat longer, then goes."""
+        """A planned end: announces it, serves on for `drain_s` and a little longer, then deregisters."""
         self.leaving = True
-        gives_up = self.environment.now() + 4.0
-        while not await self.beat() and self.environment.now() < gives_up and not self.ended:
-            await asyncio.sleep(0.3)
+        deadline = self.environment.now() + LEAVE_TIMEOUT_SECONDS
+        while not await self.send_heartbeat() and self.environment.now() < deadline and not self.ended:
+            await asyncio.sleep(LEAVE_RETRY_SECONDS)
         await asyncio.sleep(BOUNDS["drain_s"] + self.environment.random.uniform(0.2, 0.8))
         if not self.ended:
-            # What it works on is ended first, within a span.
-            end = self.environment.now() + 2.0
-            while self.working and self.environment.now() < end:
-                await asyncio.sleep(0.02)
-            await self._tell(adapter("samples").LEAVE, b"", "gone")
+            # What it works on is finished first, if that doesn't take long.
+            deadline = self.environment.now() + LAST_RUNS_SECONDS
+            while self.working and self.environment.now() < deadline:
+                await asyncio.sleep(POLL_SECONDS)
+            await self._report(adapter("samples").LEAVE, b"", "gone")
         self.end()
 
     def end(self) -> None:
+        """Ends at once; requests under way get no answer."""
         self.ended = True
-        for future in [*self.works, *self.waiting]:
+        for future in [*self.runs, *self.waiting]:
             if not future.done():
                 future.set_result(False)
 
-    # -- requests ----------------------------------------------------------------------------------------------------
-
-    def _missed(self, serve: RunOnServer, *, unsent: bool = False) -> ServerFailed:
+    def _failed(self, command: RunOnServer, *, unsent: bool = False) -> ServerFailed:
         kind = ErrorKind.UNREACHABLE if unsent else ErrorKind.ANSWER_BROKEN
-        return ServerFailed(serve.number, unsent, MeshError(kind, "The server broke off.", "simulated"))
+        return ServerFailed(command.number, unsent, MeshError(kind, "The server broke off.", "simulated"))
 
-    def _not_run(self, serve: RunOnServer, status: int) -> ServerAnswered:
-        headers = pack_pairs(adapter("samples").not_run(attempt=serve.call.client_attempt_id))
-        return ServerAnswered(serve.number, status, headers, b"", True)
+    def _not_run(self, command: RunOnServer, status: int) -> ServerAnswered:
+        headers = pack_pairs(adapter("samples").not_run(attempt=command.call.client_attempt_id))
+        return ServerAnswered(command.number, status, headers, b"", True)
 
-    async def _slot(self, within: float) -> bool:
+    async def _acquire_slot(self, within: float) -> bool:
+        """Waits up to so many seconds for a slot; False if there was none or the server ended."""
         if self.working < self.slots:
             self.working += 1
             return True
-        turn = self.environment.loop.create_future()
-        self.waiting.append(turn)
-        done, _ = await asyncio.wait({turn}, timeout=max(0.0, within))
-        if turn in done:
-            return turn.result()
-        self.waiting.remove(turn)
+        granted = self.environment.loop.create_future()
+        self.waiting.append(granted)
+        done, _ = await asyncio.wait({granted}, timeout=max(0.0, within))
+        if granted in done:
+            return granted.result()
+        self.waiting.remove(granted)
         return False
 
-    def _free(self) -> None:
+    def _release_slot(self) -> None:
         while self.waiting:
-            turn = self.waiting.popleft()
-            if not turn.done():
-                # The slot passes on as it is.
-                turn.set_result(True)
+            granted = self.waiting.popleft()
+            if not granted.done():
+                # The slot goes to the next one as it is.
+                granted.set_result(True)
                 return
         self.working -= 1
 
-    async def serve(self, serve: RunOnServer) -> tuple:
-        """One request from the sidecar; runs outside the sidecar's life, as a server is a process of its own."""
-        environment, call = self.environment, serve.call
+    async def serve(self, command: RunOnServer) -> ServerAnswered | ServerFailed:
+        """One request from the sidecar, in a task of its own: a server outlives its sidecar's process."""
+        environment, call = self.environment, command.call
         if self.ended:
-            return self._missed(serve, unsent=True)
-        until = environment.now() + serve.within.total_seconds()
+            return self._failed(command, unsent=True)
+        until = environment.now() + command.within.total_seconds()
         misdirected = bool(call.instance) and call.instance != self.instance
         environment.history.add(
             RequestArrived(
@@ -140,23 +149,49 @@
             )
         )
         if misdirected:
-            return self._not_run(serve, 421)
+            return self._not_run(command, MISDIRECTED)
         if self.working >= self.slots and len(self.waiting) >= self.queue:
-            return self._not_run(serve, 503)
-        if not await self._slot(until - environment.now()):
-            return self._missed(serve, unsent=False) if self.ended else self._not_run(serve, 503)
+            return self._not_run(command, BUSY)
+        if not await self._acquire_slot(until - environment.now()):
+            return self._failed(command, unsent=False) if self.ended else self._not_run(command, BUSY)
         try:
-            return await self._run(serve, until)
+            return await self._run(command, until)
         finally:
-            self._free()
+            self._release_slot()
 
-    async def _run(self, serve: RunOnServer, until: float) -> tuple:
-        environment, call = self.environment, serve.call
+    async def _run(self, command: RunOnServer, until: float) -> ServerAnswered | ServerFailed:
+        environment, call = self.environment, command.call
         run = f"run-{next(environment.counter)}"
         path = call.path.decode()
-        environment.history.add(
+        self._record_start(command, run)
+        request_kind = environment.request_kind_of(path)
+        if not await self._work(request_kind, until):
+            environment.history.add(RunEnded(environment.now(), run, 0, "", False))
+            return self._failed(command)
+        status = await self._call_nested(request_kind, run, until)
+        if environment.now() >= until:
+            status = TIMED_OUT
+        misbehaviour = environment.misbehaviour_of(self.service)
+        if misbehaviour == "failure":
+            status = FAILED
+        body = f"{run} {call.client_attempt_id} {path} ".encode() * 3
+        complete = misbehaviour not in ("lost", "cut")
+        environment.history.add(RunEnded(environment.now(), run, status, digest_of(body), complete))
+        if self.ended or misbehaviour == "cut":
+            return self._failed(command)
+        if misbehaviour == "lost":
+            # No answer until the sidecar times out; the server is long done.
+            await asyncio.sleep(max(0.0, until - environment.now()))
+            error = MeshError(ErrorKind.BUDGET_SPENT, "No answer came.", "simulated")
+            return ServerFailed(command.number, False, error)
+        headers = pack_pairs(adapter("samples").sealed(run=run, attempt=call.client_attempt_id))
+        return ServerAnswered(command.number, status, headers, body, False)
+
+    def _record_start(self, command: RunOnServer, run: str) -> None:
+        call = command.call
+        self.environment.history.add(
             RunStarted(
-                environment.now(),
+                self.environment.now(),
                 run,
                 call.client_attempt_id,
                 self.service,
@@ -164,41 +199,33 @@
                 self.machine.name,
                 call.caller,
                 call.method,
-                path,
+                call.path.decode(),
                 digest_of(call.body),
                 adapter("samples").key_of(unpack_pairs(call.headers)),
             )
         )
-        request_kind = environment.request_kind_of(path)
-        cold = 2.0 if environment.now() < self.began + SLOW_START_SECONDS else 1.0
-        work = request_kind.work * self.machine.speed * cold * min(environment.random.lognormvariate(-0.1, 0.5), 5.0)
-        status = 200
-        ending = environment.loop.create_future()
-        self.works[ending] = None
+
+    async def _work(self, request_kind: RequestKind, until: float) -> bool:
+        """Takes the time that the request needs, or what is left of it; False if the server ended meanwhile."""
+        environment = self.environment
+        slow_start = SLOW_START_FACTOR if environment.now() < self.began + SLOW_START_SECONDS else 1.0
+        variation = min(environment.random.lognormvariate(RUN_TIME_MU, RUN_TIME_SIGMA), MAX_RUN_TIME_FACTOR)
+        run_time = request_kind.work * self.machine.speed * slow_start * variation
+        ended = environment.loop.create_future()
+        self.runs[ended] = None
         try:
-            done, _ = await asyncio.wait({ending}, timeout=max(0.0, min(work, until - environment.now())))
+            done, _ = await asyncio.wait({ended}, timeout=max(0.0, min(run_time, until - environment.now())))
         finally:
-            self.works.pop(ending, None)
-        if done or self.ended:
-            environment.history.add(RunEnded(environment.now(), run, 0, "", False))
-            return self._missed(serve)
-        for inner in request_kind.inner:
-            if environment.random.random() < inner.share:
-                answer = await environment.clients.call_nested(self, inner.route, run, until)
-                if answer.status != 200:
-                    status = 500
-        if environment.now() >= until:
-            status = 504
-        how = environment.misbehaviour_of(self.service)
-        if how == "failure":
-            status = 500
-        body = f"{run} {call.client_attempt_id} {path} ".encode() * 3
-        environment.history.add(RunEnded(environment.now(), run, status, digest_of(body), how not in ("lost", "cut")))
-        if self.ended or how == "cut":
-            return self._missed(serve)
-        if how == "lost":
-            # Silence until the sidecar's own bound; the server is long done.
-            await asyncio.sleep(max(0.0, until - environment.now()))
-            return ServerFailed(serve.number, False, MeshError(ErrorKind.BUDGET_SPENT, "No answer came.", "simulated"))
-        headers = pack_pairs(adapter("samples").sealed(run=run, attempt=call.client_attempt_id))
-        return ServerAnswered(serve.number, status, headers, body, False)
+            self.runs.pop(ended, None)
+        return not done and not self.ended
+
+    async def _call_nested(self, request_kind: RequestKind, run: str, until: float) -> int:
+        """Makes the nested calls of a request; the status of its answer."""
+        environment = self.environment
+        status = OK
+        for nested in request_kind.nested:
+            if environment.random.random() < nested.share:
+                answer = await environment.clients.call_nested(self, nested.route, run, until)
+                if answer.status != OK:
+                    status = FAILED
+        return status
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/site.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/site.py
@@ -3,6 +3,7 @@
 import random
 from typing import NamedTuple
 
+# The platform's bounds: seconds (`_s`) and ratios that its rules and the product's settings share.
 BOUNDS = {
     "contact_s": 3.0,
     "ack_s": 4.0,
@@ -21,23 +22,30 @@
     "seed_lag_s": 3.0,
 }
 REPEATABLE, ONCE_PER_SEND, ONCE_PER_KEY, UPLOAD = "repeatable", "once per send", "once per key", "upload"
-
-
+# How the names of core machines begin.
 CORE = "core-"
+# The share of sites whose servers are too few for the load.
+OVERLOADED_SHARE = 0.25
+# What a request takes of a slot, by which the load is chosen.
+MEAN_RUN_SECONDS = 0.2
 
 
 def is_core(machine: str) -> bool:
-    """Whether this name is one of a core machine, also of one that came during the day."""
+    """Whether this is the name of a core machine, also of one that was added during the day."""
     return machine.startswith(CORE)
 
 
 class CoreMachine(NamedTuple):
+    """A machine with a replica of the log."""
+
     name: str
     host: str
     zone: str
 
 
 class SidecarMachine(NamedTuple):
+    """A machine with a sidecar and a server of one service; a server of speed 2 takes twice as long."""
+
     name: str
     host: str
     zone: str
@@ -46,7 +54,7 @@
 
 
 class ServiceSpec(NamedTuple):
-    """A service's servers."""
+    """A service, and how many requests each of its servers runs and queues."""
 
     name: str
     slots: int
@@ -54,6 +62,8 @@
 
 
 class Route(NamedTuple):
+    """A configured route: weights by service, time-out (hold) and latency target (aim) in seconds, most attempts."""
+
     name: str
     host: str
     prefix: str
@@ -66,96 +76,110 @@
 
 
 class NestedCall(NamedTuple):
+    """A call that a server makes for a share of the requests it runs."""
+
     route: str
     share: float
 
 
 class RequestKind(NamedTuple):
-    """One kind of request: its route, its work at a server, what its clients do."""
+    """One kind of request: its route, weight among all requests, run time and deadline in seconds, most retries."""
 
     route: str
     weight: float
     work: float
     deadline: float
     retries: int
-    inner: tuple[NestedCall, ...] = ()
-    # So many of its good answers are asked for again.
-    again: float = 0.0
+    nested: tuple[NestedCall, ...] = ()
+    # The share of served requests that are repeated under the same key.
+    repeated_share: float = 0.0
 
 
 class Site(NamedTuple):
+    """A deployment of the platform, and the load that its clients make."""
+
     zones: tuple[str, ...]
     core: tuple[CoreMachine, ...]
     sidecars: tuple[SidecarMachine, ...]
     services: tuple[ServiceSpec, ...]
     routes: tuple[Route, ...]
     request_kinds: tuple[RequestKind, ...]
-    inner: tuple[RequestKind, ...]
+    nested_kinds: tuple[RequestKind, ...]
+    # Core machines that may be lost at once.
     losses: int
+    # Requests a second.
     rate: float
+    # Least and longest time of a disk's sync.
     sync_seconds: tuple[float, float]
-    # A snapshot each so many records; the product's own span by default.
+    # A snapshot after so many records; the product's own number by default.
     snapshot_records: int = 600
 
 
-def _names(random: random.Random, count: int, stem: str) -> list[str]:
+def _draw_names(rng: random.Random, count: int, prefix: str) -> list[str]:
+    """Distinct names of two syllables."""
     found: dict[str, None] = {}
     while len(found) < count:
-        found[stem + "".join(random.choice("bdfgklmnprstv") + random.choice("aeiou") for _ in range(2))] = None
+        found[prefix + "".join(rng.choice("bdfgklmnprstv") + rng.choice("aeiou") for _ in range(2))] = None
     return list(found)
 
 
 def draw_site(seed: int, *, small: bool = False) -> Site:
+    """The site of a seed; a small one has the fewest machines. The order of the draws decides what a seed gives."""
     rng = random.Random(f"site {seed}")
-    zones = tuple(_names(rng, 2 if small else 3, "z-"))
+    zones = tuple(_draw_names(rng, 2 if small else 3, "z-"))
     losses = 1 if small else rng.choice((1, 1, 1, 2))
-    core = tuple(
-        CoreMachine(f"{CORE}{place}", f"10.{place % len(zones) + 1}.0.{10 + place}", zones[place % len(zones)])
-        for place in range(2 * losses + 1 if small else rng.choice((2 * losses + 1, 2 * losses + 1, 5)))
-    )
-    names = _names(rng, 3, "s")
+    core = _draw_core(rng, zones, losses, small=small)
+    names = _draw_names(rng, 3, "s")
     services = tuple(ServiceSpec(name, rng.choice((4, 6, 9)), 24) for name in names)
-    if random.Random(f"pressed {seed}").random() < 0.25 and not small:
+    if random.Random(f"pressed {seed}").random() < OVERLOADED_SHARE and not small:
         # A day on which more is asked than the servers can do.
         services = tuple(service_spec._replace(slots=2, queue=6) for service_spec in services)
+    sidecars = _draw_sidecars(rng, zones, services, small=small)
+    routes = _routes(names, _draw_names(rng, 3, "h-"))
+    request_kinds = (
+        RequestKind("r-view", 5.0, 0.1, rng.choice((0.8, 3.0)), 2, (NestedCall("r-peek", 0.6),)),
+        RequestKind("r-post", 3.0, 0.12, rng.choice((1.0, 4.0)), 2, (NestedCall("r-peek", 0.3),), 0.1),
+        RequestKind("r-send", 1.0, 0.1, 2.0, 2),
+        RequestKind("r-load", 1.0, 0.15, 4.0, 2),
+    )
+    nested_kinds = (RequestKind("r-peek", 0.0, 0.03, 0.5, 0),)
+    slots_by_service = {service_spec.name: service_spec.slots for service_spec in services}
+    slots = max(sum(slots_by_service[sidecar.service] for sidecar in sidecars), 2 * 8 * len(services))
+    rate = min(rng.uniform(0.25, 0.6) * slots / MEAN_RUN_SECONDS, 18.0 if small else 45.0)
+    sync_seconds = rng.choice(((0.0003, 0.001), (0.0015, 0.004)))
+    return Site(zones, core, sidecars, services, routes, request_kinds, nested_kinds, losses, rate, sync_seconds)
+
+
+def _draw_core(rng: random.Random, zones: tuple[str, ...], losses: int, *, small: bool) -> tuple[CoreMachine, ...]:
+    """The least number of replicas that bears the losses, or five."""
+    least = 2 * losses + 1
+    return tuple(
+        CoreMachine(f"{CORE}{number}", f"10.{number % len(zones) + 1}.0.{10 + number}", zones[number % len(zones)])
+        for number in range(least if small else rng.choice((least, least, 5)))
+    )
+
+
+def _draw_sidecars(
+    rng: random.Random, zones: tuple[str, ...], services: tuple[ServiceSpec, ...], *, small: bool
+) -> tuple[SidecarMachine, ...]:
     sidecars: list[SidecarMachine] = []
     for service in services:
         for _ in range(2 if small else rng.choice((2, 3, 3, 4))):
-            place = len(sidecars)
-            zone = zones[place % len(zones)]
-            host = f"10.{place % len(zones) + 1}.1.{10 + place}"
-            sidecars.append(SidecarMachine(f"side-{place:02d}", host, zone, service.name, rng.choice((0.7, 1.0, 1.4))))
-    first, second, third = names
-    hosts = _names(rng, 3, "h-")
-    # Inner routes lead to services that call nobody, so that calls end.
-    routes = (
+            number = len(sidecars)
+            zone = number % len(zones)
+            host = f"10.{zone + 1}.1.{10 + number}"
+            speed = rng.choice((0.7, 1.0, 1.4))
+            sidecars.append(SidecarMachine(f"side-{number:02d}", host, zones[zone], service.name, speed))
+    return tuple(sidecars)
+
+
+def _routes(services: list[str], hosts: list[str]) -> tuple[Route, ...]:
+    """A route of each kind, and one for nested calls to a service that makes none, so that calls end."""
+    first, second, third = services
+    return (
         Route("r-view", hosts[0], "/view/", REPEATABLE, ((first, 1.0),), 3.0, 0.5, 2, 2),
         Route("r-post", hosts[1], "/post/", ONCE_PER_KEY, ((second, 1.0),), 4.0, 0.6, 1, 2),
         Route("r-send", hosts[1], "/send/", ONCE_PER_SEND, ((second, 1.0),), 3.0, 0.6, 1, 2),
         Route("r-load", hosts[0], "/load/", UPLOAD, ((third, 1.0),), 4.0, 0.6, 2, 2),
         Route("r-peek", hosts[2], "/peek/", REPEATABLE, ((third, 1.0),), 0.5, 0.15, 0, 2),
     )
-    request_kinds = (
-        RequestKind("r-view", 5.0, 0.1, rng.choice((0.8, 3.0)), 2, (NestedCall("r-peek", 0.6),)),
-        RequestKind("r-post", 3.0, 0.12, rng.choice((1.0, 4.0)), 2, (NestedCall("r-peek", 0.3),), 0.1),
-        RequestKind("r-send", 1.0, 0.1, 2.0, 2),
-        RequestKind("r-load", 1.0, 0.15, 4.0, 2),
-    )
-    inner = (RequestKind("r-peek", 0.0, 0.03, 0.5, 0),)
-    room = sum(
-        service_spec.slots * len([s for s in sidecars if s.service == service_spec.name]) for service_spec in services
-    )
-    room = max(room, 2 * 8 * len(services))
-    rate = min(rng.uniform(0.25, 0.6) * room / 0.2, 18.0 if small else 45.0)
-    return Site(
-        zones,
-        core,
-        tuple(sidecars),
-        services,
-        routes,
-        request_kinds,
-        inner,
-        losses,
-        rate,
-        rng.choice(((0.0003, 0.001), (0.0015, 0.004))),
-    )
--- a/tests/emulator_witness.py
+++ b/tests/emulator_witness.py
@@ -97,7 +97,7 @@
     async def witness(self) -> None:
         while True:
             for process in self.processes.values():
-                if process.life.dead or not process.open:
+                if process.simulated.dead or not process.open:
                     continue
                 if hasattr(process.node, "store"):
                     core = process.node.store.runner.core
@@ -115,7 +115,7 @@
             self.back.append(f"{process.machine.name} went back from {before} to {held}")
         self.held[process.number] = held
         if (
-            not process.life.frozen
+            not process.simulated.frozen
             and relay.lease_start is not None
             and process.machine.name not in self.fault_injector.busy
         ):
--- a/tests/test_emulator_disks.py
+++ b/tests/test_emulator_disks.py
@@ -36,7 +36,7 @@
         folder.mkdir()
         disks = Disks(rng=random.Random(seed))
         disks.add(folder)
-        with disks.watched():
+        with disks.intercept_syncs():
             (folder / "kept").write_text("old")
             (folder / "removed").write_text("old")
             (folder / "replaced").write_text("old")
@@ -64,7 +64,7 @@
             folder.mkdir()
             disks = Disks(rng=random.Random(seed))
             disks.add(folder)
-            with disks.watched():
+            with disks.intercept_syncs():
                 disk = Disk(folder=folder, replica=1, synchronous="OFF")
                 disk.boot()
                 disk.found(mesh="m", voters={1: "a"}, operators={})
