--- a/tests/test_sidecar_attempt_follower.py
+++ b/tests/test_sidecar_attempt_follower.py
@@ -1,4 +1,4 @@
-"""What a target's sidecar says of an attempt whose connection broke, and what the entry makes of it."""
+"""What a target's sidecar reports of an attempt whose connection broke, and what the ingress makes of it."""
 
 import random
 from datetime import timedelta
@@ -27,7 +27,7 @@
 
 
 class Case(TestCase):
-    """s-1 is the entry, s-2 the target; their line is the test's."""
+    """s-1 is the ingress, s-2 the target; the test plays the connection between them."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -62,7 +62,7 @@
         return self.fleet.answers[ticket].outcome
 
 
-class TheTarget(Case):
+class TargetReports(Case):
     def test_one_that_runs_is_answered_to_both_when_it_ends(self) -> None:
         _, sent, follow = self.broken()
         first = self.arrive(sent.call)
@@ -119,7 +119,7 @@
         self.assertThat(self.outcome(self.arrive(follow.call)), Equals(NOT_RUN))
 
 
-class TheEntry(Case):
+class IngressFollows(Case):
     def test_only_what_may_not_be_repeated_is_followed(self) -> None:
         self.fleet.silent = {"s-2"}
         self.fleet.ask("/read/x")
@@ -180,12 +180,12 @@
             ticket, sent, follow = self.broken("/pay/x", key=f"k{number}", budget=0.5)
             self.fleet.pass_time(0.6)
             self.assertThat(self.fleet.replies[ticket].status, Equals(504))
-            again = self.fleet.ask("/pay/x", key=f"k{number}", door="s-3")
+            again = self.fleet.ask("/pay/x", key=f"k{number}", ingress="s-3")
             self.assertThat(self.fleet.replies[again].status, Equals(409))
             if answer is not None:
                 answer = answer._replace(send=sent.call.send)
             self.fleet.feed("s-1", Followed(follow.number, answer))
-            again = self.fleet.ask("/pay/x", key=f"k{number}", door="s-3")
+            again = self.fleet.ask("/pay/x", key=f"k{number}", ingress="s-3")
             self.assertThat(self.fleet.replies[again].status, Equals(status))
 
     def test_a_key_whose_attempt_was_turned_away_late_is_free(self) -> None:
@@ -197,7 +197,7 @@
         self.assertThat(self.fleet.replies[ticket].status, Equals(504))
         not_run = ForwardAnswer(sent.call.send, NOT_RUN, str(ErrorKind.UNREACHABLE))
         self.fleet.feed("s-1", ForwardAnswered(sent.number, not_run))
-        again = self.fleet.ask("/pay/x", key="k", door="s-3")
+        again = self.fleet.ask("/pay/x", key="k", ingress="s-3")
         self.fleet.finish(body=b"paid")
         self.assertThat((self.fleet.replies[again].body, len(self.fleet.sent(RunOnServer))), Equals((b"paid", 1)))
 
@@ -210,16 +210,16 @@
         self.fleet.timestamp += SECOND
         self.fleet.feed("s-1", Followed(follow.number, not_run))
         self.assertThat((self.fleet.replies[ticket].status, len(self.fleet.sent(ForwardRequest))), Equals((504, count)))
-        again = self.fleet.ask("/pay/x", key="k", door="s-3")
+        again = self.fleet.ask("/pay/x", key="k", ingress="s-3")
         self.assertThat(self.fleet.replies[again].status, Equals(503))
         ticket, sent, follow = self.broken("/pay/x", key="other", budget=0.5)
         self.fleet.pass_time(0.6)
         self.fleet.feed("s-1", Followed(follow.number, not_run._replace(send=sent.call.send)))
-        again = self.fleet.ask("/pay/x", key="other", door="s-3")
+        again = self.fleet.ask("/pay/x", key="other", ingress="s-3")
         self.assertThat(self.fleet.replies[again].status, Equals(503))
 
 
-class Memory(TestCase):
+class AttemptMemory(TestCase):
     def test_what_is_long_over_is_forgotten(self) -> None:
         taken = ReceivedAttempts()
         for number in range(100):
