--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/draft.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/draft.py
@@ -1,17 +1,19 @@
-"""A day as it is drawn: troubles, planned work and the closing fault, each at its moment."""
+"""A day as it is drawn: faults, planned work and the final fault, each with its time in seconds."""
 
 import random
 from typing import Any, NamedTuple
 
 from hoistsaddle.testbed.benchdays.site import BenchSite
 
-# Traffic begins calmly, and a day's last seconds belong to the closing fault.
+# Seconds without faults when traffic begins, and before the final fault.
 CALM_START = 1.0
 CALM_END = 2.5
+# No event is shorter, and each ends so long before the day does, in seconds.
+MIN_DURATION, MIN_REST = 0.2, 0.5
 
 
 class DayEntry(NamedTuple):
-    """One entry of a day: its moment, its kind, and the fields that fit the kind."""
+    """One entry of a day's table: its time, its kind, and the fields that fit the kind."""
 
     at: float
     kind: str
@@ -34,32 +36,38 @@
 
     @property
     def last(self) -> float:
+        """The latest time of an event."""
         return self.site.length - CALM_END
 
     def time_between(self, first: float = CALM_START, last: float | None = None) -> float:
+        """A random time of an event; without an end, any until the last one."""
         return self.random.uniform(first, max(first, min(last or self.last, self.last)))
 
     def duration(self, least: float, most: float, *, at: float) -> float:
-        """A length that ends before the day does."""
-        return max(0.2, min(self.random.uniform(least, most), self.site.length - at - 0.5))
+        """Random seconds that an event at this time may last: it ends before the day does."""
+        return max(MIN_DURATION, min(self.random.uniform(least, most), self.site.length - at - MIN_REST))
 
     def pick(self, *choices: Any) -> Any:
+        """Any one of these."""
         return self.random.choice(choices)
 
     def chance(self, share: float) -> bool:
+        """True in this share of the draws."""
         return self.random.random() < share
 
     def fault(self, at: float, kind: str, **fields: Any) -> None:
+        """Adds a fault."""
         self.faults.append(DayEntry(at, kind, fields))
 
     def planned(self, at: float, kind: str, **fields: Any) -> None:
+        """Adds planned work: changes, stops, restarts."""
         self.plan.append(DayEntry(at, kind, fields))
 
     def service(self) -> dict[str, str]:
-        """One service by name, or nothing: then the day's own seed picks."""
+        """A field that names one service, or nothing: then the day's own seed decides."""
         names = self.site.services
         return {"service": self.random.choice(names)} if names and self.chance(0.5) else {}
 
     def words(self, *optional: tuple[str, float]) -> str:
-        """The words of a variant, each with its own chance."""
+        """The words of a variant, each in its own share of the draws."""
         return " ".join(word for word, share in optional if self.chance(share))
--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/losses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/losses.py
@@ -1,36 +1,40 @@
-"""Single losses of a counted machine, drawn one by one; the points put them in a row."""
+"""Losses of one core machine. Each function returns for how many seconds the machine is away."""
 
 from collections.abc import Callable
 
 from hoistsaddle.testbed.benchdays.draft import Draft
 
-# Which counted machine a trouble takes: the leader twice as often as any other.
+# Which core machine fails: the leader twice as often as any other.
 MACHINE_CHOICES = ("leader", "leader", "", "seed", "reader")
 
 
 def select_machine(draft: Draft) -> str:
+    """The word of a variant that selects the machine; empty leaves it to the day's seed."""
     return draft.random.choice(MACHINE_CHOICES)
 
 
-def _how(draft: Draft, *words: str) -> str:
+def _variant(*words: str) -> str:
     return " ".join(word for word in words if word)
 
 
-def power(draft: Draft, at: float) -> float:
+def power_lost(draft: Draft, at: float) -> float:
+    """The machine is killed, or loses power."""
     duration = draft.duration(0.6, 3.5, at=at)
-    how = _how(draft, draft.pick("power", ""), select_machine(draft), draft.pick("", "", "race", "meet", "drain"))
+    how = _variant(draft.pick("power", ""), select_machine(draft), draft.pick("", "", "race", "meet", "drain"))
     draft.fault(at, "node_kill", on="core", count=1, for_s=duration, how=how)
     return duration
 
 
 def wiped(draft: Draft, at: float) -> float:
+    """The machine that acknowledges the next change loses its disk."""
     duration = draft.duration(0.8, 3.0, at=at)
     draft.fault(at, "after_ack_wipe", for_s=duration, how=draft.pick("", "", "timed", "taken"))
     draft.planned(at + 0.15, "config_change", how=draft.pick("idle", "timeout"))
     return duration
 
 
-def killed_after_word(draft: Draft, at: float) -> float:
+def killed_after_acknowledgement(draft: Draft, at: float) -> float:
+    """The machine that acknowledges the next change is killed, or loses power."""
     duration = draft.duration(0.8, 3.0, at=at)
     draft.fault(at, "after_ack_kill", for_s=duration, how=draft.pick("", "kill", "timed", "taken"))
     draft.planned(at + 0.15, "config_change", how=draft.pick("idle", "timeout"))
@@ -38,6 +42,7 @@
 
 
 def stopped(draft: Draft, at: float) -> float:
+    """The machine gets SIGTERM and is started again."""
     draft.planned(
         at, "roll_term", on="core", count=1, x=1.0, gap_s=1.0, how=draft.pick("", "busy", select_machine(draft))
     )
@@ -45,36 +50,47 @@
 
 
 def cut(draft: Draft, at: float) -> float:
+    """The machine is cut off from the others."""
     duration = draft.duration(2.0, 6.0, at=at)
     draft.fault(
         at,
         "core_cut",
         count=1,
         for_s=duration,
-        how=_how(draft, select_machine(draft), draft.pick("", "one_way", "race")),
+        how=_variant(select_machine(draft), draft.pick("", "one_way", "race")),
     )
     return duration
 
 
 def frozen(draft: Draft, at: float) -> float:
+    """The machine stands still."""
     duration = draft.duration(2.0, 6.0, at=at)
-    draft.fault(at, "node_freeze", on="core", count=1, for_s=duration, how=_how(draft, select_machine(draft)))
+    draft.fault(at, "node_freeze", on="core", count=1, for_s=duration, how=_variant(select_machine(draft)))
     return duration
 
 
 def replaced(draft: Draft, at: float) -> float:
+    """An empty machine takes its place, if there is a spare one left."""
     if draft.spares_left < 1:
-        return power(draft, at)
+        return power_lost(draft, at)
     draft.spares_left -= 1
     planned = draft.chance(0.5)
     wait = round(draft.random.uniform(0.5, 2.0), 2)
-    draft.fault(at, "replace_core", x=wait, how=_how(draft, "planned" if planned else "", select_machine(draft)))
+    draft.fault(at, "replace_core", x=wait, how=_variant("planned" if planned else "", select_machine(draft)))
     return wait
 
 
-LOSSES: tuple[Callable[[Draft, float], float], ...] = (power, wiped, killed_after_word, stopped, cut, frozen, replaced)
+LOSSES: tuple[Callable[[Draft, float], float], ...] = (
+    power_lost,
+    wiped,
+    killed_after_acknowledgement,
+    stopped,
+    cut,
+    frozen,
+    replaced,
+)
 
 
-def one(draft: Draft, at: float) -> float:
-    """Any loss; gives how long the machine is away."""
+def draw_loss(draft: Draft, at: float) -> float:
+    """Any loss; returns for how many seconds the machine is away."""
     return draft.random.choice(LOSSES)(draft, at)
--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/site.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/site.py
@@ -1,19 +1,22 @@
-"""What a generated day takes from a site file: names, spans and how much may be lost at once."""
+"""What a generated day takes from a site file: names, durations and how much may be lost at once."""
 
 import tomllib
 from pathlib import Path
 from typing import NamedTuple
 
+# A large change has so many routes for each idle route of the site.
+ROUTES_PER_IDLE_ROUTE = 8
+
 
 class BenchSite(NamedTuple):
-    """The part of a deployment that troubles refer to. The defaults fit a site whose file isn't given."""
+    """The part of a deployment that events refer to. The defaults fit a site whose file isn't given."""
 
     name: str = "any"
     # Seconds of traffic of a day.
     length: float = 32.0
     # After a machine's return it counts as lost for so many seconds more.
     settle: float = 4.0
-    # Counted machines that may be lost at once.
+    # Core machines that may be lost at once.
     losses: int = 1
     # Machines that may be added during a day.
     spares: int = 3
@@ -33,15 +36,15 @@
         KeyError: it lacks what a site file has.
     """
     with path.open("rb") as file:
-        told = tomllib.load(file)
-    core = [each for each in told["machines"] if "disk" in each]
+        site = tomllib.load(file)
+    core = [machines for machines in site["machines"] if "disk" in machines]
     return BenchSite(
-        name=told["name"],
-        length=told["length_s"],
-        settle=told["timing"]["catch_up_s"],
-        losses=told["tolerate"]["machines"],
-        spares=sum(each.get("spare", 0) for each in core),
-        services=tuple(each["name"] for each in told["services"]),
-        invalid=tuple(told["config"]["invalid"]),
-        many_routes=max(200, 8 * told["config"]["idle_routes"]),
+        name=site["name"],
+        length=site["length_s"],
+        settle=site["timing"]["catch_up_s"],
+        losses=site["tolerate"]["machines"],
+        spares=sum(machines.get("spare", 0) for machines in core),
+        services=tuple(service["name"] for service in site["services"]),
+        invalid=tuple(site["config"]["invalid"]),
+        many_routes=max(BenchSite().many_routes, ROUTES_PER_IDLE_ROUTE * site["config"]["idle_routes"]),
     )
--- a/packages/testbed/src/hoistsaddle/testbed/benchdays/writer.py
+++ b/packages/testbed/src/hoistsaddle/testbed/benchdays/writer.py
@@ -4,47 +4,50 @@
 from typing import Any
 
 from hoistsaddle.testbed.benchdays.draft import DayEntry, Draft
-from hoistsaddle.testbed.benchdays.scenarios import BESIDE, POINTS, closing
+from hoistsaddle.testbed.benchdays.events import ADDITIONAL_EVENTS, final_fault
+from hoistsaddle.testbed.benchdays.scenarios import POINTS
 from hoistsaddle.testbed.benchdays.site import BenchSite
 
+# Stands for days that mix any points.
 ALL = "all"
-# So many points meet in a day of all of them.
+# So many points are mixed in such a day.
 MIXED_POINTS = 2
-MOST_BESIDE = 3
+MAX_ADDITIONAL_EVENTS = 3
 
 
 def draw(*, site: BenchSite, point: str, seed: int, number: int) -> Draft:
-    """One day: its point (or two of them), some troubles beside it, and the closing fault."""
+    """One day: the scenario of its point (or of two), some additional events, and the final fault."""
     draft = Draft(site=site, seed=seed, point=point, number=number)
     chosen = draft.random.sample(sorted(POINTS), MIXED_POINTS) if point == ALL else [point]
     for name in chosen:
         POINTS[name](draft)
-    for _ in range(draft.random.randint(0, MOST_BESIDE)):
-        draft.random.choice(BESIDE)(draft)
-    closing(draft)
+    for _ in range(draft.random.randint(0, MAX_ADDITIONAL_EVENTS)):
+        draft.random.choice(ADDITIONAL_EVENTS)(draft)
+    final_fault(draft)
     return draft
 
 
-def _value(told: Any) -> str:
-    if isinstance(told, float):
-        return str(round(told, 3))
-    return f'"{told}"' if isinstance(told, str) else str(told)
+def _value(value: Any) -> str:
+    if isinstance(value, float):
+        return str(round(value, 3))
+    return f'"{value}"' if isinstance(value, str) else str(value)
 
 
 def _table(fields: dict[str, Any]) -> str:
-    return "{ " + ", ".join(f"{name} = {_value(told)}" for name, told in fields.items()) + " }"
+    return "{ " + ", ".join(f"{name} = {_value(value)}" for name, value in fields.items()) + " }"
 
 
 def _entries(name: str, day_entries: list[DayEntry]) -> list[str]:
-    ordered = sorted(day_entries, key=lambda each: each.at)
+    ordered = sorted(day_entries, key=lambda entry: entry.at)
     return [
         f"{name} = [",
-        *(f"  {_table({'at': round(each.at, 2), 'kind': each.kind, **each.fields})}," for each in ordered),
+        *(f"  {_table({'at': round(entry.at, 2), 'kind': entry.kind, **entry.fields})}," for entry in ordered),
         "]",
     ]
 
 
 def text_of(draft: Draft) -> str:
+    """The day as a TOML file of the bench."""
     name = f"{draft.point}-{draft.number}"
     lines = [f'name = "{name}"', 'slot = "trouble"', f"seed = {draft.seed}"]
     if draft.closing:
@@ -53,7 +56,7 @@
 
 
 def write(*, site: BenchSite, point: str, seed: int, count: int, folder: Path) -> list[Path]:
-    """Writes `count` days; those of one seed are the same wherever they are drawn."""
+    """Writes `count` days and returns their files; a seed gives the same days wherever they are drawn."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
     for number in range(1, count + 1):
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -85,6 +85,8 @@
     Allowed(r"/hoistsaddle/vitals\b", EVERYWHERE, "a path of the operators' interface"),
     # Former subcommands, which stay as aliases.
     Allowed(r"[\"'](market|broker)[\"']", EVERYWHERE, "former subcommands"),
+    # A seed's text: with another one the same seed would draw another day.
+    Allowed(r'"arena \{day\.seed\}"', ("packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py",), "a seed"),
     # Packages and methods of others.
     Allowed(r"\bsetUp\b", EVERYWHERE, "testtools' own method"),
 )
