--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/check.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/check.py
@@ -1,7 +1,7 @@
-"""Plays a data folder's life, loses the power at every moment of it in every mix, and boots what is left.
+"""Records a scenario on a data folder, loses the power at every point of it, and boots every state that may be left.
 
-What a call wrote before it returned must be there; what a call was at may be there or not, but nothing between. A
-blank folder is right only before the first start has told its incarnation.
+What a call wrote before it returned must be there; what a call in progress writes may be there or not, but not in part.
+A blank folder is right only before the first start has told its incarnation to the other replicas.
 """
 
 import hashlib
@@ -10,7 +10,7 @@
 import shutil
 from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import Boot
@@ -20,12 +20,14 @@
 from hoistsaddle.testbed.diskmodel.recorder import Recorder
 
 REPLICA = 1
-# Small, so that moving pages into the database happens often in a short life.
+# Small, so that write-ahead pages are moved into the database often in a short scenario.
 WRITE_AHEAD_PAGES = 6
+# Stands for the call before the first one.
+NO_CALL = "nothing"
 
 
 class Broken(NamedTuple):
-    """A mix that booted into what never was."""
+    """A folder state that boots into a state that never was; files with their sizes, -1 for a folder."""
 
     crash_point: int
     after: str
@@ -34,13 +36,15 @@
 
 
 class Findings(NamedTuple):
+    """How many crash points and folder states were checked, and the broken ones."""
+
     crash_points: int
     folder_states: int
     broken: tuple[Broken, ...]
 
 
 class RecordedDisk:
-    """Lives the life that is recorded: a disk and the moments at which its calls returned."""
+    """A replica's disk whose calls are recorded, with the points at which they returned."""
 
     def __init__(
         self,
@@ -66,12 +70,14 @@
             write_ahead_pages=WRITE_AHEAD_PAGES,
         )
 
-    def do(self, name: str, *arguments, **named):
+    def do(self, name: str, *arguments: Any, **named: Any) -> Any:
+        """Calls a method of the disk and records that it returned."""
         result = getattr(self.disk, name)(*arguments, **named)
         self.recorder.returned(name)
         return result
 
     def start_again(self, *, cleanly: bool) -> Boot:
+        """Boots a new disk on the folder; cleanly closes the former one first."""
         if cleanly:
             self.do("close")
         self.disk = self._new_disk()
@@ -79,20 +85,20 @@
 
 
 def record(
-    scenario: Callable[[RecordedDisk], None], *, folder: Path, seed: int, start: FolderState | None = None, **how
+    scenario: Callable[[RecordedDisk], None], *, folder: Path, seed: int, start: FolderState | None = None, **how: Any
 ) -> list[Operation]:
-    """What a life did to its folder; how: a recorder or a synchronisation with a fault in it."""
+    """What a scenario does to its folder; how: another recorder or synchronous mode, to inject a fault."""
     lay_out(start or {}, folder)
-    player = RecordedDisk(folder=folder, seed=seed, **how)
-    with player.recorder.recording():
-        scenario(player)
-        operations = list(player.recorder.operations)
-        player.disk.close()
+    recorded = RecordedDisk(folder=folder, seed=seed, **how)
+    with recorded.recorder.recording():
+        scenario(recorded)
+        operations = list(recorded.recorder.operations)
+        recorded.disk.close()
     return operations
 
 
 class _NoSync(Files):
-    """For a start that is only looked at: its own syncs would take most of the time."""
+    """For a boot that is only inspected: its own syncs would take most of the time."""
 
     def sync(self, path: Path) -> None:
         pass
@@ -112,11 +118,11 @@
 
 
 def _crash_points(operations: list[Operation]) -> Iterator[int]:
-    # What is pending only grows between two syncs, and any part of it may be missing: the moments before a sync, and
-    # those at which a call returned, hold all others.
-    for place, operation in enumerate(operations):
+    # What is pending only grows between two syncs, and any part of it may be missing: the points before a sync, and
+    # those at which a call returned, cover all others.
+    for position, operation in enumerate(operations):
         if isinstance(operation, FileSynced | FolderSynced | Returned):
-            yield place
+            yield position
     yield len(operations)
 
 
@@ -129,28 +135,30 @@
 
 
 class _Milestones:
-    """The states that a start has to find: one for each call that returned."""
+    """The states that a boot has to find: one for each call that returned."""
 
     def __init__(self, *, operations: list[Operation], start: FolderState, folder: Path) -> None:
-        model = FolderModel(files={name: content for name, content in start.items() if content is not None})
-        self.places = [0]
-        self.calls = ["nothing"]
+        model = _model_of(start)
+        self.positions = [0]
+        self.calls = [NO_CALL]
         self.boots = [_boot(start, folder / "milestone")]
-        for place, operation in enumerate(operations):
+        for position, operation in enumerate(operations, start=1):
             model.do(operation)
             if isinstance(operation, Returned):
-                self.places.append(place + 1)
+                self.positions.append(position)
                 self.calls.append(operation.call)
                 self.boots.append(_boot(model.fully_written(), folder / "milestone"))
 
     def at(self, crash_point: int) -> tuple[str, list[Boot]]:
-        """The last call that had returned, and what may be booted: what it left, or what the next one would."""
-        last = max(place for place, each in enumerate(self.places) if each <= crash_point)
+        """The last call that had returned, and what may be booted: its state, or that after the next call."""
+        last = max(number for number, position in enumerate(self.positions) if position <= crash_point)
         return self.calls[last], self.boots[last : last + 2]
 
     def founded(self, crash_point: int) -> bool:
-        """Whether a blank folder would be a loss by now."""
-        return any(boot.mesh for place, boot in zip(self.places, self.boots, strict=True) if place <= crash_point)
+        """Whether a blank folder would be a loss of data by now."""
+        return any(
+            boot.mesh for position, boot in zip(self.positions, self.boots, strict=True) if position <= crash_point
+        )
 
 
 def check(
@@ -162,38 +170,51 @@
     most: int = MAX_FOLDER_STATES,
     max_broken: int = 0,
 ) -> Findings:
-    """Boots every mix of every moment, or where there are more than the most of one moment, a part of them.
-
-    enough: so many broken ones end it; 0 goes on to the end.
+    """Boots every folder state of every crash point.
+
+    Args:
+        operations: what was done to the folder.
+        folder: where the states are laid out.
+        seed: of the draw where a crash point has more states than `most`.
+        start: the folder before the operations.
+        most: the most folder states of one crash point; where there are more, a part of them is drawn.
+        max_broken: the check ends after so many broken states; 0 goes on to the end.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     milestones = _Milestones(operations=operations, start=start or {}, folder=folder)
-    model = FolderModel(files={name: content for name, content in (start or {}).items() if content is not None})
+    model = _model_of(start or {})
     seen: set[tuple[int, str]] = set()
     broken: list[Broken] = []
-    done = crash_points = 0
+    applied = crash_points = 0
     for crash_point in _crash_points(operations):
-        for operation in operations[done:crash_point]:
+        for operation in operations[applied:crash_point]:
             model.do(operation)
-        done = crash_point
+        applied = crash_point
         crash_points += 1
         if max_broken and len(broken) >= max_broken:
             break
         after, allowed = milestones.at(crash_point)
-        acknowledged = after != "nothing"
+        acknowledged = after != NO_CALL
         founded = milestones.founded(crash_point)
-        for folder_state in model.folder_states(seed=chance, most=most):
+        for folder_state in model.folder_states(seed=rng, most=most):
             key = (id(allowed[0]), _digest(folder_state))
             if key in seen:
                 continue
             seen.add(key)
             problem = _problem(folder_state, folder / "mix", allowed, acknowledged, founded)
             if problem:
-                sizes = tuple((name, -1 if content is None else len(content)) for name, content in folder_state.items())
-                broken.append(Broken(crash_point, after, sizes, problem))
+                broken.append(Broken(crash_point, after, _sizes(folder_state), problem))
     return Findings(crash_points, len(seen), tuple(broken))
 
 
+def _model_of(folder_state: FolderState) -> FolderModel:
+    return FolderModel(files={name: content for name, content in folder_state.items() if content is not None})
+
+
+def _sizes(folder_state: FolderState) -> tuple[tuple[str, int], ...]:
+    return tuple((name, -1 if content is None else len(content)) for name, content in folder_state.items())
+
+
 def _problem(folder_state: FolderState, folder: Path, allowed: list[Boot], acknowledged: bool, founded: bool) -> str:
     try:
         found = _boot(folder_state, folder)
@@ -206,20 +227,20 @@
         return "a blank folder, though its incarnation was told"
     if found in allowed or not found.mesh:
         return ""
-    return f"a state that never was: {summary(found)}; right were {[summary(each) for each in allowed]}"
+    return f"a state that never was: {summary(found)}; right were {[summary(boot) for boot in allowed]}"
 
 
 def _unsound(boot: Boot) -> str:
-    """What no start may ever find, whatever was written before."""
+    """What no boot may ever find, whatever was written before."""
     if boot.state is None:
         return ""
-    epochs = [boot.begin.epoch, *(each.epoch for each in boot.records)]
+    epochs = [boot.begin.epoch, *(record.epoch for record in boot.records)]
     if epochs != sorted(epochs):
         return "a log with an older epoch above a newer one"
-    for place, each in enumerate(boot.records, start=1):
-        if each.offset != boot.begin.offset + place:
+    for number, stored in enumerate(boot.records, start=1):
+        if stored.offset != boot.begin.offset + number:
             return "a log with a gap"
-        if each.offset == boot.checkpoint.offset and each.epoch != boot.checkpoint.epoch:
+        if stored.offset == boot.checkpoint.offset and stored.epoch != boot.checkpoint.epoch:
             return "a log that parts from its checkpoint"
     if boot.checkpoint.offset < boot.begin.offset or boot.checkpoint.offset > boot.begin.offset + len(boot.records):
         return "a checkpoint beside a log that doesn't reach it"
@@ -227,18 +248,19 @@
 
 
 def folder_states_of(operations: list[Operation], *, seed: int) -> Iterator[FolderState]:
-    """One drawn mix for each moment, to go on from."""
-    chance = random.Random(seed)
+    """One drawn folder state for each crash point, to go on from."""
+    rng = random.Random(seed)
     model = FolderModel()
-    done = 0
+    applied = 0
     for crash_point in _crash_points(operations):
-        for operation in operations[done:crash_point]:
+        for operation in operations[applied:crash_point]:
             model.do(operation)
-        done = crash_point
-        yield chance.choice(list(model.folder_states(seed=chance, most=1)))
+        applied = crash_point
+        yield rng.choice(list(model.folder_states(seed=rng, most=1)))
 
 
 def summary(boot: Boot) -> tuple:
+    """What of a boot is worth printing."""
     offsets = [record.offset for record in boot.records]
     return (
         boot.incarnation,
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/model.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/model.py
@@ -1,7 +1,7 @@
 """What may be left of a data folder after a loss of power, from the operations done to it before.
 
-A file holds what its last sync covered, and each later write is there, missing or torn by itself. A name that was made,
-changed or removed lasts once its folder was synced; until then each name is kept or lost by itself.
+A file holds what its last sync covered, and each later write is there, missing or torn, independently of the others. A
+name that was created, changed or removed is durable once its folder was synced; until then each is kept or lost.
 """
 
 import itertools
@@ -22,13 +22,15 @@
     Written,
 )
 
-# Up to so many writes after a file's last sync every subset of them is taken; above, each alone and every beginning.
-ALL_SUBSETS = 5
-# So many mixes of one moment at the most; above, a drawn part of them beside the ones that are named.
+# Up to so many writes after a file's last sync, every subset of them is tried; above, about so many prefixes, and all
+# writes but one.
+MAX_WRITES_FOR_SUBSETS, MAX_PREFIXES = 5, 12
+# The most states of one crash point; where there are more, some chosen ones and a drawn part of the others.
 MAX_FOLDER_STATES = 220
-# What stands for a folder among the names.
+# Stands for a folder where a name leads to a file's number.
 FOLDER = -1
 
+# Names with contents; None is a folder.
 FolderState = dict[str, bytes | None]
 
 
@@ -38,7 +40,7 @@
         self.pending: list[Written | Shortened] = []
 
 
-def _done(content: bytes, change: Written | Shortened, *, torn: bool = False) -> bytes:
+def _apply(content: bytes, change: Written | Shortened, *, torn: bool = False) -> bytes:
     if isinstance(change, Shortened):
         return content[: change.size].ljust(change.size, b"\0")
     data = change.data[: len(change.data) // 2] if torn else change.data
@@ -47,20 +49,22 @@
 
 
 def _contents(file: _File) -> list[bytes]:
-    """Every content that the file may be left with, the whole one first and the lasting one second."""
+    """Every content that the file may be left with, the complete one first and the durable one second."""
     count = len(file.pending)
     everything = frozenset(range(count))
-    if count <= ALL_SUBSETS:
-        chosen = [frozenset(each) for size in range(count + 1) for each in itertools.combinations(range(count), size)]
+    if count <= MAX_WRITES_FOR_SUBSETS:
+        chosen = [
+            frozenset(subset) for size in range(count + 1) for subset in itertools.combinations(range(count), size)
+        ]
     else:
-        chosen = [frozenset(range(end)) for end in range(0, count, max(1, count // 12))]
-        chosen += [everything - {each} for each in range(0, count, max(1, count // 12))]
+        chosen = [frozenset(range(end)) for end in range(0, count, max(1, count // MAX_PREFIXES))]
+        chosen += [everything - {number} for number in range(0, count, max(1, count // MAX_PREFIXES))]
     found: dict[bytes, None] = {}
     for subset in [everything, frozenset(), *chosen]:
-        for torn in [None, *(sorted(subset)[-2:] if count > ALL_SUBSETS else sorted(subset))]:
+        for torn in [None, *(sorted(subset)[-2:] if count > MAX_WRITES_FOR_SUBSETS else sorted(subset))]:
             content = file.durable
-            for place in sorted(subset):
-                content = _done(content, file.pending[place], torn=place == torn)
+            for number in sorted(subset):
+                content = _apply(content, file.pending[number], torn=number == torn)
             found[content] = None
             if torn is None and subset == everything:
                 found.setdefault(file.durable)
@@ -68,11 +72,13 @@
 
 
 class FolderModel:
+    """A folder as operations change it, and what of it is durable."""
+
     def __init__(self, *, files: dict[str, bytes] | None = None) -> None:
         self.files: dict[int, _File] = {}
         self.numbers = itertools.count()
         self.names: dict[str, int | None] = {}
-        # Each name with what it lastingly stands for, and what it stood for since.
+        # By name: the file that it durably leads to, and those that it led to since.
         self.durable: dict[str, int | None] = {}
         self.since: dict[str, list[int | None]] = {}
         for name, content in (files or {}).items():
@@ -93,6 +99,7 @@
         self.since.setdefault(name, []).append(number)
 
     def do(self, operation: Operation) -> None:
+        """Carries out one operation."""
         match operation:
             case Created(name=name):
                 if self.names.get(name) is None:
@@ -106,10 +113,10 @@
             case FileSynced(name=name):
                 file = self.files[self.names[name]]
                 for change in file.pending:
-                    file.durable = _done(file.durable, change)
+                    file.durable = _apply(file.durable, change)
                 file.pending = []
             case FolderSynced(name=folder):
-                for name in [each for each in self.since if _folder_of(each) == folder]:
+                for name in [changed for changed in self.since if _folder_of(changed) == folder]:
                     self.durable[name] = self.names[name]
                     del self.since[name]
             case Renamed(name=name, new=new):
@@ -122,7 +129,7 @@
                 pass
 
     def fully_written(self) -> FolderState:
-        """Everything kept, as when only the process died."""
+        """The folder with everything kept, as when only the process died."""
         return self._folder_state(self.names, {number: _contents(file)[0] for number, file in self.files.items()})
 
     def _folder_state(self, names: dict[str, int | None], contents: dict[int, bytes]) -> FolderState:
@@ -135,7 +142,7 @@
         return folder_state
 
     def folder_states(self, *, seed: random.Random, most: int = MAX_FOLDER_STATES) -> Iterator[FolderState]:
-        """What a loss of power at this moment may leave: all of it where that is few, else all alone and a part."""
+        """What a loss of power may leave now: every state where these are few, else single changes and a drawn part."""
         names = sorted(set(self.names) | set(self.durable))
         name_choices = [
             list(dict.fromkeys((self.names.get(name), self.durable.get(name), *self.since.get(name, ()))))
@@ -145,8 +152,8 @@
         content_choices = [_contents(self.files[number]) for number in numbers]
         choices: list[list] = [*name_choices, *content_choices]
         total = 1
-        for each in choices:
-            total *= len(each)
+        for options in choices:
+            total *= len(options)
         if total <= most:
             picks: Iterator[tuple] = itertools.product(*choices)
         else:
@@ -159,16 +166,16 @@
 
     @staticmethod
     def _some(choices: list[list], seed: random.Random, most: int) -> list[tuple]:
-        """Each single choice beside all that is newest and beside all that lasts, and drawn ones up to the most."""
-        newest = tuple(each[0] for each in choices)
-        durable = tuple(each[min(1, len(each) - 1)] for each in choices)
+        """Each single option with all else newest and with all else durable, and so many drawn ones."""
+        newest = tuple(options[0] for options in choices)
+        durable = tuple(options[min(1, len(options) - 1)] for options in choices)
         found: dict[tuple, None] = {newest: None, durable: None}
-        for place, options in enumerate(choices):
+        for position, options in enumerate(choices):
             for option in options:
                 for base in (newest, durable):
-                    found[(*base[:place], option, *base[place + 1 :])] = None
+                    found[(*base[:position], option, *base[position + 1 :])] = None
         for _ in range(most):
-            found[tuple(seed.choice(each) for each in choices)] = None
+            found[tuple(seed.choice(options) for options in choices)] = None
         return list(found)
 
 
@@ -178,7 +185,7 @@
 
 
 def lay_out(folder_state: FolderState, folder: Path) -> None:
-    """Makes a real folder of it."""
+    """Writes the state into a real folder."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, content in sorted(folder_state.items()):
         if content is None:
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/recorder.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/recorder.py
@@ -1,7 +1,7 @@
-"""Records what a data folder's own code and sqlite3 do to its files, in order, while they really do it.
+"""Records what the disk's code and sqlite3 do to the files of a data folder, in order, while they do it.
 
-sqlite3 is reached through its own interface for file systems: a copy of the usual one, whose calls that change files
-pass through here first. It is the library that Python's module runs on, so what is recorded is what would run.
+sqlite3 is recorded through its VFS interface: a copy of the default one, whose calls that change files pass through
+here first. It is the library that Python's module uses, so what is recorded is what runs in production.
 """
 
 import ctypes
@@ -67,7 +67,7 @@
 
 
 class _SqliteRecorder:
-    """Registered as sqlite3's usual file system while it records."""
+    """Registered as sqlite3's default VFS while it records."""
 
     def __init__(self, *, recorder: "Recorder") -> None:
         self.recorder = recorder
@@ -86,7 +86,7 @@
         self.folder_call = folder_call
         self.names: dict[int, Path] = {}
         # sqlite3 keeps only addresses: whatever it may still call has to outlive the recording.
-        self.kept: list[object] = []
+        self.references: list[object] = []
         self.vfs = _Vfs.from_buffer_copy(usual)
         self.vfs.next = None
         self.vfs.name = b"recorded"
@@ -95,14 +95,16 @@
         self.open_folder = _OpenFolder(self._open_folder)
 
     def _address(self, function) -> int:
-        self.kept.append(function)
+        self.references.append(function)
         return ctypes.cast(function, _Pointer).value
 
     def begin(self) -> None:
+        """Takes the place of the default VFS."""
         self.set_call(self.usual, b"openDirectory", ctypes.cast(self.open_folder, _Pointer))
         self.library.sqlite3_vfs_register(ctypes.byref(self.vfs), 1)
 
     def end(self) -> None:
+        """Gives the default VFS its place back."""
         self.library.sqlite3_vfs_unregister(ctypes.byref(self.vfs))
         self.library.sqlite3_vfs_register(self.usual, 1)
         self.set_call(self.usual, b"openDirectory", self.folder_call)
@@ -113,68 +115,72 @@
         result = self.real_open(self.usual, name, file, flags, out)
         if result == 0 and path is not None:
             if fresh and path.exists():
-                self.recorder.note(Created(self.recorder.name(path)))
+                self.recorder.record(Created(self.recorder.name(path)))
             self.names[file] = path
             self._wrap(file)
         return result
 
     def _wrap(self, file: int) -> None:
-        place = _Pointer.from_address(file)
-        usual = _Methods.from_address(place.value)
+        methods_pointer = _Pointer.from_address(file)
+        usual = _Methods.from_address(methods_pointer.value)
         methods = _Methods.from_buffer_copy(usual)
         real_write, real_shorten, real_sync = _Write(usual.write), _Shorten(usual.shorten), _Sync(usual.sync)
 
-        def write(each: int, data: int, size: int, position: int) -> int:
-            name = self.recorder.name(self.names[each])
-            self.recorder.note(Written(name, position, ctypes.string_at(data, size)))
-            return real_write(each, data, size, position)
+        def write(handle: int, data: int, size: int, position: int) -> int:
+            name = self.recorder.name(self.names[handle])
+            self.recorder.record(Written(name, position, ctypes.string_at(data, size)))
+            return real_write(handle, data, size, position)
 
-        def shorten(each: int, size: int) -> int:
-            self.recorder.note(Shortened(self.recorder.name(self.names[each]), size))
-            return real_shorten(each, size)
+        def shorten(handle: int, size: int) -> int:
+            self.recorder.record(Shortened(self.recorder.name(self.names[handle]), size))
+            return real_shorten(handle, size)
 
-        def sync(each: int, flags: int) -> int:
-            # Noted first: the library syncs the folder of a new file inside this call, after the file.
-            self.recorder.note(FileSynced(self.recorder.name(self.names[each])))
-            return real_sync(each, flags)
+        def sync(handle: int, flags: int) -> int:
+            # Recorded first: the library syncs the folder of a new file inside this call, after the file.
+            self.recorder.record(FileSynced(self.recorder.name(self.names[handle])))
+            return real_sync(handle, flags)
 
         methods.write = self._address(_Write(write))
         methods.shorten = self._address(_Shorten(shorten))
         methods.sync = self._address(_Sync(sync))
-        self.kept.append(methods)
-        place.value = ctypes.addressof(methods)
+        self.references.append(methods)
+        methods_pointer.value = ctypes.addressof(methods)
 
     def _delete(self, vfs: int, name: bytes, sync_folder: int) -> int:
         path = Path(name.decode())
         if path.exists():
-            self.recorder.note(Removed(self.recorder.name(path)))
+            self.recorder.record(Removed(self.recorder.name(path)))
         return self.real_delete(self.usual, name, sync_folder)
 
     def _open_folder(self, name: bytes, out: int) -> int:
         # The library opens the folder of a file only to sync it.
-        self.recorder.note(FolderSynced(self.recorder.name(Path(name.decode()).parent)))
+        self.recorder.record(FolderSynced(self.recorder.name(Path(name.decode()).parent)))
         return self.real_open_folder(name, out)
 
 
 class Recorder(Files):
-    """The files of one folder, each change noted; names are kept relative to that folder."""
+    """The file operations of one folder, each recorded with names relative to that folder."""
 
     def __init__(self, *, folder: Path) -> None:
         self.root = folder
         self.operations: list[Operation] = []
 
     def name(self, path: Path) -> str:
+        """The path relative to the folder, empty for the folder itself."""
         relative = path.relative_to(self.root).as_posix()
         return "" if relative == "." else relative
 
-    def note(self, operation: Operation) -> None:
+    def record(self, operation: Operation) -> None:
+        """Appends an operation."""
         self.operations.append(operation)
 
     def returned(self, call: str) -> None:
-        self.note(Returned(call))
+        """Records that a call of the disk returned."""
+        self.record(Returned(call))
 
     @contextmanager
     def recording(self) -> Iterator[None]:
+        """Within this context sqlite3's operations are recorded, too."""
         sqlite = _SqliteRecorder(recorder=self)
         sqlite.begin()
         try:
@@ -183,33 +189,39 @@
             sqlite.end()
 
     def make_folder(self, folder: Path) -> None:
-        missing = [each for each in (folder, *folder.parents) if not each.is_dir() and each != self.root]
-        for each in reversed(missing):
-            each.mkdir()
-            self.note(FolderMade(self.name(each)))
-            self.sync_folder(each.parent)
+        """See `Files`."""
+        missing = [path for path in (folder, *folder.parents) if not path.is_dir() and path != self.root]
+        for path in reversed(missing):
+            path.mkdir()
+            self.record(FolderMade(self.name(path)))
+            self.sync_folder(path.parent)
 
     def sync_folder(self, folder: Path) -> None:
+        """See `Files`."""
         if folder == self.root or self.root in folder.parents:
-            self.note(FolderSynced(self.name(folder)))
+            self.record(FolderSynced(self.name(folder)))
         super().sync_folder(folder)
 
     def write(self, path: Path, data: bytes, *, position: int = 0) -> None:
+        """See `Files`."""
         if not position:
-            self.note(Created(self.name(path)))
-        self.note(Written(self.name(path), position, data))
-        self.note(Shortened(self.name(path), position + len(data)))
+            self.record(Created(self.name(path)))
+        self.record(Written(self.name(path), position, data))
+        self.record(Shortened(self.name(path), position + len(data)))
         super().write(path, data, position=position)
 
     def sync(self, path: Path) -> None:
-        self.note(FileSynced(self.name(path)))
+        """See `Files`."""
+        self.record(FileSynced(self.name(path)))
         super().sync(path)
 
     def rename(self, path: Path, new: Path) -> None:
-        self.note(Renamed(self.name(path), self.name(new)))
+        """See `Files`."""
+        self.record(Renamed(self.name(path), self.name(new)))
         super().rename(path, new)
 
     def remove(self, path: Path) -> None:
+        """See `Files`."""
         if path.exists():
-            self.note(Removed(self.name(path)))
+            self.record(Removed(self.name(path)))
         super().remove(path)
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -38,7 +38,7 @@
     def test_every_mix_boots_into_what_was_synced(self) -> None:
         for name, scenario in SCENARIOS.items():
             findings = self.play(scenario)
-            print(name, f"seed {SEED}: {findings.crash_points} moments, {findings.folder_states} mixes")
+            print(name, f"seed {SEED}: {findings.crash_points} crash points, {findings.folder_states} folder states")
             self.assertThat(findings.folder_states, GreaterThan(500))
             self.assertThat([*findings.broken[:3]], Equals([]), name)
 
@@ -46,14 +46,14 @@
         folder_states = 0
         for name, scenario in SCENARIOS.items():
             operations = record(scenario, folder=self.folder() / "life", seed=SEED)
-            # A drawn mix of every sixth moment, and a part of the mixes that the start after it may leave.
+            # A drawn state of every sixth crash point, and a part of the states that the boot after it may leave.
             for number, start in enumerate(itertools.islice(folder_states_of(operations, seed=SEED), 0, None, 6)):
                 folder = self.folder()
                 again = record(going_on, folder=folder / "life", seed=SEED, start=start)
                 findings = check(again, folder=folder, seed=SEED, start=start, most=4)
                 folder_states += findings.folder_states
                 self.assertThat([*findings.broken[:3]], Equals([]), f"{name} {number}")
-        print(f"seed {SEED}: {folder_states} mixes after a second loss")
+        print(f"seed {SEED}: {folder_states} folder states after a second loss")
 
 
 class _NoFileSync(Recorder):
@@ -67,19 +67,19 @@
             super().sync_folder(folder)
 
 
-def _drops_too_soon(player: RecordedDisk) -> None:
-    boot = player.do("boot")
-    player.do("found", mesh="m", voters={1: boot.incarnation, 2: "two", 3: "three"}, operators={})
-    writer = Writer(player=player, boot=player.do("boot"))
+def _drops_too_soon(recorded: RecordedDisk) -> None:
+    boot = recorded.do("boot")
+    recorded.do("found", mesh="m", voters={1: boot.incarnation, 2: "two", 3: "three"}, operators={})
+    writer = Writer(recorded=recorded, boot=recorded.do("boot"))
     writer.write(records(1, 6, epoch=1))
     writer.begin = OffsetAndEpoch(5, 1)
     # Wrong: the begin offset lasts before the checkpoint that it rests on.
     writer.write()
-    player.do("store_checkpoint", checkpoint_id=OffsetAndEpoch(5, 1), state=state_at(OffsetAndEpoch(5, 1)))
-    player.do("drop_checkpoints", below=5)
+    recorded.do("store_checkpoint", checkpoint_id=OffsetAndEpoch(5, 1), state=state_at(OffsetAndEpoch(5, 1)))
+    recorded.do("drop_checkpoints", below=5)
 
 
-# A fault shows in many mixes; the first few are enough to see it.
+# A fault shows in many folder states; the first few are enough to see it.
 FEW = 5
 
 
