--- a/packages/proxy/src/hoistsaddle/proxy/configuration_poller.py
+++ b/packages/proxy/src/hoistsaddle/proxy/configuration_poller.py
@@ -98,7 +98,7 @@
                 # All were polled, and nobody knows anything newer.
                 self._backoff.failed(now=self._runtime.now())
             self._counters.add("news.polls_paused")
-            await asyncio.sleep(self._backoff.span.total_seconds())
+            await asyncio.sleep(self._backoff.delay.total_seconds())
 
     async def poll(self, address: str) -> str:
         """Poll one parent, as missed once its timeout is over. Its answer still counts if it comes later.
@@ -133,7 +133,7 @@
             self._refuse_older(address, answer)
             return SAME
         before = self._relay.lease_start
-        if self._relay.polled(answer, sent=sent):
+        if self._relay.accept_answer(answer, sent=sent):
             self._take_configuration(address, answer)
         lease_start = self._relay.lease_start
         if lease_start is not None:
--- a/packages/proxy/src/hoistsaddle/proxy/health_reporter.py
+++ b/packages/proxy/src/hoistsaddle/proxy/health_reporter.py
@@ -83,7 +83,7 @@
                     turn += 1
                     if turn % len(addresses) == 0:
                         self._backoff.failed(now=self._runtime.now())
-                    await asyncio.sleep(self._backoff.span.total_seconds())
+                    await asyncio.sleep(self._backoff.delay.total_seconds())
                     continue
             try:
                 async with asyncio.timeout(self._interval.total_seconds()):
--- a/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
@@ -121,7 +121,7 @@
         )
         me = MemberState(settings.name, "stall", settings.listen, settings.zone, self.incarnation, 0, ALIVE)
         self.member = Member(
-            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, pace=self.timings.member
+            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, timings=self.timings.member
         )
 
     def _make_core(self, settings: CoreSettings) -> Any:
@@ -156,13 +156,13 @@
         """Answer a call of the mesh; None if it isn't known."""
         match message:
             case PollCall():
-                if self.relay.heard(message.applied_versions, now=self.runtime.now()):
+                if self.relay.record_applied_versions(message.applied_versions, now=self.runtime.now()):
                     # Something below applied a version: the own poll may be held just now, so a second one reports it.
                     self.spawn(self.poller.poll_once(self.poller.parent, within=self.timings.poll_timeout))
                 return await answer_long_poll(
                     runtime=self.runtime,
                     relay=self.relay,
-                    news=self.poller.polled,
+                    updated=self.poller.polled,
                     call=message,
                     hold=self.timings.long_poll,
                 )
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -9,7 +9,7 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import ProxySettings
-from hoistsaddle.membership.relay import select_parents
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.proxy.core import ProxyCore
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.freeze_detector import FROZEN_GAP
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -11,13 +11,13 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import ErrorKind
 from hoistsaddle.common.settings import SidecarSettings
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.membership.member import MemberTimings
-from hoistsaddle.membership.relay import select_parents
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.freeze_detector import FROZEN_GAP
 from hoistsaddle.proxy.mesh_node import MeshNode, NodeTimings
 from hoistsaddle.proxy.messages import Announce, ReportHealth, StopRequested, SubmitHold
-from hoistsaddle.rpc.connection import call_age
+from hoistsaddle.rpc.call_context import call_age
 from hoistsaddle.rpc.messages import (
     AbandonCall,
     ClaimQueryAnswer,
@@ -78,10 +78,10 @@
         tick=milliseconds(20),
         max_same_answers=1,
         member=MemberTimings(
-            period=timedelta(seconds=1),
+            probe_interval=timedelta(seconds=1),
             probe_timeout=milliseconds(500),
             indirect_probe_timeout=milliseconds(900),
-            suspicion=timedelta(seconds=2),
+            suspicion_timeout=timedelta(seconds=2),
             seed_interval=20,
             retransmit_limit=6,
         ),
