--- a/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
@@ -170,7 +170,7 @@
 
     async def ready(self) -> bool:
         """What the platform's ready check says."""
-        answer = await adapter("handlers").ready_door(self.node, None)
+        answer = await adapter("handlers").answer_ready(self.node, None)
         return answer.status == 200
 
     async def wind_down(self) -> None:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -13,7 +13,7 @@
 from testtools.matchers import Contains, Equals, Is, IsInstance
 
 from hoistsaddle.adapter.config_items import read_call, write_items
-from hoistsaddle.adapter.handlers import ConfigurationHandler, HeartbeatHandler, ready_door
+from hoistsaddle.adapter.handlers import ConfigurationHandler, HeartbeatHandler, answer_ready
 from hoistsaddle.adapter.headers import HEADER_NAMES, Settings, controller_settings, read_settings, sidecar_settings
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import check_settings
@@ -420,9 +420,9 @@
 
     def test_200_or_503_with_when_to_come_back(self) -> None:
         node = Node()
-        self.assertThat(answered(ready_door(node, Request("GET", "/-/ready"))).status, Equals(200))
+        self.assertThat(answered(answer_ready(node, Request("GET", "/-/ready"))).status, Equals(200))
         node.core.error = MeshError(ErrorKind.NO_CONFIGURATION, "not yet", "wait")
-        told = answered(ready_door(node, Request("GET", "/-/ready")))
+        told = answered(answer_ready(node, Request("GET", "/-/ready")))
         self.assertThat((told.status, "Retry-After" in told.headers), Equals((503, True)))
 
 
