--- a/tests/test_brief.py
+++ b/tests/test_brief.py
@@ -1,4 +1,4 @@
-"""docs/brief.md names scenarios, tests and plants; each of them must be there."""
+"""docs/brief.md names scenarios, tests and injected faults; each of them must be there."""
 
 import ast
 import re
@@ -32,23 +32,23 @@
         there = {
             "sim": set(SCENARIOS) | set(CORE_SCENARIOS),
             "test": all_tests(),
-            "plant": {injected_fault.name for injected_fault in INJECTED_FAULTS},
+            "fault": {injected_fault.name for injected_fault in INJECTED_FAULTS},
         }
-        named = re.findall(r"`(sim|test|plant):([^`]+)`", BRIEF)
+        named = re.findall(r"`(sim|test|fault):([^`]+)`", BRIEF)
         self.assertThat([f"{kind}:{name}" for kind, name in named if name not in there[kind]], Equals([]))
         self.assertThat(len(named), GreaterThan(100))
 
-    def test_every_scenario_and_plant_is_named(self) -> None:
-        named = {name for _, name in re.findall(r"`(sim|plant):([^`]+)`", BRIEF)}
+    def test_every_scenario_and_injected_fault_is_named(self) -> None:
+        named = {name for _, name in re.findall(r"`(sim|fault):([^`]+)`", BRIEF)}
         there = set(SCENARIOS) | set(CORE_SCENARIOS) | {injected_fault.name for injected_fault in INJECTED_FAULTS}
         self.assertThat(sorted(there - named), Equals([]))
 
     def test_every_line_that_is_checked_has_a_row(self) -> None:
-        rows = [line for line in BRIEF.split("## The product")[0].splitlines() if "`plant:" in line]
+        rows = [line for line in BRIEF.split("## The product")[0].splitlines() if "`fault:" in line]
         caught = {
             injected_fault.line
             for injected_fault in INJECTED_FAULTS
             for row in rows
-            if f"`plant:{injected_fault.name}`" in row
+            if f"`fault:{injected_fault.name}`" in row
         }
         self.assertThat(caught, Equals(set(CHECKERS)))
--- a/tests/test_docs_references.py
+++ b/tests/test_docs_references.py
@@ -12,7 +12,7 @@
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
 # `tests/test_x.py`, `raft/core.py`, `adapter/headers.py`, `rpc/mesh.thrift`, with or without a function behind it.
 NAMED_FILE = re.compile(r"(?<![\w/.-])((?:[a-z_]+/)+[a-z_0-9]+\.(?:py|thrift|toml|sh))\b")
-NAMED_TEST = re.compile(r"`(test_[a-z_0-9]+)(?:\.\w+)*`")
+NAMED_TEST = re.compile(r"`(test_[a-z_0-9]+)(?:\.(\w+))*`")
 
 
 def pages() -> dict[str, str]:
@@ -31,18 +31,30 @@
     """The files named on the page that are neither in the repository's root nor in a package."""
     roots = [ROOT, *sorted(ROOT.glob("packages/*/src/hoistsaddle")), ROOT / "platform" / "src" / "hoistsaddle"]
     roots += [ROOT / "packages" / "testbed" / "src" / "hoistsaddle" / "testbed"]
-    names = NAMED_FILE.findall(text) + [f"tests/{name}.py" for name in NAMED_TEST.findall(text)]
+    names = NAMED_FILE.findall(text) + [f"tests/{name}.py" for name, _ in NAMED_TEST.findall(text)]
     return [f"{page}: {name}" for name in names if not any((root / name).is_file() for root in roots)]
 
 
+def unknown_test_classes(page: str, text: str) -> list[str]:
+    """The classes named as `test_file.Class` that the file doesn't hold."""
+    named = [(ROOT / "tests" / f"{file}.py", name) for file, name in NAMED_TEST.findall(text) if name]
+    return [
+        f"{page}: {path.stem}.{name}"
+        for path, name in named
+        if not (path.is_file() and re.search(rf"^class {name}\b", path.read_text(), re.MULTILINE))
+    ]
+
+
 class DocsReferences(TestCase):
     def test_links_lead_somewhere(self) -> None:
         broken = [each for page, text in pages().items() for each in broken_links(page, text)]
         self.assertThat(broken, Equals([]))
 
-    def test_files_named_on_pages_exist(self) -> None:
+    def test_files_and_test_classes_named_on_pages_exist(self) -> None:
         current = {page: text for page, text in pages().items() if not page.startswith(HISTORY)}
         self.assertThat([each for page, text in current.items() for each in unknown_files(page, text)], Equals([]))
+        wrong = [each for page, text in current.items() for each in unknown_test_classes(page, text)]
+        self.assertThat(wrong, Equals([]))
 
     def test_the_checks_see_what_is_wrong(self) -> None:
         self.assertThat(
@@ -52,4 +64,8 @@
             unknown_files("docs/style.md", "`raft/core.py`, `raft/gone.py` (`f`), `test_layout.Layout`, `test_gone`"),
             Equals(["docs/style.md: raft/gone.py", "docs/style.md: tests/test_gone.py"]),
         )
+        self.assertThat(
+            unknown_test_classes("docs/style.md", "`test_layout.Layout`, `test_layout.Gone`"),
+            Equals(["docs/style.md: test_layout.Gone"]),
+        )
         self.assertThat(sum(len(NAMED_FILE.findall(text)) for text in pages().values()), GreaterThan(100))
