--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -42,7 +42,7 @@
         from hoistsaddle.testbed.load import Load
         from hoistsaddle.testbed.proof import Proof
 
-        click.echo(f"export HOISTSADDLE_DOORS='{' '.join(running.doors)}'")
+        click.echo(f"export HOISTSADDLE_DOORS='{' '.join(running.operator_addresses)}'")
         click.echo(f"export HOISTSADDLE_STALLS='{' '.join(running.client_addresses())}'")
         click.echo(f"operators: {AUTHOR[0]} has token {AUTHOR[1]}, {SIGNER[0]} has token {SIGNER[1]}")
         click.echo(
@@ -50,7 +50,7 @@
         )
         async with Load(
             deployment=running.deployment,
-            doors=running.client_addresses(),
+            addresses=running.client_addresses(),
             history=running.history,
             seed=random.Random(seed),
             rate=rate,
--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -1,4 +1,7 @@
-"""One checker for each line of "What must never happen". Each reads a history and gives what broke the line."""
+"""One checker for each rule of "What must never happen" in docs/brief.md.
+
+Each reads a history and gives a description of whatever broke its rule.
+"""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -32,92 +35,97 @@
     ServiceRecovered,
 )
 
-ONCE_SPAN = 60.0
-IN_FORCE_SPAN = 2.0
-MEND_SPAN = 2.0
-# The span a gap of the core's is waited out, one try at claiming a key, and a schedule's step.
-GIVE_UP_SPAN = 3.5
+# Seconds, as the brief gives them, unless a comment says where they come from.
+# So long a repeat under the same key must get the first answer.
+KEY_RETENTION_SECONDS = 60.0
+IN_FORCE_SECONDS = 2.0
+REPAIR_SECONDS = 2.0
+# How long a gap without a leader is waited out, one attempt to claim a key, and a step of a timer.
+GIVE_UP_SECONDS = 3.5
+# Kinds of errors with which the mesh gives a request up.
 GIVEN_UP = ("lease-lapsed", "no-leader", "no-server", "bundle-unknown")
-LEAVING_SPAN = 2.0
-SLIP_SPAN = 0.25
-BACK_SPAN = 15.0
-FURTHER_WINDOW = 10.0
+LEAVING_SECONDS = 2.0
+# A proxy that was seen with the former bundle may have been seen just before it applied the next.
+OBSERVATION_SECONDS = 0.25
+RECOVERY_SECONDS = 15.0
+RETRY_WINDOW_SECONDS = 10.0
 
 
 def runs_twice(history: History) -> list[str]:
     """A payment, credit posting, save or upload runs twice; a repeat gets another answer than the first."""
     found = []
     runs = defaultdict(list)
-    for ran in history.of(RunStarted):
-        # The request's own name, which no renamed entry, renewed token or other address changes.
-        if ran.key:
-            runs[(ran.request, ran.path, ran.key)].append(ran)
+    for started in history.of(RunStarted):
+        # By the request's own name, which no renamed route, renewed token or other address changes.
+        if started.key:
+            runs[(started.request, started.path, started.key)].append(started)
     for (request, path, key), each in runs.items():
         if len(each) > 1:
-            found.append(f"{path} {request} with key {key} ran {len(each)} times: {[ran.send for ran in each]}")
+            found.append(f"{path} {request} with key {key} ran {len(each)} times: {[started.send for started in each]}")
     first: dict[str, RequestResult] = {}
-    for got in history.of(RequestResult):
-        if got.outcome == "answered" and got.request.startswith("key-") and got.run:
-            known = first.setdefault(got.request, got)
-            if (got.run, got.status, got.body_digest) != (known.run, known.status, known.body_digest) and (
-                got.timestamp - known.timestamp <= ONCE_SPAN
+    for result in history.of(RequestResult):
+        if result.outcome == "answered" and result.request.startswith("key-") and result.run:
+            known = first.setdefault(result.request, result)
+            if (result.run, result.status, result.body_digest) != (known.run, known.status, known.body_digest) and (
+                result.timestamp - known.timestamp <= KEY_RETENTION_SECONDS
             ):
-                found.append(f"{got.request} was answered by {known.run}, then by {got.run}")
+                found.append(f"{result.request} was answered by {known.run}, then by {result.run}")
     return found
 
 
+# Outcomes after which the request certainly didn't run.
 CERTAIN = ("not-run", "refused", "unreachable")
 
 
 def not_run_runs(history: History) -> list[str]:
     """A refusal that says "not run" is followed by the request running anyway."""
-    request_kinds: dict[str, list[RequestResult]] = defaultdict(list)
-    for got in history.of(RequestResult):
-        # Servers ask under the name of the request they answer; their own asks aren't told apart by it.
-        if not got.caller:
-            request_kinds[got.request].append(got)
+    results_by_request: dict[str, list[RequestResult]] = defaultdict(list)
+    for result in history.of(RequestResult):
+        # Servers make their own calls under the name of the request they answer, so those can't be told apart by it.
+        if not result.caller:
+            results_by_request[result.request].append(result)
     runs: dict[str, list[RunStarted]] = defaultdict(list)
-    for ran in history.of(RunStarted):
-        if ran.caller in ("visitors", ""):
-            runs[ran.request].append(ran)
+    for started in history.of(RunStarted):
+        if started.caller in ("visitors", ""):
+            runs[started.request].append(started)
     found = []
-    for request, each in request_kinds.items():
-        each.sort(key=lambda got: got.timestamp)
-        for place, got in enumerate(each):
-            # An earlier ask of it that ended uncertainly may still run, whatever this one was told.
-            if got.outcome != "not-run" or any(before.outcome not in CERTAIN for before in each[:place]):
+    for request, each in results_by_request.items():
+        each.sort(key=lambda result: result.timestamp)
+        for place, result in enumerate(each):
+            # An earlier attempt that ended uncertainly may still run, whatever this one was answered.
+            if result.outcome != "not-run" or any(before.outcome not in CERTAIN for before in each[:place]):
                 continue
-            later = [other.asked for other in each if other is not got and other.timestamp > got.timestamp]
+            later = [other.asked for other in each if other is not result and other.timestamp > result.timestamp]
             until = min(later, default=float("inf"))
             found += [
-                f"{request} was refused as not run at {got.timestamp:.3f} but {ran.run} ran it"
-                for ran in runs[request]
-                if got.asked <= ran.timestamp < max(until, got.timestamp)
+                f"{request} was refused as not run at {result.timestamp:.3f} but {started.run} ran it"
+                for started in runs[request]
+                if result.asked <= started.timestamp < max(until, result.timestamp)
             ]
     return found
 
 
 def foreign_answers(history: History) -> list[str]:
-    """A caller gets an answer that is someone else's, cut short or altered, and that looks whole."""
-    replied = {event.run: event for event in history.of(RunEnded)}
-    ran = {event.run: event for event in history.of(RunStarted)}
+    """A caller gets an answer that is someone else's, cut short or altered, and that looks complete."""
+    ended = {event.run: event for event in history.of(RunEnded)}
+    started = {event.run: event for event in history.of(RunStarted)}
     found = []
-    for got in history.of(RequestResult):
-        if got.outcome != "answered" or (got.repeat and not got.body_digest):
-            # A repeat whose answer went over its cap hears only that the run is done.
+    for result in history.of(RequestResult):
+        if result.outcome != "answered" or (result.repeat and not result.body_digest):
+            # A repeat of an answer that was too large to keep is only told that the run is done.
             continue
-        reply = replied.get(got.run)
-        if reply is None or ran[got.run].request != got.request or got.nonce != got.request:
-            found.append(f"{got.request} got the answer of {got.nonce or 'nobody'}")
-        elif (reply.status, reply.body_digest) != (got.status, got.body_digest):
-            found.append(f"{got.request} got another body or status than {got.run} sent")
-        elif got.caller and ran[got.run].caller != got.caller:
-            found.append(f"{got.caller} got the answer that {ran[got.run].caller} asked for")
+        reply = ended.get(result.run)
+        if reply is None or started[result.run].request != result.request or result.nonce != result.request:
+            found.append(f"{result.request} got the answer of {result.nonce or 'nobody'}")
+        elif (reply.status, reply.body_digest) != (result.status, result.body_digest):
+            found.append(f"{result.request} got another body or status than {result.run} sent")
+        elif result.caller and started[result.run].caller != result.caller:
+            found.append(f"{result.caller} got the answer that {started[result.run].caller} asked for")
     return found
 
 
 class _ActiveBundles:
-    """Which bundles may judge a request at a proxy at a moment, from what operators did and were told."""
+    """Which bundles may apply to a request at a proxy at a time, from what operators did and were answered."""
 
     def __init__(self, history: History, deployment: Deployment) -> None:
         first = read_bundle(deployment.first_bundle()).unwrap()
@@ -130,7 +138,7 @@
                     self.written[event.number] = min(event.timestamp, self.written.get(event.number, event.timestamp))
         self.accepted = history.of(BundleAccepted)
 
-    def least(self, *, proxy: str, timestamp: float, grace: float) -> int:
+    def newest_due(self, *, proxy: str, timestamp: float, grace: float) -> int:
         """The newest bundle that must be in force there by now."""
         numbers = [
             event.bundle
@@ -139,23 +147,25 @@
         ]
         return max(numbers, default=min(self.bundles))
 
-    def at(self, *, proxy: str, timestamp: float, grace: float = IN_FORCE_SPAN) -> list[Bundle]:
-        least = self.least(proxy=proxy, timestamp=timestamp, grace=grace)
+    def at(self, *, proxy: str, timestamp: float, grace: float = IN_FORCE_SECONDS) -> list[Bundle]:
+        """The bundles that may apply at a proxy, oldest first; one counts as due that long after its acceptance."""
+        oldest = self.newest_due(proxy=proxy, timestamp=timestamp, grace=grace)
         return [
             self.bundles[number]
             for number in sorted(self.bundles)
-            if number >= least and self.written[number] <= timestamp
+            if number >= oldest and self.written[number] <= timestamp
         ]
 
 
-def _allows(bundle: Bundle, ran: RunStarted, *, service: str | None) -> bool:
-    entry = bundle.select_entry(method=ran.method, path=ran.path)
+def _allows(bundle: Bundle, started: RunStarted, *, service: str | None) -> bool:
+    """Whether a bundle allows a run, at this service or, with None, at any."""
+    route = bundle.select_entry(method=started.method, path=started.path)
     return (
-        entry is not None
-        and service in (None, entry.service)
-        and ran.caller in entry.callers
-        and ran.size <= entry.body_bytes
-        and (bool(ran.key) or not entry.once)
+        route is not None
+        and service in (None, route.service)
+        and started.caller in route.callers
+        and started.size <= route.body_bytes
+        and (bool(started.key) or not route.once)
     )
 
 
@@ -163,59 +173,66 @@
     """A request reaches a service that no bundle allows: neither where it entered nor where it ran."""
     active_bundles = _ActiveBundles(history, deployment)
     found = []
-    for ran in history.of(RunStarted):
-        target = active_bundles.at(proxy=ran.proxy, timestamp=ran.timestamp)
-        entry = active_bundles.at(proxy=ran.send.partition(".")[0], timestamp=ran.timestamp)
-        if not any(_allows(bundle, ran, service=ran.service) for bundle in target) or not any(
-            _allows(bundle, ran, service=None) for bundle in entry
+    for started in history.of(RunStarted):
+        target = active_bundles.at(proxy=started.proxy, timestamp=started.timestamp)
+        ingress = active_bundles.at(proxy=started.send.partition(".")[0], timestamp=started.timestamp)
+        if not any(_allows(bundle, started, service=started.service) for bundle in target) or not any(
+            _allows(bundle, started, service=None) for bundle in ingress
         ):
-            found.append(f"{ran.service} ran {ran.method} {ran.path} for {ran.caller} at {ran.timestamp:.3f}")
+            found.append(
+                f"{started.service} ran {started.method} {started.path} for {started.caller} at {started.timestamp:.3f}"
+            )
     return found
 
 
 def refused_though_allowed(history: History, deployment: Deployment) -> list[str]:
     """What a bundle newly allows is refused at a proxy two seconds after it was accepted for it, or between stages."""
     active_bundles = _ActiveBundles(history, deployment)
-    asked = {(event.request, event.timestamp): event for event in history.of(RequestSent)}
+    sent = {(event.request, event.timestamp): event for event in history.of(RequestSent)}
     found = []
-    for got in history.of(RequestResult):
-        event = asked.get((got.request, got.asked))
-        if event is None or got.caller or got.kind not in ("no-entry", "not-allowed"):
+    for result in history.of(RequestResult):
+        event = sent.get((result.request, result.asked))
+        if event is None or result.caller or result.kind not in ("no-entry", "not-allowed"):
             continue
-        judges = active_bundles.at(proxy=event.listener, timestamp=event.timestamp)
-        judges += [
-            each for each in active_bundles.at(proxy=event.listener, timestamp=got.timestamp) if each not in judges
+        bundles = active_bundles.at(proxy=event.listener, timestamp=event.timestamp)
+        bundles += [
+            each for each in active_bundles.at(proxy=event.listener, timestamp=result.timestamp) if each not in bundles
         ]
-        ran = RunStarted(0, "", "", "", event.method, event.path, event.key, "", "visitors", "", "", "", event.size)
-        # Every bundle that may judge it allows it, so whichever did had no reason.
-        if all(_allows(bundle, ran, service=None) for bundle in judges):
+        started = RunStarted(0, "", "", "", event.method, event.path, event.key, "", "visitors", "", "", "", event.size)
+        # Every bundle that may apply allows it, so none was a reason to refuse it.
+        if all(_allows(bundle, started, service=None) for bundle in bundles):
             found.append(
-                f"{event.method} {event.path} was refused as {got.kind} at {event.listener} at {got.timestamp:.3f}"
+                f"{event.method} {event.path} was refused as {result.kind} at {event.listener} "
+                f"at {result.timestamp:.3f}"
             )
-    answers = {got.request: got for got in history.of(RequestResult) if not got.caller}
+    answers = {result.request: result for result in history.of(RequestResult) if not result.caller}
     for wanted in history.of(AnswerRequired):
-        got = answers.get(wanted.request)
-        if got is None or got.outcome != "answered":
-            found.append(f"{wanted.request} had to be served at {got.listener if got else '?'}, and got {got}")
+        result = answers.get(wanted.request)
+        if result is None or result.outcome != "answered":
+            found.append(f"{wanted.request} had to be served at {result.listener if result else '?'}, and got {result}")
     return found
 
 
 def wrong_callers(history: History, deployment: Deployment) -> list[str]:
-    """A server is told the wrong calling service, or runs a request nobody sent."""
-    asked = {event.request: event for event in history.of(RequestSent)}
+    """A server gets the wrong calling service, or runs a request that nobody sent."""
+    sent = {event.request: event for event in history.of(RequestSent)}
     found = []
-    for ran in history.of(RunStarted):
-        event = asked.get(ran.request)
+    for started in history.of(RunStarted):
+        event = sent.get(started.request)
         if event is None:
-            found.append(f"{ran.service} ran {ran.path} that nobody sent: {ran.request!r}")
+            found.append(f"{started.service} ran {started.path} that nobody sent: {started.request!r}")
             continue
-        direct = event.path == ran.path and event.method == ran.method
+        direct = event.path == started.path and event.method == started.method
         callers = {"visitors"} if direct else set()
-        for (service, path), inner in deployment.nested_calls.items():
-            if path == event.path and any((each.method, each.path) == (ran.method, ran.path) for each in inner):
+        for (service, path), nested_calls in deployment.nested_calls.items():
+            if path == event.path and any(
+                (each.method, each.path) == (started.method, started.path) for each in nested_calls
+            ):
                 callers.add(service)
-        if ran.caller not in callers:
-            found.append(f"{ran.service} was told {ran.caller} calls {ran.path}, but {sorted(callers)} did")
+        if started.caller not in callers:
+            found.append(
+                f"{started.service} got {started.caller} as the caller of {started.path}, but {sorted(callers)} called"
+            )
     return found
 
 
@@ -228,20 +245,20 @@
         elif change.state == "ready":
             left.pop(change.instance, None)
     return [
-        f"{ran.instance} got {ran.path} {ran.timestamp - left[ran.instance]:.2f} s after it was leaving"
-        for ran in history.of(RunStarted)
-        if ran.instance in left and ran.timestamp > left[ran.instance] + LEAVING_SPAN
+        f"{started.instance} got {started.path} {started.timestamp - left[started.instance]:.2f} s after it was leaving"
+        for started in history.of(RunStarted)
+        if started.instance in left and started.timestamp > left[started.instance] + LEAVING_SECONDS
     ]
 
 
 def not_in_force(history: History) -> list[str]:
-    """A signed-off bundle is not in force about two seconds after acceptance, or a machine slips back."""
+    """A signed-off bundle is not in force about two seconds after acceptance, or a proxy goes back to an older one."""
     found = []
     for accepted in history.of(BundleAccepted):
         for applied in history.of(BundleApplied):
             if (
                 applied.proxy in accepted.proxies
-                and applied.timestamp > accepted.timestamp + SLIP_SPAN
+                and applied.timestamp > accepted.timestamp + OBSERVATION_SECONDS
                 and applied.bundle < accepted.bundle
             ):
                 found.append(
@@ -252,18 +269,18 @@
     for applied in sorted(history.of(BundleApplied), key=lambda event: event.timestamp):
         known = newest.get((applied.proxy, applied.incarnation))
         if known is not None and applied.bundle < known.bundle:
-            found.append(f"{applied.proxy} slipped from bundle {known.bundle} back to {applied.bundle}")
+            found.append(f"{applied.proxy} went back from bundle {known.bundle} to {applied.bundle}")
         newest[(applied.proxy, applied.incarnation)] = applied
     return found
 
 
 def broken_bundles(history: History) -> list[str]:
     """Any part of a broken bundle takes effect."""
-    taken = [event for event in history.of(BundleSubmitted) if event.broken and not event.error]
+    accepted = [event for event in history.of(BundleSubmitted) if event.broken and not event.error]
     broken = {event.number for event in history.of(BundleSubmitted) if event.broken} - {
         event.number for event in history.of(BundleSubmitted) if not event.broken
     }
-    found = [f"broken bundle {event.number} was taken" for event in taken]
+    found = [f"broken bundle {event.number} was accepted" for event in accepted]
     return found + [
         f"{applied.proxy} acts under broken bundle {applied.bundle}"
         for applied in history.of(BundleApplied)
@@ -275,33 +292,33 @@
     """Requests are dropped mid-answer during planned restarts, releases or roll-outs."""
     planned = history.of(PlannedInterruption)
     return [
-        f"{got.request} was cut at {got.timestamp:.3f} during {span.what}"
-        for got in history.of(RequestResult)
-        if got.outcome == "broken"
-        for span in planned
-        if span.timestamp <= got.timestamp <= span.until
+        f"{result.request} was cut at {result.timestamp:.3f} during {interruption.description}"
+        for result in history.of(RequestResult)
+        if result.outcome == "broken"
+        for interruption in planned
+        if interruption.timestamp <= result.timestamp <= interruption.until
     ]
 
 
 def worst_retry_window(history: History, deployment: Deployment) -> tuple[float, str]:
-    """How much of what is allowed the fullest ten seconds of any service held, and which they were."""
+    """The part of the retries allowed that the fullest ten seconds of any service used, and which those were."""
     worst = (0.0, "")
     active_bundles = _ActiveBundles(history, deployment)
-    sends = defaultdict(list)
+    attempts = defaultdict(list)
     for event in sorted(history.of(AttemptSeen), key=lambda event: event.timestamp):
-        sends[event.service].append(event)
-    for service, events in sends.items():
-        begin, firsts, furthers = 0, 0, 0
+        attempts[event.service].append(event)
+    for service, events in attempts.items():
+        begin, firsts, retries = 0, 0, 0
         for event in events:
             firsts += not event.is_retry
-            furthers += event.is_retry
-            while event.timestamp - events[begin].timestamp > FURTHER_WINDOW:
+            retries += event.is_retry
+            while event.timestamp - events[begin].timestamp > RETRY_WINDOW_SECONDS:
                 firsts -= not events[begin].is_retry
-                furthers -= events[begin].is_retry
+                retries -= events[begin].is_retry
                 begin += 1
-            if not furthers:
+            if not retries:
                 continue
-            # The widest of what the bundles in play in these ten seconds declare, and not a send more.
+            # The most that the bundles in force in these ten seconds declare, and not one retry more.
             declared = [
                 found
                 for bundle in active_bundles.at(proxy="", timestamp=event.timestamp)
@@ -310,14 +327,14 @@
             ]
             share = max((each.further_percent for each in declared), default=0) / 100
             allowed = firsts * share + max((each.further_margin for each in declared), default=0)
-            used = furthers / allowed if allowed else float("inf")
+            used = retries / allowed if allowed else float("inf")
             if used > worst[0]:
-                worst = (used, f"{service} got {furthers} further sends beside {firsts} first ones in ten seconds")
+                worst = (used, f"{service} got {retries} retries beside {firsts} first attempts in ten seconds")
     return worst
 
 
 def too_many_retries(history: History, deployment: Deployment) -> list[str]:
-    """Further tries to a service exceed a fifth of its traffic plus a small margin in any ten seconds."""
+    """Retries to a service exceed a fifth of its traffic plus a small margin in any ten seconds."""
     used, which = worst_retry_window(history, deployment)
     return [which] if used > 1 else []
 
@@ -352,55 +369,58 @@
 
 
 def damage_spreads(history: History) -> list[str]:
-    """A copy of the configuration is damaged and doesn't mend, or another one follows it."""
-    damaged: dict[str, float] = {}
+    """A copy of the configuration is corrupted and isn't repaired, or another one gets the same content."""
+    corrupted_at: dict[str, float] = {}
     found = []
     for event in history.events:
         match event:
             case CopyCorrupted():
-                damaged[event.node] = event.timestamp
+                corrupted_at[event.node] = event.timestamp
             case CopyDiverged():
-                since = damaged.get(event.node)
+                since = corrupted_at.get(event.node)
                 if since is None:
-                    found.append(f"{event.node} holds what the log doesn't say, and nobody damaged it")
-                elif event.timestamp > since + MEND_SPAN:
-                    found.append(f"{event.node} is still damaged {event.timestamp - since:.2f} s after")
+                    found.append(f"{event.node} differs from the log, and nobody corrupted it")
+                elif event.timestamp > since + REPAIR_SECONDS:
+                    found.append(f"{event.node} is still corrupted {event.timestamp - since:.2f} s after")
     return found
 
 
 def failed_expectations(history: History) -> list[str]:
-    """What a page of the operators or a reply promises was tried, and didn't come true."""
-    return [f"{event.what} at {event.timestamp:.3f}" for event in history.of(ExpectationChecked) if not event.kept]
+    """Something that a page for operators or an answer promises was tried, and didn't come true."""
+    return [
+        f"{event.description} at {event.timestamp:.3f}" for event in history.of(ExpectationChecked) if not event.met
+    ]
 
 
 def long_waits(history: History) -> list[str]:
-    """A request that was given up was held back in place of being answered, or not told when to come back."""
+    """A request that was given up was answered late, or without a time to retry."""
     found = []
-    stood = history.of(ProcessPaused)
-    for got in history.of(RequestResult):
+    pauses = history.of(ProcessPaused)
+    for result in history.of(RequestResult):
         if any(
-            each.node == got.listener and each.timestamp <= got.timestamp and got.asked <= each.until for each in stood
+            each.node == result.listener and each.timestamp <= result.timestamp and result.asked <= each.until
+            for each in pauses
         ):
             continue
-        if got.outcome == "not-run" and got.kind in GIVEN_UP:
-            if got.timestamp - got.asked > GIVE_UP_SPAN:
-                found.append(f"{got.request} was told {got.kind} only after {got.timestamp - got.asked:.2f} s")
-            if not got.retry_after and not got.caller:
-                found.append(f"{got.request} was told {got.kind} without a time to come back")
+        if result.outcome == "not-run" and result.kind in GIVEN_UP:
+            if result.timestamp - result.asked > GIVE_UP_SECONDS:
+                found.append(f"{result.request} got {result.kind} only after {result.timestamp - result.asked:.2f} s")
+            if not result.retry_after and not result.caller:
+                found.append(f"{result.request} got {result.kind} without a time to retry")
     return found
 
 
-def not_back(history: History) -> list[str]:
+def late_recoveries(history: History) -> list[str]:
     """Service has not returned about fifteen seconds after machines come back."""
     return [
-        f"{back.what}: service came {back.service_at - back.timestamp:.1f} s after the machines"
-        for back in history.of(ServiceRecovered)
-        if back.service_at - back.timestamp > BACK_SPAN
+        f"{recovery.description}: service came {recovery.service_at - recovery.timestamp:.1f} s after the machines"
+        for recovery in history.of(ServiceRecovered)
+        if recovery.service_at - recovery.timestamp > RECOVERY_SECONDS
     ]
 
 
 def lost_agreements(history: History) -> list[str]:
-    """Something the core agreed to is gone, or its replicas differ."""
+    """Something that the core committed is gone, or its replicas differ."""
     replicas = history.of(ReplicaState)
     found = []
     if len({replica.digest for replica in replicas}) > 1:
@@ -409,8 +429,8 @@
         )
     agreed = [event.claim for event in history.of(ClaimWritten) if event.phase == "granted"]
     for replica in replicas:
-        kept = set(replica.claims)
-        lost = [claim for claim in agreed if claim not in kept]
+        present = set(replica.claims)
+        lost = [claim for claim in agreed if claim not in present]
         if lost:
             found.append(f"{replica.name} lost {len(lost)} agreed claims, {lost[0]} first")
     return found
@@ -429,40 +449,47 @@
     "planned stops drop nothing": dropped_answers,
     "further sends keep their bound": too_many_retries,
     "read-back is true": stale_read_back,
-    "service returns in time": not_back,
+    "service returns in time": late_recoveries,
     "what was agreed stays agreed": lost_agreements,
     "damage mends and never spreads": damage_spreads,
     "given up means answered at once": long_waits,
     "what is promised comes true": failed_expectations,
 }
 NEEDS_DEPLOYMENT = (forbidden_runs, refused_though_allowed, wrong_callers, too_many_retries)
-# These compare moments. In simulated time they are exact; on a busy real machine they also measure the machine.
-TIMED = (work_after_leaving, not_in_force, too_many_retries, not_back, long_waits, refused_though_allowed)
+# These compare times. In simulated time they are exact; on a busy real machine they also measure the machine.
+TIMED = (work_after_leaving, not_in_force, too_many_retries, late_recoveries, long_waits, refused_though_allowed)
 
 
 def check(
     history: History, deployment: Deployment | None = None, *, timed: bool = True, outsiders: bool = False
 ) -> dict[str, list[str]]:
-    """Each line with what broke it; lines that need a deployment are left out without one."""
+    """Each rule with what broke it.
+
+    Args:
+        history: what happened.
+        deployment: what it happened in; rules that need one are left out without it.
+        timed: whether to check the rules that compare times.
+        outsiders: whether others sent requests by hand, too, which look like requests nobody sent.
+    """
     found = {}
-    for line, checker in CHECKERS.items():
-        # Somebody else's requests, sent by hand, look like requests nobody sent.
+    for rule, checker in CHECKERS.items():
         if (checker in TIMED and not timed) or (checker is wrong_callers and outsiders):
             continue
         if checker in NEEDS_DEPLOYMENT:
             if deployment is not None and deployment.services:
-                found[line] = checker(history, deployment)
+                found[rule] = checker(history, deployment)
         else:
-            found[line] = checker(history)
+            found[rule] = checker(history)
     return found
 
 
 def check_all(history: History, deployment: Deployment | None = None, *, outsiders: bool = False) -> list[str]:
+    """One printable line for each rule: held, or broken and by what first."""
     lines = []
-    for line, broken in check(history, deployment, outsiders=outsiders).items():
+    for rule, broken in check(history, deployment, outsiders=outsiders).items():
         lines.append(
-            f"held: {line}"
+            f"held: {rule}"
             if not broken
-            else f"BROKEN: {line}: {broken[0]}" + (f" (and {len(broken) - 1} more)" if len(broken) > 1 else "")
+            else f"BROKEN: {rule}: {broken[0]}" + (f" (and {len(broken) - 1} more)" if len(broken) > 1 else "")
         )
     return lines
--- a/packages/testbed/src/hoistsaddle/testbed/deployments.py
+++ b/packages/testbed/src/hoistsaddle/testbed/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments: how many machines, which services, and what their callers ask for."""
+"""The deployments that are tested: how many machines, which services, and what their clients ask for."""
 
 import tomllib
 from collections.abc import Callable
@@ -14,6 +14,13 @@
 
 
 class RequestKind(NamedTuple):
+    """One kind of request that clients send.
+
+    Attributes:
+        once: whether it needs an idempotency key, and runs once.
+        weight: how often it is sent, relative to the other kinds.
+    """
+
     method: str
     path: str
     once: bool
@@ -21,21 +28,29 @@
 
 
 class Deployment(NamedTuple):
+    """The machines, services and load of one deployment.
+
+    Attributes:
+        core: the number of core machines.
+        services: one server beside each proxy, in this order.
+        nested_calls: by service and path, the calls that a server makes while it answers.
+    """
+
     name: str
     core: int
     zones: tuple[str, ...]
-    # One server beside each proxy, in this order.
     services: tuple[str, ...]
     request_kinds: tuple[RequestKind, ...]
-    # Service and path to the inner calls it makes.
     nested_calls: dict[tuple[str, str], tuple[NestedCall, ...]]
     requests_per_second: int
 
     def zone_of(self, place: int) -> str:
+        """The zone of the proxy at this index."""
         # Shifted by one every round, so that no service has all its servers in one zone.
         return self.zones[(place + place // len(self.zones)) % len(self.zones)]
 
     def first_bundle(self) -> str:
+        """The text of the bundle that a fleet starts with."""
         return resources.files("hoistsaddle.testbed").joinpath("bundles", f"{self.name}-1.toml").read_text()
 
     def changed_bundle(self, change: Callable[[dict], None], *, number: int, based_on: int) -> str:
@@ -52,6 +67,8 @@
 
 
 def to_toml(values: dict) -> str:
+    """Tables of plain values and of lists of tables as TOML."""
+
     def plain(value) -> str:
         if isinstance(value, bool):
             return "true" if value else "false"
--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -10,6 +10,7 @@
 import socket
 import sqlite3
 import sys
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
@@ -19,48 +20,66 @@
 from hoistsaddle.cli.caller import call_first_available
 from hoistsaddle.testbed.deployments import Deployment, to_toml
 from hoistsaddle.testbed.history import History
+from hoistsaddle.testbed.process_names import proxy_name, registry_name, store_name
 from hoistsaddle.testbed.stub_servers import StubServer
 
 HOST = "127.0.0.1"
 AUTHOR = ("ada", "token-of-ada")
 SIGNER = ("ben", "token-of-ben")
-
-
-# Subcommands as releases before the packages' renaming called them, and the package that held them.
+# Below the ports that the system gives to outgoing connections.
+FIRST_PORT, LAST_PORT = 11000, 32000
+LAUNCH_POLL_SECONDS = 0.05
+STOP_TIMEOUT_SECONDS = 30
+# At the end of a run, processes that take longer are killed.
+END_TIMEOUT_SECONDS = 8
+
+# Subcommands of releases from before the packages were renamed, and the package that held them.
 FORMER_SUBCOMMANDS = {"store": "warehouse", "registry": "bourse", "proxy": "stall"}
 FORMER_CLI = "kiosk"
 
 
-def _program_of(*, release: Path, kind: str) -> tuple[str, str]:
-    """The module and subcommand that start a program of this kind in a checkout of an older release."""
+def _command_of(*, release: Path, program: str) -> tuple[str, str]:
+    """The module and subcommand that start a program in a checkout of an older release."""
     if (release / "packages" / FORMER_CLI).is_dir():
-        return f"hoistsaddle.{FORMER_CLI}", FORMER_SUBCOMMANDS[kind]
-    return "hoistsaddle.cli", kind
+        return f"hoistsaddle.{FORMER_CLI}", FORMER_SUBCOMMANDS[program]
+    return "hoistsaddle.cli", program
 
 
 def free_ports(count: int) -> list[int]:
     """Ports that are free now, held open together so that none comes twice.
 
-    They lie below the range that the system gives to outgoing connections: there, a killed process could find its port
-    taken by somebody's connection when it comes back.
+    They lie below the range that the system gives to outgoing connections: in it, a killed process could find its port
+    taken by another connection when it comes back.
     """
-    holders: list[socket.socket] = []
+    sockets: list[socket.socket] = []
     try:
-        while len(holders) < count:
-            holder = socket.socket()
+        while len(sockets) < count:
+            reserved = socket.socket()
             try:
-                holder.bind((HOST, random.SystemRandom().randrange(11000, 32000)))
+                reserved.bind((HOST, random.SystemRandom().randrange(FIRST_PORT, LAST_PORT)))
             except OSError:
-                holder.close()
+                reserved.close()
                 continue
-            holders.append(holder)
-        return [holder.getsockname()[1] for holder in holders]
+            sockets.append(reserved)
+        return [reserved.getsockname()[1] for reserved in sockets]
     finally:
-        for holder in holders:
-            holder.close()
+        for reserved in sockets:
+            reserved.close()
 
 
 class Fleet:
+    """One deployment on real processes, with stub servers beside its proxies.
+
+    Attributes:
+        history: what the stub servers and clients saw.
+        processes: the newest process of each name.
+        programs: which program each process runs: store, registry or proxy.
+        core: the settings of the core machines by replica.
+        proxies: settings, service and server address of each proxy.
+        former: names of the processes that run as the former release from their next start on.
+        operator_addresses: where the registries take operators' calls.
+    """
+
     def __init__(
         self,
         *,
@@ -72,7 +91,17 @@
         former: bool = False,
         older: Path | None = None,
     ) -> None:
-        """With faults, lines can be cut. With former, all begin at release level 1, or as the older release's code."""
+        """Writes the settings of all processes; nothing is started yet.
+
+        Args:
+            deployment: what to run.
+            folder: holds settings, logs and data.
+            seed: of whatever is chosen at random.
+            store_settings: more settings of the stores.
+            faults: whether connections can be cut.
+            former: whether all processes begin at release level 1.
+            older: a checkout of the former release, whose code all processes begin with.
+        """
         self.deployment = deployment
         self.folder = folder
         self.random = random.Random(seed)
@@ -83,31 +112,30 @@
         self.faults = faults
         self.older = older
         self.settings: dict[str, dict] = {}
-        self._lay_out()
-        # Processes that run as the former release.
+        self._write_all_settings()
         self.former: set[str] = set()
-        for name in self.kinds if former or older else ():
+        for name in self.programs if former or older else ():
             self.set_former(name, former=True)
 
-    def _lay_out(self) -> None:
+    def _write_all_settings(self) -> None:
         deployment = self.deployment
         count = deployment.core * 3 + len(deployment.services) * 4
         ports = iter(f"{HOST}:{port}" for port in free_ports(count))
         self.folder.mkdir(parents=True, exist_ok=True)
         core: list[dict[str, Any]] = [
-            {"replica": place + 1, "warehouse": next(ports), "bourse": next(ports)} for place in range(deployment.core)
+            {"replica": replica, "warehouse": next(ports), "bourse": next(ports)}
+            for replica in range(1, deployment.core + 1)
         ]
-        self.doors = tuple(next(ports) for _ in core)
+        self.operator_addresses = tuple(next(ports) for _ in core)
         self.core = {machine["replica"]: machine for machine in core}
-        self.kinds: dict[str, str] = {}
-        # Mesh address to process.
-        self.listens: dict[str, str] = {}
-        for place, machine in enumerate(core):
+        self.programs: dict[str, str] = {}
+        self.process_by_address: dict[str, str] = {}
+        for index, machine in enumerate(core):
             replica = machine["replica"]
-            zone = deployment.zones[place % len(deployment.zones)]
-            self._settings(
+            zone = deployment.zones[index % len(deployment.zones)]
+            self._add_process(
                 "store",
-                f"warehouse-{replica}",
+                store_name(replica),
                 {
                     "replica": replica,
                     "zone": zone,
@@ -117,35 +145,35 @@
                     "core": core,
                 },
             )
-            self._settings(
+            self._add_process(
                 "registry",
-                f"bourse-{replica}",
+                registry_name(replica),
                 {
                     "replica": replica,
                     "zone": zone,
                     "listen": machine["bourse"],
-                    "operators": self.doors[place],
+                    "operators": self.operator_addresses[index],
                     "core": core,
                 },
             )
         seeds = [machine["bourse"] for machine in core[:3]]
         self.proxies: dict[str, dict] = {}
-        for place, service in enumerate(deployment.services):
-            name = f"stall-{place + 1:02d}"
+        for index, service in enumerate(deployment.services):
+            name = proxy_name(index + 1)
             proxy = {
                 "name": name,
-                "zone": deployment.zone_of(place),
+                "zone": deployment.zone_of(index),
                 "listen": next(ports),
                 "visitors": next(ports),
                 "inner": next(ports),
                 "seeds": seeds,
             }
             self.proxies[name] = {**proxy, "service": service, "server": next(ports)}
-            self._settings("proxy", name, proxy)
+            self._add_process("proxy", name, proxy)
 
-    def _settings(self, kind: str, name: str, values: dict) -> None:
-        self.kinds[name] = kind
-        self.listens[values["listen"]] = name
+    def _add_process(self, program: str, name: str, values: dict) -> None:
+        self.programs[name] = program
+        self.process_by_address[values["listen"]] = name
         if self.faults:
             values = {"line_faults": str(self.folder / f"{name}.faults.json"), **values}
         self.settings[name] = values
@@ -159,18 +187,20 @@
         (self.folder / f"{name}.toml").write_text(to_toml({**capped, **self.settings[name]}))
 
     def client_addresses(self) -> list[str]:
+        """Where the proxies take clients' requests."""
         return [proxy["visitors"] for proxy in self.proxies.values()]
 
     # -- processes ---------------------------------------------------------------------------------------------------
 
     async def launch(self, name: str) -> None:
+        """Starts a process with its settings; its output goes to a log in the folder."""
         log = (self.folder / f"{name}.log").open("ab")
         environment = {**os.environ, "PYTHONUNBUFFERED": "1"}
-        module, subcommand = "hoistsaddle.cli", self.kinds[name]
+        module, subcommand = "hoistsaddle.cli", self.programs[name]
         if name in self.former and self.older is not None:
             environment["PYTHONPATH"] = ":".join(str(path) for path in sorted(self.older.glob("packages/*/src")))
-            module, subcommand = _program_of(release=self.older, kind=self.kinds[name])
-        # A session of its own: an interrupt at the terminal reaches the runner first, which ends its own in order.
+            module, subcommand = _command_of(release=self.older, program=self.programs[name])
+        # A session of its own: an interrupt at the terminal reaches this process first, which ends the others in order.
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -195,21 +225,24 @@
             await self.processes[name].wait()
 
     def freeze(self, *names: str) -> None:
+        """Stops processes by SIGSTOP until they are woken."""
         for name in names:
             self.processes[name].send_signal(signal.SIGSTOP)
 
     def wake(self, *names: str) -> None:
+        """Lets frozen processes go on."""
         for name in names:
             self.processes[name].send_signal(signal.SIGCONT)
 
     def cut_one_way(self, one_side: list[str], other_side: list[str]) -> None:
-        """From now on nothing that the one side says reaches the other, on calls and on answers alike."""
-        address = {name: listen for listen, name in self.listens.items()}
+        """From now on no call and no answer of the first side reaches the second."""
+        address = {name: listen for listen, name in self.process_by_address.items()}
         self._write_faults(one_side, calls_to=[address[name] for name in other_side])
         self._write_faults(other_side, answers_from=[address[name] for name in one_side])
 
     def cut(self, one_side: list[str], other_side: list[str]) -> None:
-        address = {name: listen for listen, name in self.listens.items()}
+        """From now on nothing passes between two sides."""
+        address = {name: listen for listen, name in self.process_by_address.items()}
         for mine, others in ((one_side, other_side), (other_side, one_side)):
             addresses = [address[name] for name in others]
             self._write_faults(mine, calls_to=addresses, answers_from=addresses)
@@ -217,20 +250,21 @@
     def _write_faults(self, names: list[str], **faults: list[str]) -> None:
         for name in names:
             path = self.folder / f"{name}.faults.json"
-            # Renamed into place: a daemon that looks in between sees the old or the new, never half.
+            # Renamed into place, so that a process reads the old or the new file, never a part.
             part = path.with_suffix(".part")
             part.write_bytes(msgspec.json.encode(faults))
             part.rename(path)
 
     def heal(self) -> None:
+        """Lets everything pass again."""
         for path in self.folder.glob("*.faults.json"):
             path.unlink()
 
     def stall_disk(self, replica: int) -> sqlite3.Connection:
-        """Another writer sits on the ledger's file: the store's syncs wait until this connection is closed."""
-        held = sqlite3.connect(self.folder / f"data-{replica}" / "ledger.sqlite3", isolation_level=None)
-        held.execute("BEGIN IMMEDIATE")
-        return held
+        """Locks the log's database: the store's syncs wait until the connection that this gives is closed."""
+        lock = sqlite3.connect(self.folder / f"data-{replica}" / "ledger.sqlite3", isolation_level=None)
+        lock.execute("BEGIN IMMEDIATE")
+        return lock
 
     def fill_disk(self, name: str) -> None:
         """From now on no file of the process may grow or be written, as on a full disk."""
@@ -238,44 +272,48 @@
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (0, hard))
 
     def free_disk(self, name: str) -> None:
+        """Lets the process write again after fill_disk."""
         _, hard = resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE)
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (hard, hard))
 
     async def stop_process(self, name: str) -> int:
-        """A planned stop: asks, and waits until it is gone."""
+        """A planned stop by SIGTERM; gives the exit code, -9 if the process had to be killed."""
         process = self.processes[name]
         if process.returncode is None:
             process.send_signal(signal.SIGTERM)
         try:
-            return await asyncio.wait_for(process.wait(), 30)
+            return await asyncio.wait_for(process.wait(), STOP_TIMEOUT_SECONDS)
         except TimeoutError:
             process.kill()
             await process.wait()
             return -9
 
     def wipe(self, replica: int) -> None:
+        """Removes all data of a replica."""
         shutil.rmtree(self.folder / f"data-{replica}", ignore_errors=True)
 
-    # -- the whole ---------------------------------------------------------------------------------------------------
+    # -- the whole deployment ----------------------------------------------------------------------------------------
 
     async def start(self, *, bundle: bool = True) -> None:
-        await asyncio.gather(*(self.launch(name) for name in self.kinds))
-        await self.found()
+        """Starts and bootstraps everything, and rolls out the first bundle unless told not to."""
+        await asyncio.gather(*(self.launch(name) for name in self.programs))
+        await self.bootstrap()
         for name, proxy in self.proxies.items():
             await self.start_server(name, proxy["service"])
         if bundle:
-            _, setup = await self.operate("GET", "/setup")
-            # A folder of an earlier run goes on with what it agreed.
-            if not setup["in_force"]:
+            _, configuration = await self.operate("GET", "/setup")
+            # A folder of an earlier run goes on with the bundle that was in force.
+            if not configuration["in_force"]:
                 await self.roll_out(self.deployment.first_bundle())
-            await self.until(self.all_ready, seconds=20, what="every proxy is ready")
+            await self.wait_until(self.all_ready, seconds=20, description="every proxy is ready")
 
     async def start_server(self, name: str, service: str) -> StubServer:
+        """Starts a stub server of a service beside a proxy."""
         proxy = self.proxies[name]
         server = StubServer(
             service=service,
             address=proxy["server"],
-            inner_door=proxy["inner"],
+            nested_address=proxy["inner"],
             deployment=self.deployment,
             history=self.history,
             proxy=name,
@@ -284,21 +322,23 @@
         self.stub_servers[name] = server
         return server
 
-    async def found(self) -> None:
-        async def founded() -> bool:
+    async def bootstrap(self) -> None:
+        """Bootstraps the mesh, if it isn't yet, and waits for a leader."""
+
+        async def is_bootstrapped() -> bool:
             digests = {name: token_digest(token) for name, token in (AUTHOR, SIGNER)}
             status, answer = await self.operate("POST", "/found", {"operators": digests})
             return status == 200 or (
                 isinstance(answer, dict) and answer.get("refused", {}).get("kind") == "already-founded"
             )
 
-        await self.until(founded, seconds=30, what="founding")
+        await self.wait_until(is_bootstrapped, seconds=30, description="bootstrap")
 
-        async def led() -> bool:
+        async def has_leader() -> bool:
             status, _ = await self.operate("GET", "/setup")
             return status == 200
 
-        await self.until(led, seconds=20, what="a leader")
+        await self.wait_until(has_leader, seconds=20, description="a leader")
 
     async def operate(
         self,
@@ -308,11 +348,17 @@
         *,
         token: str = "",
         seconds: float = 10,
-        doors: tuple[str, ...] | None = None,
+        addresses: tuple[str, ...] | None = None,
     ) -> tuple[int, dict]:
+        """One operators' call at the first registry that answers; gives the HTTP status and the answer."""
         data = body.encode() if isinstance(body, str) else msgspec.json.encode(body) if body is not None else b""
         return await call_first_available(
-            doors=doors or self.doors, method=method, path=path, token=token, body=data, seconds=seconds
+            doors=addresses or self.operator_addresses,
+            method=method,
+            path=path,
+            token=token,
+            body=data,
+            seconds=seconds,
         )
 
     async def roll_out(self, text: str) -> list[dict]:
@@ -333,6 +379,7 @@
         return answers
 
     async def ready_states(self) -> dict[str, dict | None]:
+        """What each proxy shows of its readiness; None for one that doesn't answer."""
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2)) as session:
 
             async def one(address: str) -> dict | None:
@@ -346,41 +393,49 @@
         return dict(zip(self.proxies, found, strict=True))
 
     async def all_ready(self) -> bool:
+        """Whether all proxies and servers are ready and registered."""
         states = await self.ready_states()
         return (
             all(state is not None and state["ready"] and state["server"] == "ready" for state in states.values())
-            and await self._servers_noted()
+            and await self._servers_registered()
         )
 
-    async def _servers_noted(self) -> bool:
-        status, setup = await self.operate("GET", "/setup")
+    async def _servers_registered(self) -> bool:
+        status, configuration = await self.operate("GET", "/setup")
         if status != 200:
             return False
-        noted = {server["stall"]: server for server in setup["servers"]}
+        registered = {server["stall"]: server for server in configuration["servers"]}
         return all(
-            name in noted and noted[name]["instance"] == server.instance and noted[name]["state"] == server.state
+            name in registered
+            and registered[name]["instance"] == server.instance
+            and registered[name]["state"] == server.state
             for name, server in self.stub_servers.items()
         )
 
-    async def until(self, ready, *, seconds: float, what: str) -> float:
-        """Asks again and again until it holds; gives how long that took."""
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]], *, seconds: float, description: str) -> float:
+        """Waits until a condition holds and gives the seconds that took.
+
+        Raises:
+            AssertionError: it doesn't hold in time.
+        """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        while not await ready():
+        while not await condition():
             if loop.time() - began > seconds:
-                raise AssertionError(f"{what}: not within {seconds} s")
-            await asyncio.sleep(0.05)
+                raise AssertionError(f"{description}: not within {seconds} s")
+            await asyncio.sleep(LAUNCH_POLL_SECONDS)
         return loop.time() - began
 
     async def stop(self) -> None:
+        """Ends all servers and processes."""
         for server in self.stub_servers.values():
             await server.stop()
         for name, process in self.processes.items():
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
                 process.send_signal(signal.SIGTERM)
-        # Proxies first finish what is mid-answer; whoever hangs is killed, so that nothing is left behind.
-        waits = [asyncio.wait_for(process.wait(), 8) for process in self.processes.values()]
+        # Proxies first finish what is mid-answer; those that hang are killed, so that nothing is left behind.
+        waits = [asyncio.wait_for(process.wait(), END_TIMEOUT_SECONDS) for process in self.processes.values()]
         await asyncio.gather(*waits, return_exceptions=True)
         for process in self.processes.values():
             if process.returncode is None:
@@ -395,4 +450,5 @@
 
 
 def token_digest(token: str) -> str:
+    """The digest under which an operator's token is kept."""
     return hashlib.sha256(token.encode()).hexdigest()
--- a/packages/testbed/src/hoistsaddle/testbed/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/history.py
@@ -1,4 +1,4 @@
-"""What happened, as told by callers, servers and operators. Checkers read it afterwards."""
+"""What happened, as callers, servers and operators saw it. Checkers read it afterwards."""
 
 import hashlib
 from typing import NamedTuple
@@ -7,11 +7,20 @@
 
 
 def body_digest_of(body: bytes) -> str:
-    """A body as a history keeps it."""
+    """The digest of a body that a history keeps; empty for an empty body."""
     return hashlib.sha256(body).hexdigest()[:16] if body else ""
 
 
 class RequestSent(NamedTuple):
+    """A client sent a request.
+
+    Attributes:
+        request: the name of the request; the same for a repeat under the same key.
+        key: the idempotency key; empty for none.
+        listener: where it was sent.
+        size: bytes of the body.
+    """
+
     timestamp: float
     request: str
     method: str
@@ -23,7 +32,19 @@
 
 
 class RequestResult(NamedTuple):
-    """What the caller got; outcome is the mesh's word, "broken" when the connection was cut mid-answer."""
+    """What a caller got.
+
+    Attributes:
+        outcome: as the mesh gave it; "broken" when the connection was cut mid-answer, "unreachable" without one.
+        nonce: the name of the request that the answer carries.
+        run: the run that answered.
+        repeat: whether the mesh marked it as a repeated answer.
+        kind: the kind of the error, if any.
+        body_digest: of the whole body.
+        asked: when the request was sent.
+        caller: the service whose server asked; empty for a client.
+        retry_after: whether the answer says when to retry.
+    """
 
     timestamp: float
     request: str
@@ -34,11 +55,8 @@
     repeat: bool
     listener: str = ""
     kind: str = ""
-    # Of the whole body.
     body_digest: str = ""
-    # When it was asked.
     asked: float = 0.0
-    # The service whose server asked; empty for a client.
     caller: str = ""
     retry_after: bool = False
 
@@ -68,7 +86,7 @@
 
 
 class ProcessPaused(NamedTuple):
-    """This process stood still from moment to until; nobody can be told anything by it meanwhile."""
+    """This process stood still from timestamp to until and answered nobody meanwhile."""
 
     timestamp: float
     until: float
@@ -76,11 +94,11 @@
 
 
 class ExpectationChecked(NamedTuple):
-    """Something the mesh promises was tried; kept says whether it came true."""
+    """Something that the mesh promises was tried; met says whether it came true."""
 
     timestamp: float
-    what: str
-    kept: bool
+    description: str
+    met: bool
 
 
 class RunEnded(NamedTuple):
@@ -92,7 +110,7 @@
 
 
 class ServerStateChanged(NamedTuple):
-    """What the mesh was told of a server: ready, winding down, gone."""
+    """What became of a server: ready, winding down, drained, vanished."""
 
     timestamp: float
     service: str
@@ -101,18 +119,21 @@
 
 
 class BundleAccepted(NamedTuple):
-    """An operator was told that this is in force on these proxies."""
+    """An operator got the answer that a bundle is in force on these proxies.
+
+    Attributes:
+        everywhere: whether its last stage was reached.
+    """
 
     timestamp: float
     revision: int
     bundle: int
     proxies: tuple[str, ...]
-    # Whether its last stage was reached.
     everywhere: bool = False
 
 
 class BundleWritten(NamedTuple):
-    """A bundle's text, and from when on it may be in play: its signing was asked for then."""
+    """A bundle's text, and from when on it may be in force: it was signed then at the earliest."""
 
     timestamp: float
     number: int
@@ -129,7 +150,7 @@
 
 
 class BundleSubmitted(NamedTuple):
-    """A bundle was sent and this came of it; error is empty when it was taken."""
+    """A bundle was submitted; error is the kind of the refusal, empty when it was accepted."""
 
     timestamp: float
     number: int
@@ -138,14 +159,23 @@
 
 
 class ConfigurationRead(NamedTuple):
+    """What one registry showed of the configuration.
+
+    Attributes:
+        texts: number and text of each bundle.
+        drained: proxies whose servers are drained.
+        servers: proxy, service, instance and state of every server that isn't gone.
+        nodes: name and incarnation of every node that isn't gone.
+        names: all names that show at all.
+        reader: the registry.
+    """
+
     timestamp: float
     in_force: int
     texts: tuple[tuple[int, str], ...]
     drained: tuple[str, ...]
-    # Proxy, service, instance and state of every server that isn't gone; name and life of every node that isn't.
     servers: tuple[tuple[str, str, str, str], ...] = ()
     nodes: tuple[tuple[str, str], ...] = ()
-    # All names that show at all.
     names: tuple[str, ...] = ()
     reader: str = ""
 
@@ -163,29 +193,29 @@
 
 
 class CopyCorrupted(NamedTuple):
-    """One node's copy of the configuration was spoilt in place."""
+    """One node's copy of the configuration was corrupted in place."""
 
     timestamp: float
     node: str
 
 
 class CopyDiverged(NamedTuple):
-    """At this moment the node's copy was not what the log says at that revision."""
+    """At this time the node's copy was not what the log says at that revision."""
 
     timestamp: float
     node: str
 
 
 class ServiceRecovered(NamedTuple):
-    """Machines came back at one moment and service was seen again at another."""
+    """Machines came back at timestamp, and service was seen again at service_at."""
 
     timestamp: float
     service_at: float
-    what: str
+    description: str
 
 
 class AttemptSeen(NamedTuple):
-    """One send seen at a proxy's door: a first or a further one."""
+    """A proxy sent an attempt to another one: a first one or a retry."""
 
     timestamp: float
     service: str
@@ -193,7 +223,7 @@
 
 
 class ClaimWritten(NamedTuple):
-    """A writer was told that its claim is in the log."""
+    """A writer got the answer that its claim is in the log."""
 
     timestamp: float
     claim: str
@@ -201,49 +231,56 @@
 
 
 class ReplicaState(NamedTuple):
-    """What one replica held at the end."""
+    """What one replica held at the end; claims are sorted, so that a history is the same in every process."""
 
     timestamp: float
     name: str
     digest: str
-    # Sorted, so that a history reads alike in every process.
     claims: tuple[str, ...]
 
 
 class PlannedInterruption(NamedTuple):
-    """A planned stop or roll-out went on from moment to until; cut answers in it count against the mesh."""
+    """A planned stop or roll-out lasted from timestamp to until; answers cut in it count against the mesh."""
 
     timestamp: float
     until: float
-    what: str
+    description: str
 
 
 class History:
+    """Events in the order in which they were added."""
+
     def __init__(self) -> None:
         self.events: list[tuple] = []
 
     def add(self, event: tuple) -> None:
+        """Adds an event, one of the records of this module."""
         self.events.append(event)
 
     def of(self, kind: type) -> list:
+        """All events of a kind, in order."""
         return [event for event in self.events if isinstance(event, kind)]
 
 
-def configuration_read_of(timestamp: float, setup: dict, *, reader: str) -> ConfigurationRead:
+def configuration_read_of(timestamp: float, configuration: dict, *, reader: str) -> ConfigurationRead:
     """What a read-back shows, in the shape its checker compares."""
     servers = [
         (each["stall"], each["service"], each["instance"], each["state"])
-        for each in setup["servers"]
+        for each in configuration["servers"]
         if each["state"] != GONE
     ]
-    nodes = [(each["node"], each["incarnation"]) for each in setup["nodes"] if each["state"] != GONE]
+    nodes = [(each["node"], each["incarnation"]) for each in configuration["nodes"] if each["state"] != GONE]
     return ConfigurationRead(
         timestamp,
-        setup["in_force"],
-        tuple((int(number), text) for number, text in setup["texts"].items()),
-        tuple(sorted(server["stall"] for server in setup["servers"] if server["drained_by"])),
+        configuration["in_force"],
+        tuple((int(number), text) for number, text in configuration["texts"].items()),
+        tuple(sorted(server["stall"] for server in configuration["servers"] if server["drained_by"])),
         tuple(sorted(servers)),
         tuple(sorted(nodes)),
-        tuple(sorted({each["stall"] for each in setup["servers"]} | {each["node"] for each in setup["nodes"]})),
+        tuple(
+            sorted(
+                {each["stall"] for each in configuration["servers"]} | {each["node"] for each in configuration["nodes"]}
+            )
+        ),
         reader,
     )
--- a/packages/testbed/src/hoistsaddle/testbed/measure.py
+++ b/packages/testbed/src/hoistsaddle/testbed/measure.py
@@ -1,4 +1,4 @@
-"""Measurements on real processes. Variants take turns within one run, so that a busy machine troubles all alike."""
+"""Measurements on real processes. Variants take turns within one run, so that a busy machine affects all alike."""
 
 import asyncio
 import statistics
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from datetime import datetime, timedelta
 from pathlib import Path
+from typing import Any
 
 import aiohttp
 from returns.result import Success
@@ -18,12 +19,16 @@
 from hoistsaddle.statemachine.commands import ClaimKey, CompleteKey
 from hoistsaddle.testbed.deployments import DEPLOYMENTS, Deployment
 from hoistsaddle.testbed.fleet import Fleet
+from hoistsaddle.testbed.process_names import PROXY, kind_of, store_name
 
 LineWriter = Callable[[str], None]
-ME = {"Authorization": "Bearer measure"}
+CLIENT_HEADERS = {"Authorization": "Bearer measure"}
+# The answer kept with each key where a measurement needs some content.
+ANSWER_BODY = b'{"answer": "%s"}' % (b"x" * 500)
 
 
 def spread(values: list[float], *, unit: str = "") -> str:
+    """Median, least and greatest of the values of all rounds."""
     ordered = sorted(values)
     return f"{statistics.median(ordered):.3g}{unit} ({ordered[0]:.3g} to {ordered[-1]:.3g}, {len(ordered)} rounds)"
 
@@ -31,7 +36,7 @@
 class _Core:
     """A fleet of core machines alone, and a writer of this process's own."""
 
-    def __init__(self, *, folder: Path, **store_settings) -> None:
+    def __init__(self, *, folder: Path, **store_settings: Any) -> None:
         self.fleet = Fleet(deployment=DEPLOYMENTS["three"], folder=folder, store_settings=store_settings)
         self.runtime = RealRuntime()
         self.stores = {replica: machine["warehouse"] for replica, machine in self.fleet.core.items()}
@@ -39,13 +44,13 @@
             name="measure", stores=self.stores, home=1, runtime=self.runtime, counters=Counters(owner="measure")
         )
 
-    async def look(self, replica: int) -> StatusAnswer | None:
+    async def status(self, replica: int) -> StatusAnswer | None:
         answer = await self.runtime.rpc_client.call(
             self.stores[replica], StatusCall("measure"), within=timedelta(seconds=1)
         )
         return answer.unwrap() if isinstance(answer, Success) else None
 
-    async def claims(self, *, count: int, outstanding: int, prefix: str, body: bytes = b"") -> list[float]:
+    async def write_claims(self, *, count: int, outstanding: int, prefix: str, body: bytes = b"") -> list[float]:
         """Writes so many claims, so many at a time; gives each one's latency in milliseconds."""
         latencies: list[float] = []
         numbers = iter(range(count))
@@ -58,11 +63,11 @@
                 result = await self.writer.write(claim, within=timedelta(seconds=10))
                 if not isinstance(result, Success) or result.unwrap().error:
                     raise AssertionError(f"claim {number}: {result}")
-                scope, name = result.unwrap().detail["scope"], scope
+                name, scope = scope, result.unwrap().detail["scope"]
                 latencies.append((time.perf_counter() - began) * 1000)
                 if body:
-                    settle = CompleteKey(scope, name, 200, {}, body, True)
-                    await self.writer.write(settle, within=timedelta(seconds=10))
+                    complete = CompleteKey(scope, name, 200, {}, body, True)
+                    await self.writer.write(complete, within=timedelta(seconds=10))
 
         await asyncio.gather(*(one_after_another() for _ in range(outstanding)))
         return latencies
@@ -80,9 +85,9 @@
             for size in sizes:
                 writing.MAX_BATCH_COMMANDS = size
                 began = time.perf_counter()
-                taken = await core.claims(count=600, outstanding=64, prefix=f"{turn}-{size}")
+                measured = await core.write_claims(count=600, outstanding=64, prefix=f"{turn}-{size}")
                 rates[size].append(600 / (time.perf_counter() - began))
-                latencies[size].append(statistics.median(taken))
+                latencies[size].append(statistics.median(measured))
         for size in sizes:
             write_line(
                 f"batch of at most {size}: {spread(rates[size])} claims a second, median latency "
@@ -99,63 +104,60 @@
             await core.fleet.start(bundle=False)
             written = 0
             for target in (1000, 4000, 10000):
-                await core.claims(
-                    count=(target - written) // 2,
-                    outstanding=64,
-                    prefix=f"{target}",
-                    body=b'{"answer": "%s"}' % (b"x" * 500),
+                # A claim and its result are two records.
+                await core.write_claims(
+                    count=(target - written) // 2, outstanding=64, prefix=f"{target}", body=ANSWER_BODY
                 )
                 written = target
-                took: list[float] = []
-                for _ in range(rounds):
-                    looks = {replica: await core.look(replica) for replica in core.stores}
-                    follower = next(
-                        replica for replica, look in looks.items() if look is not None and look.role == "follower"
-                    )
-                    await core.fleet.kill(f"warehouse-{follower}")
-                    core.fleet.wipe(follower)
-                    await core.fleet.launch(f"warehouse-{follower}")
-
-                    async def blank(follower=follower) -> bool:
-                        return await core.look(follower) is not None
-
-                    await core.fleet.until(blank, seconds=20, what="the blank follower is up")
-                    began = time.perf_counter()
-
-                    async def complete(follower=follower) -> bool:
-                        look = await core.look(follower)
-                        return (
-                            look is not None
-                            and look.role in ("observer", "follower")
-                            and look.high_watermark >= looks[follower].high_watermark
-                        )
-
-                    await core.fleet.until(complete, seconds=60, what="caught up")
-                    took.append(time.perf_counter() - began)
+                seconds = [await _seconds_to_catch_up(core) for _ in range(rounds)]
+                write_line(f"chunk {chunk}: {written} records: {spread(seconds, unit=' s')} to hold everything")
+
+
+async def _seconds_to_catch_up(core: _Core) -> float:
+    """Wipes a follower and gives how long it takes, once it is up, to hold what it held before."""
+    statuses = {replica: await core.status(replica) for replica in core.stores}
+    follower = next(replica for replica, status in statuses.items() if status is not None and status.role == "follower")
+    high_watermark = statuses[follower].high_watermark
+    await core.fleet.kill(store_name(follower))
+    core.fleet.wipe(follower)
+    await core.fleet.launch(store_name(follower))
+
+    async def is_up() -> bool:
+        return await core.status(follower) is not None
+
+    async def holds_everything() -> bool:
+        status = await core.status(follower)
+        return (
+            status is not None and status.role in ("observer", "follower") and status.high_watermark >= high_watermark
+        )
 
-                    async def votes(follower=follower) -> bool:
-                        look = await core.look(follower)
-                        return look is not None and look.role == "follower"
+    async def votes() -> bool:
+        status = await core.status(follower)
+        return status is not None and status.role == "follower"
 
-                    await core.fleet.until(votes, seconds=60, what="votes again")
-                write_line(f"chunk {chunk}: {written} records: {spread(took, unit=' s')} to hold everything")
+    await core.fleet.wait_until(is_up, seconds=20, description="the blank follower is up")
+    began = time.perf_counter()
+    await core.fleet.wait_until(holds_everything, seconds=60, description="caught up")
+    elapsed = time.perf_counter() - began
+    await core.fleet.wait_until(votes, seconds=60, description="votes again")
+    return elapsed
 
 
 async def growth(*, folder: Path, write_line: LineWriter) -> None:
-    """The size of each data folder while claims keep coming and settle."""
+    """The size of each data folder while claims and their results keep coming."""
     core = _Core(folder=folder)
     async with core.fleet:
         await core.fleet.start(bundle=False)
-        # Longer than a settled hold is kept: only then what comes in and what expires are in balance.
+        # Longer than a settled key is kept: only then what comes in and what expires are in balance.
         for turn in range(24):
             await asyncio.sleep(5)
-            await core.claims(count=2500, outstanding=64, prefix=f"{turn}", body=b'{"answer": "%s"}' % (b"x" * 500))
+            await core.write_claims(count=2500, outstanding=64, prefix=f"{turn}", body=ANSWER_BODY)
             sizes = [
                 sum(path.stat().st_size for path in (folder / f"data-{replica}").rglob("*") if path.is_file()) / 1e6
                 for replica in core.stores
             ]
-            looks = [await core.look(replica) for replica in core.stores]
-            begin = [look.begin_offset for look in looks if look is not None]
+            statuses = [await core.status(replica) for replica in core.stores]
+            begin = [status.begin_offset for status in statuses if status is not None]
             write_line(
                 f"{(turn + 1) * 5000} records: folders {', '.join(f'{size:.1f}' for size in sizes)} "
                 f"MB; the logs begin at {begin}"
@@ -163,7 +165,7 @@
 
 
 async def update_propagation(*, folder: Path, write_line: LineWriter, deployment: Deployment, rounds: int = 8) -> None:
-    """From a bundle's commit to each proxy's applied version, as the proxies' own happenings date it."""
+    """From a bundle's commit to each proxy's applied version, as the proxies' own events date it."""
     fleet = Fleet(deployment=deployment, folder=folder)
     async with fleet:
         await fleet.start()
@@ -181,132 +183,140 @@
                 timestamps = []
                 for proxy in fleet.proxies.values():
                     async with session.get(f"http://{proxy['visitors']}/hoistsaddle/happenings") as response:
-                        taken = [
+                        applied = [
                             each
                             for each in (await response.json())["happenings"]
                             if each["kind"] == "bundle taken up" and each["detail"]["bundle"] == number
                         ]
-                    timestamps.append(_seconds(taken[-1]["moment"]) - began)
+                    timestamps.append(_seconds(applied[-1]["moment"]) - began)
                 first.append(min(timestamps))
                 last.append(max(timestamps))
         write_line(
-            f"{deployment.name}: from submitting a bundle to its applied version on the first proxy "
-            f"{spread(first, unit=' s')}, on the last {spread(last, unit=' s')}; commit to acceptance "
+            f"{deployment.name}: from submitting a bundle to its application by the first proxy "
+            f"{spread(first, unit=' s')}, by the last {spread(last, unit=' s')}; commit to acceptance "
             f"{spread(accepted, unit=' s')}"
         )
 
 
 def _seconds(timestamp: str) -> float:
+    """An ISO timestamp as seconds since the epoch."""
     return datetime.fromisoformat(timestamp).timestamp()
 
 
 async def added_latency(*, folder: Path, write_line: LineWriter, rounds: int = 5) -> None:
-    """A safe request and one under a key through the mesh, against the stand-in called directly; one at a time."""
+    """A safe request and one under a key through the mesh, against the stub server called directly; one at a time."""
     deployment = DEPLOYMENTS["thimble"]
     fleet = Fleet(deployment=deployment, folder=folder)
     async with fleet, aiohttp.ClientSession() as session:
         await fleet.start()
         meter = next(name for name, proxy in fleet.proxies.items() if proxy["service"] == "meter")
-        door = fleet.client_addresses()[0]
-        ways = {
+        address = fleet.client_addresses()[0]
+        paths = {
             "directly": lambda number: session.get(f"http://{fleet.proxies[meter]['server']}/readings?nonce={number}"),
-            "through the mesh": lambda number: session.get(f"http://{door}/readings?nonce={number}"),
+            "through the mesh": lambda number: session.get(f"http://{address}/readings?nonce={number}"),
             "under a key": lambda number: session.post(
-                f"http://{door}/uploads", json={"nonce": str(number)}, headers={"Idempotency-Key": f"k{number}", **ME}
+                f"http://{address}/uploads",
+                json={"nonce": str(number)},
+                headers={"Idempotency-Key": f"k{number}", **CLIENT_HEADERS},
             ),
         }
-        taken: dict[str, list[float]] = {way: [] for way in ways}
+        medians: dict[str, list[float]] = {path: [] for path in paths}
         for turn in range(rounds):
-            for way, send in ways.items():
-                spans = []
+            for path, send in paths.items():
+                latencies = []
                 for number in range(100):
                     began = time.perf_counter()
-                    async with send(f"{turn}-{way[0]}-{number}") as response:
+                    async with send(f"{turn}-{path[0]}-{number}") as response:
                         await response.read()
                         if response.status != 200:
-                            raise AssertionError(f"{way}: {response.status}")
-                    spans.append((time.perf_counter() - began) * 1000)
-                taken[way].append(statistics.median(spans))
-        for way, medians in taken.items():
+                            raise AssertionError(f"{path}: {response.status}")
+                    latencies.append((time.perf_counter() - began) * 1000)
+                medians[path].append(statistics.median(latencies))
+        for path, values in medians.items():
             write_line(
-                f"{way}: {spread(medians, unit=' ms')}; against directly: "
-                f"{statistics.median(medians) / statistics.median(taken['directly']):.1f}"
+                f"{path}: {spread(values, unit=' ms')}; against directly: "
+                f"{statistics.median(values) / statistics.median(medians['directly']):.1f}"
             )
 
 
 async def versions(*, folder: Path, write_line: LineWriter, older: Path, rounds: int = 3) -> None:
     """The former release's code against this one, in turns: requests, keys, and how long giving up takes."""
-    taken: dict[str, dict[str, list[float]]] = {}
+    measured: dict[str, dict[str, list[float]]] = {}
 
-    async def spans(session: aiohttp.ClientSession, method: str, path: str, count: int, *, keyed: bool) -> float:
-        found = []
+    async def median_latency(
+        session: aiohttp.ClientSession, method: str, path: str, count: int, *, keyed: bool
+    ) -> float:
+        latencies = []
         for number in range(count):
-            headers = {**ME, **({"Idempotency-Key": f"{path}-{number}"} if keyed else {})}
+            headers = {**CLIENT_HEADERS, **({"Idempotency-Key": f"{path}-{number}"} if keyed else {})}
             body = {"nonce": str(number)} if keyed else None
             began = time.perf_counter()
             async with session.request(method, f"{path}?nonce={number}", json=body, headers=headers) as response:
                 await response.read()
-            found.append((time.perf_counter() - began) * 1000)
-        return statistics.median(found)
+            latencies.append((time.perf_counter() - began) * 1000)
+        return statistics.median(latencies)
 
     for turn in range(rounds):
         for release, code in (("former", older), ("present", None)):
             fleet = Fleet(deployment=DEPLOYMENTS["thimble"], folder=folder / f"{release}-{turn}", older=code)
             async with fleet, aiohttp.ClientSession() as session:
                 await fleet.start()
-                door = f"http://{fleet.client_addresses()[0]}"
-                mine = taken.setdefault(release, {})
+                address = f"http://{fleet.client_addresses()[0]}"
+                of_release = measured.setdefault(release, {})
 
-                async def note(what: str, method: str, path: str, count: int, *, keyed: bool = False) -> None:
-                    mine.setdefault(what, []).append(await spans(session, method, door + path, count, keyed=keyed))
+                async def measure(subject: str, method: str, path: str, count: int, *, keyed: bool = False) -> None:
+                    of_release.setdefault(subject, []).append(
+                        await median_latency(session, method, address + path, count, keyed=keyed)
+                    )
 
-                await note("a safe request", "GET", "/readings", 150)
-                await note("one under a key", "POST", "/uploads", 100, keyed=True)
-                await fleet.kill(*(name for name in fleet.kinds if not name.startswith("stall")))
-                # Past the lease and the gap that is waited out: what every later caller meets.
-                await spans(session, "GET", door + "/readings", 1, keyed=False)
+                await measure("a safe request", "GET", "/readings", 150)
+                await measure("one under a key", "POST", "/uploads", 100, keyed=True)
+                await fleet.kill(*(name for name in fleet.programs if kind_of(name) != PROXY))
+                # Past the lease and the time for which a gap is waited out: as every later caller finds it.
+                await median_latency(session, "GET", address + "/readings", 1, keyed=False)
                 await asyncio.sleep(4)
-                await note("giving up without a core", "GET", "/readings", 3)
-    for what, present in taken["present"].items():
-        former = taken["former"][what]
+                await measure("giving up without a core", "GET", "/readings", 3)
+    for subject, present in measured["present"].items():
+        former = measured["former"][subject]
         ratio = statistics.median(present) / statistics.median(former)
         write_line(
-            f"{what}: former {spread(former, unit=' ms')}, present {spread(present, unit=' ms')}, ratio {ratio:.3g}"
+            f"{subject}: former {spread(former, unit=' ms')}, present {spread(present, unit=' ms')}, ratio {ratio:.3g}"
         )
 
 
 async def takeover(*, folder: Path, write_line: LineWriter, rounds: int = 8) -> None:
-    """From kill -9 of the leading store to the next write concluded; and the same for all core
-    processes at once."""
+    """From kill -9 of the leading store to the next write concluded; and the same for all core processes at once."""
     core = _Core(folder=folder)
     async with core.fleet:
         await core.fleet.start(bundle=False)
         single: list[float] = []
-        complete: list[float] = []
+        all_at_once: list[float] = []
         for turn in range(rounds):
-            looks = {replica: await core.look(replica) for replica in core.stores}
-            leader = next(replica for replica, look in looks.items() if look is not None and look.role == "leader")
-            await core.fleet.kill(f"warehouse-{leader}")
+            statuses = {replica: await core.status(replica) for replica in core.stores}
+            leader = next(
+                replica for replica, status in statuses.items() if status is not None and status.role == "leader"
+            )
+            await core.fleet.kill(store_name(leader))
             began = time.perf_counter()
-            await core.claims(count=1, outstanding=1, prefix=f"single-{turn}")
+            await core.write_claims(count=1, outstanding=1, prefix=f"single-{turn}")
             single.append(time.perf_counter() - began)
-            await core.fleet.launch(f"warehouse-{leader}")
+            await core.fleet.launch(store_name(leader))
 
             async def all_follow() -> bool:
-                found = [await core.look(replica) for replica in core.stores]
-                return all(look is not None and look.role in ("leader", "follower") for look in found) and any(
-                    look.role == "leader" for look in found
+                found = [await core.status(replica) for replica in core.stores]
+                return all(status is not None and status.role in ("leader", "follower") for status in found) and any(
+                    status.role == "leader" for status in found
                 )
 
-            await core.fleet.until(all_follow, seconds=20, what="all stores follow")
+            await core.fleet.wait_until(all_follow, seconds=20, description="all stores follow")
             names = list(core.fleet.processes)
             await core.fleet.kill(*names)
             await asyncio.gather(*(core.fleet.launch(name) for name in names))
             began = time.perf_counter()
-            await core.claims(count=1, outstanding=1, prefix=f"whole-{turn}")
-            complete.append(time.perf_counter() - began)
-            await core.fleet.until(all_follow, seconds=20, what="all stores follow")
+            await core.write_claims(count=1, outstanding=1, prefix=f"whole-{turn}")
+            all_at_once.append(time.perf_counter() - began)
+            await core.fleet.wait_until(all_follow, seconds=20, description="all stores follow")
         write_line(
             f"leader killed: next write after {spread(single, unit=' s')}; all core processes killed "
-            f"and started: after {spread(complete, unit=' s')}"
+            f"and started: after {spread(all_at_once, unit=' s')}"
         )
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
@@ -52,6 +52,7 @@
     """A vote is answered before it is synced."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Lets answers to vote requests leave at once."""
         return [
             command._replace(after=0)
             if isinstance(command, Answer) and isinstance(command.message, VoteAnswer)
@@ -64,6 +65,7 @@
     """A follower claims records that it hasn't synced."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Lets fetches leave at once."""
         return [
             command._replace(after=0)
             if isinstance(command, Send) and isinstance(command.message, FetchCall)
@@ -76,6 +78,7 @@
     """A leader counts its own records before they are synced."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Marks the leader's log as durable as soon as it writes."""
         core = machine.core
         if core.role == LEADER and any(isinstance(command, Write) for command in commands):
             core.durable = core.last.offset
@@ -86,6 +89,7 @@
     """A leader answers a read from its own state, without asking whether it still leads."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Adds a result to each read."""
         core = machine.core
         if isinstance(event, ReadArrived) and core.role == LEADER:
             return [*commands, ReadResult(event.ticket, "", core.replica, core.state)]
@@ -96,6 +100,7 @@
     """A leader commits the records of former epochs by counting."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        """Lets the epoch begin with the first record."""
         machine.core.epoch_began = 0
         return event
 
@@ -104,6 +109,7 @@
     """A vote is given without a look at how far the candidate's log goes."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        """Makes every candidate's log look the longest."""
         if isinstance(event, CallArrived) and isinstance(event.message, VoteCall):
             return event._replace(message=event.message._replace(last_offset=2**40, last_epoch=2**40))
         return event
@@ -113,6 +119,7 @@
     """A vote already given in the epoch doesn't bind."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        """Forgets the vote before each vote request."""
         if isinstance(event, CallArrived) and isinstance(event.message, VoteCall) and not event.message.pre_vote:
             machine.core.vote = None
         return event
@@ -122,6 +129,7 @@
     """A follower that hears of a new leader drops its log above the checkpoint, committed or not."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Drops the log after a BeginEpoch call."""
         if isinstance(event, CallArrived) and isinstance(event.message, BeginEpochCall) and commands:
             machine.core.log = []
         return commands
@@ -137,6 +145,7 @@
     """A replica that still fetches a snapshot claims to have the complete state."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Marks every fetch as that of a complete replica."""
         return [
             command._replace(message=command.message._replace(complete=True))
             if isinstance(command, Send) and isinstance(command.message, FetchCall) and command.message.fetch_offset > 0
@@ -149,6 +158,7 @@
     """An order is acknowledged when it is logged, not when it commits."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Adds a result to each proposal."""
         core = machine.core
         if isinstance(event, ProposalArrived) and core.role == LEADER:
             return [*commands, ProposalResult(event.ticket, "", core.replica, core.last.offset, ())]
@@ -159,6 +169,7 @@
     """A checkpoint is named by the log's end, not by what its state holds."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Names checkpoints by the end of the log."""
         return [
             command._replace(checkpoint_id=machine.core.last) if isinstance(command, Capture) else command
             for command in commands
@@ -169,6 +180,7 @@
     """A follower takes the leader's log end for the high-watermark."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        """Raises the high-watermark to the last record of the answer."""
         if isinstance(event, AnswerArrived) and isinstance(event.message, FetchAnswer) and event.message.records:
             last = event.message.records[-1].offset
             return event._replace(message=event.message._replace(high_watermark=last))
@@ -179,6 +191,7 @@
     """A follower skips the first record that it is sent and numbers the rest on."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
+        """Removes a record from the answer."""
         if isinstance(event, AnswerArrived) and isinstance(event.message, FetchAnswer):
             records = event.message.records
             if len(records) > 1:
@@ -193,6 +206,7 @@
     """Every write leaves the vote out."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Removes the vote from writes."""
         return [command._replace(vote=None) if isinstance(command, Write) else command for command in commands]
 
 
@@ -200,6 +214,7 @@
     """Log cleaning also removes the checkpoint that the log begins with, and the leader's log with it."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Drops checkpoints up to one offset more."""
         return [
             command._replace(below=command.below + 1) if isinstance(command, DropCheckpoints) else command
             for command in commands
@@ -210,6 +225,7 @@
     """A sync is reported before the disk has done it."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
+        """Adds the core's reaction to a sync that hasn't happened."""
         writes = [command for command in commands if isinstance(command, Write)]
         if not writes or isinstance(event, Synced):
             return commands
--- a/packages/testbed/src/hoistsaddle/testbed/proof.py
+++ b/packages/testbed/src/hoistsaddle/testbed/proof.py
@@ -1,4 +1,4 @@
-"""The main job on real processes: a deployment under load while everything a day can bring is done to it."""
+"""The main proof on real processes: a deployment under load goes through the faults and changes of a day."""
 
 import asyncio
 import random
@@ -8,6 +8,7 @@
 
 from hoistsaddle.config.bundle import digest_of
 from hoistsaddle.statemachine.commands import LEVEL
+from hoistsaddle.testbed.deployments import RequestKind
 from hoistsaddle.testbed.fleet import AUTHOR, SIGNER, Fleet, token_digest
 from hoistsaddle.testbed.history import (
     BundleAccepted,
@@ -22,11 +23,21 @@
     configuration_read_of,
 )
 from hoistsaddle.testbed.load import Load
+from hoistsaddle.testbed.process_names import registry_name, replica_of, store_name
 
 LineWriter = Callable[[str], None]
+# How long a former proxy is watched that must not serve.
+FORMER_PROXY_SECONDS = 4
+OBSERVE_INTERVAL_SECONDS = 0.1
 
 
 class Proof:
+    """Causes faults and changes one after the other, and records what the checkers need.
+
+    Attributes:
+        number: the bundle in force.
+    """
+
     def __init__(self, *, fleet: Fleet, load: Load, write_line: LineWriter) -> None:
         self.fleet = fleet
         self.load = load
@@ -41,52 +52,35 @@
         """Writes down which bundle each ready proxy acts under."""
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1)) as session:
 
-            async def look(name: str, address: str) -> None:
+            async def read_ready(name: str, address: str) -> None:
                 asked = self._now()
                 try:
                     async with session.get(f"http://{address}/hoistsaddle/ready") as response:
                         state = await response.json()
                 except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
                     return
-                # Dated from when it was asked: whatever it says held then or later.
+                # Dated from when it was asked: what it shows held then or later.
                 if state["ready"]:
                     self.history.add(BundleApplied(asked, name, state["bundle"], state["life"]))
 
             while True:
-                await asyncio.gather(*(look(name, proxy["visitors"]) for name, proxy in self.fleet.proxies.items()))
-                await asyncio.sleep(0.1)
+                await asyncio.gather(
+                    *(read_ready(name, proxy["visitors"]) for name, proxy in self.fleet.proxies.items())
+                )
+                await asyncio.sleep(OBSERVE_INTERVAL_SECONDS)
 
     def next_bundle(self, note: str) -> str:
+        """The text of the bundle after the one in force."""
         return self.fleet.deployment.next_bundle(number=self.number + 1, based_on=self.number, note=note)
 
     async def change_bundle(self) -> None:
-        """A broken one first, then two desks at once; one of the two is taken, and rolled out in stages."""
+        """A broken one first, then two at once; one of the two is accepted, and rolled out in stages."""
         broken = self.next_bundle("broken").replace('callers = ["visitors"]', 'callers = ["anybody"]')
         status, answer = await self.fleet.operate("POST", "/bundles", broken, token=AUTHOR[1])
         self.history.add(
             BundleSubmitted(self._now(), self.number + 1, True, "" if status == 200 else answer["refused"]["kind"])
         )
-        one, two = self.next_bundle("one desk"), self.next_bundle("other desk")
-        results = await asyncio.gather(
-            *(
-                self.fleet.operate("POST", "/bundles", text, token=token)
-                for text, token in ((one, AUTHOR[1]), (two, SIGNER[1]))
-            )
-        )
-        taken = [
-            (answer, signer)
-            for (status, answer), signer in zip(results, (SIGNER, AUTHOR), strict=True)
-            if status == 200
-        ]
-        refused = [answer["refused"]["kind"] for status, answer in results if status != 200]
-        if len(taken) != 1:
-            raise AssertionError(
-                f"two desks sent bundle {self.number + 1} at once, and {len(taken)} were taken: {results}"
-            )
-        detail, signer = taken[0][0]["submitted"], taken[0][1]
-        text = next(each for each in (one, two) if digest_of(each) == detail["digest"])
-        self.history.add(BundleWritten(self._now(), detail["number"], text))
-        self.history.add(BundleSubmitted(self._now(), detail["number"], False, ""))
+        detail, signer, refusal = await self._submit_two_at_once()
         number, stage, stages = detail["number"], 0, 1
         while stage < stages:
             path, body = (
@@ -103,12 +97,38 @@
             )
             self.write_line(
                 f"bundle {number}: stage {stage} of {stages} ({answer['name']}) in force on "
-                f"{len(answer['machines'])} proxies after {answer['seconds']} s; the other desk was "
-                f"refused: {refused[0]}"
+                f"{len(answer['machines'])} proxies after {answer['seconds']} s; the other operator "
+                f"was refused: {refusal}"
             )
         self.number = number
 
+    async def _submit_two_at_once(self) -> tuple[dict, tuple[str, str], str]:
+        """Two operators submit at once; gives the accepted bundle, who must sign it, and why the other was refused."""
+        one, two = self.next_bundle("one operator"), self.next_bundle("other operator")
+        results = await asyncio.gather(
+            *(
+                self.fleet.operate("POST", "/bundles", text, token=token)
+                for text, token in ((one, AUTHOR[1]), (two, SIGNER[1]))
+            )
+        )
+        accepted = [
+            (answer["submitted"], signer)
+            for (status, answer), signer in zip(results, (SIGNER, AUTHOR), strict=True)
+            if status == 200
+        ]
+        refusals = [answer["refused"]["kind"] for status, answer in results if status != 200]
+        if len(accepted) != 1:
+            raise AssertionError(
+                f"two operators sent bundle {self.number + 1} at once, and {len(accepted)} were accepted: {results}"
+            )
+        detail, signer = accepted[0]
+        text = next(each for each in (one, two) if digest_of(each) == detail["digest"])
+        self.history.add(BundleWritten(self._now(), detail["number"], text))
+        self.history.add(BundleSubmitted(self._now(), detail["number"], False, ""))
+        return detail, signer, refusals[0]
+
     async def drain(self) -> str:
+        """Drains the server beside some proxy; gives the proxy."""
         name = self.fleet.random.choice(list(self.fleet.proxies))
         server = self.fleet.stub_servers[name]
         status, answer = await self.fleet.operate("POST", f"/servers/{name}/drain", {"drain": True}, token=AUTHOR[1])
@@ -121,6 +141,7 @@
         return name
 
     async def undrain(self, name: str) -> None:
+        """Lifts the drain of the server beside a proxy."""
         server = self.fleet.stub_servers[name]
         self.history.add(ServerStateChanged(self._now(), server.service, server.instance, "ready"))
         status, answer = await self.fleet.operate("POST", f"/servers/{name}/drain", {"drain": False}, token=AUTHOR[1])
@@ -128,96 +149,110 @@
             raise AssertionError(f"undrain: {answer}")
 
     async def leader(self) -> int:
+        """The replica that leads; 0 for none."""
         _, answer = await self.fleet.operate("GET", "/core")
         return next(
             (int(replica) for replica, machine in answer["machines"].items() if machine["standing"] == "leader"), 0
         )
 
-    async def rejoined(self, replica: int) -> bool:
-        status, setup = await self.fleet.operate("GET", "/setup")
+    async def has_rejoined(self, replica: int) -> bool:
+        """Whether a replica's present disk votes and it follows or leads."""
+        status, configuration = await self.fleet.operate("GET", "/setup")
         _, core = await self.fleet.operate("GET", "/core")
         machine = core["machines"][str(replica)]
-        voters = {voter["replica"]: voter["incarnation"] for voter in setup["voters"]} if status == 200 else {}
+        voters = {voter["replica"]: voter["incarnation"] for voter in configuration["voters"]} if status == 200 else {}
         return voters.get(replica) == machine.get("incarnation") and machine["standing"] in ("follower", "leader")
 
     async def wipe_leader(self) -> None:
-        """The core machine that just agreed loses its whole disk."""
-        await self.fleet.until(self._led, seconds=20, what="a leader")
+        """The leading core machine loses its whole disk."""
+        await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
-        await self.fleet.kill(f"warehouse-{replica}", f"bourse-{replica}")
+        await self.fleet.kill(store_name(replica), registry_name(replica))
         self.fleet.wipe(replica)
         await asyncio.sleep(1)
-        await asyncio.gather(self.fleet.launch(f"warehouse-{replica}"), self.fleet.launch(f"bourse-{replica}"))
-        took = await self.fleet.until(lambda: self.rejoined(replica), seconds=60, what=f"replica {replica} votes again")
+        await asyncio.gather(self.fleet.launch(store_name(replica)), self.fleet.launch(registry_name(replica)))
+        elapsed = await self.fleet.wait_until(
+            lambda: self.has_rejoined(replica), seconds=60, description=f"replica {replica} votes again"
+        )
         self.write_line(
-            f"core machine {replica} led, was killed and wiped, and votes again {took:.1f} s after its return"
+            f"core machine {replica} led, was killed and wiped, and votes again {elapsed:.1f} s after its return"
         )
 
-    async def _led(self) -> bool:
+    async def _has_leader(self) -> bool:
         return await self.leader() != 0
 
     async def kill_proxies(self) -> None:
+        """Some proxies die at once and come back."""
         names = self.fleet.random.sample(list(self.fleet.proxies), len(self.fleet.proxies) // 3)
         await self.fleet.kill(*names)
         await asyncio.gather(*(self.fleet.launch(name) for name in names))
-        took = await self.fleet.until(self.fleet.all_ready, seconds=30, what="the killed proxies are ready")
-        self.write_line(f"{len(names)} proxies were killed and are ready again after {took:.1f} s")
+        elapsed = await self.fleet.wait_until(
+            self.fleet.all_ready, seconds=30, description="the killed proxies are ready"
+        )
+        self.write_line(f"{len(names)} proxies were killed and are ready again after {elapsed:.1f} s")
 
     async def freeze(self) -> None:
-        """Some proxies and the leader's whole machine stand still, and wake; a bundle lands meanwhile."""
-        await self.fleet.until(self._led, seconds=20, what="a leader")
+        """Some proxies and the leader's whole machine stand still, and wake; a bundle is rolled out meanwhile."""
+        await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
         proxies = self.fleet.random.sample(list(self.fleet.proxies), len(self.fleet.proxies) // 4)
-        names = [f"warehouse-{replica}", f"bourse-{replica}", *proxies]
+        names = [store_name(replica), registry_name(replica), *proxies]
         self.fleet.freeze(*names)
         await asyncio.sleep(1)
         # The frozen registry takes no calls; operators turn to another one.
-        doors = tuple(door for place, door in enumerate(self.fleet.doors) if place + 1 != replica)
-        plain, self.fleet.doors = self.fleet.doors, doors
+        all_addresses = self.fleet.operator_addresses
+        self.fleet.operator_addresses = tuple(
+            address for index, address in enumerate(all_addresses) if index + 1 != replica
+        )
         await self.change_bundle()
-        self.fleet.doors = plain
+        self.fleet.operator_addresses = all_addresses
         self.fleet.wake(*names)
-        took = await self.fleet.until(self.fleet.all_ready, seconds=30, what="the woken are ready")
+        elapsed = await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description="the woken are ready")
         self.write_line(
             f"core machine {replica}, which led, and {len(proxies)} proxies stood still while bundle "
-            f"{self.number} came into force; ready {took:.1f} s after waking"
+            f"{self.number} came into force; ready {elapsed:.1f} s after waking"
         )
 
     async def restart_proxy(self) -> None:
+        """One proxy is stopped as planned and started again."""
         name = self.fleet.random.choice(list(self.fleet.proxies))
         began = self._now()
         code = await self.fleet.stop_process(name)
         self.history.add(PlannedInterruption(began, self._now(), f"planned stop of {name}"))
         await self.fleet.launch(name)
-        await self.fleet.until(self.fleet.all_ready, seconds=30, what=f"{name} is ready")
+        await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description=f"{name} is ready")
         self.write_line(f"{name} was stopped as planned (exit {code}) and started again")
 
     async def fill_leaders_disk(self) -> None:
-        """The leader can't write any more: it must resign by itself, and follow again once there is room."""
-        await self.fleet.until(self._led, seconds=20, what="a leader")
+        """The leader can't write any more: it must resign by itself, and follow again once there is space."""
+        await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
-        self.fleet.fill_disk(f"warehouse-{replica}")
+        self.fleet.fill_disk(store_name(replica))
 
-        async def another() -> bool:
+        async def another_leads() -> bool:
             return await self.leader() not in (0, replica)
 
-        took = await self.fleet.until(another, seconds=30, what="another leader")
-        self.fleet.free_disk(f"warehouse-{replica}")
-        again = await self.fleet.until(lambda: self.rejoined(replica), seconds=30, what=f"replica {replica} follows")
+        elapsed = await self.fleet.wait_until(another_leads, seconds=30, description="another leader")
+        self.fleet.free_disk(store_name(replica))
+        again = await self.fleet.wait_until(
+            lambda: self.has_rejoined(replica), seconds=30, description=f"replica {replica} follows"
+        )
         self.write_line(
-            f"core machine {replica}, which led, had no room left: another leads after {took:.1f} s; "
-            f"it follows {again:.1f} s after there was room"
+            f"core machine {replica}, which led, had no space left: another leads after {elapsed:.1f} s; "
+            f"it follows {again:.1f} s after there was space"
         )
 
     async def restart_core(self) -> None:
         """The leading core machine is stopped as planned: its registry, then its store, which resigns."""
-        await self.fleet.until(self._led, seconds=20, what="a leader")
+        await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
         began = self._now()
-        for name in (f"bourse-{replica}", f"warehouse-{replica}"):
+        for name in (registry_name(replica), store_name(replica)):
             await self.fleet.stop_process(name)
-        await asyncio.gather(self.fleet.launch(f"warehouse-{replica}"), self.fleet.launch(f"bourse-{replica}"))
-        await self.fleet.until(lambda: self.rejoined(replica), seconds=30, what=f"replica {replica} follows")
+        await asyncio.gather(self.fleet.launch(store_name(replica)), self.fleet.launch(registry_name(replica)))
+        await self.fleet.wait_until(
+            lambda: self.has_rejoined(replica), seconds=30, description=f"replica {replica} follows"
+        )
         self.history.add(PlannedInterruption(began, self._now(), f"planned restart of core machine {replica}"))
         self.write_line(
             f"core machine {replica}, which led, was stopped as planned, started, and follows "
@@ -225,107 +260,111 @@
         )
 
     async def kill_everything(self) -> None:
+        """All processes die at once and come back."""
         names = list(self.fleet.processes)
         await self.fleet.kill(*names)
         await asyncio.gather(*(self.fleet.launch(name) for name in names))
         began = self._now()
-        await self._service_back(began, "everything killed")
+        await self._wait_for_service(began, "everything killed")
 
-    async def _service_back(self, began: float, what: str) -> None:
-        async def answered(ask) -> None:
+    async def _wait_for_service(self, began: float, description: str) -> None:
+        async def until_answered(request_kind: RequestKind) -> None:
             while True:
-                got = await self.load.ask(
-                    ask=ask, client="tester", key=f"back-{self.fleet.random.random()}" if ask.once else ""
-                )
-                if got.outcome == "answered":
+                key = f"back-{self.fleet.random.random()}" if request_kind.once else ""
+                result = await self.load.send_request(request_kind=request_kind, client="tester", key=key)
+                if result.outcome == "answered":
                     return
                 await asyncio.sleep(0.05)
 
-        await asyncio.gather(*(answered(ask) for ask in self.fleet.deployment.request_kinds))
-        self.history.add(ServiceRecovered(began, self._now(), what))
-        self.write_line(f"{what}: service is back {self._now() - began:.1f} s after the processes")
+        await asyncio.gather(*(until_answered(request_kind) for request_kind in self.fleet.deployment.request_kinds))
+        self.history.add(ServiceRecovered(began, self._now(), description))
+        self.write_line(f"{description}: service is back {self._now() - began:.1f} s after the processes")
 
     async def upgrade(self) -> None:
         """Machine by machine from the former release to the present one, under load; at the end the level rises."""
-
-        async def change_operator() -> str:
-            body = {"digest": token_digest("token-of-eve")}
-            status, answer = await self.fleet.operate("POST", "/operators/eve", body, token=AUTHOR[1])
-            return "" if status == 200 else answer["refused"]["kind"]
-
-        async def level() -> int:
-            status, setup = await self.fleet.operate("GET", "/setup")
-            return setup.get("release_level", 1) if status == 200 else 0
-
         began = self._now()
-        names = [[f"bourse-{replica}", f"warehouse-{replica}"] for replica in self.fleet.core]
-        names += [[name] for name in self.fleet.proxies]
-        self.fleet.random.shuffle(names)
-        for place, machine in enumerate(names):
-            for name in machine:
-                await self.fleet.stop_process(name)
-                self.fleet.set_former(name, former=False)
-            await asyncio.gather(*(self.fleet.launch(name) for name in machine))
-            if len(machine) > 1:
-                replica = int(machine[0].rpartition("-")[2])
-                await self.fleet.until(
-                    lambda replica=replica: self.rejoined(replica), seconds=30, what=f"{machine} votes"
-                )
-            await self.fleet.until(self.fleet.all_ready, seconds=30, what=f"ready after {machine}")
-            if place == len(names) // 2:
+        machines = [[registry_name(replica), store_name(replica)] for replica in self.fleet.core]
+        machines += [[name] for name in self.fleet.proxies]
+        self.fleet.random.shuffle(machines)
+        for index, machine in enumerate(machines):
+            await self._upgrade_machine(machine)
+            if index == len(machines) // 2:
                 await self.change_bundle()
                 if self.fleet.older is None:
                     # Older code doesn't know the call; the present one held at level 1 refuses it by kind.
-                    came = await change_operator()
-                    kept = came == "release-level"
-                    self.history.add(ExpectationChecked(self._now(), f"newer commands wait, not {came!r}", kept))
-
-        async def raised() -> bool:
-            return await level() == LEVEL
-
-        took = await self.fleet.until(raised, seconds=30, what="the level rises")
+                    met = await self._change_operator()
+                    self._expect(f"newer commands wait, not {met!r}", met == "release-level")
+        elapsed = await self.fleet.wait_until(self._level_has_risen, seconds=30, description="the level rises")
         self.history.add(PlannedInterruption(began, self._now(), "the upgrade"))
-        came = await change_operator()
-        self.history.add(
-            ExpectationChecked(self._now(), f"newer commands are taken at the level, not {came!r}", came == "")
-        )
+        met = await self._change_operator()
+        self._expect(f"newer commands are accepted at the level, not {met!r}", met == "")
         await self.fleet.operate("POST", "/operators/eve/drop", token=AUTHOR[1])
-        # A former release's proxy starts by mistake: it stays closed.
+        await self._start_former_proxy()
+        self.write_line(
+            f"{len(machines)} machines were upgraded one by one in {self._now() - began:.1f} s; "
+            f"the level rose {elapsed:.1f} s after the last; a former proxy was kept out"
+        )
+
+    def _expect(self, description: str, met: bool) -> None:
+        self.history.add(ExpectationChecked(self._now(), description, met))
+
+    async def _upgrade_machine(self, machine: list[str]) -> None:
+        """Stops the processes of a machine as planned and starts them as the present release."""
+        for name in machine:
+            await self.fleet.stop_process(name)
+            self.fleet.set_former(name, former=False)
+        await asyncio.gather(*(self.fleet.launch(name) for name in machine))
+        if len(machine) > 1:
+            replica = replica_of(machine[0])
+            await self.fleet.wait_until(lambda: self.has_rejoined(replica), seconds=30, description=f"{machine} votes")
+        await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description=f"ready after {machine}")
+
+    async def _change_operator(self) -> str:
+        """Proposes a change of the operators, which a release before level 2 can't apply; gives the error met."""
+        body = {"digest": token_digest("token-of-eve")}
+        status, answer = await self.fleet.operate("POST", "/operators/eve", body, token=AUTHOR[1])
+        return "" if status == 200 else answer["refused"]["kind"]
+
+    async def _level_has_risen(self) -> bool:
+        status, configuration = await self.fleet.operate("GET", "/setup")
+        level = configuration.get("release_level", 1) if status == 200 else 0
+        return level == LEVEL
+
+    async def _start_former_proxy(self) -> None:
+        """A proxy of the former release starts by mistake and must not serve; then the present one comes back."""
         name = next(iter(self.fleet.proxies))
         for former in (True, False):
             await self.fleet.stop_process(name)
             self.fleet.set_former(name, former=former)
             await self.fleet.launch(name)
             if former:
-                await asyncio.sleep(4)
+                await asyncio.sleep(FORMER_PROXY_SECONDS)
                 state = (await self.fleet.ready_states())[name]
                 closed = state is None or not state["ready"]
-                self.history.add(ExpectationChecked(self._now(), "a former release's proxy doesn't serve", closed))
-        await self.fleet.until(self.fleet.all_ready, seconds=30, what=f"{name} is back")
-        self.write_line(
-            f"{len(names)} machines were upgraded one by one in {self._now() - began:.1f} s; "
-            f"the level rose {took:.1f} s after the last; a former proxy was kept out"
-        )
+                self._expect("a former release's proxy doesn't serve", closed)
+        await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description=f"{name} is back")
 
     async def read_back(self, *, drained: tuple[str, ...] = ()) -> None:
+        """Reads the configuration back at every registry, for a checker to compare."""
         text = next((event.text for event in self.history.of(BundleWritten) if event.number == self.number), None)
         servers = tuple(
             sorted((name, each.service, each.instance, each.state) for name, each in self.fleet.stub_servers.items())
         )
         self.history.add(ConfigurationExpected(self._now(), self.number, drained, text, servers))
         # Each registry must show the same, so each is asked by itself.
-        for door in self.fleet.doors:
-            status, setup = await self.fleet.operate("GET", "/setup", doors=(door,))
+        for address in self.fleet.operator_addresses:
+            status, configuration = await self.fleet.operate("GET", "/setup", addresses=(address,))
             if status != 200:
-                raise AssertionError(f"read-back at {door}: {setup}")
-            self.history.add(configuration_read_of(self._now(), setup, reader=door))
-        marked = sorted(server["stall"] for server in setup["servers"] if server["drained_by"])
+                raise AssertionError(f"read-back at {address}: {configuration}")
+            self.history.add(configuration_read_of(self._now(), configuration, reader=address))
+        drained_proxies = sorted(server["stall"] for server in configuration["servers"] if server["drained_by"])
         self.write_line(
-            f"read back: bundle {setup['in_force']} in force, {len(setup['servers'])} servers, "
-            f"{len(setup['nodes'])} nodes, drained: {marked}"
+            f"read back: bundle {configuration['in_force']} in force, {len(configuration['servers'])} servers, "
+            f"{len(configuration['nodes'])} nodes, drained: {drained_proxies}"
         )
 
     async def run(self) -> None:
+        """Does everything in turn, under load."""
         watching = asyncio.ensure_future(self.observe())
         loading = asyncio.ensure_future(self.load.run(10**9))
         try:
@@ -344,7 +383,7 @@
             await self.restart_core()
             await self.fill_leaders_disk()
             await self.kill_everything()
-            await self.fleet.until(self.fleet.all_ready, seconds=30, what="every proxy is ready")
+            await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description="every proxy is ready")
             await asyncio.sleep(2)
             await self.change_bundle()
             await self.read_back()
@@ -355,9 +394,10 @@
 
 
 async def prove(*, fleet: Fleet, seed: int, rate: float | None, write_line: LineWriter) -> Load:
+    """Runs the whole proof on a started fleet; gives its load."""
     async with Load(
         deployment=fleet.deployment,
-        doors=fleet.client_addresses(),
+        addresses=fleet.client_addresses(),
         history=fleet.history,
         seed=random.Random(seed),
         rate=rate,
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/bundles.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/bundles.py
@@ -25,8 +25,8 @@
                 .replace('service = "cards"', 'service = "nowhere"')
             )
             old = simulation.deployment.first_bundle()
-            one = next_bundle(simulation, number=number + 1, based_on=in_force, note="one operator")
-            two = next_bundle(simulation, number=number + 2, based_on=in_force, note="other operator")
+            one = next_bundle(simulation, number=number + 1, based_on=in_force, note="one desk")
+            two = next_bundle(simulation, number=number + 2, based_on=in_force, note="other desk")
             registries = processes.running(REGISTRY)
             results = await asyncio.gather(
                 operators.submit(broken, broken=True),
--- a/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers: they answer JSON, call each other through their proxies, report health, and record what ran."""
+"""Stub servers: they answer JSON, call each other through their proxies, report health, and record what ran."""
 
 import asyncio
 import itertools
@@ -19,19 +19,31 @@
     body_digest_of,
 )
 
-HEALTH_SECONDS = 0.8
+HEALTH_INTERVAL_SECONDS = 0.8
+HEALTH_TIMEOUT_SECONDS = 1
+CALL_TIMEOUT_SECONDS = 10
+MAX_BODY_BYTES = 16 * 1024 * 1024
 _runs = itertools.count(1)
 
 
 class StubServer:
-    """One server beside one proxy. Its manners can be spoilt by the tests."""
+    """One server beside one proxy; tests can make it misbehave.
+
+    Attributes:
+        address: where it listens for the proxy.
+        nested_address: where the proxy takes its own calls.
+        misbehaviour: what it does instead of answering well: "lose answer", "garbage", "half close", "unmarked" or
+            "truncate"; empty for nothing.
+        slow_seconds: how long it waits before it answers.
+        hold: answers wait for this event, if there is one.
+    """
 
     def __init__(
         self,
         *,
         service: str,
         address: str,
-        inner_door: str,
+        nested_address: str,
         deployment: Deployment,
         history: History,
         proxy: str = "",
@@ -39,12 +51,11 @@
         self.service = service
         self.proxy = proxy
         self.address = address
-        self.inner_door = inner_door
+        self.nested_address = nested_address
         self.deployment = deployment
         self.history = history
         self.instance = f"{service}-{secrets.token_hex(3)}"
         self.state = "ready"
-        # "", "lose answer", "garbage", "truncate" or "refuse": what the server does instead of answering well.
         self.misbehaviour = ""
         self.slow_seconds = 0.0
         self.hold: asyncio.Event | None = None
@@ -56,40 +67,44 @@
         return asyncio.get_running_loop().time()
 
     async def start(self) -> None:
-        application = web.Application(client_max_size=16 * 1024 * 1024)
+        """Listens for the proxy and begins to report health."""
+        application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_route("*", "/{tail:.*}", self._serve)
         self.runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.1)
         await self.runner.setup()
         host, _, port = self.address.rpartition(":")
         await web.TCPSite(self.runner, host, int(port), reuse_address=True).start()
-        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=10))
-        self.task = asyncio.ensure_future(self._report())
+        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS))
+        self.task = asyncio.ensure_future(self._report_health_forever())
 
-    async def tell(self, state: str | None = None) -> bool:
-        """One report of health reports, now."""
+    async def report_health(self, state: str | None = None) -> bool:
+        """Sends one health report now, perhaps with a new state; whether the proxy took it."""
         if state is not None:
             self.state = state
             self.history.add(ServerStateChanged(self._now(), self.service, self.instance, state))
         health = {"service": self.service, "instance": self.instance, "address": self.address, "state": self.state}
         try:
             async with self.session.post(
-                f"http://{self.inner_door}/hoistsaddle/vitals", json=health, timeout=aiohttp.ClientTimeout(total=1)
+                f"http://{self.nested_address}/hoistsaddle/vitals",
+                json=health,
+                timeout=aiohttp.ClientTimeout(total=HEALTH_TIMEOUT_SECONDS),
             ) as response:
                 return response.status == 200
         except (aiohttp.ClientError, TimeoutError, OSError):
             return False
 
-    async def _report(self) -> None:
+    async def _report_health_forever(self) -> None:
         while True:
-            await self.tell()
-            await asyncio.sleep(HEALTH_SECONDS)
+            await self.report_health()
+            await asyncio.sleep(HEALTH_INTERVAL_SECONDS)
 
     async def vanish(self) -> None:
-        """Gone without a word."""
+        """The server is gone without a report."""
         self.history.add(ServerStateChanged(self._now(), self.service, self.instance, "vanished"))
         await self.stop()
 
     async def stop(self) -> None:
+        """Ends the reports and closes the listener."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
@@ -101,25 +116,25 @@
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
-        told = msgspec.json.decode(body) if body else {}
-        nonce = request.query.get("nonce") or told.get("nonce", "")
+        content = msgspec.json.decode(body) if body else {}
+        nonce = request.query.get("nonce") or content.get("nonce", "")
         run = f"run-{next(_runs)}"
         headers = request.headers
         self.history.add(
             RunStarted(
-                self._now(),
-                nonce,
-                self.service,
-                self.instance,
-                request.method,
-                request.path,
-                headers.get("Idempotency-Key", ""),
-                headers.get("X-Hoistsaddle-Visitor", ""),
-                headers.get("X-Hoistsaddle-Caller", ""),
-                headers.get("X-Hoistsaddle-Send", ""),
-                run,
-                self.proxy,
-                len(body),
+                timestamp=self._now(),
+                request=nonce,
+                service=self.service,
+                instance=self.instance,
+                method=request.method,
+                path=request.path,
+                key=headers.get("Idempotency-Key", ""),
+                client=headers.get("X-Hoistsaddle-Visitor", ""),
+                caller=headers.get("X-Hoistsaddle-Caller", ""),
+                send=headers.get("X-Hoistsaddle-Send", ""),
+                run=run,
+                proxy=self.proxy,
+                size=len(body),
             )
         )
         self.history.add(AttemptSeen(self._now(), self.service, headers.get("X-Hoistsaddle-Ordinal", "1") != "1"))
@@ -127,18 +142,26 @@
             await asyncio.sleep(self.slow_seconds)
         if self.hold is not None:
             await self.hold.wait()
-        inner = []
-        for call in self.deployment.nested_calls.get((self.service, request.path), ()):
-            inner.append(await self.call_inner(call.method, call.path, nonce))
+        nested = [
+            await self.call_nested(call.method, call.path, nonce)
+            for call in self.deployment.nested_calls.get((self.service, request.path), ())
+        ]
         answer = {
             "nonce": nonce,
             "service": self.service,
             "instance": self.instance,
             "run": run,
-            "inner": inner,
-            "padding": "x" * int(told.get("padding", 0)),
+            "inner": nested,
+            "padding": "x" * int(content.get("padding", 0)),
         }
         data = msgspec.json.encode(answer)
+        if self.misbehaviour:
+            return await self._misbehave(request, data)
+        self.history.add(RunEnded(run, 200, body_digest_of(data)))
+        return web.Response(body=data, content_type="application/json")
+
+    async def _misbehave(self, request: web.Request, data: bytes) -> web.StreamResponse:
+        """Spoils an answer whose body this would have been."""
         match self.misbehaviour:
             case "lose answer":
                 request.transport.abort()
@@ -147,54 +170,53 @@
                 return web.Response(body=b"\x00\xff<not json", content_type="application/json")
             case "half close":
                 # Its own side of the connection ends in the middle of the answer; the other side stays open.
-                response = web.StreamResponse(
-                    headers={"Content-Length": str(len(data)), "Content-Type": "application/json"}
-                )
-                await response.prepare(request)
-                await response.write(data[: len(data) // 2])
+                response = await self._write_half(request, data)
                 request.transport.write_eof()
                 return response
             case "unmarked":
-                # A whole answer whose end only the half-closed connection shows.
+                # A complete answer whose end only the half-closed connection shows.
                 head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
                 request.transport.write(head + data)
                 request.transport.write_eof()
                 return web.Response()
             case "truncate":
-                response = web.StreamResponse(
-                    headers={"Content-Length": str(len(data)), "Content-Type": "application/json"}
-                )
-                await response.prepare(request)
-                await response.write(data[: len(data) // 2])
+                response = await self._write_half(request, data)
                 request.transport.close()
                 return response
-        self.history.add(RunEnded(run, 200, body_digest_of(data)))
-        return web.Response(body=data, content_type="application/json")
+        raise AssertionError(f"no such misbehaviour: {self.misbehaviour}")
+
+    @staticmethod
+    async def _write_half(request: web.Request, data: bytes) -> web.StreamResponse:
+        """Begins an answer of the full length and writes the first half of its body."""
+        response = web.StreamResponse(headers={"Content-Length": str(len(data)), "Content-Type": "application/json"})
+        await response.prepare(request)
+        await response.write(data[: len(data) // 2])
+        return response
 
-    async def call_inner(self, method: str, path: str, nonce: str) -> dict:
-        url = f"http://{self.inner_door}{path}?nonce={nonce}"
-        # By this the proxy knows the call for the present server's, and not a former one's that still lives.
+    async def call_nested(self, method: str, path: str, nonce: str) -> dict:
+        """Makes a call of another service through the proxy, and records its result."""
+        url = f"http://{self.nested_address}{path}?nonce={nonce}"
+        # By this the proxy recognises a call of the present server, and not of a former one that still runs.
         headers = {"X-Hoistsaddle-Instance": self.instance}
         asked = self._now()
         try:
             async with self.session.request(method, url, headers=headers) as response:
                 data = await response.read()
                 outcome = response.headers.get("X-Hoistsaddle-Outcome", "")
-                told = msgspec.json.decode(data) if outcome == "answered" and data else {}
+                content = msgspec.json.decode(data) if outcome == "answered" and data else {}
                 self.history.add(
                     RequestResult(
-                        self._now(),
-                        nonce,
-                        outcome,
-                        response.status,
-                        told.get("nonce", ""),
-                        told.get("run", ""),
-                        False,
-                        self.proxy,
-                        "",
-                        body_digest_of(data) if outcome == "answered" else "",
-                        asked,
-                        self.service,
+                        timestamp=self._now(),
+                        request=nonce,
+                        outcome=outcome,
+                        status=response.status,
+                        nonce=content.get("nonce", ""),
+                        run=content.get("run", ""),
+                        repeat=False,
+                        listener=self.proxy,
+                        body_digest=body_digest_of(data) if outcome == "answered" else "",
+                        asked=asked,
+                        caller=self.service,
                     )
                 )
                 return {
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -20,7 +20,7 @@
         async with Fleet(deployment=THIMBLE, folder=folder, **needs) as fleet:
             await fleet.start()
             async with Load(
-                deployment=THIMBLE, doors=fleet.client_addresses(), history=fleet.history, seed=random.Random(3)
+                deployment=THIMBLE, addresses=fleet.client_addresses(), history=fleet.history, seed=random.Random(3)
             ) as load:
                 await scenario(fleet, load)
         return fleet
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -54,7 +54,7 @@
             before = len([ran for ran in fleet.history.of(RunStarted) if ran.path == "/uploads"])
             asking = asyncio.ensure_future(
                 load.ask_until_run(
-                    ask=RequestKind("POST", "/uploads", True, 1),
+                    request_kind=RequestKind("POST", "/uploads", True, 1),
                     client="late",
                     key="late",
                     listener=fleet.proxies[listener]["visitors"],
@@ -85,7 +85,7 @@
                 other.close()
                 return False
 
-            await fleet.until(closed, seconds=20, what="the door is closed to new connections")
+            await fleet.wait_until(closed, seconds=20, description="the door is closed to new connections")
             writer.write(b"GET /readings?nonce=1 HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertThat((await reader.readline())[:12], Equals(b"HTTP/1.1 503"))
             told = (await reader.read()).decode()
@@ -150,16 +150,18 @@
                     writer.close()
                 self.assertThat(len(fleet.history.of(RunStarted)), Equals(ran))
                 # The key runs once, its repeat gets the first answer, another body under it is refused.
-                first = await load.ask_until_run(ask=PAY, client="me", key="k2")
-                again = await load.ask_until_run(ask=PAY, client="me", key="k2", listener=fleet.client_addresses()[1])
+                first = await load.ask_until_run(request_kind=PAY, client="me", key="k2")
+                again = await load.ask_until_run(
+                    request_kind=PAY, client="me", key="k2", listener=fleet.client_addresses()[1]
+                )
                 self.assertThat(
                     (first.outcome, again.outcome, again.run, again.repeat),
                     Equals(("answered", "answered", first.run, True)),
                 )
-                other = await load.ask_until_run(ask=PAY, client="me", key="k2", body=b'{"nonce": "other"}')
+                other = await load.ask_until_run(request_kind=PAY, client="me", key="k2", body=b'{"nonce": "other"}')
                 self.assertThat((other.outcome, other.status), Equals(("refused", 422)))
                 # The same request under other credentials: a renewed token or somebody else, and nobody can say which.
-                someone = await load.ask_until_run(ask=PAY, client="someone else", key="k2")
+                someone = await load.ask_until_run(request_kind=PAY, client="someone else", key="k2")
                 self.assertThat((someone.outcome, someone.status, someone.run), Equals(("refused", 409, "")))
                 nobody = await send("POST", "/payments", json={"nonce": "x"}, headers={"Idempotency-Key": "k9"})
                 self.assertThat(nobody, Equals((400, "refused", "visitor-missing")))
@@ -173,9 +175,9 @@
             for misbehaviour in ("garbage", "truncate", "lose answer"):
                 for server in fleet.stub_servers.values():
                     server.misbehaviour = misbehaviour
-                read = await load.ask_until_run(ask=RequestKind("GET", "/readings", False, 1), client="me")
-                paid = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
-                again = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
+                read = await load.ask_until_run(request_kind=RequestKind("GET", "/readings", False, 1), client="me")
+                paid = await load.ask_until_run(request_kind=PAY, client="me", key=misbehaviour)
+                again = await load.ask_until_run(request_kind=PAY, client="me", key=misbehaviour)
                 self.assertThat(
                     (read.outcome, paid.outcome, again.outcome),
                     Equals(("unknown", "unknown", "still-working")),
@@ -270,7 +272,7 @@
                         machine["standing"] for machine in core["machines"].values()
                     }
 
-                await fleet.until(said, seconds=30, what="the loss is named")
+                await fleet.wait_until(said, seconds=30, description="the loss is named")
                 _, core = await fleet.operate("GET", "/core")
                 founding = await fleet.operate("POST", "/found", {"operators": {"a": "0" * 64, "b": "1" * 64}})
                 return core, founding, await fleet.operate("GET", "/setup")
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -35,9 +35,9 @@
             for misbehaviour in ("half close", "unmarked"):
                 for server in fleet.stub_servers.values():
                     server.misbehaviour = misbehaviour
-                read = await load.ask_until_run(ask=READ, client="me")
-                paid = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
-                again = await load.ask_until_run(ask=PAY, client="me", key=misbehaviour)
+                read = await load.ask_until_run(request_kind=READ, client="me")
+                paid = await load.ask_until_run(request_kind=PAY, client="me", key=misbehaviour)
+                again = await load.ask_until_run(request_kind=PAY, client="me", key=misbehaviour)
                 self.assertThat(
                     (read.outcome, paid.outcome, again.outcome),
                     Equals(("unknown", "unknown", "still-working")),
@@ -60,9 +60,9 @@
                 writer.close()
 
             async def settled() -> bool:
-                return (await load.ask_until_run(ask=READ, client="me")).outcome == "answered"
+                return (await load.ask_until_run(request_kind=READ, client="me")).outcome == "answered"
 
-            await fleet.until(settled, seconds=10, what="serving after half-closed clients")
+            await fleet.wait_until(settled, seconds=10, description="serving after half-closed clients")
             self.assertThat(len([ran for ran in fleet.history.of(RunStarted) if ran.key == "half"]) <= 1, Equals(True))
 
         fleet = on_fleet(scenario)
@@ -74,33 +74,37 @@
     def test_cut_lines_one_way_and_both_lose_nothing_agreed(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
             loading = asyncio.ensure_future(load.run(10**9))
-            names = list(fleet.kinds)
+            names = list(fleet.programs)
             proxies = [name for name in names if name.startswith("stall")]
 
             async def led() -> bool:
-                status, _ = await fleet.operate("GET", "/setup", doors=fleet.doors[1:])
+                status, _ = await fleet.operate("GET", "/setup", addresses=fleet.operator_addresses[1:])
                 return status == 200
 
             one_way = (["warehouse-1", "bourse-1"], [name for name in names if name[-2:] != "-1"])
             for one, others in (one_way, one_way[::-1], (["stall-03"], [name for name in names if name != "stall-03"])):
                 fleet.cut_one_way(one, others)
-                await fleet.until(led, seconds=20, what="the others lead")
+                await fleet.wait_until(led, seconds=20, description="the others lead")
                 status, answer = await fleet.operate(
-                    "POST", "/servers/stall-02/drain", {"drain": True}, token=AUTHOR[1], doors=fleet.doors[1:]
+                    "POST",
+                    "/servers/stall-02/drain",
+                    {"drain": True},
+                    token=AUTHOR[1],
+                    addresses=fleet.operator_addresses[1:],
                 )
                 self.assertThat((status, answer.get("accepted")), Equals((200, True)))
                 fleet.heal()
                 await fleet.operate("POST", "/servers/stall-02/drain", {"drain": False}, token=AUTHOR[1])
-                await fleet.until(fleet.all_ready, seconds=30, what="ready after the cut")
+                await fleet.wait_until(fleet.all_ready, seconds=30, description="ready after the cut")
             fleet.cut(["stall-01"], [name for name in names if name != "stall-01"])
 
             async def closed() -> bool:
                 states = await fleet.ready_states()
                 return states["stall-01"] is not None and not states["stall-01"]["ready"]
 
-            await fleet.until(closed, seconds=20, what="the isolated proxy stops")
+            await fleet.wait_until(closed, seconds=20, description="the isolated proxy stops")
             fleet.heal()
-            await fleet.until(fleet.all_ready, seconds=30, what="ready after isolation")
+            await fleet.wait_until(fleet.all_ready, seconds=30, description="ready after isolation")
             load.stopping = True
             await loading
             self.assertThat(len(proxies), Equals(6))
@@ -118,24 +122,24 @@
 
             first = await leader()
             held = fleet.stall_disk(first)
-            listener = fleet.doors[first - 1]
+            listener = fleet.operator_addresses[first - 1]
 
             async def another() -> bool:
                 # Something must be written for the wait to show.
-                await load.ask_until_run(ask=PAY, client="me", key=f"stalled-{fleet.random.random()}")
+                await load.ask_until_run(request_kind=PAY, client="me", key=f"stalled-{fleet.random.random()}")
                 return await leader() not in (0, first)
 
-            await fleet.until(another, seconds=40, what="another leader")
-            status, told = await fleet.operate("GET", "/ready", doors=(listener,))
+            await fleet.wait_until(another, seconds=40, description="another leader")
+            status, told = await fleet.operate("GET", "/ready", addresses=(listener,))
             held.close()
 
             async def ready() -> bool:
-                status, _ = await fleet.operate("GET", "/ready", doors=(listener,))
+                status, _ = await fleet.operate("GET", "/ready", addresses=(listener,))
                 return status == 200
 
-            await fleet.until(ready, seconds=30, what="ready once its disk writes")
+            await fleet.wait_until(ready, seconds=30, description="ready once its disk writes")
             self.assertThat((status, told["ready"], bool(told["why"]["remedy"])), Equals((503, False, True)))
-            paid = await load.ask_until_run(ask=PAY, client="me", key="after")
+            paid = await load.ask_until_run(request_kind=PAY, client="me", key="after")
             self.assertThat(paid.outcome, Equals("answered"))
 
         self.held(on_fleet(scenario))
@@ -149,13 +153,13 @@
                     server.hold = hold if server.service == service else None
                 before = len(fleet.history.of(RunStarted))
                 asking = asyncio.ensure_future(
-                    load.ask_until_run(ask=PAY, client="me", key=f"slow-{before}", listener=listener)
+                    load.ask_until_run(request_kind=PAY, client="me", key=f"slow-{before}", listener=listener)
                 )
 
                 async def running() -> bool:
                     return len(fleet.history.of(RunStarted)) > before
 
-                await fleet.until(running, seconds=10, what="the slow run has begun")
+                await fleet.wait_until(running, seconds=10, description="the slow run has begun")
                 doing = asyncio.ensure_future(what())
                 # Whatever it is has begun once it is either done or waits for the run.
                 await asyncio.wait([doing], timeout=1.5)
@@ -182,7 +186,7 @@
                 self.assertThat((got.outcome, got.status), Equals(("answered", 200)), what)
                 for name in names:
                     await fleet.launch(name)
-                await fleet.until(fleet.all_ready, seconds=30, what=f"ready after {what}")
+                await fleet.wait_until(fleet.all_ready, seconds=30, description=f"ready after {what}")
             # Every target's proxy in turn: one of them runs it, and all of them stop as planned.
             ledgers = [name for name, proxy in fleet.proxies.items() if proxy["service"] == "ledger"]
             got = await slow(
@@ -195,7 +199,7 @@
     def test_an_old_process_is_not_taken_for_its_successor(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
             old = fleet.stub_servers["stall-01"]
-            first = await old.call_inner("GET", "/balance", "one")
+            first = await old.call_nested("GET", "/balance", "one")
             self.assertThat((first["status"], first["outcome"]), Equals((200, "answered")))
             # Another service's server takes the address over; the old process lives on and calls.
             await old.runner.cleanup()
@@ -204,7 +208,7 @@
             fresh = StubServer(
                 service="ledger",
                 address=old.address,
-                inner_door=old.inner_door,
+                nested_address=old.nested_address,
                 deployment=THIMBLE,
                 history=fleet.history,
                 proxy="stall-01",
@@ -213,10 +217,10 @@
 
             async def heard() -> bool:
                 states = await fleet.ready_states()
-                return states["stall-01"]["server"] == "ready" and await fresh.tell()
+                return states["stall-01"]["server"] == "ready" and await fresh.report_health()
 
-            await fleet.until(heard, seconds=10, what="the successor is heard")
-            late = await old.call_inner("GET", "/balance", "two")
+            await fleet.wait_until(heard, seconds=10, description="the successor is heard")
+            late = await old.call_nested("GET", "/balance", "two")
             self.assertThat((late["status"], late["outcome"]), Equals((403, "refused")))
             self.assertThat([ran for ran in fleet.history.of(RunStarted) if ran.request == "two"], Equals([]))
             await old.session.close()
@@ -226,13 +230,13 @@
 
     def test_garbage_on_every_call_is_refused_by_kind_and_does_nothing(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
-            listener, proxy = fleet.doors[0], fleet.proxies["stall-01"]
+            listener, proxy = fleet.operator_addresses[0], fleet.proxies["stall-01"]
 
             async def all_noted() -> bool:
                 _, told = await fleet.operate("GET", "/setup")
-                return len(told["nodes"]) == len(fleet.proxies) + len(fleet.doors)
+                return len(told["nodes"]) == len(fleet.proxies) + len(fleet.operator_addresses)
 
-            await fleet.until(all_noted, seconds=20, what="every node is noted")
+            await fleet.wait_until(all_noted, seconds=20, description="every node is noted")
             _, before = await fleet.operate("GET", "/setup")
             bodies = (
                 b"",
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -84,28 +84,30 @@
     def test_every_command_of_every_page_runs(self) -> None:
         async def run(folder: Path) -> tuple[list[str], int]:
             async with Fleet(deployment=THIMBLE, folder=folder, seed=2) as fleet:
-                shell = Shell(folder=fleet.folder, doors=fleet.doors, proxies=fleet.client_addresses())
-                await asyncio.gather(*(fleet.launch(name) for name in fleet.kinds))
+                shell = Shell(folder=fleet.folder, doors=fleet.operator_addresses, proxies=fleet.client_addresses())
+                await asyncio.gather(*(fleet.launch(name) for name in fleet.programs))
 
                 async def up() -> bool:
                     _, core = await fleet.operate("GET", "/core")
                     standings = [each["standing"] for each in core.get("machines", {}).values()]
                     return len(standings) == 3 and set(standings) == {"blank"}
 
-                await fleet.until(up, seconds=30, what="blank core machines")
+                await fleet.wait_until(up, seconds=30, description="blank core machines")
                 founding = commands_of(ROOT / "docs" / "operators" / "founding.md")
                 await shell.run(founding[:2])
-                await fleet.found()
+                await fleet.bootstrap()
 
                 async def ready() -> bool:
-                    states = [await fleet.operate("GET", "/ready", doors=(door,)) for door in fleet.doors]
+                    states = [
+                        await fleet.operate("GET", "/ready", addresses=(door,)) for door in fleet.operator_addresses
+                    ]
                     return all(status == 200 for status, _ in states)
 
-                await fleet.until(ready, seconds=20, what="every core machine is ready")
+                await fleet.wait_until(ready, seconds=20, description="every core machine is ready")
                 await shell.run(founding[2:])
                 for name, proxy in fleet.proxies.items():
                     await fleet.start_server(name, proxy["service"])
-                await fleet.until(fleet._servers_noted, seconds=20, what="servers are noted")
+                await fleet.wait_until(fleet._servers_noted, seconds=20, description="servers are noted")
                 (folder / "one.toml").write_text(THIMBLE.first_bundle())
                 (folder / "two.toml").write_text(THIMBLE.next_bundle(number=2, based_on=1))
                 (folder / "three.toml").write_text(THIMBLE.next_bundle(number=3, based_on=1))
@@ -155,7 +157,7 @@
             async with Fleet(deployment=THIMBLE, folder=folder, seed=2) as fleet:
                 await fleet.start()
                 lines = commands_of(ROOT / "README.md")
-                shell = Shell(folder=fleet.folder, doors=fleet.doors, proxies=fleet.client_addresses())
+                shell = Shell(folder=fleet.folder, doors=fleet.operator_addresses, proxies=fleet.client_addresses())
                 # The walk names the bundle by its place in the repository.
                 await shell.run([line.replace(" packages/", f" {ROOT}/packages/") for line in lines])
             return shell.failed, shell.ran
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -24,12 +24,15 @@
             async with Fleet(deployment=deployment, folder=folder) as fleet:
                 await fleet.start()
                 async with Load(
-                    deployment=deployment, doors=fleet.client_addresses(), history=fleet.history, seed=random.Random(7)
+                    deployment=deployment,
+                    addresses=fleet.client_addresses(),
+                    history=fleet.history,
+                    seed=random.Random(7),
                 ) as load:
                     for ask in deployment.request_kinds:
                         for listener in fleet.client_addresses():
                             await load.ask_until_run(
-                                ask=ask,
+                                request_kind=ask,
                                 client="someone",
                                 key=f"{ask.path}-{listener}" if ask.once else "",
                                 listener=listener,
