--- a/tests/test_emulator_disks.py
+++ b/tests/test_emulator_disks.py
@@ -36,7 +36,7 @@
         folder.mkdir()
         disks = Disks(rng=random.Random(seed))
         disks.add(folder)
-        with disks.watched():
+        with disks.intercept_syncs():
             (folder / "kept").write_text("old")
             (folder / "removed").write_text("old")
             (folder / "replaced").write_text("old")
@@ -64,10 +64,10 @@
             folder.mkdir()
             disks = Disks(rng=random.Random(seed))
             disks.add(folder)
-            with disks.watched():
+            with disks.intercept_syncs():
                 disk = Disk(folder=folder, replica=1, synchronous="OFF")
                 disk.boot()
-                disk.found(mesh="m", voters={1: "a"}, operators={})
+                disk.bootstrap(mesh="m", voters={1: "a"}, operators={})
                 disks.syncs_until_power_loss = seed % 3
                 try:
                     disk.store_checkpoint(checkpoint_id=OffsetAndEpoch(5, 1), state=state._replace(offset=5, epoch=1))
