--- a/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
@@ -88,19 +88,30 @@
         self.tasks: list[asyncio.Future] = []
         self.registries = RegistryAddresses(seeds=settings.seeds)
         max_backoff = lease_span / MAX_BACKOFF_LEASE_PART
-        self.holds = HoldClient(
-            runtime=runtime,
+        self.holds = self._make_hold_client(max_backoff)
+        self.poller = self._make_poller(max_backoff)
+        self.health = self._make_health_reporter()
+        me = MemberState(settings.name, "stall", settings.listen, settings.zone, self.incarnation, 0, ALIVE)
+        self.member = Member(
+            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, timings=self.timings.member
+        )
+
+    def _make_hold_client(self, max_backoff: timedelta) -> HoldClient:
+        return HoldClient(
+            runtime=self.runtime,
             counters=self.counters,
             core=self.core,
             registries=self.registries,
             backoff=ExponentialBackoff(least=MIN_BACKOFF, most=max_backoff),
         )
-        self.poller = ConfigurationPoller(
-            runtime=runtime,
+
+    def _make_poller(self, max_backoff: timedelta) -> ConfigurationPoller:
+        return ConfigurationPoller(
+            runtime=self.runtime,
             counters=self.counters,
             core=self.core,
             relay=self.relay,
-            parent=settings.seeds[0],
+            parent=self.settings.seeds[0],
             parents=self._parents,
             on_configuration=self._configuration_changed,
             on_lease=lambda start: self.feed(LeaseRenewed(start)),
@@ -108,21 +119,19 @@
             timeout=self.timings.poll_timeout,
             max_same_answers=self.timings.max_same_answers,
         )
-        self.health = HealthReporter(
-            runtime=runtime,
+
+    def _make_health_reporter(self) -> HealthReporter:
+        return HealthReporter(
+            runtime=self.runtime,
             counters=self.counters,
             core=self.core,
             relay=self.relay,
             registries=self.registries,
-            address=settings.listen,
-            level=settings.release_level or LEVEL,
+            address=self.settings.listen,
+            level=self.settings.release_level or LEVEL,
             interval=self.timings.health_interval,
             backoff=ExponentialBackoff(least=HEALTH_MIN_BACKOFF, most=HEALTH_MAX_BACKOFF),
         )
-        me = MemberState(settings.name, "stall", settings.listen, settings.zone, self.incarnation, 0, ALIVE)
-        self.member = Member(
-            me=me, seeds=settings.seeds, runtime=runtime, counters=self.counters, timings=self.timings.member
-        )
 
     def _make_core(self, settings: CoreSettings) -> Any:
         raise NotImplementedError
