--- a/packages/cli/src/hoistsaddle/cli/operator_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/operator_commands.py
@@ -13,7 +13,8 @@
 from hoistsaddle.cli.holds import holds
 from hoistsaddle.cli.plan import plan
 from hoistsaddle.cli.watch import watch
-from hoistsaddle.config.bundle import digest_of, read_bundle
+from hoistsaddle.config.bundle import digest_of
+from hoistsaddle.config.bundle_checks import read_bundle
 
 _door = click.option(
     "--door",
--- a/packages/config/src/hoistsaddle/config/__init__.py
+++ b/packages/config/src/hoistsaddle/config/__init__.py
@@ -0,0 +1,1 @@
+"""Bundles and items: their schema, and the checks they have to pass."""
--- a/packages/config/src/hoistsaddle/config/items.py
+++ b/packages/config/src/hoistsaddle/config/items.py
@@ -1,71 +1,70 @@
-"""Items: a bundle in parts. Each entry, service and the limits carry a revision of their own, and the highest prevails.
+"""Items: a configuration in parts. Each route, service and the limits have a revision of their own; the highest counts.
 
-A patch sets some items and drops others. It is checked whole before any of it counts, and once more against what else
-stands when the log applies it, as two desks may send at the same moment.
+A patch sets some items and drops others; item_checks.py reads and checks it. Fields keep the names under which they are
+packed into the log and sent by the platform: where a field here is named otherwise, the declared name is given.
 """
 
 import hashlib
 from datetime import timedelta
-from typing import Any, Literal, NamedTuple
+from typing import Any, Literal
 
 import msgspec
-from returns.result import Failure, Result, Success
-
-from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
 
+# Kinds of a route, by how often its requests may run; encoded.
 IDEMPOTENT = "repeatable"
 ONCE_PER_ATTEMPT = "once per send"
 ONCE_PER_KEY = "once per key"
 UPLOAD = "upload"
+# Kinds of an item; encoded.
 Kind = Literal["entry", "service", "limits"]
 ENTRY: Kind = "entry"
 SERVICE: Kind = "service"
 LIMITS: Kind = "limits"
-# An aim may lie above the longest hold by less than this: further off, one of the two is a slip of the pen.
-MAX_TARGET_ABOVE_HOLD_SECONDS = 60.0
-MAX_REVISION = 2**62
 # Bytes of a content's digest: 2**48 contents under one revision before two of them are taken for one.
 DIGEST_BYTES = 12
-# Far above any that is meant; their sum stays a number.
-MAX_WEIGHT = 1e12
-# A longer hold or aim than a day counts as a day: clocks and schedules end somewhere.
+# A longer timeout or target counts as a day: clocks and timers have limits.
 MAX_DURATION_SECONDS = 86400.0
 
 
 class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One service's weight in an entry."""
+    """One service's weight in a route."""
 
     service: str
     weight: float = 1.0
 
 
 class RouteItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Which requests go to which services, and how."""
+
     name: str
     host: str
-    # Begins and ends with a slash; of a host's entries the longest that begins the path is taken.
+    # Begins and ends with a slash; of a host's routes, the longest prefix of the path is taken.
     prefix: str
     kind: Literal["repeatable", "once per send", "once per key", "upload"]
     parts: list[Part]
-    # Seconds: the longest a request is held, and within which its answer is worth all.
+    # The longest time for which a request is held, and the latency target within which its answer has its full value.
     hold_seconds: float
     aim_seconds: float
-    # 0 is served first.
+    # The priority of its requests; 0 is served first.
     rank: int = 0
-    # The most servers one send of a client may go to.
+    # The most servers that one request may be tried at.
     most_sends: int = 1
 
 
 class ServiceItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"health_path": "vitals_path"}):
+    """A service: how its servers are checked, and how much each of them takes."""
+
     name: str
+    # The path of health checks.
     health_path: str = "/"
-    # The most connections a server of it takes from all of the mesh.
+    # The most connections that one of its servers takes from the whole mesh.
     connections: int = 100
-    # Its servers keep their own record of keys.
+    # Whether its servers keep their own record of idempotency keys.
     keeps_keys: bool = False
 
 
 class LimitsItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a client may send, and how long it may take over it or say nothing."""
+    """What a client may send, how long it may take for it, and how long it may stay idle."""
 
     name: str = LIMITS
     header_bytes: int = 16384
@@ -79,187 +78,120 @@
 
 
 class ItemUpsert(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One item with its revision; said is the operator's own text of it, given back word for word."""
+    """An item to set, with its revision."""
 
     kind: Kind
     revision: int
     item: dict
+    # The operator's own text of it, which is given back as it is.
     source: bytes = msgspec.field(name="said", default=b"")
 
 
 class ItemDeletion(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """An item to drop, with the revision at which it is dropped."""
+
     kind: Kind
     revision: int
     name: str
 
 
 class Patch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A change of the configuration that takes effect as a whole or not at all."""
+
     sets: list[ItemUpsert] = []
     drops: list[ItemDeletion] = []
 
 
 def key_of(kind: str, name: str) -> str:
+    """The key of an item in the state."""
     return f"{kind}:{name}"
 
 
 def pack_patch(patch: Patch) -> bytes:
+    """A patch as the log holds it."""
     return msgspec.msgpack.encode(patch)
 
 
 def pack_item(item: Item) -> bytes:
+    """An item as the state holds it."""
     return msgspec.msgpack.encode(item)
 
 
 def unpack_item(kind: str, data: bytes) -> Item:
+    """The item that pack_item packed."""
     return msgspec.msgpack.decode(data, type=KINDS[kind])
 
 
-def _plain(value: Any) -> Any:
-    """Numbers that are equal are written alike: 3 and 3.0."""
-    match value:
-        case float() if value.is_integer():
-            return int(value)
-        case dict():
-            return {key: _plain(each) for key, each in value.items()}
-        case list():
-            return [_plain(each) for each in value]
-    return value
-
-
 def content_digest(*, body: bytes, source: bytes) -> bytes:
-    """By what two settings under one revision are told apart: what they mean, and what is given back of them.
+    """A digest by which two settings under one revision are told apart: of what they mean and what is given back.
 
-    The order of a text's fields and its spaces are no content. A text that isn't JSON counts byte for byte.
+    The order of a text's fields and its white space don't matter. A text that isn't JSON is compared byte by byte.
+
+    Args:
+        body: The packed item.
+        source: The operator's own text of it.
     """
     try:
-        source = msgspec.json.encode(_plain(msgspec.json.decode(source)), order="sorted")
+        source = msgspec.json.encode(_normalize_numbers(msgspec.json.decode(source)), order="sorted")
     except (msgspec.MsgspecError, ValueError, OverflowError, RecursionError):
         pass
     return hashlib.blake2b(len(body).to_bytes(8) + body + source, digest_size=DIGEST_BYTES).digest()
 
 
-# What a drop is instead of a setting: the same for every name, and like no setting's.
-DROPPED_DIGEST = hashlib.blake2b(b"dropped", digest_size=DIGEST_BYTES).digest()
+def _normalize_numbers(value: Any) -> Any:
+    """The value with numbers that are equal written alike, such as 3 and 3.0."""
+    match value:
+        case float() if value.is_integer():
+            return int(value)
+        case dict():
+            return {key: _normalize_numbers(each) for key, each in value.items()}
+        case list():
+            return [_normalize_numbers(each) for each in value]
+    return value
 
 
-def _broken(field: str, message: str, remedy: str) -> MeshError:
-    return MeshError(ErrorKind.ITEM_BROKEN, message, remedy, field)
-
-
-def _check_entry(entry: RouteItem, where: str) -> MeshError | None:
-    checks = (
-        (not entry.host, "host", "An entry needs a host.", "Name the host that visitors call."),
-        (
-            not (entry.prefix.startswith("/") and entry.prefix.endswith("/")),
-            "prefix",
-            f"{entry.prefix!r} is no prefix.",
-            "Begin and end it with a slash.",
-        ),
-        (not entry.parts, "parts", "No service is named.", "Name at least one."),
-        (
-            any(not 0 <= part.weight <= MAX_WEIGHT for part in entry.parts),
-            "parts",
-            "A weight is below 0 or too large.",
-            "Give 0 or more for each service.",
-        ),
-        (
-            not sum(part.weight for part in entry.parts) > 0,
-            "parts",
-            "No service has any weight.",
-            "Give at least one service a weight above 0.",
-        ),
-        (not entry.hold_seconds > 0, "hold_seconds", "The longest hold is 0.", "Give above 0 seconds."),
-        (not entry.aim_seconds >= 0, "aim_seconds", "The aim is below 0.", "Give 0 seconds or more."),
-        (
-            not entry.aim_seconds < entry.hold_seconds + MAX_TARGET_ABOVE_HOLD_SECONDS,
-            "aim_seconds",
-            "The aim is far above the longest hold.",
-            "Lower the aim or raise the hold.",
-        ),
-        (entry.most_sends < 1, "most_sends", "No server may be tried.", "Give 1 or more."),
-    )
-    for wrong, field, message, remedy in checks:
-        if wrong:
-            return _broken(f"{where}.{field}", message, remedy)
-    return None
-
-
-def _too_wide(value: object) -> bool:
-    """Numbers go through the log and to every proxy as 64 bits."""
-    return isinstance(value, int) and not -MAX_REVISION <= value <= MAX_REVISION
-
-
-class ValidatedPatch(NamedTuple):
-    """A patch that is right in itself."""
-
-    sets: list[tuple[ItemUpsert, Item]]
-    drops: list[ItemDeletion]
-
-
-def check_patch(patch: Patch) -> Result[ValidatedPatch, MeshError]:
-    sets: list[tuple[ItemUpsert, Item]] = []
-    for place, upsert in enumerate(patch.sets):
-        where = f"sets[{place}]"
-        try:
-            item: Item = msgspec.convert(upsert.item, KINDS[upsert.kind])
-        except msgspec.ValidationError as problem:
-            return Failure(_broken(f"{where}.{field_in(problem)}", f"{problem}.", "Mend the field."))
-        if wide := [name for name in item.__struct_fields__ if _too_wide(getattr(item, name))]:
-            return Failure(_broken(f"{where}.{wide[0]}", "The number is out of range.", "Give a smaller one."))
-        if not item.name:
-            return Failure(_broken(f"{where}.name", "An item needs a name.", "Give one."))
-        if not 0 <= upsert.revision <= MAX_REVISION:
-            return Failure(_broken(f"{where}.revision", "The revision is out of range.", "Give 0 or more."))
-        if isinstance(item, RouteItem) and (found := _check_entry(item, where)):
-            return Failure(found)
-        if isinstance(item, LimitsItem) and min(item.header_bytes, item.body_bytes) <= 0:
-            return Failure(_broken(f"{where}.body_bytes", "A limit is 0.", "Give above 0."))
-        if isinstance(item, LimitsItem) and not (item.header_seconds >= 0 and item.idle_seconds >= 0):
-            return Failure(_broken(f"{where}.idle_seconds", "A limit is below 0.", "Give 0 seconds or more."))
-        sets.append((upsert, item))
-    for place, deletion in enumerate(patch.drops):
-        if not deletion.name or not 0 <= deletion.revision <= MAX_REVISION:
-            return Failure(_broken(f"drops[{place}]", "A drop needs a name and a revision.", "Give both."))
-    return Success(ValidatedPatch(sets, list(patch.drops)))
-
-
-def read_patch(data: bytes) -> Result[ValidatedPatch, MeshError]:
-    try:
-        patch = msgspec.msgpack.decode(data, type=Patch)
-    except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return Failure(_broken(field_in(problem), f"{problem}.", "Send a whole patch."))
-    return check_patch(patch)
+# The digest of a dropped item's content: the same for every name, and no setting's.
+DROPPED_DIGEST = hashlib.blake2b(b"dropped", digest_size=DIGEST_BYTES).digest()
 
 
 class ItemConfiguration:
-    """The items in force, ready for look-ups."""
+    """The items in force, ready for look-ups.
+
+    Attributes:
+        routes: Host to its routes, the longest prefix first.
+        services: Name to the service.
+        limits: What clients may send.
+    """
 
     def __init__(self, *, items: dict[str, Item]) -> None:
-        self.entries: dict[str, list[RouteItem]] = {}
+        self.routes: dict[str, list[RouteItem]] = {}
         self.services: dict[str, ServiceItem] = {}
         self.limits = LimitsItem()
         for item in items.values():
             match item:
                 case RouteItem(host=host):
-                    self.entries.setdefault(host, []).append(item)
+                    self.routes.setdefault(host, []).append(item)
                 case ServiceItem(name=name):
                     self.services[name] = item
                 case LimitsItem():
                     self.limits = item
-        for entries in self.entries.values():
-            # Longest first, so that the first that begins the path is the one; names settle ties the same everywhere.
-            entries.sort(key=lambda entry: (-len(entry.prefix), entry.name))
-
-    def select_entry(self, *, host: str, path: str) -> RouteItem | None:
-        for entry in self.entries.get(host, ()):
-            if path.startswith(entry.prefix):
-                return entry
+        for routes in self.routes.values():
+            # Of prefixes of one length, names decide, so that every proxy takes the same.
+            routes.sort(key=lambda route: (-len(route.prefix), route.name))
+
+    def match_route(self, *, host: str, path: str) -> RouteItem | None:
+        """The route of a request: of its host's, the one with the longest prefix of the path."""
+        for route in self.routes.get(host, ()):
+            if path.startswith(route.prefix):
+                return route
         return None
 
 
-def hold_timeout(entry: RouteItem) -> timedelta:
-    return timedelta(seconds=min(entry.hold_seconds, MAX_DURATION_SECONDS))
+def hold_timeout(route: RouteItem) -> timedelta:
+    """The longest time for which a request of a route is held."""
+    return timedelta(seconds=min(route.hold_seconds, MAX_DURATION_SECONDS))
 
 
-def latency_target(entry: RouteItem) -> timedelta:
-    return timedelta(seconds=min(entry.aim_seconds, MAX_DURATION_SECONDS))
+def latency_target(route: RouteItem) -> timedelta:
+    """The time within which an answer of a route has its full value."""
+    return timedelta(seconds=min(route.aim_seconds, MAX_DURATION_SECONDS))
--- a/packages/config/src/hoistsaddle/config/patch_text.py
+++ b/packages/config/src/hoistsaddle/config/patch_text.py
@@ -1,4 +1,4 @@
-"""A patch as operators write it: TOML kept in git, or JSON with the same tables.
+"""A patch as operators write it: TOML that they keep in git, or JSON with the same tables.
 
 [entry.pay]             [service.ledger]        [limits]               [[drop]]
 revision = 7            revision = 7            revision = 7           kind = "entry"
@@ -7,14 +7,16 @@
 """
 
 import tomllib
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from returns.result import Failure, Result, Success
 
-from hoistsaddle.common.errors import ErrorKind, MeshError, field_in
-from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, ItemUpsert, Kind, Patch, check_patch
+from hoistsaddle.common.errors import InvalidItem, MeshError, field_in
+from hoistsaddle.config.item_checks import check_patch
+from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, ItemUpsert, Kind, Patch
 
+# Characters of a text.
 MAX_TEXT_BYTES = 4 * 1024 * 1024
 
 
@@ -25,63 +27,95 @@
 
 
 class _Text(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The tables of a text."""
+
     service: dict[str, dict] = {}
     entry: dict[str, dict] = {}
     limits: dict | None = None
     drop: list[_Drop] = []
 
 
-def _broken(message: str, remedy: str, field: str = "") -> MeshError:
-    return MeshError(ErrorKind.ITEM_BROKEN, message, remedy, field)
-
-
-def _setting(kind: Kind, name: str, table: dict) -> Result[ItemUpsert, MeshError]:
-    place = kind if kind == LIMITS else f"{kind}.{name}"
-    revision = table.get("revision")
-    if not isinstance(revision, int) or isinstance(revision, bool):
-        return Failure(_broken("An item needs a revision.", "Give a whole number, higher than before.", place))
-    if "name" in table:
-        return Failure(_broken("The name stands in the table's head.", "Leave it out here.", f"{place}.name"))
-    item: dict[str, Any] = {key: value for key, value in table.items() if key != "revision"}
-    return Success(ItemUpsert(kind, revision, {**item, "name": name}, msgspec.json.encode(table, order="sorted")))
+class _Table(NamedTuple):
+    """One table of a text: an item to set."""
 
+    kind: Kind
+    name: str
+    fields: dict
 
-def _named(field: str, places: list[str]) -> str:
-    """The check's own place in the patch, told by the table's name."""
-    head, _, rest = field.partition(".")
-    if not head.startswith("sets["):
-        return field
-    return ".".join(part for part in (places[int(head[5:-1])], rest) if part)
+    @property
+    def place(self) -> str:
+        """The table's name in the text."""
+        return self.kind if self.kind == LIMITS else f"{self.kind}.{self.name}"
 
 
 def read_text(text: str, *, json: bool = False) -> Result[Patch, MeshError]:
-    """The whole patch, checked as the log will check it again."""
+    """The patch in a text, checked as the log will check it again, or the first thing that is wrong with it.
+
+    Args:
+        text: The text.
+        json: Whether it is JSON; TOML otherwise.
+    """
     if len(text) > MAX_TEXT_BYTES:
-        return Failure(_broken("The patch is too large.", "Keep it under 4 MiB; send it in parts."))
+        return Failure(InvalidItem("The patch is too large.", remedy="Keep it under 4 MiB; send it in parts."))
     try:
         plain = msgspec.json.decode(text) if json else tomllib.loads(text)
-        told = msgspec.convert(plain, _Text)
+        parsed = msgspec.convert(plain, _Text)
     except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return Failure(_broken(f"{problem}.", "Mend the field.", field_in(problem)))
+        return Failure(InvalidItem(f"{problem}.", field=field_in(problem), remedy="Mend the field."))
     except (tomllib.TOMLDecodeError, ValueError, RecursionError) as problem:
-        return Failure(_broken(f"It is not TOML: {problem}.", "Mend the line it names."))
-    tables: list[tuple[Kind, str, dict]] = [(SERVICE, name, table) for name, table in told.service.items()]
-    tables += [(ENTRY, name, table) for name, table in told.entry.items()]
-    if told.limits is not None:
-        tables.append((LIMITS, LIMITS, told.limits))
+        return Failure(InvalidItem(f"It is not TOML: {problem}.", remedy="Mend the line it names."))
+    return _patch_of(_tables(parsed), parsed.drop)
+
+
+def _tables(parsed: _Text) -> list[_Table]:
+    tables = [_Table(SERVICE, name, fields) for name, fields in parsed.service.items()]
+    tables += [_Table(ENTRY, name, fields) for name, fields in parsed.entry.items()]
+    if parsed.limits is not None:
+        tables.append(_Table(LIMITS, LIMITS, parsed.limits))
+    return tables
+
+
+def _patch_of(tables: list[_Table], drops: list[_Drop]) -> Result[Patch, MeshError]:
     sets = []
-    for kind, name, table in tables:
-        match _setting(kind, name, table):
+    for table in tables:
+        match _upsert_of(table):
             case Failure(error):
                 return Failure(error)
             case Success(upsert):
                 sets.append(upsert)
-    patch = Patch(sets, [ItemDeletion(each.kind, each.revision, each.name) for each in told.drop])
-    if not sets and not told.drop:
-        return Failure(_broken("The patch is empty.", "Set or drop at least one item."))
+    if not sets and not drops:
+        return Failure(InvalidItem("The patch is empty.", remedy="Set or drop at least one item."))
+    patch = Patch(sets, [ItemDeletion(each.kind, each.revision, each.name) for each in drops])
     match check_patch(patch):
         case Failure(error):
-            places = [kind if kind == LIMITS else f"{kind}.{name}" for kind, name, _ in tables]
-            return Failure(error._replace(field=_named(error.field, places)))
+            return Failure(error._replace(field=_field_in_text(error.field, tables)))
         case Success(_):
             return Success(patch)
+
+
+def _upsert_of(table: _Table) -> Result[ItemUpsert, MeshError]:
+    revision = table.fields.get("revision")
+    if not isinstance(revision, int) or isinstance(revision, bool):
+        return Failure(
+            InvalidItem(
+                "An item needs a revision.", field=table.place, remedy="Give a whole number, higher than before."
+            )
+        )
+    if "name" in table.fields:
+        return Failure(
+            InvalidItem(
+                "The name stands in the table's head.", field=f"{table.place}.name", remedy="Leave it out here."
+            )
+        )
+    item: dict[str, Any] = {key: value for key, value in table.fields.items() if key != "revision"}
+    source = msgspec.json.encode(table.fields, order="sorted")
+    return Success(ItemUpsert(table.kind, revision, {**item, "name": table.name}, source))
+
+
+def _field_in_text(field: str, tables: list[_Table]) -> str:
+    """A field of the patch under the name of its table in the text."""
+    head, _, rest = field.partition(".")
+    if not head.startswith("sets["):
+        return field
+    place = int(head.removeprefix("sets[").removesuffix("]"))
+    return ".".join(part for part in (tables[place].place, rest) if part)
--- a/packages/planner/src/hoistsaddle/planner/forecast.py
+++ b/packages/planner/src/hoistsaddle/planner/forecast.py
@@ -7,7 +7,8 @@
 from returns.result import Failure, Result, Success
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import Bundle, Route, digest_of, read_bundle
+from hoistsaddle.config.bundle import Bundle, Route, digest_of
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.statemachine.state import DRAFT, GONE, READY
 
@@ -229,16 +230,16 @@
     current = read_bundle(setup["texts"][str(setup["in_force"])]).value_or(None) if setup["in_force"] else None
     names = (
         [
-            *(entry.name for entry in bundle.entries),
-            *(entry.name for entry in current.entries if not bundle.entry(entry.name)),
+            *(entry.name for entry in bundle.routes),
+            *(entry.name for entry in current.routes if not bundle.route(entry.name)),
         ]
         if current
-        else [entry.name for entry in bundle.entries]
+        else [entry.name for entry in bundle.routes]
     )
     entries = {
         name: changes
         for name in names
-        if (changes := _entry_changes(current.entry(name) if current else None, bundle.entry(name)))
+        if (changes := _entry_changes(current.route(name) if current else None, bundle.route(name)))
     }
     old_services = {service.name: msgspec.to_builtins(service) for service in current.services} if current else {}
     new_services = {service.name: msgspec.to_builtins(service) for service in bundle.services}
@@ -247,7 +248,7 @@
         proxies = [
             proxy
             for proxy, zone in sorted(_proxies(setup).items())
-            if stage.holds(proxy=proxy, zone=zone) and proxy not in reached
+            if stage.includes(proxy=proxy, zone=zone) and proxy not in reached
         ]
         reached.update(proxies)
         stages.append({"stage": place, "name": stage.name, "takes_up": proxies})
--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -155,7 +155,7 @@
             since = ZERO if error.kind == ErrorKind.BUNDLE_UNKNOWN else self.unready_since
             return self._wait(ticket, error, since=since)
         event = request.event
-        entry = self.view.bundle.select_entry(method=event.method, path=event.path)
+        entry = self.view.bundle.match_route(method=event.method, path=event.path)
         caller = event.caller or CLIENTS
         if entry is None:
             return self._refuse(
@@ -209,7 +209,7 @@
 
     @staticmethod
     def _once_in(bundle: Bundle, event: RequestArrived) -> bool:
-        entry = bundle.select_entry(method=event.method, path=event.path)
+        entry = bundle.match_route(method=event.method, path=event.path)
         return entry is not None and entry.once
 
     def _claim(self, ticket: int) -> None:
@@ -323,7 +323,7 @@
                 continue
             # The newer of the two proxies' bundles decides, here as at the target.
             bundle = max(self.view.bundle_by_proxy.get(server.proxy, self.view.bundle), self.view.bundle, key=number_of)
-            entry = bundle.select_entry(method=event.method, path=event.path)
+            entry = bundle.match_route(method=event.method, path=event.path)
             if entry is None or entry.service != server.service or caller not in entry.callers:
                 continue
             if len(event.body) <= entry.body_bytes and (request.claimed or not entry.once):
--- a/packages/proxy/src/hoistsaddle/proxy/service.py
+++ b/packages/proxy/src/hoistsaddle/proxy/service.py
@@ -15,7 +15,7 @@
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.reading import plain_name, read_body, whole_number
 from hoistsaddle.common.settings import ProxySettings, check_address, split_address
-from hoistsaddle.config.bundle import MAX_BODY_BYTES
+from hoistsaddle.config.bundle_checks import MAX_BODY_BYTES
 from hoistsaddle.proxy.messages import (
     ANSWERED,
     REFUSED,
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -5,7 +5,7 @@
 
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import MAX_ONCE_ANSWER_BYTES
+from hoistsaddle.config.bundle_checks import MAX_ONCE_ANSWER_BYTES
 from hoistsaddle.proxy.core_state import GAP, SETTLE_AGAIN, CoreState, digest_of_body, mesh_error, number_of
 from hoistsaddle.proxy.messages import (
     ANSWERED,
@@ -134,7 +134,7 @@
             bundle = next((each for each in self.view.active_bundles if each.number == call.bundle), bundle)
         path = call.path.partition("?")[0]
         # Names play no part: an entry may be called otherwise where the request came in.
-        entry = bundle.select_entry(method=call.method, path=path) if bundle else None
+        entry = bundle.match_route(method=call.method, path=path) if bundle else None
         if entry is None or entry.service != server.service:
             return mesh_error(
                 ErrorKind.NO_ENTRY,
--- a/packages/registry/src/hoistsaddle/registry/controller.py
+++ b/packages/registry/src/hoistsaddle/registry/controller.py
@@ -16,7 +16,8 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import ControllerSettings, RegistrySettings, StoreSettings
-from hoistsaddle.config.items import Patch, check_patch, pack_patch
+from hoistsaddle.config.item_checks import check_patch
+from hoistsaddle.config.items import Patch, pack_patch
 from hoistsaddle.membership.member import MemberTimings
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.disk_jobs import DiskThread, DiskWorker
--- a/packages/registry/src/hoistsaddle/registry/operator_actions.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_actions.py
@@ -10,7 +10,8 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import Stage, read_bundle
+from hoistsaddle.config.bundle import Stage
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.statemachine.commands import (
     AbortBundle,
     AdvanceBundle,
@@ -169,5 +170,5 @@
         return sorted(
             proxy.node
             for proxy in self.registry.proxies_with_possible_lease()
-            if stages is None or any(stage.holds(proxy=proxy.node, zone=proxy.zone) for stage in stages)
+            if stages is None or any(stage.includes(proxy=proxy.node, zone=proxy.zone) for stage in stages)
         )
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -49,7 +49,7 @@
                 mesh_error(ErrorKind.NO_CONFIGURATION, "No configuration is in force here yet.", "Come back shortly."),
             )
         path = event.path.partition("?")[0]
-        entry = items.select_entry(host=event.host, path=path)
+        entry = items.match_route(host=event.host, path=path)
         if entry is None and not self.fresh():
             # It may have been added since: "not declared" is a word about now, and this configuration is older.
             error = mesh_error(
--- a/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
@@ -3,7 +3,8 @@
 from returns.result import Failure, Success
 
 from hoistsaddle.common.errors import BundleConflict, BundleDuplicate, BundleStale, BundleUnknown, BundleWrongBase
-from hoistsaddle.config.bundle import Bundle, digest_of, read_bundle
+from hoistsaddle.config.bundle import Bundle, digest_of
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.statemachine.commands import AbortBundle, AdvanceBundle, Outcome, SignBundle, SubmitBundle
 from hoistsaddle.statemachine.deduplication import DEDUPLICATION_LEVEL
 from hoistsaddle.statemachine.errors import BundleSelfSigned, BundleWrongPhase, LevelTooLow, OutcomeForgotten, reject
@@ -175,8 +176,8 @@
     if not state.in_force:
         return False
     after, before = bundle_in(state.bundles[number]), bundle_in(state.bundles[state.in_force])
-    names = {(method, route.path): route.name for route in after.entries for method in route.methods}
-    held = {(method, route.path): route.name for route in before.entries if route.once for method in route.methods}
+    names = {(method, route.path): route.name for route in after.routes for method in route.methods}
+    held = {(method, route.path): route.name for route in before.routes if route.once for method in route.methods}
     return any(names.get(method_and_path, name) != name for method_and_path, name in held.items())
 
 
--- a/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple
 
 from hoistsaddle.common.clock import to_microseconds
-from hoistsaddle.config.items import DROPPED_DIGEST, ValidatedPatch, content_digest, key_of, pack_item
+from hoistsaddle.config.item_checks import ValidatedPatch
+from hoistsaddle.config.items import DROPPED_DIGEST, content_digest, key_of, pack_item
 from hoistsaddle.statemachine.commands import RESEND_WINDOW, Outcome, PatchItems
 from hoistsaddle.statemachine.errors import ItemConflict, OutcomeForgotten, reject
 from hoistsaddle.statemachine.revision_history import (
--- a/packages/statemachine/src/hoistsaddle/statemachine/items.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/items.py
@@ -7,7 +7,8 @@
 
 from hoistsaddle.common.errors import InvalidItem
 from hoistsaddle.config.bundle import digest_of
-from hoistsaddle.config.items import SERVICE, RouteItem, ValidatedPatch, key_of, pack_item, read_patch
+from hoistsaddle.config.item_checks import ValidatedPatch, read_patch
+from hoistsaddle.config.items import SERVICE, RouteItem, key_of, pack_item
 from hoistsaddle.statemachine.commands import Outcome, PatchItems
 from hoistsaddle.statemachine.deduplication import check_duplicate, record_accepted, record_rejection
 from hoistsaddle.statemachine.errors import reject
--- a/packages/statemachine/src/hoistsaddle/statemachine/state.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/state.py
@@ -10,7 +10,8 @@
 from immutables import Map
 
 from hoistsaddle.common.clock import ZERO
-from hoistsaddle.config.bundle import Bundle, read_bundle
+from hoistsaddle.config.bundle import Bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.statemachine.revision_history import RevisionHistory
 
--- a/packages/statemachine/src/hoistsaddle/statemachine/view.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/view.py
@@ -5,7 +5,8 @@
 import msgspec
 from returns.result import Failure, Success
 
-from hoistsaddle.config.bundle import Bundle, Service, read_bundle
+from hoistsaddle.config.bundle import Bundle, Service
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.config.items import Item, ItemConfiguration, unpack_item
 from hoistsaddle.statemachine import data_plane
 from hoistsaddle.statemachine.state import GONE, IN_FORCE, READY, NodeRecord, ServerRecord, SingletonRoleRecord
--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -5,7 +5,8 @@
 
 from returns.result import Success
 
-from hoistsaddle.config.bundle import Bundle, read_bundle
+from hoistsaddle.config.bundle import Bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.testbed.deployments import Deployment
 from hoistsaddle.testbed.history import (
     AnswerRequired,
@@ -149,7 +150,7 @@
 
 
 def _allows(bundle: Bundle, ran: RunStarted, *, service: str | None) -> bool:
-    entry = bundle.select_entry(method=ran.method, path=ran.path)
+    entry = bundle.match_route(method=ran.method, path=ran.path)
     return (
         entry is not None
         and service in (None, entry.service)
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
@@ -3,7 +3,8 @@
 from functools import cache
 from typing import NamedTuple
 
-from hoistsaddle.config.items import SERVICE, ItemUpsert, Patch, pack_patch, read_patch
+from hoistsaddle.config.item_checks import read_patch
+from hoistsaddle.config.items import SERVICE, ItemUpsert, Patch, pack_patch
 from hoistsaddle.raft.core import LEADER, RaftCore
 from hoistsaddle.raft.events import Capture, ProposalResult, ReadResult
 from hoistsaddle.rpc.messages import FetchCall, Record, VoteAnswer, VoteCall
--- a/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/sizes.py
@@ -4,7 +4,8 @@
 
 from immutables import Map
 
-from hoistsaddle.config.items import ENTRY, SERVICE, ItemUpsert, Patch, ValidatedPatch, check_patch, key_of, pack_item
+from hoistsaddle.config.item_checks import ValidatedPatch, check_patch
+from hoistsaddle.config.items import ENTRY, SERVICE, ItemUpsert, Patch, key_of, pack_item
 from hoistsaddle.proxy.client_identity import digest_of_parts
 from hoistsaddle.statemachine.commands import LEVEL
 from hoistsaddle.statemachine.state import (
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -346,7 +346,7 @@
         _configuration_costs(meter, point, size)
         view = _view(data_plane_items(make_state(size)))
         path = prefix_of(point - 1)
-        meter.spend(point, "look up the last route", lambda: view.items.select_entry(host=HOST, path=path), times=200)
+        meter.spend(point, "look up the last route", lambda: view.items.match_route(host=HOST, path=path), times=200)
 
 
 def _claim(number: int) -> ClaimKey:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/operators.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/operators.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import read_bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.registry.operator_actions import OperatorActions
 from hoistsaddle.testbed.history import (
     BundleAccepted,
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -215,9 +215,9 @@
 
 
 def _some_entries_unknown():
-    plain, rng = ItemConfiguration.select_entry, random.Random(1)
+    plain, rng = ItemConfiguration.match_route, random.Random(1)
     return mock.patch.object(
-        ItemConfiguration, "select_entry", lambda self, **needs: None if rng.random() < 0.3 else plain(self, **needs)
+        ItemConfiguration, "match_route", lambda self, **needs: None if rng.random() < 0.3 else plain(self, **needs)
     )
 
 
@@ -283,7 +283,7 @@
 
 
 def _entries_unchecked():
-    return mock.patch("hoistsaddle.config.items._check_entry", lambda entry, where: None)
+    return mock.patch("hoistsaddle.config.item_checks._check_entry", lambda entry, where: None)
 
 
 def _patches_unanswered():
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -99,7 +99,7 @@
 
 
 def _bundles_unchecked():
-    return mock.patch("hoistsaddle.config.bundle._check", lambda bundle: None)
+    return mock.patch("hoistsaddle.config.bundle_checks._check", lambda bundle: None)
 
 
 def _stop_without_finishing():
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -17,7 +17,8 @@
 from hoistsaddle.adapter.headers import HEADER_NAMES, Settings, controller_settings, read_settings, sidecar_settings
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import check_settings
-from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, Patch, check_patch
+from hoistsaddle.config.item_checks import check_patch
+from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, Patch
 from hoistsaddle.proxy.core_state import LocalServer
 from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
--- a/tests/test_config_bundles.py
+++ b/tests/test_config_bundles.py
@@ -5,7 +5,7 @@
 from testtools.matchers import Equals, IsInstance
 
 from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.config.bundle import read_bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
 GOOD = DEPLOYMENTS["brindlefield"].first_bundle()
@@ -59,7 +59,7 @@
         )
         bundle = read_bundle(text).unwrap()
         names = [
-            getattr(bundle.select_entry(method="GET", path=path), "name", None)
+            getattr(bundle.match_route(method="GET", path=path), "name", None)
             for path in ("/statements", "/statements/old/1", "/statements/older", "/statementsold")
         ]
         self.assertThat(names, Equals(["statements", "old", "statements", None]))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -7,7 +7,7 @@
 from testtools.matchers import Equals
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import read_bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.proxy.core import ProxyCore
 from hoistsaddle.proxy.core_state import GAP, CoreSettings, digest_of_body
 from hoistsaddle.proxy.ingress import MAX_KEY_WAIT
--- a/tests/test_statemachine_items.py
+++ b/tests/test_statemachine_items.py
@@ -9,10 +9,10 @@
 from testtools.matchers import Contains, Equals, Is
 
 from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.config.item_checks import MAX_REVISION, check_patch, read_patch
 from hoistsaddle.config.items import (
     ENTRY,
     LIMITS,
-    MAX_REVISION,
     SERVICE,
     ItemConfiguration,
     ItemDeletion,
@@ -22,11 +22,9 @@
     Patch,
     RouteItem,
     ServiceItem,
-    check_patch,
     hold_timeout,
     latency_target,
     pack_patch,
-    read_patch,
 )
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import ClaimKey, Outcome, PatchItems, RaiseLevel
@@ -141,7 +139,7 @@
         return RouteItem(name, host, prefix, "repeatable", [Part("ledger")], 1.0, 0.5)
 
     def name_at(self, setup: ItemConfiguration, path: str, *, host: str = "a.example") -> str | None:
-        found = setup.select_entry(host=host, path=path)
+        found = setup.match_route(host=host, path=path)
         return found.name if found else None
 
     def test_the_longest_prefix_of_the_host_is_taken(self) -> None:
@@ -227,7 +225,7 @@
 
     def test_within_one_patch_the_highest_prevails_too(self) -> None:
         self.patch(service(), entry(revision=3, rank=3), entry(revision=7, rank=7), entry(revision=5, rank=5))
-        self.assertThat(self.view().items.select_entry(host="shop.example", path="/pay/").rank, Equals(7))
+        self.assertThat(self.view().items.match_route(host="shop.example", path="/pay/").rank, Equals(7))
         self.patch(entry(revision=9), drops=(ItemDeletion(ENTRY, 8, "pay"),))
         self.assertThat(self.stands()["entry:pay"], Equals(9))
         self.patch(entry(revision=10), drops=(ItemDeletion(ENTRY, 11, "pay"),))
@@ -333,8 +331,8 @@
         self.patch(drops=(ItemDeletion(ENTRY, 4, "pay"),))
         view = self.view()
         self.assertThat(view.item_revisions, Equals({"service:ledger": 1, "entry:more": 1}))
-        self.assertThat(view.items.select_entry(host="shop.example", path="/pay/x"), Is(None))
-        self.assertThat(view.items.select_entry(host="shop.example", path="/more/x").name, Equals("more"))
+        self.assertThat(view.items.match_route(host="shop.example", path="/pay/x"), Is(None))
+        self.assertThat(view.items.match_route(host="shop.example", path="/more/x").name, Equals("more"))
         self.assertThat(view.items.limits, Equals(LimitsItem()))
 
     def test_below_level_3_nothing_of_it_exists(self) -> None:
