--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -15,8 +15,10 @@
 from hoistsaddle.raft import applying
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.raft.disk import Disk
+from hoistsaddle.raft.elections import Elections
 from hoistsaddle.raft.events import Answer, RaftTimings, Send
-from hoistsaddle.registry.service import Registry
+from hoistsaddle.raft.replication import Replication
+from hoistsaddle.registry.applied_versions import AppliedVersions
 from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.store import service
@@ -92,10 +94,10 @@
 
 
 def _accepted_without_waiting():
-    async def at_once(self: Registry, *, revision, proxies, committed) -> dict[str, str]:
+    async def at_once(self: AppliedVersions, *, revision, proxies, committed) -> dict[str, str]:
         return dict.fromkeys(proxies(), "taken up")
 
-    return mock.patch.object(Registry, "await_applied_version", at_once)
+    return mock.patch.object(AppliedVersions, "wait_for_all", at_once)
 
 
 def _bundles_unchecked():
@@ -147,7 +149,7 @@
 
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch.object(applying, "apply", passing))
-    patches.enter_context(mock.patch.object(RaftCore, "_halt", lambda self, why: None))
+    patches.enter_context(mock.patch.object(RaftCore, "halt", lambda self, why: None))
     return patches
 
 
@@ -225,10 +227,10 @@
 
 def _blank_disks_vote():
     """As if there were no incarnations: a wiped replica goes on voting and counting in its predecessor's place."""
-    plain_vote, plain_lay = RaftCore._vote_call, Disk._lay
+    plain_vote, plain_lay = Elections.vote_call, Disk._begin_incarnation
 
-    def vote(self: RaftCore, ticket, call) -> None:
-        self.mesh = self.mesh or call.mesh
+    def vote(self: Elections, ticket, call) -> None:
+        self.core.mesh = self.core.mesh or call.mesh
         plain_vote(self, ticket, call)
 
     def lay(self: Disk) -> None:
@@ -236,8 +238,9 @@
         plain_lay(self)
 
     patches = contextlib.ExitStack()
-    patches.enter_context(mock.patch.multiple(RaftCore, is_voter=lambda self: True, _vote_call=vote))
-    patches.enter_context(mock.patch.object(Disk, "_lay", lay))
+    patches.enter_context(mock.patch.object(RaftCore, "is_voter", lambda self: True))
+    patches.enter_context(mock.patch.object(Elections, "vote_call", vote))
+    patches.enter_context(mock.patch.object(Disk, "_begin_incarnation", lay))
     return patches
 
 
@@ -254,18 +257,22 @@
 
 
 def _leader_alone_commits():
-    plain = RaftCore._append
+    plain = RaftCore.append
 
     def counted(self: RaftCore, records) -> None:
         plain(self, records)
         self.durable = self.last.offset
 
-    def single(self: RaftCore) -> None:
-        if self.role == "leader" and self.durable > self.high_watermark:
-            self.high_watermark = self.durable
-            self._apply()
+    def single(self: Replication) -> None:
+        core = self.core
+        if core.role == "leader" and core.durable > core.high_watermark:
+            core.high_watermark = core.durable
+            core.applying.apply_committed()
 
-    return mock.patch.multiple(RaftCore, _append=counted, _advance=single)
+    patches = contextlib.ExitStack()
+    patches.enter_context(mock.patch.object(RaftCore, "append", counted))
+    patches.enter_context(mock.patch.object(Replication, "advance", single))
+    return patches
 
 
 INJECTED_FAULTS = (
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -255,7 +255,7 @@
         disk = opened()
         disk.boot()
         if model.bootstrap_facts is not None:
-            disk.found(mesh=MESH, voters=dict(model.bootstrap_facts["voters"]), operators={}, level=LEVEL)
+            disk.bootstrap(mesh=MESH, voters=dict(model.bootstrap_facts["voters"]), operators={}, level=LEVEL)
         for job in done[model.incarnation]:
             match job:
                 case Write():
