--- a/packages/planner/src/hoistsaddle/planner/bundle_forecast.py
+++ b/packages/planner/src/hoistsaddle/planner/bundle_forecast.py
@@ -4,7 +4,8 @@
 from returns.result import Failure, Result, Success
 
 from hoistsaddle.common.errors import BundleConflict, BundleDuplicate, BundleStale, BundleWrongBase, MeshError
-from hoistsaddle.config.bundle import Bundle, Route, digest_of, read_bundle
+from hoistsaddle.config.bundle import Bundle, Route, digest_of
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.planner.distribution import available_servers, bundle_in_force, differences, live_proxies
 from hoistsaddle.statemachine.state import DRAFT
 
@@ -64,10 +65,10 @@
 
 def _changes_of_routes(current: Bundle | None, bundle: Bundle) -> dict[str, dict]:
     """The changes of each route that changes, the new bundle's routes first."""
-    names = [route.name for route in bundle.entries]
+    names = [route.name for route in bundle.routes]
     if current is not None:
-        names += [route.name for route in current.entries if not bundle.entry(route.name)]
-    changes = {name: _route_changes(current.entry(name) if current else None, bundle.entry(name)) for name in names}
+        names += [route.name for route in current.routes if not bundle.route(route.name)]
+    changes = {name: _route_changes(current.route(name) if current else None, bundle.route(name)) for name in names}
     return {name: change for name, change in changes.items() if change}
 
 
@@ -79,7 +80,7 @@
         proxies = [
             proxy
             for proxy, zone in sorted(live_proxies(configuration).items())
-            if stage.holds(proxy=proxy, zone=zone) and proxy not in reached
+            if stage.includes(proxy=proxy, zone=zone) and proxy not in reached
         ]
         reached.update(proxies)
         stages.append({"stage": place, "name": stage.name, "takes_up": proxies})
--- a/packages/proxy/src/hoistsaddle/proxy/admission.py
+++ b/packages/proxy/src/hoistsaddle/proxy/admission.py
@@ -22,7 +22,7 @@
 
 def admit(bundle: Bundle, event: RequestArrived) -> Route | Refusal:
     """Return the route by which the bundle lets the request in, or why it doesn't."""
-    route = bundle.select_entry(method=event.method, path=event.path)
+    route = bundle.match_route(method=event.method, path=event.path)
     caller = caller_of(event)
     if route is None:
         return Refusal(404, NoRoute(f"No entry for {event.method} {event.path}.", field="path"))
@@ -37,5 +37,5 @@
 
 def runs_once(bundle: Bundle, event: RequestArrived) -> bool:
     """Whether the bundle runs the request once per key."""
-    route = bundle.select_entry(method=event.method, path=event.path)
+    route = bundle.match_route(method=event.method, path=event.path)
     return route is not None and route.once
--- a/packages/proxy/src/hoistsaddle/proxy/server_client.py
+++ b/packages/proxy/src/hoistsaddle/proxy/server_client.py
@@ -6,7 +6,7 @@
 
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import MAX_BODY_BYTES
+from hoistsaddle.config.bundle_checks import MAX_BODY_BYTES
 from hoistsaddle.proxy.messages import RunOnServer, ServerAnswered, ServerFailed
 from hoistsaddle.proxy.request_checks import clean_headers
 from hoistsaddle.rpc.messages import BundleForwardCall
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from hoistsaddle.common.errors import ErrorKind, MeshError, QueueFull
-from hoistsaddle.config.bundle import MAX_ONCE_ANSWER_BYTES
+from hoistsaddle.config.bundle_checks import MAX_ONCE_ANSWER_BYTES
 from hoistsaddle.proxy.bundle_state import MAX_CORE_OUTAGE, SETTLE_RETRY_INTERVAL, BundleState, digest_of_body
 from hoistsaddle.proxy.core_state import LocalServer
 from hoistsaddle.proxy.errors import AlreadySeen, KeyMissing
--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -8,7 +8,8 @@
 
 from returns.result import Success
 
-from hoistsaddle.config.bundle import Bundle, read_bundle
+from hoistsaddle.config.bundle import Bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.testbed.deployments import Deployment
 from hoistsaddle.testbed.history import (
     AnswerRequired,
@@ -159,7 +160,7 @@
 
 def _allows(bundle: Bundle, started: RunStarted, *, service: str | None) -> bool:
     """Whether a bundle allows a run, at this service or, with None, at any."""
-    route = bundle.select_entry(method=started.method, path=started.path)
+    route = bundle.match_route(method=started.method, path=started.path)
     return (
         route is not None
         and service in (None, route.service)
