--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -17,6 +17,7 @@
 from hoistsaddle.raft.disk_jobs import DiskThread, DiskWorker
 from hoistsaddle.raft.events import RaftTimings
 from hoistsaddle.raft.runner import RaftRunner
+from hoistsaddle.rpc.message_names import counted_name
 from hoistsaddle.rpc.messages import (
     BeginEpochCall,
     BootstrapAnswer,
@@ -118,7 +119,7 @@
                     )
                 self.counters.add("disk.starts_refused")
                 pause.failed(now=self.runtime.now())
-                await asyncio.sleep(pause.span.total_seconds())
+                await asyncio.sleep(pause.delay.total_seconds())
 
     async def start(self) -> None:
         """Starts the replica, and then listens at the mesh address."""
@@ -138,7 +139,7 @@
 
     async def answer(self, message: tuple) -> tuple | None:
         """The answer to another process's call; None for a call that this program doesn't take."""
-        self.counters.add(f"calls.{type(message).__name__}")
+        self.counters.add(f"calls.{counted_name(message)}")
         match message:
             case FetchCall() | FetchSnapshotCall() | VoteCall() | BeginEpochCall() | EndEpochCall():
                 return await self.runner.call(message)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/losses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/losses.py
@@ -252,7 +252,7 @@
     for report in reports:
         for registry in processes.running(REGISTRY):
             call = report.call()
-            await processes.by_name[registry].spawn(processes.nodes[registry].record_health(call))
+            await processes.by_name[registry].spawn(processes.nodes[registry].health_reports.record(call))
     await asyncio.sleep(1)
     await simulation.clients.load(seconds=3, rate=RATE)
     await simulation.operators.read_back(in_force=1, settled=True, removed=tuple(removed))
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -18,7 +18,7 @@
 from hoistsaddle.raft.elections import Elections
 from hoistsaddle.raft.events import Answer, RaftTimings, Send
 from hoistsaddle.raft.replication import Replication
-from hoistsaddle.registry.service import Registry
+from hoistsaddle.registry.applied_versions import AppliedVersions
 from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.store import service
@@ -94,10 +94,10 @@
 
 
 def _accepted_without_waiting():
-    async def at_once(self: Registry, *, revision, proxies, committed) -> dict[str, str]:
+    async def at_once(self: AppliedVersions, *, revision, proxies, committed) -> dict[str, str]:
         return dict.fromkeys(proxies(), "taken up")
 
-    return mock.patch.object(Registry, "await_applied_version", at_once)
+    return mock.patch.object(AppliedVersions, "wait_for_all", at_once)
 
 
 def _bundles_unchecked():
