--- a/packages/raft/src/hoistsaddle/raft/replica.py
+++ b/packages/raft/src/hoistsaddle/raft/replica.py
@@ -96,6 +96,9 @@
         self.number = 0
         # What the event under way makes the process do.
         self.commands: list[tuple] = []
+        self._restore_log(boot)
+
+    def _restore_log(self, boot: Boot) -> None:
         # Whether this replica holds a state with the log above it; a log without a checkpoint between its begin and its
         # high watermark counts as empty.
         self.complete = boot.state is not None and not boot.catching
