--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -13,6 +13,8 @@
 
 import click
 
+from hoistsaddle.cli.output import refuse_use
+
 _deployment = click.argument("deployment", type=click.Choice(["brindlefield", "kadiri", "thimble"]))
 _folder = click.option(
     "--folder",
@@ -120,12 +122,9 @@
     first, _, last = seeds.partition("-")
     unknown = sorted(name for name in set(scenarios) if find_scenario(name) is None)
     if unknown or not first.isdigit() or not (last or first).isdigit():
-        click.echo(
-            f"refused: params: scenarios {unknown} or seeds {seeds!r} can't be read. Remedy: see "
-            "--list; write seeds like 1-20.",
-            err=True,
+        refuse_use(
+            f"params: scenarios {unknown} or seeds {seeds!r} can't be read. Remedy: see --list; write seeds like 1-20."
         )
-        sys.exit(2)
     chosen = scenarios or (CORE_SCENARIOS if deployment in ("three", "five") else SCENARIOS)
     runs = [Run(deployment, name, seed) for seed in range(int(first), int(last or first) + 1) for name in chosen]
     broken = 0
@@ -158,21 +157,15 @@
     first, _, last = seeds.partition("-")
     places = None if only is None else [place.strip() for place in only.split(",") if place.strip()]
     if not first.isdigit() or not (last or first).isdigit() or not all(place.isdigit() for place in places or ()):
-        click.echo(
-            f"refused: params: seeds {seeds!r} or happenings {only!r} can't be read. Remedy: write seeds like 1-20 "
-            "and happenings like 0,3,4.",
-            err=True,
+        refuse_use(
+            f"params: seeds {seeds!r} or happenings {only!r} can't be read. Remedy: write seeds like 1-20 "
+            "and happenings like 0,3,4."
         )
-        sys.exit(2)
     kept = None if places is None else tuple(int(place) for place in places)
     numbers = range(int(first), int(last or first) + 1)
     most = {number: len(hunting.day_of(hunting.DayCase(number, small)).events) for number in numbers}
     if kept is not None and (beyond := [number for number in numbers if max(kept, default=-1) >= most[number]]):
-        click.echo(
-            f"refused: params: seed {beyond[0]} has {most[beyond[0]]} happenings. Remedy: name places below that.",
-            err=True,
-        )
-        sys.exit(2)
+        refuse_use(f"params: seed {beyond[0]} has {most[beyond[0]]} happenings. Remedy: name places below that.")
     days = [hunting.DayCase(number, small, kept) for number in numbers]
     broken = 0
     for verdict in hunting.hunt(days, workers=workers):
@@ -226,8 +219,7 @@
     try:
         known = read_site(site) if site else BenchSite()
     except (ValueError, KeyError) as problem:
-        click.echo(f"refused: params: {site} is no site file ({problem}). Remedy: name one of the bench's.", err=True)
-        sys.exit(2)
+        refuse_use(f"params: {site} is no site file ({problem}). Remedy: name one of the bench's.")
     for path in write(site=known, point=point, seed=seed, count=count, folder=out):
         click.echo(str(path))
 
@@ -247,8 +239,7 @@
     from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
     if what == "versions" and older is None:
-        click.echo("refused: params: versions needs --older. Remedy: name a checkout of the former release.", err=True)
-        sys.exit(2)
+        refuse_use("params: versions needs --older. Remedy: name a checkout of the former release.")
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as temporary:
         work = {
             "commits": lambda: measuring.commits(folder=Path(temporary), write_line=click.echo),
@@ -299,12 +290,10 @@
     numbers = f"{sizes},{losses}".replace(" ", "").split(",")
     unknown = sorted(set(slopes) - set(SLOPES))
     if unknown or not all(number.isdigit() or not number for number in numbers):
-        click.echo(
-            f"refused: params: slopes {unknown}, sizes {sizes!r} or losses {losses!r} can't be read. "
-            "Remedy: see --list; write sizes like 100,250.",
-            err=True,
+        refuse_use(
+            f"params: slopes {unknown}, sizes {sizes!r} or losses {losses!r} can't be read. "
+            "Remedy: see --list; write sizes like 100,250."
         )
-        sys.exit(2)
     click.echo(f"seed {seed}; load of this machine now: {', '.join(f'{load:.1f}' for load in os.getloadavg())}")
     found: list[Measured] = []
     if not no_slopes:
