--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -447,7 +447,7 @@
     "accepted is in force and stays": not_in_force,
     "broken bundles have no effect": broken_bundles,
     "planned stops drop nothing": dropped_answers,
-    "further sends keep their bound": too_many_retries,
+    "retries keep their bound": too_many_retries,
     "read-back is true": stale_read_back,
     "service returns in time": late_recoveries,
     "what was agreed stays agreed": lost_agreements,
--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -397,10 +397,11 @@
         states = await self.ready_states()
         return (
             all(state is not None and state["ready"] and state["server"] == "ready" for state in states.values())
-            and await self._servers_registered()
+            and await self.servers_registered()
         )
 
-    async def _servers_registered(self) -> bool:
+    async def servers_registered(self) -> bool:
+        """Whether the configuration shows every server as it is."""
         status, configuration = await self.operate("GET", "/setup")
         if status != 200:
             return False
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
@@ -136,8 +136,8 @@
         if budget.timeouts:
             yield Action("timeout", replica)
         if budget.crashes:
-            for kept in {0, len(machine.disk.jobs)}:
-                yield Action("crash", replica, kept)
+            for jobs_done in {0, len(machine.disk.jobs)}:
+                yield Action("crash", replica, jobs_done)
         if budget.wipes:
             yield Action("wipe", replica)
         if machine.core.role == LEADER:
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
@@ -55,7 +55,7 @@
 
 
 class LossSequence(NamedTuple):
-    """A whole run of losses."""
+    """A sequence of losses on one cluster."""
 
     size: int
     seed: int
@@ -90,9 +90,9 @@
         self._pass(timedelta(seconds=2))
         return SequenceResult(tuple(self._lose(loss) for loss in self.sequence.losses))
 
-    def _pass(self, span: timedelta, *, until=lambda: False) -> bool:
+    def _pass(self, duration: timedelta, *, until=lambda: False) -> bool:
         """Time goes by, with an order now and then."""
-        end = self.cluster.now + span
+        end = self.cluster.now + duration
         while self.cluster.now < end:
             if self.cluster.run(UNIT, until=until):
                 return True
@@ -170,7 +170,7 @@
     *, seed: int, runs: int, settle: timedelta, sizes: tuple[int, ...] = (3, 5)
 ) -> tuple[list[timedelta], SequenceCounterexample | None]:
     """Draws sequences from a seed and does them; gives how long losses took to settle, and the first violation."""
-    spans: list[timedelta] = []
+    settle_times: list[timedelta] = []
     found: SequenceCounterexample | None = None
     loss = strategies.builds(
         Loss,
@@ -200,11 +200,11 @@
     def check(sequence: LossSequence) -> None:
         nonlocal found
         try:
-            spans.extend(run_loss_sequence(sequence).settle_times)
+            settle_times.extend(run_loss_sequence(sequence).settle_times)
         except InvariantViolated as broken:
             found = SequenceCounterexample(str(broken), sequence)
             raise StopDrawing("the first violation is enough") from broken
 
     with contextlib.suppress(StopDrawing):
         check()
-    return spans, found
+    return settle_times, found
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
@@ -25,7 +25,7 @@
 from hoistsaddle.rpc.messages import FetchSnapshotAnswer, Record
 from hoistsaddle.statemachine.state import State
 
-# What a boot takes from the newest write under the same name; records are kept apart.
+# What a boot takes from the newest write under the same name; records are stored apart.
 _BOOT_FIELDS = tuple(name for name in Write._fields if name in Boot._fields and name != "records")
 
 
@@ -46,7 +46,7 @@
         self.bootstrap_facts: dict | None = None
         self.log: dict[int, Record] = {}
         self.checkpoints: dict[OffsetAndEpoch, bytes] = {}
-        self.pulled: dict[OffsetAndEpoch, bytes] = {}
+        self.fetched: dict[OffsetAndEpoch, bytes] = {}
         self.jobs: deque = deque()
         # What this incarnation held or promised at any time; a truncation removes nothing here.
         self.ever_held: set[tuple[int, int]] = set()
@@ -57,7 +57,7 @@
         """A copy of the content, on which other jobs may be done."""
         copied = ModelDisk(replica=self.replica, incarnation=self.incarnation)
         copied.newest, copied.bootstrap_facts, copied.covered = self.newest, self.bootstrap_facts, self.covered
-        copied.log, copied.checkpoints, copied.pulled = dict(self.log), dict(self.checkpoints), dict(self.pulled)
+        copied.log, copied.checkpoints, copied.fetched = dict(self.log), dict(self.checkpoints), dict(self.fetched)
         copied.jobs = deque(self.jobs)
         copied.ever_held, copied.ever_voted = set(self.ever_held), set(self.ever_voted)
         return copied
@@ -125,7 +125,7 @@
         for job in list(self.jobs)[:kept]:
             self._write(job) if isinstance(job, Write) else self._do(job)
         self.jobs.clear()
-        self.pulled.clear()
+        self.fetched.clear()
 
     def tear(self) -> None:
         """The newest checkpoint is found torn at the next start."""
@@ -141,7 +141,7 @@
         for record in write.records:
             self.log[record.offset] = record
         if not write.catching:
-            # What lies above a checkpoint that is still being pulled saves nothing, so it isn't held yet.
+            # What lies above a checkpoint that is still being fetched saves nothing, so it isn't held yet.
             fresh = self.log.values() if self.newest is not None and self.newest.catching else write.records
             self.ever_held.update((record.offset, record.epoch) for record in fresh)
         if any(offset <= write.begin.offset for offset in self.log):
@@ -157,10 +157,10 @@
                 self.checkpoints[checkpoint_id] = pack_checkpoint(checkpoint_id=checkpoint_id, state=state)
                 return CheckpointStored(checkpoint_id, len(self.checkpoints[checkpoint_id]))
             case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
-                self.pulled[checkpoint_id] = self.pulled.get(checkpoint_id, b"")[:position] + data
+                self.fetched[checkpoint_id] = self.fetched.get(checkpoint_id, b"")[:position] + data
                 if not last:
                     return None
-                complete = self.pulled.pop(checkpoint_id)
+                complete = self.fetched.pop(checkpoint_id)
                 match unpack_checkpoint(checkpoint_id=checkpoint_id, data=complete):
                     case Success(state):
                         self.checkpoints[checkpoint_id] = complete
@@ -173,9 +173,9 @@
                     ticket, FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
                 )
             case DropCheckpoints(below=below):
-                kept = getattr(job, "keep", ())
-                for files in (self.checkpoints, self.pulled):
-                    for checkpoint_id in [each for each in files if each.offset < below and each not in kept]:
+                retained = getattr(job, "keep", ())
+                for files in (self.checkpoints, self.fetched):
+                    for checkpoint_id in [each for each in files if each.offset < below and each not in retained]:
                         del files[checkpoint_id]
         return None
 
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
@@ -160,9 +160,11 @@
             if machine.removed or machine.disk.incarnation != incarnation:
                 continue
             newest, core = machine.disk.newest, machine.core
-            kept = newest is not None and not newest.catching and newest.committed >= invariants.voters_changed_at
+            known_on_disk = (
+                newest is not None and not newest.catching and newest.committed >= invariants.voters_changed_at
+            )
             known_in_memory = core is not None and core.complete and core.high_watermark >= invariants.voters_changed_at
-            knowing += kept or known_in_memory
+            knowing += known_on_disk or known_in_memory
         return knowing * 2 > len(invariants.voters)
 
     # -- steps -------------------------------------------------------------------------------------------------------
@@ -330,8 +332,8 @@
                     cluster.add_spare()
         return True
 
-    def _tear(self, machine: Machine, kept: int) -> None:
-        self.cluster.crash(machine.replica, kept=kept)
+    def _tear(self, machine: Machine, jobs_done: int) -> None:
+        self.cluster.crash(machine.replica, kept=jobs_done)
         counted = self._is_counted(machine)
         machine.disk.tear()
         # An older checkpoint in its place loses nothing; a new folder is another disk.
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
@@ -205,7 +205,7 @@
     """Leaves out steps, many at a time and then single ones, and lessens numbers, while the same rule breaks."""
     tries = 0
 
-    def still(script: Script) -> bool:
+    def breaks_same_rule(script: Script) -> bool:
         nonlocal found, tries
         tries += 1
         broken = broken_by(script, fault=fault()) if tries <= max_attempts else None
@@ -214,22 +214,24 @@
         found = Counterexample(broken.rule, str(broken), script)
         return True
 
-    span = max(1, len(found.script.steps) // 2)
+    block = max(1, len(found.script.steps) // 2)
     while tries <= max_attempts:
         before = found.script
         place = len(before.steps)
         while place > 0:
             steps = found.script.steps
             place = min(place, len(steps))
-            still(found.script._replace(steps=steps[: max(0, place - span)] + steps[place:]))
-            place -= span
-        if span > 1:
-            span //= 2
+            breaks_same_rule(found.script._replace(steps=steps[: max(0, place - block)] + steps[place:]))
+            place -= block
+        if block > 1:
+            block //= 2
         elif found.script == before:
             break
     for place, step in enumerate(found.script.steps):
         for smaller in (step._replace(first=0, second=0), step._replace(second=0), step._replace(first=0)):
             steps = found.script.steps
-            if smaller != step and still(found.script._replace(steps=(*steps[:place], smaller, *steps[place + 1 :]))):
+            if smaller != step and breaks_same_rule(
+                found.script._replace(steps=(*steps[:place], smaller, *steps[place + 1 :]))
+            ):
                 break
     return found
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -343,7 +343,7 @@
     ),
     InjectedFault(
         "further sends are unbounded",
-        "further sends keep their bound",
+        "retries keep their bound",
         "thimble",
         find_scenario("servers_misbehave"),
         (1,),
@@ -351,7 +351,7 @@
     ),
     InjectedFault(
         "a margin of one for each proxy",
-        "further sends keep their bound",
+        "retries keep their bound",
         "thimble",
         find_scenario("retry_margins_kept"),
         (1, 2),
