--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -353,7 +353,7 @@
         """One operators' call at the first registry that answers; gives the HTTP status and the answer."""
         data = body.encode() if isinstance(body, str) else msgspec.json.encode(body) if body is not None else b""
         return await call_first_available(
-            doors=addresses or self.operator_addresses,
+            endpoints=addresses or self.operator_addresses,
             method=method,
             path=path,
             token=token,
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/processes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/processes.py
@@ -8,7 +8,7 @@
 from hoistsaddle.proxy.messages import RunOnServer
 from hoistsaddle.proxy.node import ProxyNode
 from hoistsaddle.raft.disk import Disk
-from hoistsaddle.registry.service import Registry
+from hoistsaddle.registry.node import Registry
 from hoistsaddle.store.service import Store
 from hoistsaddle.testbed.deployments import Deployment
 from hoistsaddle.testbed.history import History, PlannedInterruption, ProcessPaused
--- a/tests/emulator_witness.py
+++ b/tests/emulator_witness.py
@@ -13,7 +13,8 @@
 from loguru import logger
 
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.rpc.messages import PollAnswer, pack
+from hoistsaddle.rpc.codec import pack
+from hoistsaddle.rpc.messages import PollAnswer
 from hoistsaddle.testbed.emulator.checkers import check
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.emulator import Emulator
@@ -101,7 +102,7 @@
     async def witness(self) -> None:
         while True:
             for process in self.processes.values():
-                if process.life.dead or not process.open:
+                if process.simulated.dead or not process.open:
                     continue
                 if hasattr(process.node, "store"):
                     core = process.node.store.runner.core
@@ -119,7 +120,7 @@
             self.back.append(f"{process.machine.name} went back from {before} to {position}")
         self.positions[process.number] = position
         if (
-            not process.life.frozen
+            not process.simulated.frozen
             and relay.lease_start is not None
             and process.machine.name not in self.fault_injector.busy
         ):
