--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -355,7 +355,7 @@
     ),
     InjectedFault(
         "further sends are unbounded",
-        "further sends keep their bound",
+        "retries keep their bound",
         "thimble",
         find_scenario("servers_misbehave"),
         (1,),
@@ -363,7 +363,7 @@
     ),
     InjectedFault(
         "a margin of one for each proxy",
-        "further sends keep their bound",
+        "retries keep their bound",
         "thimble",
         find_scenario("retry_margins_kept"),
         (1, 2),
