--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -107,7 +107,7 @@
                 await shell.run(founding[2:])
                 for name, proxy in fleet.proxies.items():
                     await fleet.start_server(name, proxy["service"])
-                await fleet.wait_until(fleet._servers_noted, seconds=20, description="servers are noted")
+                await fleet.wait_until(fleet._servers_registered, seconds=20, description="servers are noted")
                 (folder / "one.toml").write_text(THIMBLE.first_bundle())
                 (folder / "two.toml").write_text(THIMBLE.next_bundle(number=2, based_on=1))
                 (folder / "three.toml").write_text(THIMBLE.next_bundle(number=3, based_on=1))
