--- a/packages/proxy/src/hoistsaddle/proxy/listener.py
+++ b/packages/proxy/src/hoistsaddle/proxy/listener.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.config.bundle import MAX_BODY_BYTES
+from hoistsaddle.config.bundle_checks import MAX_BODY_BYTES
 from hoistsaddle.proxy.admin_api import (
     HEALTH_PATH,
     HOLDS_PATH,
--- a/packages/proxy/src/hoistsaddle/proxy/server_selection.py
+++ b/packages/proxy/src/hoistsaddle/proxy/server_selection.py
@@ -39,7 +39,7 @@
                 continue
             # The newer of the two proxies' bundles decides, here as at the target.
             bundle = max(state.view.bundle_by_proxy.get(server.proxy, bundle_here), bundle_here, key=number_of)
-            there = bundle.select_entry(method=event.method, path=event.path)
+            there = bundle.match_route(method=event.method, path=event.path)
             if there is None or there.service != server.service or caller not in there.callers:
                 continue
             if len(event.body) <= there.body_bytes and (request.claimed or not there.once):
--- a/packages/proxy/src/hoistsaddle/proxy/upstream_admission.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream_admission.py
@@ -61,7 +61,7 @@
         return bundle
     path = call.path.partition("?")[0]
     # Names play no part: a route may be called otherwise where the request came in.
-    route = bundle.select_entry(method=call.method, path=path) if bundle is not None else None
+    route = bundle.match_route(method=call.method, path=path) if bundle is not None else None
     if route is None or route.service != call.service_name:
         return NoRoute(
             f"{call.method} {path} is not this service's here.",
--- a/packages/registry/src/hoistsaddle/registry/item_patches.py
+++ b/packages/registry/src/hoistsaddle/registry/item_patches.py
@@ -11,7 +11,8 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import MeshError, NoLeader
 from hoistsaddle.common.settings import ControllerSettings
-from hoistsaddle.config.items import Patch, check_patch, pack_patch
+from hoistsaddle.config.item_checks import check_patch
+from hoistsaddle.config.items import Patch, pack_patch
 from hoistsaddle.registry.node import Registry
 from hoistsaddle.registry.writer import error_in
 from hoistsaddle.rpc.messages import UNSET, ReadAnswer
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -106,7 +106,7 @@
         if items is None:
             return self._reject_arrival(event, deadline, NoConfiguration("No configuration is in force here yet."))
         path = event.path.partition("?")[0]
-        route = items.select_entry(host=event.host, path=path)
+        route = items.match_route(host=event.host, path=path)
         if route is None and not self._state.has_lease():
             # It may have been added since: "not declared" is true of now alone, and this configuration is older.
             message = "No such entry in a configuration that may have been overtaken."
--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -8,7 +8,8 @@
 
 from returns.result import Success
 
-from hoistsaddle.config.bundle import Bundle, read_bundle
+from hoistsaddle.config.bundle import Bundle
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.testbed.deployments import Deployment
 from hoistsaddle.testbed.history import (
     AnswerRequired,
@@ -159,7 +160,7 @@
 
 def _allows(bundle: Bundle, started: RunStarted, *, service: str | None) -> bool:
     """Whether a bundle allows a run, at this service or, with None, at any."""
-    route = bundle.select_entry(method=started.method, path=started.path)
+    route = bundle.match_route(method=started.method, path=started.path)
     return (
         route is not None
         and service in (None, route.service)
@@ -447,7 +448,7 @@
     "accepted is in force and stays": not_in_force,
     "broken bundles have no effect": broken_bundles,
     "planned stops drop nothing": dropped_answers,
-    "further sends keep their bound": too_many_retries,
+    "retries keep their bound": too_many_retries,
     "read-back is true": stale_read_back,
     "service returns in time": late_recoveries,
     "what was agreed stays agreed": lost_agreements,
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -105,7 +105,7 @@
 
 
 def _bundles_unchecked():
-    return mock.patch("hoistsaddle.config.bundle._check", lambda bundle: None)
+    return mock.patch("hoistsaddle.config.bundle_checks._check", lambda bundle: None)
 
 
 def _stop_without_finishing():
@@ -355,7 +355,7 @@
     ),
     InjectedFault(
         "further sends are unbounded",
-        "further sends keep their bound",
+        "retries keep their bound",
         "thimble",
         find_scenario("servers_misbehave"),
         (1,),
@@ -363,7 +363,7 @@
     ),
     InjectedFault(
         "a margin of one for each proxy",
-        "further sends keep their bound",
+        "retries keep their bound",
         "thimble",
         find_scenario("retry_margins_kept"),
         (1, 2),
