--- a/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
@@ -151,7 +151,7 @@
             asyncio.ensure_future(work)
             for work in (self.member.run(), self.poller.run(), self._run_ticks(), self.health.run())
         ]
-        self.counters.record_event("proxy up", incarnation=self.incarnation)
+        self.counters.record_event("stall up", incarnation=self.incarnation)
 
     async def stop(self) -> None:
         """End at once."""
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -127,7 +127,7 @@
         self.server = await self.runtime.serve(self.settings.listen, self.answer)
         core = self.runner.started_core()
         self.counters.record_event(
-            "store up", replica=self.settings.replica, incarnation=core.incarnation, mesh=core.mesh
+            "warehouse up", replica=self.settings.replica, incarnation=core.incarnation, mesh=core.mesh
         )
 
     async def stop(self) -> None:
