--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -180,11 +180,12 @@
         bucket = holds.pop(scope).bucket
         if not bucket:
             continue
-        left = tuple(each for each in buckets[bucket] if each != scope)
+        # A claim drops expired scopes from its bucket, so the bucket may be gone before their holds are.
+        left = tuple(each for each in buckets.get(bucket, ()) if each != scope)
         if left:
             buckets[bucket] = left
         else:
-            del buckets[bucket]
+            buckets.pop(bucket, None)
     return state._replace(holds=holds.finish(), buckets=buckets.finish())
 
 
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -18,8 +18,10 @@
 from hoistsaddle.rpc.messages import AppliedVersion, MemberState
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import (
+    EXPIRY_INTERVAL,
     GONE_RETENTION,
     LEVEL,
+    UNSETTLED_HOLD_TIMEOUT,
     AcquireSingletonRole,
     ClaimKey,
     Command,
@@ -30,9 +32,11 @@
     RaiseLevel,
     RegisterNode,
     RegisterServer,
+    ReleaseKey,
     SignBundle,
     SignOperatorChange,
     SubmitBundle,
+    Tick,
     WithdrawOperatorChange,
 )
 from hoistsaddle.statemachine.data_plane import data_plane_items
@@ -172,6 +176,19 @@
 
 
 class Keys(TestCase):
+    def test_an_expired_hold_goes_though_its_bucket_was_released_before_the_next_expiry_pass(self) -> None:
+        log = Log()
+        first = log.claim("c1", who="me", by="header:X-Member")
+        # A pass looks for expired holds just before this one expires; the next pass is EXPIRY_INTERVAL later.
+        log.take(Tick(1), later=UNSETTLED_HOLD_TIMEOUT.total_seconds() - 1)
+        log.take(Tick(1), later=1.5)
+        second = log.claim("c2", who="you", by="header:X-Member")
+        released = log.take(ReleaseKey(second.detail["scope"], "c2"))
+        self.assertThat((second.detail["phase"], released.detail["phase"]), Equals(("granted", "released")))
+        self.assertThat(list(log.state.holds), Equals([first.detail["scope"]]))
+        log.take(Tick(1), later=EXPIRY_INTERVAL.total_seconds())
+        self.assertThat((len(log.state.holds), len(log.state.buckets)), Equals((0, 0)))
+
     def test_the_same_client_meets_its_hold_and_nobody_else_does(self) -> None:
         log = Log()
         granted = log.claim("c1", who="me")
