--- a/packages/registry/src/hoistsaddle/registry/local_registry.py
+++ b/packages/registry/src/hoistsaddle/registry/local_registry.py
@@ -22,10 +22,10 @@
 LOCAL_READ_INTERVAL = milliseconds(20)
 LONG_POLL_TIMEOUT = milliseconds(300)
 CONTROLLER_MEMBER_TIMINGS = MemberTimings(
-    period=timedelta(seconds=1),
+    probe_interval=timedelta(seconds=1),
     probe_timeout=milliseconds(500),
     indirect_probe_timeout=milliseconds(900),
-    suspicion=timedelta(seconds=2),
+    suspicion_timeout=timedelta(seconds=2),
     seed_interval=20,
     retransmit_limit=6,
 )
@@ -94,7 +94,7 @@
 
     async def _renew_lease(self, confirmed_at: timedelta, *, epoch: int) -> None:
         was_fresh = self.relay.fresh(now=self.runtime.now())
-        self.relay.renewed(asked=confirmed_at, epoch=epoch)
+        self.relay.renew_lease(asked=confirmed_at, epoch=epoch)
         if not was_fresh and self.relay.fresh(now=self.runtime.now()):
             await self._notify_children()
 
@@ -103,7 +103,7 @@
             self.peer_addresses.learn(replica)
             self.store_addresses.learn(replica)
         items = data_plane_items(state)
-        if not self.relay.confirmed(
+        if not self.relay.accept_read(
             asked=confirmed_at,
             mesh=state.mesh,
             revision=state.data_plane_revision,
--- a/packages/registry/src/hoistsaddle/registry/operator_actions.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_actions.py
@@ -9,7 +9,8 @@
 
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.errors import MeshError, OperatorUnknown
-from hoistsaddle.config.bundle import Stage, read_bundle
+from hoistsaddle.config.bundle import Stage
+from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.registry.applied_versions import REFUSED
 from hoistsaddle.registry.errors import BundleRefused
 from hoistsaddle.registry.node import Registry
@@ -169,7 +170,7 @@
         return sorted(
             proxy.node
             for proxy in self.registry.proxies_with_possible_lease()
-            if stages is None or any(stage.holds(proxy=proxy.node, zone=proxy.zone) for stage in stages)
+            if stages is None or any(stage.includes(proxy=proxy.node, zone=proxy.zone) for stage in stages)
         )
 
     def _stages_reached(self, detail: dict) -> list[Stage] | None:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -13,11 +13,12 @@
 from testtools.matchers import Contains, Equals, Is, IsInstance
 
 from hoistsaddle.adapter.config_items import read_call, write_items
-from hoistsaddle.adapter.handlers import ConfigurationHandler, HeartbeatHandler, ready_door
+from hoistsaddle.adapter.handlers import ConfigurationHandler, HeartbeatHandler, answer_ready
 from hoistsaddle.adapter.headers import HEADER_NAMES, Settings, controller_settings, read_settings, sidecar_settings
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.common.settings import check_settings
-from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, Patch, check_patch
+from hoistsaddle.config.item_checks import check_patch
+from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, Patch
 from hoistsaddle.proxy.core_state import LocalServer
 from hoistsaddle.sidecar.messages import HealthReported
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
@@ -379,7 +380,7 @@
         # It is acknowledged all the same: its sender asks nothing more.
         self.assertThat(self.put(call_seq=7), Equals(200))
         self.assertThat([each.state for each in self.node.told], Equals([READY, WINDING_DOWN]))
-        self.assertThat(self.node.told[1].cold, Equals(timedelta(seconds=1.5)))
+        self.assertThat(self.node.told[1].warm_up, Equals(timedelta(seconds=1.5)))
 
     def test_a_new_life_counts_from_its_own_beginning(self) -> None:
         self.put(call_seq=70)
@@ -420,9 +421,9 @@
 
     def test_200_or_503_with_when_to_come_back(self) -> None:
         node = Node()
-        self.assertThat(answered(ready_door(node, Request("GET", "/-/ready"))).status, Equals(200))
+        self.assertThat(answered(answer_ready(node, Request("GET", "/-/ready"))).status, Equals(200))
         node.core.error = MeshError(ErrorKind.NO_CONFIGURATION, "not yet", "wait")
-        told = answered(ready_door(node, Request("GET", "/-/ready")))
+        told = answered(answer_ready(node, Request("GET", "/-/ready")))
         self.assertThat((told.status, "Retry-After" in told.headers), Equals((503, True)))
 
 
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -7,9 +7,10 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
+from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind
+from hoistsaddle.proxy.freeze_detector import FROZEN_GAP, FreezeDetector
 from hoistsaddle.proxy.messages import NOT_RUN
-from hoistsaddle.proxy.node import FROZEN_GAP, ProxyNode
 from hoistsaddle.rpc.frame_ages import OFFSET_WINDOW, CallAge, FrameAges
 from hoistsaddle.sidecar.messages import ForwardArrived, ForwardRequest, RequestArrived, RunOnServer
 from sidecar_bench import SidecarBench
@@ -104,7 +105,8 @@
         call = self.held(budget=3.0)
         for age, aim in ((0.1, 1.0), (0.7, 0.3), (1.5, 0.0)):
             self.assertThat(
-                self.fleet.cores["s-2"]._aged(ForwardArrived(1, call, seconds(age))).aim, Equals(seconds(aim))
+                self.fleet.cores["s-2"].upstream.without_age(ForwardArrived(1, call, seconds(age))).latency_target,
+                Equals(seconds(aim)),
             )
 
     def test_what_waits_is_given_up_in_time_for_its_clients_sidecar_to_hear_of_it(self) -> None:
@@ -141,11 +143,11 @@
             return self.timestamp
 
     def unread(self, *, ticked: float, thawed: float, stood: float, now: float) -> float:
-        node: Any = ProxyNode.__new__(ProxyNode)
-        node.runtime = self.Clock()
-        node.runtime.timestamp = seconds(now)
-        node.ticked_at, node.thawed_at, node.stood = seconds(ticked), seconds(thawed), seconds(stood)
-        return node.unread().total_seconds()
+        clock: Any = self.Clock()
+        clock.timestamp = seconds(now)
+        freezes = FreezeDetector(runtime=clock, counters=Counters(owner="s-1"))
+        freezes.ticked_at, freezes.thawed_at, freezes.stood = seconds(ticked), seconds(thawed), seconds(stood)
+        return freezes.unread().total_seconds()
 
     def test_it_is_told_before_and_after_the_tick_that_sees_it(self) -> None:
         gap = FROZEN_GAP.total_seconds()
