--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -25,7 +25,7 @@
 from hoistsaddle.registry.applied_versions import AppliedVersions
 from hoistsaddle.statemachine import bundles, fleet, idempotency, revision_history
 from hoistsaddle.statemachine.commands import Outcome
-from hoistsaddle.store import service
+from hoistsaddle.store import state_parts
 from hoistsaddle.testbed.simulation.catalogue import find_scenario
 from hoistsaddle.testbed.simulation.deployment import Scenario
 
@@ -187,13 +187,13 @@
 
 
 def _a_byte_of_the_text_lost():
-    plain = service.state_report
+    plain = state_parts.state_report
 
     def short(state) -> dict:
         report = plain(state)
         return {**report, "texts": {number: text[:-1] for number, text in report["texts"].items()}}
 
-    return mock.patch.object(service, "state_report", short)
+    return mock.patch.object(state_parts, "state_report", short)
 
 
 def _status_altered_on_the_way():
@@ -206,14 +206,14 @@
 
 
 def _read_back_kept():
-    plain = service.state_report
+    plain = state_parts.state_report
     kept: list[dict] = []
 
     def first(state) -> dict:
         kept.append(plain(state))
         return next((report for report in kept if report["in_force"]), kept[-1])
 
-    return mock.patch.object(service, "state_report", first)
+    return mock.patch.object(state_parts, "state_report", first)
 
 
 def _slow_elections():
