--- a/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/machines.py
@@ -42,7 +42,7 @@
         self.number = number
         self.service = machine.service if isinstance(machine, SidecarMachine) else ""
         self.simulated = SimulatedProcess(name=machine.name, loop=environment.loop)
-        self.runtime = SimulatedRuntime(world=environment.world, life=self.simulated)
+        self.runtime = SimulatedRuntime(world=environment.world, process=self.simulated)
         self.ended: asyncio.Future = environment.loop.create_future()
         self.pending: dict[asyncio.Task, None] = {}
         # Connections that may be reset: of clients to here, and from here to the server beside.
@@ -104,7 +104,7 @@
             def make_worker(**arguments: Any) -> EmulatedDiskWorker:
                 self.worker = EmulatedDiskWorker(
                     world=self.environment.world,
-                    life=self.simulated,
+                    process=self.simulated,
                     on_snapshot=lambda: self.environment.on_trigger(SNAPSHOT, self.machine.name),
                     **arguments,
                 )
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
@@ -23,8 +23,8 @@
         super().__init__(**arguments)
         self.disks: Any = None
         self.powered_off: set[str] = set()
-        self.slow = 0.002
-        self.repeated = 0.002
+        self.delay_probability = 0.002
+        self.duplicate_probability = 0.002
         # Calls in flight: the machine that calls, and the host that is called.
         self.calls: dict[asyncio.Future, tuple[str, str]] = {}
 
