--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -19,7 +19,7 @@
 from hoistsaddle.registry.node_monitor import NodeMonitor
 from hoistsaddle.registry.peers import PeerRegistries
 from hoistsaddle.registry.writer import NO_LEADER, Writer
-from hoistsaddle.rpc.connection import call_age
+from hoistsaddle.rpc.call_context import call_age
 from hoistsaddle.rpc.messages import (
     UNSET,
     AppliedVersionsAnswer,
@@ -40,7 +40,7 @@
 )
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import LEVEL, ClaimKey, Command, CompleteKey, RegisterNode, ReleaseKey
-from hoistsaddle.statemachine.encoding import pack_outcome, unpack_command
+from hoistsaddle.statemachine.encoding import pack_outcome, tag_of, unpack_command
 from hoistsaddle.statemachine.state import GONE, NodeRecord
 from hoistsaddle.statemachine.view import View, read_view
 
@@ -106,7 +106,7 @@
             seeds=[address for address in self.peers.values() if address != settings.listen],
             runtime=runtime,
             counters=self.counters,
-            pace=member_timings,
+            timings=member_timings,
         )
         self.other_registries = PeerRegistries(addresses=self.peers, own_address=settings.listen, runtime=runtime)
         self.applied_versions = AppliedVersions(
@@ -177,7 +177,7 @@
             mesh, plain = msgspec.msgpack.decode(answer.content)
             items = {key: (revision, value) for key, (revision, value) in plain.items()}
         was_fresh = self.relay.fresh(now=self.runtime.now())
-        if self.relay.confirmed(
+        if self.relay.accept_read(
             asked=sent_at,
             mesh=mesh,
             revision=answer.revision,
@@ -244,11 +244,11 @@
         return None
 
     async def _poll(self, call: PollCall) -> PollAnswer:
-        self.relay.heard(call.applied_versions, now=self.runtime.now())
+        self.relay.record_applied_versions(call.applied_versions, now=self.runtime.now())
         return await answer_long_poll(
             runtime=self.runtime,
             relay=self.relay,
-            news=self.configuration_changed,
+            updated=self.configuration_changed,
             call=call,
             hold=self.long_poll_timeout,
         )
@@ -312,7 +312,7 @@
                 await self._raise_level()
 
     async def _write_duty(self, command: Command) -> None:
-        what = type(command).__name__
+        what = tag_of(command)
         match await self.writer.write(command, within=WRITE_TIMEOUT):
             case Success(outcome) if not outcome.error:
                 about = getattr(command, "proxy", "") or getattr(command, "node", "")
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
@@ -79,7 +79,7 @@
 def _found(recorded: RecordedDisk) -> Writer:
     boot = recorded.do("boot")
     voters = {REPLICA: boot.incarnation, 2: "two", 3: "three"}
-    recorded.do("found", mesh=MESH, voters=voters, operators={})
+    recorded.do("bootstrap", mesh=MESH, voters=voters, operators={})
     return Writer(recorded=recorded, boot=recorded.do("boot"))
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/scale/configuration_costs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/configuration_costs.py
@@ -1,11 +1,8 @@
 """What a copy of the configuration costs each node that holds it, and polls of it."""
 
 from hoistsaddle.common.clock import ZERO
-from hoistsaddle.membership.relay import ConfigurationCopy
-from hoistsaddle.rpc.messages import (
-    pack,
-    unpack,
-)
+from hoistsaddle.membership.configuration_copy import ConfigurationCopy
+from hoistsaddle.rpc.codec import pack, unpack
 from hoistsaddle.statemachine.data_plane import data_plane_items
 from hoistsaddle.testbed.scale.fixtures import MESH, applied_version, frame_size, make_relay, view_of
 from hoistsaddle.testbed.scale.meter import Meter, memory_of
@@ -36,7 +33,9 @@
     meter.spend(point, "ask a poll", lambda: child.poll(own=applied_version(1), now=ZERO))
     meter.spend(point, "answer a poll", lambda: parent.answer(call, now=ZERO))
     meter.spend(
-        point, "take a poll's answer without news", lambda: child.polled(parent.answer(call, now=ZERO), sent=ZERO)
+        point,
+        "take a poll's answer without news",
+        lambda: child.accept_answer(parent.answer(call, now=ZERO), sent=ZERO),
     )
     meter.count(
         point, "a poll without news, both ways", "bytes", frame_size(call) + frame_size(parent.answer(call, now=ZERO))
--- a/packages/testbed/src/hoistsaddle/testbed/scale/fixtures.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/fixtures.py
@@ -8,11 +8,8 @@
 
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.membership.relay import Relay
-from hoistsaddle.rpc.messages import (
-    AppliedVersion,
-    pack,
-    unpack,
-)
+from hoistsaddle.rpc.codec import pack, unpack
+from hoistsaddle.rpc.messages import AppliedVersion
 from hoistsaddle.statemachine.digests import digests_of
 from hoistsaddle.statemachine.view import View, read_view
 from hoistsaddle.testbed.scale.sizes import (
@@ -41,7 +38,7 @@
 def make_relay(items: Items, *, node: int = 0, revision: int = 1) -> Relay:
     """A relay with a confirmed copy of these items."""
     relay = Relay(node=proxy_name(node), incarnation=f"{node:012x}", lease_span=timedelta(seconds=1.5))
-    relay.confirmed(asked=ZERO, mesh=MESH, revision=revision, items=items, expected_digests=digests_of(items))
+    relay.accept_read(asked=ZERO, mesh=MESH, revision=revision, items=items, expected_digests=digests_of(items))
     return relay
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/scale/membership_costs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/membership_costs.py
@@ -4,10 +4,10 @@
 from datetime import timedelta
 
 from hoistsaddle.common.clock import ZERO
+from hoistsaddle.membership.distribution_tree import select_parents
 from hoistsaddle.membership.member import MemberTimings
 from hoistsaddle.membership.membership import ALIVE, GossipReceived, Membership, Probe, ProbeAnswered
 from hoistsaddle.membership.membership import Ticked as MemberTicked
-from hoistsaddle.membership.relay import select_parents
 from hoistsaddle.rpc.messages import (
     MemberState,
     ProbeAnswer,
@@ -27,16 +27,18 @@
 
 def measure_membership(meter: Meter, point: float, size: Size) -> None:
     """What one second of membership costs a node while nothing changes."""
-    timings = MemberTimings(period=timedelta(seconds=1), suspicion=timedelta(seconds=2), retransmit_limit=6)
+    timings = MemberTimings(
+        probe_interval=timedelta(seconds=1), suspicion_timeout=timedelta(seconds=2), retransmit_limit=6
+    )
     member_states = [
         MemberState(entry.node, "stall", entry.address, entry.zone, entry.incarnation, 0, ALIVE)
         for entry in (node_record(number, size) for number in range(size.nodes))
     ]
     member = Membership(
         me=member_states[0],
-        seed=random.Random(1),
-        period=timings.period,
-        suspicion=timings.suspicion,
+        rng=random.Random(1),
+        probe_interval=timings.probe_interval,
+        suspicion_timeout=timings.suspicion_timeout,
         retransmit_limit=timings.retransmit_limit,
     )
     member.handle(GossipReceived(tuple(member_states)), now=ZERO)
@@ -46,7 +48,7 @@
 
     def second() -> int:
         nonlocal now
-        now += timings.period
+        now += timings.probe_interval
         (probe,) = [command for command in member.handle(MemberTicked(), now=now) if isinstance(command, Probe)]
         member.handle(ProbeAnswered(probe.node, (member_states[1],)), now=now)
         member.handle(GossipReceived((member_states[2],)), now=now)
--- a/packages/testbed/src/hoistsaddle/testbed/scale/request_costs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/request_costs.py
@@ -7,10 +7,7 @@
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.proxy.core_state import CoreSettings
 from hoistsaddle.proxy.messages import ConfigurationChanged
-from hoistsaddle.rpc.messages import (
-    pack,
-    unpack,
-)
+from hoistsaddle.rpc.codec import pack, unpack
 from hoistsaddle.sidecar.core import SidecarCore
 from hoistsaddle.sidecar.messages import ForwardAnswered, ForwardArrived, RequestArrived, ServerAnswered
 from hoistsaddle.statemachine.data_plane import data_plane_items
--- a/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/slopes.py
@@ -17,11 +17,10 @@
 from hoistsaddle.membership.relay import Relay
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import OffsetAndEpoch, Write
+from hoistsaddle.rpc.codec import pack, unpack
 from hoistsaddle.rpc.messages import (
     Record,
     WriteCall,
-    pack,
-    unpack,
 )
 from hoistsaddle.statemachine.apply import apply
 from hoistsaddle.statemachine.commands import ClaimKey, PatchItems, RegisterNode, RegisterServer, Tick
@@ -154,7 +153,7 @@
 def _apply_all(child: Relay, answers: list) -> None:
     view = view_of(child.copy.items)
     for answer in answers:
-        if not child.polled(over_connection(answer, answer=True), sent=ZERO):
+        if not child.accept_answer(over_connection(answer, answer=True), sent=ZERO):
             raise AssertionError("a change was not applied")
         view = view_of(child.copy.items, before=view)
 
@@ -234,7 +233,7 @@
         for parent, child in pairwise(chain):
             call = over_connection(child.poll(own=applied_version(1), now=ZERO), answer=False)
             answer = over_connection(parent.answer(call, now=ZERO), answer=True)
-            if not child.polled(answer, sent=ZERO):
+            if not child.accept_answer(answer, sent=ZERO):
                 raise AssertionError("a change was not handed down")
             view_of(child.copy.items, before=view)
 
@@ -269,7 +268,7 @@
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as folder:
             store = Disk(folder=Path(folder), replica=1)
             store.boot()
-            store.found(mesh=MESH, voters={1: "a"}, operators={}, level=3)
+            store.bootstrap(mesh=MESH, voters={1: "a"}, operators={}, level=3)
             payloads = [pack_command(_claim(number)) for number in range(point)]
             before = sum(path.stat().st_size for path in Path(folder).iterdir())
             offsets = itertools.count(1)
@@ -290,13 +289,13 @@
     items = data_plane_items(make_state(GOAL))
     for point in points:
         child, parent = make_relay(items, node=1), make_relay(items)
-        child.heard(tuple(applied_version(number + 2) for number in range(point)), now=ZERO)
+        child.record_applied_versions(tuple(applied_version(number + 2) for number in range(point)), now=ZERO)
         call = child.poll(own=applied_version(1), now=ZERO)
         meter.count(point, "a poll", "bytes", frame_size(call))
 
         def heard(child=child, parent=parent) -> None:
             poll = over_connection(child.poll(own=applied_version(1), now=ZERO), answer=False)
-            parent.heard(poll.applied_versions, now=ZERO)
+            parent.record_applied_versions(poll.applied_versions, now=ZERO)
 
         meter.spend(point, "a poll asked, passed and heard", heard, times=20)
 
