--- a/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
@@ -4,11 +4,10 @@
 from typing import Any, NamedTuple
 
 from hoistsaddle.testbed.emulator.environment import Environment
-from hoistsaddle.testbed.emulator.history import ChangeSubmitted
+from hoistsaddle.testbed.emulator.history import ChangeSubmitted, RouteChange
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 from hoistsaddle.testbed.emulator.site import ONCE_PER_KEY, REPEATABLE, Route
 
-Routes = tuple[tuple[str, int, Route | None], ...]
 # Name prefixes of routes that are added during a day, and of the one for nested calls.
 NEW, INNER = "r-new", "r-peek"
 # Time-outs and latency targets that a route may be given, in seconds.
@@ -20,7 +19,7 @@
 
     name: str
     body: bytes
-    routes: Routes
+    routes: tuple[RouteChange, ...]
 
 
 class ComposedChange(NamedTuple):
@@ -37,7 +36,7 @@
         self.environment = environment
         self.revision = 0
         # Every version of a route in a valid change, in the order of submission.
-        self.versions: dict[str, list[tuple[int, Route | None]]] = {}
+        self.versions: dict[str, list[RouteChange]] = {}
         self.routes_added = 0
 
     def next_revision(self) -> int:
@@ -61,15 +60,21 @@
 
     def current_routes(self) -> list[Route]:
         """The routes as they were last submitted, without the removed ones."""
-        newest = [max(versions, key=lambda each: each[0])[1] for versions in self.versions.values()]
-        return [route for route in newest if route is not None]
+        newest = [max(versions, key=lambda version: version.revision) for versions in self.versions.values()]
+        return [version.route for version in newest if version.route is not None]
 
     def _initial_routes(self) -> list[Route]:
         """The current routes that clients have called from the start."""
         return [route for route in self.current_routes() if not route.name.startswith((NEW, INNER))]
 
     def _record(
-        self, body: bytes, routes: Routes, encoded_routes: dict[str, Any], *, valid: bool, contested: bool
+        self,
+        body: bytes,
+        routes: tuple[RouteChange, ...],
+        encoded_routes: dict[str, Any],
+        *,
+        valid: bool,
+        contested: bool,
     ) -> ChangeRequest:
         change_request = ChangeRequest(f"order-{next(self.environment.counter)}", body, routes)
         self.environment.history.add(
@@ -100,9 +105,12 @@
             constraints=samples.limits(revision=number) if first else None,
             removed=[(name, number) for name in removed],
         )
-        routes = (*((route.name, number, route) for route in changed), *((name, number, None) for name in removed))
-        for name, at_revision, route in routes:
-            self.versions.setdefault(name, []).append((at_revision, route))
+        routes = (
+            *(RouteChange(route.name, number, route) for route in changed),
+            *(RouteChange(name, number, None) for name in removed),
+        )
+        for version in routes:
+            self.versions.setdefault(version.name, []).append(version)
         by_name = {route["name"]: route for route in encoded}
         return self._record(body, routes, by_name, valid=True, contested=contested)
 
@@ -159,8 +167,10 @@
     def outdated_change(self, rng: random.Random) -> ChangeRequest:
         """The oldest version of a route, as it was first submitted."""
         name = rng.choice(list(self.versions))
-        revision, route = min(self.versions[name], key=lambda each: each[0])
-        return self.valid_change([route] if route else [], () if route else (name,), revision=revision)
+        oldest = min(self.versions[name], key=lambda version: version.revision)
+        if oldest.route is None:
+            return self.valid_change([], (name,), revision=oldest.revision)
+        return self.valid_change([oldest.route], revision=oldest.revision)
 
     def invalid_change(self, how: str, rng: random.Random) -> ChangeRequest:
         """Two routes, one of which is invalid in the given way: neither may come into force."""
@@ -176,5 +186,5 @@
         body = samples.call(routes=[self._encode_route(valid, number), invalid])
         if how == "torn":
             body = body[: len(body) * 2 // 3]
-        routes = ((valid.name, number, valid), (second.name, number, second))
+        routes = (RouteChange(valid.name, number, valid), RouteChange(second.name, number, second))
         return self._record(body, routes, {}, valid=False, contested=False)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/clients.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/clients.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, NamedTuple
 
 from multidict import CIMultiDict
 
@@ -18,6 +18,10 @@
 # Statuses after which no client retries.
 NOT_RETRIED = (400, 401, 404, 413, 431)
 LATENCY_SECONDS = 0.0003
+# So many keyed requests are repeated after the final fault.
+MAX_REPEATED_KEYS = 25
+# A served request is repeated under its key after so many seconds.
+REPEAT_DELAY_SECONDS = (0.05, 8.0)
 # How long a client waits for a connection to a machine without power.
 CONNECT_TIMEOUT_SECONDS = 1.0
 DEFAULT_BACKOFF_SECONDS = 0.02
@@ -45,14 +49,27 @@
         return self.body
 
 
+class ClientRequest(NamedTuple):
+    """One attempt of a request: where it is sent, and until when an answer is of use."""
+
+    request_kind: RequestKind
+    route: Route
+    machine: str
+    path: str
+    key: str
+    until: float
+    # The run that makes this nested call.
+    parent: str = ""
+
+
 class Clients:
     """Generates the requests of a day."""
 
     def __init__(self, *, environment: Environment) -> None:
         self.environment = environment
         self.random = environment.random
-        # Keyed requests that were served (kind, route, path, key), to be repeated after the final fault.
-        self.answered: deque[tuple[RequestKind, Route, str, str]] = deque(maxlen=25)
+        # Keyed requests that were served, to be repeated after the final fault.
+        self.served: deque[ClientRequest] = deque(maxlen=MAX_REPEATED_KEYS)
 
     async def generate_load(self, *, until: float) -> None:
         """Sends requests of all kinds at the site's rate until this time."""
@@ -72,8 +89,9 @@
         key = f"key-{next(environment.counter)}" if route.kind == ONCE_PER_KEY else ""
         path = f"{route.prefix}{next(environment.counter)}"
         until = environment.now() + request_kind.deadline
+        request = ClientRequest(request_kind, route, machine, path, key, until)
         for retries_left in range(request_kind.retries, -1, -1):
-            result = await self._attempt(request_kind, route, machine, path, key, until)
+            result = await self._attempt(request)
             if not retries_left or not self._may_retry(route, result):
                 break
             remaining = until - environment.now()
@@ -84,15 +102,19 @@
             if environment.now() >= until:
                 return
         if key and result.outcome == "answered" and result.status == OK:
-            self.answered.append((request_kind, route, path, key))
+            self.served.append(request)
         repeated = request_kind.repeated_share
         if key and repeated and result.status == OK and self.random.random() < repeated:
-            await asyncio.sleep(self.random.uniform(0.05, 8.0))
-            elsewhere = environment.pick_machine(self.random.choice(environment.day.site.zones))
-            if elsewhere:
-                await self._attempt(
-                    request_kind, route, elsewhere, path, key, environment.now() + request_kind.deadline
-                )
+            await asyncio.sleep(self.random.uniform(*REPEAT_DELAY_SECONDS))
+            await self._repeat(request)
+
+    async def _repeat(self, request: ClientRequest) -> None:
+        """Sends the request again, with a new deadline, to any machine."""
+        environment = self.environment
+        machine = environment.pick_machine(self.random.choice(environment.day.site.zones))
+        if machine:
+            until = environment.now() + request.request_kind.deadline
+            await self._attempt(request._replace(machine=machine, until=until))
 
     @staticmethod
     def _may_retry(route: Route, result: RequestResult) -> bool:
@@ -105,23 +127,21 @@
     def repeat_answered_keys(self, *, seconds: float) -> None:
         """Repeats the keyed requests served last within so many seconds, some of them twice."""
 
-        async def repeat(request_kind: RequestKind, route: Route, path: str, key: str) -> None:
+        async def repeat(request: ClientRequest) -> None:
             for _ in range(self.random.choice((1, 1, 2))):
                 await asyncio.sleep(self.random.uniform(0.0, seconds / 2))
-                machine = self.environment.pick_machine(self.random.choice(self.environment.day.site.zones))
-                if machine:
-                    until = self.environment.now() + request_kind.deadline
-                    await self._attempt(request_kind, route, machine, path, key, until)
+                await self._repeat(request)
 
-        for request_kind, route, path, key in self.answered:
-            self.environment.create_task(repeat(request_kind, route, path, key))
+        for request in self.served:
+            self.environment.create_task(repeat(request))
 
     async def probe(self, route: Route, machine: str) -> None:
         """One request at a machine, on a route that was just added or removed."""
         path = f"{route.prefix}{next(self.environment.counter)}"
         key = f"key-{next(self.environment.counter)}" if route.kind == ONCE_PER_KEY else ""
         request_kind = RequestKind(route.name, 0.0, 0.02, 2.0, 0)
-        await self._attempt(request_kind, route, machine, path, key, self.environment.now() + request_kind.deadline)
+        until = self.environment.now() + request_kind.deadline
+        await self._attempt(ClientRequest(request_kind, route, machine, path, key, until))
 
     async def call_nested(self, server: Server, name: str, run: str, until: float) -> RequestResult:
         """A call of a server that runs a request, through the sidecar beside it."""
@@ -129,52 +149,45 @@
         request_kind = self.environment.request_kind_of(route.prefix)
         path = f"{route.prefix}{next(self.environment.counter)}"
         until = min(until, self.environment.now() + request_kind.deadline)
-        return await self._attempt(request_kind, route, server.machine.name, path, "", until, parent=run)
-
-    async def _attempt(
-        self,
-        request_kind: RequestKind,
-        route: Route,
-        machine: str,
-        path: str,
-        key: str,
-        until: float,
-        *,
-        parent: str = "",
-    ) -> RequestResult:
+        return await self._attempt(ClientRequest(request_kind, route, server.machine.name, path, "", until, run))
+
+    async def _attempt(self, request: ClientRequest) -> RequestResult:
         environment = self.environment
+        route, key = request.route, request.key
         attempt = f"a-{next(environment.counter):08x}"
-        remaining = until - environment.now()
-        body = b"" if route.kind == REPEATABLE else f"{path} {key} ".encode() * 4
+        remaining = request.until - environment.now()
+        body = b"" if route.kind == REPEATABLE else f"{request.path} {key} ".encode() * 4
         method = "POST" if body else "GET"
         headers = adapter("samples").request_headers(host=route.host, attempt=attempt, left=remaining, key=key)
-        process = environment.processes[machine]
+        process = environment.processes[request.machine]
         environment.history.add(
             RequestSent(
                 environment.now(),
                 attempt,
-                machine,
+                request.machine,
                 process.number,
                 process.service,
                 route.name,
                 method,
-                path,
+                request.path,
                 digest_of(body),
                 key,
-                until,
-                parent,
+                request.until,
+                request.parent,
             )
         )
-        answer = await self._deliver(machine, Call(method=method, path=path, headers=headers, body=body), until, route)
+        call = Call(method=method, path=request.path, headers=headers, body=body)
+        answer = await self._deliver(request, call)
         result = self._read(attempt, answer)
         environment.history.add(result)
         if key and result.outcome == "answered" and result.status == OK:
-            environment.on_trigger(TAKEN, machine)
+            environment.on_trigger(TAKEN, request.machine)
         return result
 
-    async def _deliver(self, machine: str, call: Call, until: float, route: Route) -> Any:
+    async def _deliver(self, request: ClientRequest, call: Call) -> Any:
         """The proxy's answer, or the outcome where there is none."""
         environment = self.environment
+        machine, until = request.machine, request.until
         process = environment.processes[machine]
         await asyncio.sleep(LATENCY_SECONDS)
         if not process.open or process.simulated.dead:
@@ -182,7 +195,7 @@
             timeout = min(CONNECT_TIMEOUT_SECONDS, until - environment.now()) if process.powered_off else 0.0
             await asyncio.sleep(max(0.0, timeout))
             return "unreached"
-        if process.simulated.frozen and route.kind == REPEATABLE:
+        if process.simulated.frozen and request.route.kind == REPEATABLE:
             timeout = min(UNREAD_TIMEOUT_SECONDS, (until - environment.now()) / 3)
         else:
             timeout = until - environment.now()
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/day.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/day.py
@@ -88,23 +88,23 @@
     at = rng.uniform(2, 8)
     while at < end - 3:
         duration = rng.uniform(1, 5)
-        some = tuple(rng.sample(sidecars, rng.choice((1, 1, 2, max(2, len(sidecars) // 2)))))
+        machines = tuple(rng.sample(sidecars, rng.choice((1, 1, 2, max(2, len(sidecars) // 2)))))
         match rng.choice(("kill", "herd", "freeze", "cut", "one way", "misbehave", "crash", "nothing")):
             case "kill":
-                events.append(Kill(at, some[:1], duration, power=rng.random() < 0.5))
+                events.append(Kill(at, machines[:1], duration, power=rng.random() < 0.5))
             case "herd":
-                events.append(Kill(at, some, duration / 2, power=rng.random() < 0.5))
+                events.append(Kill(at, machines, duration / 2, power=rng.random() < 0.5))
             case "freeze":
-                events.append(Freeze(at, some[:2], duration))
+                events.append(Freeze(at, machines[:2], duration))
             case "cut":
-                events.append(Partition(at, some[:1], (*core, *sidecars), duration))
+                events.append(Partition(at, machines[:1], (*core, *sidecars), duration))
             case "one way":
-                events.append(Partition(at, some[:1], (*core, *sidecars), duration, one_way=True))
+                events.append(Partition(at, machines[:1], (*core, *sidecars), duration, one_way=True))
             case "misbehave":
                 how = rng.choice(("lost", "cut", "failure"))
                 events.append(Misbehave(at, rng.choice(services), rng.uniform(0.02, 0.3), duration, how))
             case "crash":
-                events.append(CrashServer(at, some[0], duration))
+                events.append(CrashServer(at, machines[0], duration))
         at += rng.uniform(2, 8)
     return events
 
@@ -151,7 +151,7 @@
     events += _sidecar_faults(rng, site, seconds)
     events += _planned_events(rng, site, seconds)
     if about_control_plane:
-        events = [each for each in events if not isinstance(each, CORE_FAULTS) or not _concerns_core(each)]
+        events = [event for event in events if not isinstance(event, CORE_FAULTS) or not _concerns_core(event)]
         events += control_plane_events(control, site, seconds)
         events += change_events(control, seconds)
         site = site._replace(snapshot_records=control.choice((40, 150, 600)))
@@ -165,4 +165,4 @@
     if final_fault:
         trigger = control.choice((ACKNOWLEDGED, SENT, TAKEN)) if about_control_plane else ACKNOWLEDGED
         events.append(FinalFault(seconds, final_fault, rng.uniform(0.5, 1.5), trigger))
-    return Day(seed, site, tuple(sorted(events, key=lambda each: each.at)), seconds)
+    return Day(seed, site, tuple(sorted(events, key=lambda event: event.at)), seconds)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/disks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/disks.py
@@ -57,7 +57,7 @@
             link = self.links / str(number)
             if not link.exists():
                 os.link(folder / name, link)
-        needed = {str(number) for each in self.synced.values() for number in each.values()}
+        needed = {str(number) for names in self.synced.values() for number in names.values()}
         for link in self.links.iterdir():
             if link.name not in needed:
                 link.unlink()
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py
@@ -16,6 +16,7 @@
 from hoistsaddle.testbed.emulator.clients import Call, Clients
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.disks import Disks
+from hoistsaddle.testbed.emulator.environment import NO_MISBEHAVIOUR, Misbehaviour
 from hoistsaddle.testbed.emulator.fault_injector import TRIGGER_DELAY_SECONDS, FaultInjector
 from hoistsaddle.testbed.emulator.history import FinalFaultEnded, History, ProgramFailed
 from hoistsaddle.testbed.emulator.machines import Process
@@ -57,6 +58,22 @@
 OTHER_REQUEST_KIND = RequestKind("", 0.0, 0.02, 2.0, 0)
 
 
+class CountedEvent(NamedTuple):
+    """An event that a program counted; `owner` names the program."""
+
+    at: float
+    owner: str
+    kind: str
+    detail: dict
+
+
+class SeedList(NamedTuple):
+    """The operators' list of core machines since a time."""
+
+    since: float
+    core: list[CoreMachine]
+
+
 class Emulator:
     """One day of the platform: its machines, servers, clients, operators and faults; see `Environment`."""
 
@@ -78,12 +95,11 @@
         self.core: dict[str, CoreMachine] = {machine.name: machine for machine in day.site.core}
         # By the name of a replaced core machine: its successor's.
         self.successors: dict[str, str] = {}
-        # The operators' list of core machines, with the time since when it was so.
-        self.seed_lists: list[tuple[float, list[CoreMachine]]] = [(0.0, list(day.site.core))]
+        self.seed_lists = [SeedList(0.0, list(day.site.core))]
         self.servers: dict[str, Server] = {}
         self.ready: dict[str, bool] = {}
-        self.misbehaviours: dict[str, tuple[float, str]] = {}
-        self.events: list[tuple[float, str, str, dict]] = []
+        self.misbehaviours: dict[str, Misbehaviour] = {}
+        self.events: list[CountedEvent] = []
         self.clients = Clients(environment=self)
         self.operators = Operators(environment=self)
         self.fault_injector = FaultInjector(environment=self)
@@ -115,7 +131,7 @@
         record_original = counters.record_event
 
         def record_event(kind: str, **detail: Any) -> None:
-            self.events.append((round(self.now(), 4), counters.owner, kind, detail))
+            self.events.append(CountedEvent(round(self.now(), 4), counters.owner, kind, detail))
             record_original(kind, **detail)
 
         counters.record_event = record_event
@@ -137,8 +153,8 @@
 
     def misbehaviour_of(self, service: str) -> str:
         """How the next answer of the service goes wrong; empty if it doesn't."""
-        share, how = self.misbehaviours.get(service, (0.0, ""))
-        return how if self.random.random() < share else ""
+        misbehaviour = self.misbehaviours.get(service, NO_MISBEHAVIOUR)
+        return misbehaviour.how if self.random.random() < misbehaviour.share else ""
 
     def pick_machine(self, zone: str) -> str:
         """A machine of the zone for a client's request: a ready one, unless fewer than half of them are ready."""
@@ -178,8 +194,8 @@
 
     def seeds(self) -> list[CoreMachine]:
         """The core machines on the operators' list, which lags by `seed_lag_s`."""
-        known = [core for since, core in self.seed_lists if since <= self.now() - BOUNDS["seed_lag_s"]]
-        return known[-1] if known else self.seed_lists[0][1]
+        known = [seeds for seeds in self.seed_lists if seeds.since <= self.now() - BOUNDS["seed_lag_s"]]
+        return (known[-1] if known else self.seed_lists[0]).core
 
     def current_name(self, name: str) -> str:
         """The name of the machine, or of the successor that replaced it."""
@@ -194,7 +210,7 @@
         new = CoreMachine(f"{CORE}x{number}", host, old.zone)
         self.successors[name] = new.name
         self.core[new.name] = new
-        self.seed_lists.append((self.now(), list(self.core.values())))
+        self.seed_lists.append(SeedList(self.now(), list(self.core.values())))
         self.start(new.name)
 
     async def _check_readiness(self, name: str) -> None:
@@ -324,8 +340,8 @@
     """What is left of a day that was played."""
 
     history: History
-    # What the programs counted: (time, owner, kind, detail), for people to read; no check depends on it.
-    events: list[tuple[float, str, str, dict]]
+    # What the programs counted, for people to read; no check depends on it.
+    events: list[CountedEvent]
 
 
 def _run(day: Day, loop: SimulatedTimeLoop) -> PlayedDay:
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
@@ -4,7 +4,7 @@
 import itertools
 import random
 from collections.abc import Coroutine
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from hoistsaddle.testbed.emulator.day import Day
 from hoistsaddle.testbed.emulator.history import History
@@ -12,6 +12,16 @@
 from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 
+class Misbehaviour(NamedTuple):
+    """How a share of a service's answers goes wrong."""
+
+    share: float
+    how: str
+
+
+NO_MISBEHAVIOUR = Misbehaviour(0.0, "")
+
+
 class Environment(Protocol):
     """The emulator as its parts see it."""
 
@@ -71,8 +81,8 @@
     """What the fault injector may do to the machines, too."""
 
     ready: dict[str, bool]
-    # By service: the share of its answers that go wrong, and how.
-    misbehaviours: dict[str, tuple[float, str]]
+    # By service.
+    misbehaviours: dict[str, Misbehaviour]
 
     def leader(self) -> str:
         """The core machine that leads, else any."""
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/fault_injector.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/fault_injector.py
@@ -3,7 +3,7 @@
 import asyncio
 import itertools
 
-from hoistsaddle.testbed.emulator.environment import Machines
+from hoistsaddle.testbed.emulator.environment import Machines, Misbehaviour
 from hoistsaddle.testbed.emulator.history import FaultEnded, FaultStarted
 from hoistsaddle.testbed.emulator.scheduled_events import (
     ACKNOWLEDGED,
@@ -78,14 +78,14 @@
             case DiskFault():
                 await self._disk(fault)
             case Stop(machine=name, seconds=seconds):
-                for each in self._available((name,)):
-                    await self._stop(each, seconds)
+                for available in self._available((name,)):
+                    await self._stop(available, seconds)
             case ReplaceCore():
                 await self._replace_core(fault)
             case ResetConnections():
                 self._reset(fault)
             case Misbehave(service=service, share=share, seconds=seconds, how=how):
-                self.environment.misbehaviours[service] = (share, how)
+                self.environment.misbehaviours[service] = Misbehaviour(share, how)
                 await asyncio.sleep(seconds)
                 self.environment.misbehaviours.pop(service, None)
             case RestartServer(machine=name):
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/history.py
@@ -81,12 +81,20 @@
     retry_after: float | None = None
 
 
+class RouteChange(NamedTuple):
+    """A route at a revision; None removes it."""
+
+    name: str
+    revision: int
+    route: Route | None
+
+
 class ChangeSubmitted(NamedTuple):
-    """An operator submits a change for the first time. Routes by name with their revision; None removes one."""
+    """An operator submits a change for the first time."""
 
     at: float
     change_request: str
-    routes: tuple[tuple[str, int, Route | None], ...]
+    routes: tuple[RouteChange, ...]
     valid: bool
     # Every route as it was encoded by the operator, to compare with what is read back.
     encoded_routes: dict[str, Any]
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
@@ -116,14 +116,14 @@
         else:
             composed = [self.book.compose(change.how, rng) for _ in range(change.operators)]
         tasks = [
-            self._start_submission(each.change_request, first=names[(change.pick + operator) % len(names)])
-            for operator, each in enumerate(composed)
+            self._start_submission(item.change_request, first=names[(change.pick + operator) % len(names)])
+            for operator, item in enumerate(composed)
         ]
         # The operators' calls are in flight at once.
         for task in tasks:
             if await task != OK:
                 return
-        await self._probe([route for each in composed for route in each.visible_routes])
+        await self._probe([route for item in composed for route in item.visible_routes])
 
     async def submit_storm(self, storm: ChangeStorm) -> None:
         """Many changes, each submitted whether or not the former ones are answered."""
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
@@ -40,7 +40,7 @@
         self.service = service
         self.instance = f"i-{next(environment.counter):06x}"
         self.address = f"{machine.host}:{PORT}"
-        service_spec = next(each for each in environment.day.site.services if each.name == service)
+        service_spec = next(spec for spec in environment.day.site.services if spec.name == service)
         self.slots, self.queue = service_spec.slots, service_spec.queue
         self.began = environment.now()
         self.leaving = False
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -229,7 +229,7 @@
 
 
 def _leaving_is_ready():
-    return mock.patch.dict(adapter("handlers").STATES, {"decaying": READY})
+    return mock.patch.dict(adapter("handlers").STATES, {adapter("samples").LEAVING: READY})
 
 
 def _stops_answer_for_servers():
