--- a/packages/testbed/src/hoistsaddle/testbed/scale/request_costs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/request_costs.py
@@ -79,7 +79,7 @@
         answered: Any = self.target.handle(
             ServerAnswered(run_on_server.number, 200, b"\x90", self.body, False), now=ZERO
         )[-1]
-        back = pack(number=1, answer=True, message=answered.answer._replace(send=pending.call.send))
+        back = pack(number=1, answer=True, message=answered.answer._replace(attempt_id=pending.call.attempt_id))
         answer: Any = unpack(back)[2]
         self.entry.handle(ForwardAnswered(pending.number, answer), now=ZERO)
         return len(frame) + len(back) + 2 * LENGTH_BYTES
