--- a/packages/cli/src/hoistsaddle/cli/operator_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/operator_commands.py
@@ -14,7 +14,8 @@
 from hoistsaddle.cli.output import REFUSED, print_json, refuse
 from hoistsaddle.cli.plan import plan
 from hoistsaddle.cli.watch import watch
-from hoistsaddle.config.bundle import digest_of, read_bundle
+from hoistsaddle.config.bundle import digest_of
+from hoistsaddle.config.bundle_checks import read_bundle
 
 _endpoint = click.option(
     "--door",
--- a/packages/raft/src/hoistsaddle/raft/runner.py
+++ b/packages/raft/src/hoistsaddle/raft/runner.py
@@ -40,6 +40,7 @@
     Ticked,
     Write,
 )
+from hoistsaddle.rpc.message_names import counted_name
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.commands import LEVEL
 
@@ -231,7 +232,7 @@
             future.set_result(message)
 
     async def _call(self, send: Send) -> None:
-        self.counters.add(f"sends.{type(send.message).__name__}")
+        self.counters.add(f"sends.{counted_name(send.message)}")
         match await self.runtime.rpc_client.call(self.addresses[send.replica], send.message, within=CALL_TIMEOUT):
             case Success(message):
                 self.feed(AnswerArrived(send.number, send.replica, message))
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -20,6 +20,7 @@
 from hoistsaddle.registry.peers import PeerRegistries
 from hoistsaddle.registry.writer import NO_LEADER, Writer
 from hoistsaddle.rpc.call_context import call_age
+from hoistsaddle.rpc.message_names import counted_name
 from hoistsaddle.rpc.messages import (
     UNSET,
     AppliedVersionsAnswer,
@@ -229,7 +230,7 @@
 
     async def answer(self, message: tuple) -> tuple | None:
         """Answers a call of another process; None if it is none for a registry."""
-        self.counters.add(f"calls.{type(message).__name__}")
+        self.counters.add(f"calls.{counted_name(message)}")
         match message:
             case PollCall():
                 return await self._poll(message)
--- a/packages/rpc/src/hoistsaddle/rpc/messages/forwarding.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/forwarding.py
@@ -10,14 +10,14 @@
 class BundleForwardCall(NamedTuple):
     """A request under bundles."""
 
-    send: str
+    attempt_id: str
     caller: str
     client: str
     service_name: str
     target: str
     instance: str
     bundle: int
-    entry: str
+    route: str
     budget: timedelta
     method: str
     path: str
@@ -32,7 +32,7 @@
 class BundleForwardAnswer(NamedTuple):
     """What became of it."""
 
-    send: str
+    attempt_id: str
     outcome: str
     error: str = ""
     detail: str = ""
@@ -45,14 +45,14 @@
 class ForwardCall(NamedTuple):
     """A request under items. Headers are msgpack of name, value pairs of bytes, in their order."""
 
-    send: str
+    attempt_id: str
     service_name: str
     target: str
     instance: str
     budget: timedelta
-    aim: timedelta
+    latency_target: timedelta
     rank: int
-    entry: str
+    route: str
     method: str
     path: bytes
     headers: bytes
@@ -67,7 +67,7 @@
 class ForwardAnswer(NamedTuple):
     """What became of it."""
 
-    send: str
+    attempt_id: str
     outcome: str
     error: str = ""
     status: int = 0
@@ -75,23 +75,23 @@
     body: bytes = b""
     # Requests running and waiting at the target's server, how many it works on at a time, and what this one took.
     load: int = 0
-    room: int = 1
-    took: timedelta = timedelta()
+    capacity: int = 1
+    run_time: timedelta = timedelta()
 
 
 class FollowCall(NamedTuple):
     """What became of an attempt whose connection broke. Answered as the attempt itself would be."""
 
-    send: str
+    attempt_id: str
     # The incarnation of the sidecar that it went to: another one can't know.
-    life: str
+    incarnation: str
     budget: timedelta
 
 
 class AbandonCall(NamedTuple):
     """The client of a repeatable attempt has left: nobody waits for its answer any more."""
 
-    send: str
+    attempt_id: str
 
 
 class AbandonAnswer(NamedTuple):
@@ -109,7 +109,7 @@
 class ClaimQueryAnswer(NamedTuple):
     """The claim's standing, and the kept answer if there is one."""
 
-    standing: str
+    state: str
     status: int = 0
     headers: bytes = b""
     body: bytes = b""
--- a/packages/testbed/src/hoistsaddle/testbed/scale/request_costs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/request_costs.py
@@ -32,11 +32,11 @@
         ),
         seed=random.Random(number),
         now=ZERO,
-        server=server.address,
-        drain_span=timedelta(seconds=2),
-        further_percent=20,
-        further_margin=10,
-        key_span=timedelta(seconds=75),
+        server_address=server.address,
+        drain_timeout=timedelta(seconds=2),
+        retry_percent=20,
+        retry_margin=10,
+        key_lifetime=timedelta(seconds=75),
         service=server.service,
     )
     core.handle(ConfigurationChanged(view), now=ZERO)
@@ -79,7 +79,7 @@
         answered: Any = self.target.handle(
             ServerAnswered(run_on_server.number, 200, b"\x90", self.body, False), now=ZERO
         )[-1]
-        back = pack(number=1, answer=True, message=answered.answer._replace(send=pending.call.send))
+        back = pack(number=1, answer=True, message=answered.answer._replace(attempt_id=pending.call.attempt_id))
         answer: Any = unpack(back)[2]
         self.entry.handle(ForwardAnswered(pending.number, answer), now=ZERO)
         return len(frame) + len(back) + 2 * LENGTH_BYTES
@@ -106,5 +106,5 @@
         lambda: unpack(pack(number=1, answer=False, message=sent)),
         times=times,
     )
-    path.entry.pending_requests.clear()
-    path.entry.by_number.clear()
+    path.entry.ingress.requests.requests.clear()
+    path.entry.ingress.requests.tickets.clear()
--- a/tests/test_sidecar_ingress.py
+++ b/tests/test_sidecar_ingress.py
@@ -94,7 +94,7 @@
         for budget, seconds in ((0.5, 0.5), (9.0, 4.0), (None, 4.0)):
             fleet.ask(budget=budget)
             self.assertThat(fleet.sent()[-1].call.budget, Equals(timedelta(seconds=seconds)))
-        self.assertThat(fleet.sent()[-1].call.aim, Equals(timedelta(seconds=1)))
+        self.assertThat(fleet.sent()[-1].call.latency_target, Equals(timedelta(seconds=1)))
 
     def test_parts_share_as_their_weights_say(self) -> None:
         fleet = SidecarBench(entries=(entry("read", parts=[Part("ledger", 1.0), Part("other", 0.0)]),), room=500)
@@ -135,7 +135,7 @@
         fleet = SidecarBench(room=1)
         for name, core in fleet.cores.items():
             # Each runs one that takes long.
-            core.latencies["read"] = latency_of(3.5)
+            core.upstream.latencies.by_route["read"] = latency_of(3.5)
             fleet.ask(ingress=name, budget=4.0)
         timestamp = fleet.timestamp
         ticket = fleet.ask(budget=3.0)
@@ -453,7 +453,7 @@
         fleet.pass_time(1.0)
         granted = fleet.write(first.command)
         self.assertThat(len(fleet.log.holds), Equals(1))
-        fleet.cores["s-1"].claims[first.number] = first.command
+        fleet.cores["s-1"].ingress.keys.submitted[first.number] = first.command
         fleet.feed("s-1", HoldAnswered(first.number, granted))
         self.assertThat((len(fleet.log.holds), fleet.sent(ForwardRequest)), Equals((0, [])))
 
@@ -488,7 +488,7 @@
         fleet.finish()
         fleet.pass_time(80, step=2.0)
         self.pay(fleet, key="k2")
-        self.assertThat(len(fleet.cores["s-1"].kept), Equals(1))
+        self.assertThat(len(fleet.cores["s-1"].ingress.keys.records), Equals(1))
 
 
 class AnyHistory(Case):
@@ -536,11 +536,11 @@
 
     def check(self, fleet: SidecarBench, asked: dict[int, tuple[str, str]], seed: int) -> None:
         self.assertThat(set(fleet.replies), Equals(set(asked)), str(seed))
-        not_run = {answer.send for answer in fleet.answers.values() if answer.outcome == "not-run"}
+        not_run = {answer.attempt_id for answer in fleet.answers.values() if answer.outcome == "not-run"}
         # Servers that a try really ran on: the client's own id says which try it was.
         runs: dict[str, int] = {}
         for serve in fleet.sent(RunOnServer):
-            if serve.call.send not in not_run:
+            if serve.call.attempt_id not in not_run:
                 runs[serve.call.client_attempt_id] = runs.get(serve.call.client_attempt_id, 0) + 1
         by_key: dict[str, int] = {}
         for ticket, (name, key) in asked.items():
