--- a/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
@@ -51,10 +51,10 @@
             prefix=route.prefix,
             kind=route.kind,
             parts=list(route.parts),
-            hold=route.hold,
-            aim=route.aim,
+            hold=route.timeout,
+            aim=route.latency_target,
             rank=route.rank,
-            sends=route.sends,
+            sends=route.max_attempts,
             revision=revision,
         )
 
@@ -146,7 +146,7 @@
                 return ComposedChange(self.valid_change([route]), [route])
             case _:
                 route = rng.choice(self._initial_routes())._replace(
-                    hold=rng.choice(TIMEOUTS), aim=rng.choice(LATENCY_TARGETS)
+                    timeout=rng.choice(TIMEOUTS), latency_target=rng.choice(LATENCY_TARGETS)
                 )
                 return ComposedChange(self.valid_change([route]), [])
 
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/request_rules.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/request_rules.py
@@ -191,7 +191,7 @@
 
 def _timeout_of(index: HistoryIndex, request: RequestSent) -> float:
     """The shortest time-out that any version of the request's route gives, in seconds."""
-    timeouts = [version.route.hold for version in index.versions.get(request.route, ()) if version.route]
+    timeouts = [version.route.timeout for version in index.versions.get(request.route, ()) if version.route]
     return min(timeouts, default=NO_TIMEOUT)
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/site.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/site.py
@@ -62,17 +62,17 @@
 
 
 class Route(NamedTuple):
-    """A configured route: weights by service, time-out (hold) and latency target (aim) in seconds, most attempts."""
+    """A configured route: services with their weights, time-out and latency target in seconds, rank, most attempts."""
 
     name: str
     host: str
     prefix: str
     kind: str
     parts: tuple[tuple[str, float], ...]
-    hold: float
-    aim: float
+    timeout: float
+    latency_target: float
     rank: int
-    sends: int
+    max_attempts: int
 
 
 class NestedCall(NamedTuple):
--- a/packages/testbed/src/hoistsaddle/testbed/scale/report.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/report.py
@@ -11,6 +11,8 @@
 from hoistsaddle.testbed.scale.sizes import GOAL
 
 FLEET = "fleet of nodes"
+# The largest of several figures is printed if it is so many times the value.
+MIN_SPREAD = 1.005
 # The point of each slope at the size that the users head for; docs/CAPACITY.md works out claims and depth.
 GOAL_POINTS: dict[str, float] = {
     FLEET: GOAL.nodes,
@@ -87,8 +89,8 @@
 
 
 def _value_text(measured: Measured) -> str:
-    spread = f" (to {_number(measured.most)})" if _spread(measured) else ""
-    return _number(measured.value) + spread
+    spread = f" (to {_format_number(measured.most)})" if _has_spread(measured) else ""
+    return _format_number(measured.value) + spread
 
 
 def _fit_text(fit: Fit, slope: str, points: list[Measured]) -> str:
@@ -96,18 +98,18 @@
     at_goal = ""
     # A line is extrapolated a little beyond its points, not far.
     if goal is not None and min(each.point for each in points) / 2 <= goal <= 2 * max(each.point for each in points):
-        at_goal = f"; at {goal:g}: {_number(fit.at(goal))}"
+        at_goal = f"; at {goal:g}: {_format_number(fit.at(goal))}"
     return (
-        f"{_number(fit.base)} + {_number(fit.slope)} each, "
+        f"{_format_number(fit.base)} + {_format_number(fit.slope)} each, "
         f"explains {fit.explained:.2f}, worst miss {fit.worst:.0%}{at_goal}"
     )
 
 
-def _spread(each: Measured) -> bool:
-    return each.most > each.value * 1.005
+def _has_spread(measured: Measured) -> bool:
+    return measured.most > measured.value * MIN_SPREAD
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:,.0f}" if abs(value) >= 1000 or value == int(value) else f"{value:.3g}"
 
 
