--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/losses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/losses.py
@@ -7,11 +7,10 @@
 
 from hoistsaddle.rpc.messages import HealthCall
 from hoistsaddle.statemachine.commands import GONE_RETENTION, LEVEL
-from hoistsaddle.testbed.history import ServerStateChanged
 from hoistsaddle.testbed.process_names import REGISTRY, proxy_name, registry_name, replica_of
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
 from hoistsaddle.testbed.simulation.scenarios.common import RATE, next_bundle, under_load
-from hoistsaddle.testbed.simulation.servers import READY
+from hoistsaddle.testbed.simulation.servers import DRAINED, READY
 
 
 async def core_machine_lost(simulation: SimulatedDeployment) -> None:
@@ -182,7 +181,7 @@
         await operators.read_back(in_force=2)
         assert isinstance(await operators.drain(proxy_name(2)), Success)
         server = simulation.servers[proxy_name(2)]
-        simulation.history.add(ServerStateChanged(simulation.now(), server.service, server.instance, "drained"))
+        simulation.servers.record_state(server, DRAINED)
         await lose_leader()
         await operators.read_back(in_force=2, drained=(proxy_name(2),))
         first = await simulation.clients.send_request(once, client="payer", key="settled")
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/servers.py
@@ -6,11 +6,11 @@
 from returns.result import Success
 
 from hoistsaddle.statemachine.state import WINDING_DOWN
-from hoistsaddle.testbed.history import AttemptSeen, RequestSent, ServerStateChanged
+from hoistsaddle.testbed.history import AttemptSeen, RequestSent
 from hoistsaddle.testbed.process_names import proxy_name
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
 from hoistsaddle.testbed.simulation.scenarios.common import another_service, under_load
-from hoistsaddle.testbed.simulation.servers import ANSWER_SECONDS, GARBAGE, LOSE_ANSWER, READY, TRUNCATE
+from hoistsaddle.testbed.simulation.servers import ANSWER_SECONDS, DRAINED, GARBAGE, LOSE_ANSWER, READY, TRUNCATE
 
 
 async def servers_change(simulation: SimulatedDeployment) -> None:
@@ -31,16 +31,8 @@
             simulation.servers[winding].change_state(WINDING_DOWN)
             simulation.servers[vanishing].vanish()
             simulation.servers[swapping].vanish()
-            result = await operators.drain(draining)
-            assert isinstance(result, Success), result
-            simulation.history.add(
-                ServerStateChanged(
-                    simulation.now(),
-                    simulation.servers[draining].service,
-                    simulation.servers[draining].instance,
-                    "drained",
-                )
-            )
+            assert isinstance(await operators.drain(draining), Success)
+            simulation.servers.record_state(simulation.servers[draining], DRAINED)
             # One address passes to another service at once; the newcomer reports before it serves.
             hasty = simulation.random.choice(
                 [name for name in names if name not in (winding, vanishing, swapping, draining)]
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/servers.py
@@ -17,6 +17,8 @@
 from hoistsaddle.testbed.simulation.world import World
 
 READY = "ready"
+# States that a history knows and no server reports.
+DRAINED, VANISHED = "drained", "vanished"
 HEALTH_INTERVAL_SECONDS = 0.8
 # What a server does instead of answering well.
 LOSE_ANSWER, GARBAGE, TRUNCATE = "lose answer", "garbage", "truncate"
@@ -54,7 +56,7 @@
     def vanish(self) -> None:
         """The server is gone and says nothing."""
         self.present = False
-        self.pool.record_state(self, "vanished")
+        self.pool.record_state(self, VANISHED)
 
 
 class ServerPool:
