--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -39,10 +39,10 @@
 from hoistsaddle.statemachine.state import State, initial_state
 
 TICK = milliseconds(15)
-# What one event costs a whole processor: a fetch that arrives, is unpacked, handled and answered, with some to spare.
+# Processor time of one event: a fetch that arrives, is unpacked, handled and answered, with some to spare.
 EVENT_COST = milliseconds(1.2)
 TICK_COST = milliseconds(0.15)
-# Interpreter, imports and opening the disk, on a whole processor.
+# Processor time of a start: interpreter, imports and opening the disk.
 START_COST = milliseconds(300)
 SETTLE = timedelta(seconds=4)
 
@@ -142,7 +142,7 @@
         mesh.later(START_COST / mesh.processor, booted)
 
     def kill(self) -> None:
-        """What the disk was handed is written; what was not yet said is lost with the process."""
+        """What the disk was handed is written; messages not yet sent are lost with the process."""
         self.core = None
         self.begin_life()
 
@@ -331,7 +331,7 @@
         self.nodes[replica].frozen_until = self.now + span
 
     def stop(self, replica: int, *, grace: timedelta = timedelta(seconds=3)) -> timedelta:
-        """SIGTERM; the process ends once nothing keeps it, and its silence begins there. Gives how long it stayed."""
+        """SIGTERM; the process ends once nothing keeps it, and is silent from then on. Gives how long it stayed."""
         node = self.nodes[replica]
         node.feed(StopRequested(grace))
         stayed = self.until(lambda: node.ended != "", most=grace + timedelta(seconds=1))
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -63,7 +63,7 @@
     Stop(4.0, "side-03", 0.3),
     RestartServer(4.0, "side-02"),
 )
-# Long enough that the margin for further sends has come up and is used many times over.
+# Long enough that the margin for retries has come up and is used many times over.
 LOSSES = small_day(Misbehave(0.5, SERVICES[1], 0.6, 14.0, "cut"), seconds=16.0)
 FAILURES = small_day(Misbehave(0.5, SERVICES[0], 0.8, 9.0, "failure"))
 # Many requests, so that some are under way wherever a machine stops.
@@ -105,7 +105,7 @@
     ),
     11.0,
 )
-# Desks with other contents under one version, their answers lost half of the time, and old orders again.
+# Operators with other contents under one version, their answers lost half of the time, and old changes again.
 CONTESTED = small_day(
     LostAnswers(0.4, 0.5, 5.0),
     Change(0.5, "move", 7, operators=2, contested=True),
@@ -157,7 +157,7 @@
 
 
 def _key_answers_forgotten():
-    """A repeat of a key gets whatever answer its door gave last."""
+    """A repeat of a key gets whatever answer its ingress gave last."""
     plain, kept = IngressHandler._respond, {}
 
     def other(self: IngressHandler, answer: Reply):
--- a/tests/orders_model.py
+++ b/tests/orders_model.py
@@ -70,7 +70,7 @@
     ModelOrder("its service", ((W, 1, "w"),)),
     ModelOrder("service dropped", ((W, 2, None),)),
 )
-# In which all that an operator may send again is long over.
+# Every resend window is long over by then.
 WAIT = ModelOrder("wait", ())
 
 
@@ -131,7 +131,7 @@
 
 
 def accepted_never_refused(path: Path, before: Path) -> str:
-    """What was confirmed once is confirmed again, or, when all spans are over, left without a clear answer."""
+    """What was confirmed once is confirmed again, or, when all resend windows are over, left without a clear answer."""
     if len(path.answers) == len(before.answers):
         return ""
     order, answer = path.answers[-1]
--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -90,7 +90,7 @@
         # Sidecars that give no answer at all, and those whose ports refuse.
         self.silent: set[str] = set()
         self.refusing: set[str] = set()
-        # Whether each sidecar has heard from the core just now.
+        # Whether each sidecar's lease was renewed just now.
         self.leased = True
         self.commands: list[tuple[str, tuple]] = []
         self.replies: dict[int, Reply] = {}
--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -1,7 +1,7 @@
-"""Whole sidecars on real sockets and a stepped clock: clients, handlers, lines, server connections, and wires between.
+"""Complete sidecars on real sockets and a stepped clock: clients, listeners, RPC and server connections, and the links.
 
-Every hop goes through a wire that can hold bytes back, reset, close, or say an answer twice. What was asked, what ran
-and what was told is kept for `judge`.
+Every hop goes through a link that can hold bytes back, reset, close, or repeat an answer. Requests, runs and answers
+are recorded for `judge`.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class ControlledLink:
-    """A relay on one hop. Up is towards the callee."""
+    """A TCP relay on one hop, under the test's control. Up is towards the callee."""
 
     def __init__(self, port: int) -> None:
         self.target = port
@@ -136,10 +136,10 @@
                 self.history.runs.append((attempt, self.instance))
                 self.begun.count_event()
                 await self.go.wait()
-                said = self.answer(attempt, "200 OK", f"run of {attempt}".encode())
+                response = self.answer(attempt, "200 OK", f"run of {attempt}".encode())
                 if self.surplus:
-                    said = self.answer(last, "200 OK", b"late") + said + self.answer("next", "200 OK", b"early")
-                writer.write(said)
+                    response = self.answer(last, "200 OK", b"late") + response + self.answer("next", "200 OK", b"early")
+                writer.write(response)
                 last = attempt
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
@@ -160,21 +160,23 @@
 
 
 class ClientRequest(NamedTuple):
+    """What one attempt asked for: kind of route, and key."""
+
     kind: str
     key: str
 
 
 class History:
-    """What clients asked under which attempt, what ran where, and what they were told."""
+    """Clients' requests by attempt, what ran where, and the answers."""
 
     def __init__(self) -> None:
         self.asked: dict[str, ClientRequest] = {}
         self.runs: list[tuple[str, str]] = []
-        self.told: dict[str, tuple[int, bytes]] = {}
+        self.answers: dict[str, tuple[int, bytes]] = {}
 
 
 def judge(history: History) -> list[str]:
-    """Every promise that the history breaks: an answer to the wrong caller, a second run, a refusal of what ran."""
+    """Every violation in a history: an answer to the wrong caller, a second run, a refusal of what ran."""
     broken = []
     ran = [attempt for attempt, _ in history.runs]
     for attempt in set(ran) - set(history.asked):
@@ -182,7 +184,7 @@
     for attempt, ask in history.asked.items():
         if ask.kind not in REPEATABLE and ran.count(attempt) > 1:
             broken.append(f"TWICE {attempt}")
-        status, body = history.told.get(attempt, (0, b""))
+        status, body = history.answers.get(attempt, (0, b""))
         same = {attempt} | {other for other, each in history.asked.items() if ask.key and each.key == ask.key}
         if status == 200 and body not in {f"run of {each}".encode() for each in same & set(ran)}:
             broken.append(f"WRONG {attempt} heard {body!r}")
@@ -195,6 +197,8 @@
 
 
 class SteppedRuntime:
+    """A sidecar's runtime on the stepped clock; calls to the core stay in this process."""
+
     def __init__(self, *, seed: int, life: int, core: Any) -> None:
         self.random = random.Random(seed)
         self.life = life
@@ -214,7 +218,7 @@
 
 
 class Machine:
-    """One sidecar with its server, and the wires to its handler, its line and its server."""
+    """One sidecar with its server, and the links to its listener, its RPC address and its server."""
 
     def __init__(self, *, name: str, stack: "SidecarStack") -> None:
         self.name, self.stack = name, stack
@@ -232,7 +236,7 @@
         return self
 
     async def boot(self, *, name: str) -> None:
-        """A life of the sidecar, at the ports of the life before."""
+        """Starts an incarnation of the sidecar, at the ports of the one before."""
         self.stack.lives += 1
         address = f"127.0.0.1:{self.ports['line']}"
         settings = SidecarSettings(
@@ -248,7 +252,7 @@
             health_seconds=60,
         )
         runtime = SteppedRuntime(seed=self.stack.seed, life=self.stack.lives, core=self.stack.core)
-        # A line of its own: a life's kept connections die with it.
+        # A pool of its own: an incarnation's connections die with it.
         self.server_connections = ServerConnectionPool(header_names=HEADER_NAMES, counters=None)  # type: ignore[arg-type]
         self.node = SidecarNode(settings=settings, runtime=runtime, serve=self.server_connections.serve)
         self.server_connections.counters = self.node.counters
@@ -260,13 +264,13 @@
         self.ticking = asyncio.ensure_future(self.node._ticks())
 
     def tell(self) -> None:
-        """What its server and the core told it."""
+        """Its server reports itself, and the core's configuration arrives."""
         self.node.feed(ConfigurationChanged(self.stack.view()))
         local_server, address = self.local_server, f"127.0.0.1:{self.to_server.port}"
         self.node.feed(HealthReported(local_server.service, local_server.instance, address, READY, 8, timedelta()))
 
     async def die(self) -> None:
-        """All at once, as a kill does."""
+        """Ends at once, as by a kill."""
         self.ticking.cancel()
         for task in self.node.work:
             task.cancel()
@@ -282,7 +286,7 @@
         return self.to_server, self.to_line, self.to_handler
 
     def freeze(self) -> None:
-        """Nothing comes in or goes out, and its clock's ticks are missed."""
+        """Nothing comes in or goes out, and its ticks are missed."""
         self.ticking.cancel()
         for wire in self.wires():
             wire.hold()
@@ -294,7 +298,7 @@
 
 
 class SidecarStack:
-    """Entry sidecar s-1, and s-2 and s-3 whose servers do the work."""
+    """Ingress sidecar s-1, and s-2 and s-3 whose servers do the work."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.seed = seed
@@ -364,24 +368,24 @@
             self.attempts += 1
             attempt = f"try-{self.attempts}"
             self.history.asked[attempt] = ClientRequest(kind, key)
-            told = await self._send_attempt(attempt, kind, key, self.machines[door].to_handler.port)
-            if told is not None:
-                self.history.told[attempt] = told
-            status = told[0] if told is not None else 0
+            answer = await self._send_attempt(attempt, kind, key, self.machines[door].to_handler.port)
+            if answer is not None:
+                self.history.answers[attempt] = answer
+            status = answer[0] if answer is not None else 0
             if status == 200 or (status != 503 and kind not in REPEATABLE and not key):
                 return
             await asyncio.sleep(0.2)
 
     async def _send_attempt(self, attempt: str, kind: str, key: str, port: int) -> tuple[int, bytes] | None:
         body = b"x" * (20000 if kind == "pack" else 3)
-        rpc_client = [f"POST /{kind}/x HTTP/1.1", f"Host: {HOST}", f"{HEADER_NAMES.client_attempt_id}: {attempt}"]
-        rpc_client += [f"{HEADER_NAMES.budget}: {BUDGET * 1000:.0f}", f"Content-Length: {len(body)}"]
-        rpc_client += [f"{HEADER_NAMES.key}: {key}"] if key else []
+        head_lines = [f"POST /{kind}/x HTTP/1.1", f"Host: {HOST}", f"{HEADER_NAMES.client_attempt_id}: {attempt}"]
+        head_lines += [f"{HEADER_NAMES.budget}: {BUDGET * 1000:.0f}", f"Content-Length: {len(body)}"]
+        head_lines += [f"{HEADER_NAMES.key}: {key}"] if key else []
         try:
             async with asyncio.timeout(BUDGET):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 try:
-                    writer.write("\r\n".join([*rpc_client, "", ""]).encode() + body)
+                    writer.write("\r\n".join([*head_lines, "", ""]).encode() + body)
                     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
                     headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:])}
                     return int(head[0].split()[1]), await reader.readexactly(int(headers["content-length"]))
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-# Real time. It only ends a run that hangs, whose sockets say nothing more.
+# Real time. It only ends a run that hangs, with no more events on its sockets.
 MAX_SILENT_SECONDS = 30.0
 
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -100,7 +100,7 @@
         self.assertThat((sidecar.grace_seconds, sidecar.drain_seconds), Equals((6.0, 2.0)))
         # A key is held for at least its window.
         self.assertThat(sidecar.key_seconds >= 60, Equals(True))
-        # A server is silent only after more than one of its beats is missing.
+        # A server counts as silent only after more than one missing heartbeat.
         self.assertThat(sidecar.health_seconds > 2 * 1.5, Equals(True))
 
     def test_a_core_machines_settings(self) -> None:
@@ -113,8 +113,8 @@
         self.assertThat(daemon_settings.seeds, Equals(["10.1.0.12", "10.2.0.10", "10.3.0.10"]))
         self.assertThat(daemon_settings.registry_port == daemon_settings.store_port, Equals(False))
         for window, seconds in (("60", 600.0), ("0.1", 600.0), ("300", 3000.0), ("1e9", 86400.0)):
-            told = controller_settings(self.read(state_dir="/data", bounds=[f"key_window_s={window}"]))
-            self.assertThat((told.resend_seconds, type(check_settings(told))), Equals((seconds, Success)))
+            result = controller_settings(self.read(state_dir="/data", bounds=[f"key_window_s={window}"]))
+            self.assertThat((result.resend_seconds, type(check_settings(result))), Equals((seconds, Success)))
         refused = check_settings(controller_settings(self.read(state_dir=None)))
         self.assertThat(refused.failure().field, Equals("data_folder"))
 
@@ -198,12 +198,12 @@
     def test_what_stands_is_given_back_word_for_word(self) -> None:
         patch = self.read(FIRST)
         stands = [(each.kind, each.item.get("name", LIMITS), each.revision, each.source) for each in patch.sets]
-        told = write_items(stands).decode()
-        for said in (ROUTE, KEYED, *SERVICES, CONSTRAINTS):
-            self.assertThat(told, Contains(said))
-        self.assertThat(json.loads(told), Equals(json.loads(FIRST)["apply"]))
+        result = write_items(stands).decode()
+        for text in (ROUTE, KEYED, *SERVICES, CONSTRAINTS):
+            self.assertThat(result, Contains(text))
+        self.assertThat(json.loads(result), Equals(json.loads(FIRST)["apply"]))
         # What is read back is a first call's set again.
-        self.assertThat(self.read(f'{{"apply":{told}}}').sets, Equals(patch.sets))
+        self.assertThat(self.read(f'{{"apply":{result}}}').sets, Equals(patch.sets))
 
     def test_fields_of_an_item_that_mean_nothing_here_come_back_too(self) -> None:
         odd = ROUTE.replace('"rank":2', '"rank" : 2, "note":{"a":[1,2.50]}')
@@ -219,13 +219,13 @@
             self.assertThat(patch.drops, Equals([ItemDeletion(SERVICE, revision, "x")]))
 
     def test_all_kinds_of_routes(self) -> None:
-        for said, kind in (
+        for text, kind in (
             ("idempotent", "repeatable"),
             ("effectful", "once per send"),
             ("keyed", "once per key"),
             ("upload", "upload"),
         ):
-            patch = self.read(f'{{"apply":{{"route_table":[{ROUTE.replace("idempotent", said)}]}}}}')
+            patch = self.read(f'{{"apply":{{"route_table":[{ROUTE.replace("idempotent", text)}]}}}}')
             self.assertThat((patch.sets[0].item["kind"], type(check_patch(patch))), Equals((kind, Success)))
 
     def test_hosts_are_met_in_any_case(self) -> None:
@@ -270,9 +270,9 @@
             '{"apply":{"route_table":[{"note":' + "[" * 100000 + "]" * 100000 + "}]}}",
             '{"apply":' * 100000,
         ):
-            told = read_call(body.encode())
-            self.assertThat(told, IsInstance(Failure), body[:80])
-            error = told.failure()
+            result = read_call(body.encode())
+            self.assertThat(result, IsInstance(Failure), body[:80])
+            error = result.failure()
             self.assertThat((error.kind, error.remedy != ""), Equals((ErrorKind.ITEM_BROKEN, True)))
         self.assertThat(read_call(b"\xff\xfe{}"), IsInstance(Failure))
 
@@ -288,8 +288,8 @@
             {"tries": 2**64},
         ):
             body = json.dumps({"apply": {"route_table": [{**json.loads(ROUTE), **changes}]}})
-            told = read_call(body.encode()).bind(check_patch)
-            self.assertThat(told, IsInstance(Failure), str(changes))
+            result = read_call(body.encode()).bind(check_patch)
+            self.assertThat(result, IsInstance(Failure), str(changes))
 
 
 class Request:
@@ -316,10 +316,10 @@
 class Node:
     def __init__(self) -> None:
         self.core = Core()
-        self.told: list[HealthReported] = []
+        self.reports: list[HealthReported] = []
 
     def feed(self, event: HealthReported) -> None:
-        self.told.append(event)
+        self.reports.append(event)
         self.core.server = LocalServer(event.service, event.instance, event.address, event.state, timedelta())
 
 
@@ -369,50 +369,50 @@
     def test_the_pages_beat(self) -> None:
         self.assertThat(self.put(), Equals(200))
         self.assertThat(
-            self.node.told,
+            self.node.reports,
             Equals([HealthReported("huvo11a", "i-7f3a91c2", "10.128.0.9:8080", READY, 9, timedelta())]),
         )
 
     def test_a_late_beat_says_nothing_new(self) -> None:
         self.put(call_seq=7)
         self.put(call_seq=8, phase="decaying", cold_left_s=1.5)
-        # It is acknowledged all the same: its sender asks nothing more.
+        # It is acknowledged all the same: its sender needs nothing more.
         self.assertThat(self.put(call_seq=7), Equals(200))
-        self.assertThat([each.state for each in self.node.told], Equals([READY, WINDING_DOWN]))
-        self.assertThat(self.node.told[1].cold, Equals(timedelta(seconds=1.5)))
+        self.assertThat([each.state for each in self.node.reports], Equals([READY, WINDING_DOWN]))
+        self.assertThat(self.node.reports[1].cold, Equals(timedelta(seconds=1.5)))
 
     def test_a_new_life_counts_from_its_own_beginning(self) -> None:
         self.put(call_seq=70)
         self.put("i-next", call_seq=1)
-        self.assertThat([each.instance for each in self.node.told], Equals(["i-7f3a91c2", "i-next"]))
+        self.assertThat([each.instance for each in self.node.reports], Equals(["i-7f3a91c2", "i-next"]))
 
     def test_an_unknown_phase_gets_no_new_work(self) -> None:
         self.put(phase="pondering")
-        self.assertThat(self.node.told[0].state, Equals(WINDING_DOWN))
+        self.assertThat(self.node.reports[0].state, Equals(WINDING_DOWN))
 
     def test_a_leave_of_the_server_that_is_there(self) -> None:
         self.put()
         self.assertThat(self.call("DELETE", "i-7f3a91c2"), Equals(200))
-        self.assertThat(self.node.told[-1].state, Equals(GONE))
+        self.assertThat(self.node.reports[-1].state, Equals(GONE))
 
     def test_a_leave_of_another_life_is_acknowledged_and_changes_nothing(self) -> None:
         self.assertThat(self.call("DELETE", "i-former"), Equals(200))
         self.put()
         self.assertThat(self.call("DELETE", "i-former"), Equals(200))
-        self.assertThat([each.state for each in self.node.told], Equals([READY]))
+        self.assertThat([each.state for each in self.node.reports], Equals([READY]))
 
     def test_a_beat_that_was_overtaken_by_its_own_leave_says_nothing(self) -> None:
         self.put(call_seq=4)
         self.call("DELETE", "i-7f3a91c2")
         self.put(call_seq=3)
-        self.assertThat(self.node.told[-1].state, Equals(GONE))
+        self.assertThat(self.node.reports[-1].state, Equals(GONE))
 
     def test_broken_beats_are_refused(self) -> None:
         for body in (b"", b"{}", b"[1]", b'{"service":"a"}', b'{"service":1,"address":"x","phase":"ready"}'):
             self.assertThat(self.call("PUT", "i-1", body), Equals(400), repr(body))
         for path in ("/-/instances/", "/-/other", "/"):
             self.assertThat(answered(self.door.handle(Request("PUT", path, b"{}"))).status, Equals(404))
-        self.assertThat(self.node.told, Equals([]))
+        self.assertThat(self.node.reports, Equals([]))
 
 
 class Ready(TestCase):
@@ -422,8 +422,8 @@
         node = Node()
         self.assertThat(answered(ready_door(node, Request("GET", "/-/ready"))).status, Equals(200))
         node.core.error = MeshError(ErrorKind.NO_CONFIGURATION, "not yet", "wait")
-        told = answered(ready_door(node, Request("GET", "/-/ready")))
-        self.assertThat((told.status, "Retry-After" in told.headers), Equals((503, True)))
+        result = answered(ready_door(node, Request("GET", "/-/ready")))
+        self.assertThat((result.status, "Retry-After" in result.headers), Equals((503, True)))
 
 
 class Operators(TestCase):
@@ -442,25 +442,25 @@
         self.assertThat((self.call(controller, body="{").status, controller.patches), Equals((400, [])))
 
     def test_what_the_product_refuses_is_refused_for_good(self) -> None:
-        told = self.call(Controller(Failure(MeshError(ErrorKind.ITEM_BROKEN, "wrong", "mend it", "sets[0].parts"))))
-        self.assertThat((told.status, told.text), Equals((400, told.text)))
-        self.assertThat(told.text, Contains("sets[0].parts"))
+        result = self.call(Controller(Failure(MeshError(ErrorKind.ITEM_BROKEN, "wrong", "mend it", "sets[0].parts"))))
+        self.assertThat((result.status, result.text), Equals((400, result.text)))
+        self.assertThat(result.text, Contains("sets[0].parts"))
         taken = MeshError(ErrorKind.ITEM_CONFLICT, "Revision 7 of entry pay has another content.", "higher", "sets[0]")
-        told = self.call(Controller(Failure(taken)))
-        self.assertThat((told.status, told.text), Equals((409, told.text)))
-        self.assertThat(told.text, Contains("Revision 7 of entry pay"))
+        result = self.call(Controller(Failure(taken)))
+        self.assertThat((result.status, result.text), Equals((409, result.text)))
+        self.assertThat(result.text, Contains("Revision 7 of entry pay"))
 
     def test_everything_else_is_unclear_and_worth_another_call(self) -> None:
         for kind in (ErrorKind.NO_LEADER, ErrorKind.UNSURE, ErrorKind.RELEASE_LEVEL, ErrorKind.ORDER_UNSURE):
-            told = self.call(Controller(Failure(MeshError(kind, "not now", "again"))))
-            self.assertThat((told.status, "Retry-After" in told.headers), Equals((503, True)))
+            result = self.call(Controller(Failure(MeshError(kind, "not now", "again"))))
+            self.assertThat((result.status, "Retry-After" in result.headers), Equals((503, True)))
 
     def test_reading_gives_what_stands_or_says_that_it_cannot(self) -> None:
         items = [(ENTRY, "r-n2ctnfz", 7, ROUTE.encode()), (LIMITS, LIMITS, 7, CONSTRAINTS.encode())]
-        told = self.call(Controller(Success({}), Success(items)), "GET", "")
-        self.assertThat((told.status, told.content_type), Equals((200, "application/json")))
+        result = self.call(Controller(Success({}), Success(items)), "GET", "")
+        self.assertThat((result.status, result.content_type), Equals((200, "application/json")))
         self.assertThat(
-            json.loads(told.body),
+            json.loads(result.body),
             Equals({"route_table": [json.loads(ROUTE)], "services": [], "constraints": json.loads(CONSTRAINTS)}),
         )
         away = self.call(Controller(Success({}), Failure(MeshError(ErrorKind.NO_LEADER, "away", "again"))), "GET", "")
--- a/tests/test_benchdays.py
+++ b/tests/test_benchdays.py
@@ -111,11 +111,11 @@
             Equals(("somewhere", 28.0, 6.0, 2, 2, ("first", "second"), 800)),
         )
         out = self.folder / "days"
-        told = CliRunner().invoke(
+        result = CliRunner().invoke(
             main,
             ["fleet", "days", "--point", "answers", "--site", str(path), "--count", "3", "--out", str(out)],
         )
-        self.assertThat(told.exit_code, Equals(0), told.output)
+        self.assertThat(result.exit_code, Equals(0), result.output)
         files = sorted(out.iterdir())
         self.assertThat(len(files), Equals(3))
         for file in files:
@@ -127,8 +127,8 @@
     def test_another_file_is_refused_with_the_remedy(self) -> None:
         path = self.folder / "other.toml"
         path.write_text("name = 1")
-        told = CliRunner().invoke(
+        result = CliRunner().invoke(
             main, ["fleet", "days", "--point", "all", "--site", str(path), "--out", str(self.folder)]
         )
-        self.assertThat(told.exit_code, Equals(2))
-        self.assertIn("Remedy", told.output)
+        self.assertThat(result.exit_code, Equals(2))
+        self.assertIn("Remedy", result.output)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -7,7 +7,7 @@
 from testtools.matchers import Equals
 
 PACKAGES = Path(__file__).parent.parent / "packages"
-# Happenings carry a wall-clock moment for people to read; the export says when it was read; measurements are
+# Events carry a wall-clock time for people to read; the export says when it was read; measurements are
 # no daemons.
 MAY_READ = {
     "common/src/hoistsaddle/common/counters.py",
--- a/tests/test_emulator_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -66,7 +66,7 @@
 
 def seen_with_old_for_new() -> WitnessReport:
     with mock.patch.object(ControllerRegistry, "_confirmed_current_at", lambda registry: registry.runtime.now()):
-        # Those sidecars have nobody else to ask.
+        # Those sidecars have no other parent.
         return seen("leader with sidecars")
 
 
@@ -77,12 +77,12 @@
         for name, each in found.items():
             print(name, "seed", DAYS[name].seed)
             self.assertThat((each.broken, each.overstated, each.back), Equals(({}, [], [])), name)
-            # Whoever is fed by it moves on: only those that are cut off themselves go without fresh news for long.
+            # Its children move on: only those that are cut off themselves have no fresh updates for long.
             cut = SIDES if "sidecars" in name else ()
             for sidecar, longest in each.longest.items():
                 if sidecar not in cut:
                     self.assertThat(longest, LessThan(BOUNDS["contact_s"]), f"{name}: {sidecar}")
-            # A frozen machine says nothing at all; every other one answers an order before its sender moves on.
+            # A frozen machine answers nothing at all; every other one answers a change before its sender moves on.
             if "frozen" not in name:
                 self.assertThat(
                     [answer for answer in each.control_answers if answer[3] >= 1.0 or not answer[2]], Equals([]), name
@@ -95,13 +95,13 @@
             self.assertThat(pool.submit(seen_with_old_for_new).result().overstated, GreaterThan([]))
 
     def test_without_a_majority_little_is_sent(self) -> None:
-        # In a process of its own, as every day here: what its lives leave behind goes with it.
+        # In a process of its own, as every day here: what its incarnations leave behind goes with it.
         with ProcessPoolExecutor(1) as pool:
             told = pool.submit(watch, NO_MAJORITY, count_from=COUNT_FROM).result()
         print("seed", NO_MAJORITY.seed, dict(told.calls), dict(told.octets))
         machines = len(NO_MAJORITY.site.sidecars) + 1
         span = NO_MAJORITY.seconds + 5.0 - COUNT_FROM + 5.0
-        # The lost don't come back; what the machines send each other that isn't a request's own way.
+        # The lost don't come back; all traffic between machines but forwarded requests.
         control = {kind: count for kind, count in told.calls.items() if kind != "ForwardCall"}
         self.assertThat(sum(control.values()) / machines / span, LessThan(12.0), str(control))
         self.assertThat(control["WriteCall"] / machines / span, LessThan(4.0), str(control))
@@ -128,7 +128,7 @@
             if draw.random() < 0.3:
                 epoch, revision = news[-1]
                 news.append((epoch + (draw.random() < 0.3), revision + draw.choice((0, 1, 3))))
-            # Each parent hears of it when it does; some hear of nothing for long.
+            # Each parent learns of it at its own time; some learn nothing for long.
             parent = parents[min(draw.randrange(8), 3)]
             epoch, revision = news[-1]
             items = {f"item:{place}": (place, b"x") for place in range(revision)}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,17 +24,17 @@
 class RealProcesses(TestCase):
     def test_a_day_of_harm(self) -> None:
         """A rolling upgrade, racing bundles, a drain, the leader wiped, proxies killed, everything killed."""
-        said: list[str] = []
+        output: list[str] = []
 
         async def run(folder: Path) -> Fleet:
             async with Fleet(deployment=THIMBLE, folder=folder, seed=4, former=True) as fleet:
                 await fleet.start()
-                await prove(fleet=fleet, seed=4, rate=30, write_line=said.append)
+                await prove(fleet=fleet, seed=4, rate=30, write_line=output.append)
             return fleet
 
         with tempfile.TemporaryDirectory() as folder:
             fleet = asyncio.run(run(Path(folder)))
-        print("\n".join(said))
+        print("\n".join(output))
         broken = {line: found for line, found in check(fleet.history, THIMBLE, timed=False).items() if found}
         self.assertThat(broken, Equals({}))
         self.assertThat({process.returncode is not None for process in fleet.processes.values()}, Equals({True}))
@@ -60,7 +60,7 @@
                     listener=fleet.proxies[listener]["visitors"],
                 )
             )
-            # The request lies in the frozen machine's door before it wakes.
+            # The request lies in the frozen machine's socket before it wakes.
             await asyncio.wait([asking], timeout=0.2)
             fleet.wake(listener)
             got = await asking
@@ -88,8 +88,8 @@
             await fleet.until(closed, seconds=20, what="the door is closed to new connections")
             writer.write(b"GET /readings?nonce=1 HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertThat((await reader.readline())[:12], Equals(b"HTTP/1.1 503"))
-            told = (await reader.read()).decode()
-            self.assertThat(told, Contains("X-Hoistsaddle-Outcome: not-run"))
+            answer = (await reader.read()).decode()
+            self.assertThat(answer, Contains("X-Hoistsaddle-Outcome: not-run"))
             self.assertThat(await stopping, Equals(0))
 
         on_fleet(scenario)
@@ -104,8 +104,8 @@
 
                 async def send(method: str, path: str, **more) -> tuple[int, str, str]:
                     async with session.request(method, yarl.URL(url + path, encoded=True), **more) as response:
-                        told = await response.json()
-                        error = told.get("mishap", {})
+                        answer = await response.json()
+                        error = answer.get("mishap", {})
                         return response.status, response.headers["X-Hoistsaddle-Outcome"], error.get("kind", "")
 
                 ran = len(fleet.history.of(RunStarted))
@@ -158,7 +158,7 @@
                 )
                 other = await load.ask_until_run(ask=PAY, client="me", key="k2", body=b'{"nonce": "other"}')
                 self.assertThat((other.outcome, other.status), Equals(("refused", 422)))
-                # The same request under other credentials: a renewed token or somebody else, and nobody can say which.
+                # The same request under other credentials: a renewed token or somebody else, and nothing shows which.
                 someone = await load.ask_until_run(ask=PAY, client="someone else", key="k2")
                 self.assertThat((someone.outcome, someone.status, someone.run), Equals(("refused", 409, "")))
                 nobody = await send("POST", "/payments", json={"nonce": "x"}, headers={"Idempotency-Key": "k9"})
@@ -267,13 +267,13 @@
                     fleet.wipe(replica)
                 await asyncio.gather(*(fleet.launch(name) for name in lost))
 
-                async def said() -> bool:
+                async def loss_is_named() -> bool:
                     _, core = await fleet.operate("GET", "/core")
                     return "refused" in core and "unreachable" not in {
                         machine["standing"] for machine in core["machines"].values()
                     }
 
-                await fleet.until(said, seconds=30, what="the loss is named")
+                await fleet.until(loss_is_named, seconds=30, what="the loss is named")
                 _, core = await fleet.operate("GET", "/core")
                 founding = await fleet.operate("POST", "/found", {"operators": {"a": "0" * 64, "b": "1" * 64}})
                 return core, founding, await fleet.operate("GET", "/setup")
@@ -294,8 +294,8 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "hoistsaddle.cli", *arguments, stderr=asyncio.subprocess.PIPE
             )
-            _, said = await process.communicate()
-            return process.returncode, said.decode()
+            _, output = await process.communicate()
+            return process.returncode, output.decode()
 
         proxy = [
             "stall",
@@ -337,8 +337,8 @@
             ]
             return [(await refusal(*arguments), field) for arguments, field in cases]
 
-        for (code, said), field in asyncio.run(all_of_them()):
-            self.assertThat(code, Equals(2), said)
-            self.assertThat(said, Contains(field))
-            self.assertThat(said, Contains("Remedy:"))
-            self.assertThat(said, Not(Contains("Traceback")))
+        for (code, output), field in asyncio.run(all_of_them()):
+            self.assertThat(code, Equals(2), output)
+            self.assertThat(output, Contains(field))
+            self.assertThat(output, Contains("Remedy:"))
+            self.assertThat(output, Not(Contains("Traceback")))
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -46,7 +46,7 @@
                 self.assertThat((paid.retry_after, again.retry_after), Equals((True, True)))
             for server in fleet.stub_servers.values():
                 server.misbehaviour = ""
-            # A client that closes its own half after asking: its payment runs once, whatever it gets to hear.
+            # A client that closes its own half after asking: its payment runs once, whatever answer it gets.
             host, _, port = fleet.client_addresses()[0].rpartition(":")
             body = b'{"nonce": "key-half"}'
             for _ in range(2):
@@ -67,7 +67,7 @@
 
         fleet = on_fleet(scenario)
         broken = {line: found for line, found in check(fleet.history, THIMBLE, timed=False).items() if found}
-        # The half-closed client's own request was sent by hand, so no caller of the history asked it.
+        # The half-closed client's own request was sent by hand, so no caller of the history sent it.
         broken.pop("callers are told truly", None)
         self.assertThat(broken, Equals({}))
 
@@ -126,7 +126,7 @@
                 return await leader() not in (0, first)
 
             await fleet.until(another, seconds=40, what="another leader")
-            status, told = await fleet.operate("GET", "/ready", doors=(listener,))
+            status, decoded = await fleet.operate("GET", "/ready", doors=(listener,))
             held.close()
 
             async def ready() -> bool:
@@ -134,7 +134,7 @@
                 return status == 200
 
             await fleet.until(ready, seconds=30, what="ready once its disk writes")
-            self.assertThat((status, told["ready"], bool(told["why"]["remedy"])), Equals((503, False, True)))
+            self.assertThat((status, decoded["ready"], bool(decoded["why"]["remedy"])), Equals((503, False, True)))
             paid = await load.ask_until_run(ask=PAY, client="me", key="after")
             self.assertThat(paid.outcome, Equals("answered"))
 
@@ -197,7 +197,7 @@
             old = fleet.stub_servers["stall-01"]
             first = await old.call_inner("GET", "/balance", "one")
             self.assertThat((first["status"], first["outcome"]), Equals((200, "answered")))
-            # Another service's server takes the address over; the old process lives on and calls.
+            # Another service's server takes the address over; the old process goes on and calls.
             await old.runner.cleanup()
             old.runner = None
             old.task.cancel()
@@ -229,8 +229,8 @@
             listener, proxy = fleet.doors[0], fleet.proxies["stall-01"]
 
             async def all_noted() -> bool:
-                _, told = await fleet.operate("GET", "/setup")
-                return len(told["nodes"]) == len(fleet.proxies) + len(fleet.doors)
+                _, decoded = await fleet.operate("GET", "/setup")
+                return len(decoded["nodes"]) == len(fleet.proxies) + len(fleet.doors)
 
             await fleet.until(all_noted, seconds=20, what="every node is noted")
             _, before = await fleet.operate("GET", "/setup")
@@ -263,10 +263,10 @@
                     url = yarl.URL(f"http://{base}{path}", encoded=True)
                     sent = {"Authorization": f"Bearer {AUTHOR[1]}", **(headers or {})}
                     async with session.request(method, url, data=body or None, headers=sent) as response:
-                        told = msgspec.json.decode(await response.read())
-                        refused = told.get("refused") or told.get("mishap") or {}
+                        decoded = msgspec.json.decode(await response.read())
+                        refused = decoded.get("refused") or decoded.get("mishap") or {}
                         answers.append((f"{method} {path[:40]} {body[:30]}", response.status, refused.get("kind", "")))
-                        assert refused.get("remedy"), (path, body[:40], told)
+                        assert refused.get("remedy"), (path, body[:40], decoded)
 
                 for path in paths:
                     for body in bodies:
@@ -276,7 +276,7 @@
                         await send("GET", listener, path + number, b"")
                 for odd in ("a b", "x" * 300, "\u00e9"):
                     await send("POST", listener, "/servers/stall-02/drain", b"{}", {"X-Request-Id": odd})
-                # The proxy's doors.
+                # The proxy's listeners.
                 for body in (*bodies, b'{"service": "x"}', b'{"service": "a b", "instance": "i"}'):
                     await send("POST", proxy["inner"], "/hoistsaddle/vitals", body)
                 good = {"service": "ledger", "instance": "i", "address": "127.0.0.1:1", "state": "ready"}
@@ -372,9 +372,9 @@
                     for value in odd:
                         if (field, value) in fine:
                             continue
-                        said = refusal(kind, {**fields, field: value})
-                        self.assertThat(said, Contains(f"field {field}"), f"{kind} {field} = {value}")
-                        self.assertThat(said, Contains("Remedy:"))
+                        output = refusal(kind, {**fields, field: value})
+                        self.assertThat(output, Contains(f"field {field}"), f"{kind} {field} = {value}")
+                        self.assertThat(output, Contains("Remedy:"))
                     if field in ("name", "zone", "listen", "replica", "core", "seeds", "data_folder"):
                         left = {name: value for name, value in fields.items() if name != field}
                         self.assertThat(refusal(kind, left), Contains(f"field {field}"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -145,7 +145,7 @@
     def confirm(self, root: Relay, revision: int, found: dict[str, tuple[int, bytes]]) -> None:
         root.confirmed(asked=at(revision), mesh="m", revision=revision, items=found, expected_digests=digests_of(found))
 
-    def taught(self, child: Relay, parent: Relay, timestamp: float) -> PollAnswer:
+    def poll_parent(self, child: Relay, parent: Relay, timestamp: float) -> PollAnswer:
         answer = parent.answer(child.poll(own=OWN, now=at(timestamp)), now=at(timestamp))
         child.polled(answer, sent=at(timestamp))
         return answer
@@ -153,14 +153,14 @@
     def family(self, count: int = 200) -> tuple[Relay, Relay]:
         root, child = relay("root"), relay("child")
         self.confirm(root, 5, items(count, revision=5))
-        self.taught(child, root, 5)
+        self.poll_parent(child, root, 5)
         return root, child
 
     def test_one_item_set_and_one_removed_travel_alone(self) -> None:
         root, child = self.family()
         later = items(199, revision=5) | {"server:stall-3": (6, b"new"), "server:another": (6, b"x")}
         self.confirm(root, 6, later)
-        answer = self.taught(child, root, 6)
+        answer = self.poll_parent(child, root, 6)
         self.assertThat(
             (
                 answer.only_changes,
@@ -179,7 +179,7 @@
             found = {key: item for key, item in found.items() if key != f"server:stall-{revision}"}
             found |= {f"server:stall-{revision - 6}": (revision, b"new")}
             self.confirm(root, revision, found)
-        answer = self.taught(child, root, 11)
+        answer = self.poll_parent(child, root, 11)
         self.assertThat((answer.only_changes, child.copy.items), Equals((True, found)))
 
     def test_a_damaged_copy_refuses_changes_and_is_mended_by_ranges(self) -> None:
@@ -187,25 +187,27 @@
         child.copy.items["server:stall-9"] = (5, b"damage")
         later = items(200, revision=5) | {"server:stall-3": (6, b"new")}
         self.confirm(root, 6, later)
-        self.assertThat((self.taught(child, root, 6).only_changes, child.copy.revision), Equals((True, 5)))
-        self.assertThat((self.taught(child, root, 6).only_changes, child.copy.items), Equals((False, later)))
-        # Mended, it takes changes again.
+        self.assertThat((self.poll_parent(child, root, 6).only_changes, child.copy.revision), Equals((True, 5)))
+        self.assertThat((self.poll_parent(child, root, 6).only_changes, child.copy.items), Equals((False, later)))
+        # Repaired, it takes changes again.
         later = later | {"server:stall-4": (7, b"newer")}
         self.confirm(root, 7, later)
-        self.assertThat((self.taught(child, root, 7).only_changes, child.copy.items), Equals((True, later)))
+        self.assertThat((self.poll_parent(child, root, 7).only_changes, child.copy.items), Equals((True, later)))
 
     def test_whoever_is_behind_the_history_or_of_a_former_release_gets_ranges(self) -> None:
         root, child = self.family()
         young = relay("young")
         self.confirm(root, 6, items(199, revision=5) | {"server:stall-3": (6, b"new")})
-        # This parent was filled after the removal, so it can't tell a child of revision 5 about it.
-        self.taught(young, root, 6)
-        self.assertThat((self.taught(child, young, 6).only_changes, child.copy.items), Equals((False, root.copy.items)))
+        # This parent was filled after the removal, so its history can't serve a child of revision 5.
+        self.poll_parent(young, root, 6)
+        self.assertThat(
+            (self.poll_parent(child, young, 6).only_changes, child.copy.items), Equals((False, root.copy.items))
+        )
         former = relay("former")
         call = former.poll(own=OWN, now=at(6))._replace(takes_changes=False, takes_block=False)
         answer = root.answer(call, now=at(6))
         self.assertThat((answer.only_changes, answer.block, len(answer.items)), Equals((False, b"", 199)))
-        # What a parent of a former release says is taken as ever.
+        # A former release's answer is applied as ever.
         former.polled(answer, sent=at(6))
         self.assertThat(former.copy.items, Equals(root.copy.items))
 
@@ -217,21 +219,23 @@
         for block in (good.block[:-3] or b"cut", b"garbage", other[:-4], other + b"more"):
             child.polled(good._replace(block=block), sent=at(6))
             self.assertThat((child.copy.revision, child.needs_ranges), Equals((5, True)), str(block))
-        self.assertThat((self.taught(child, root, 6).only_changes, child.copy.items), Equals((False, root.copy.items)))
+        self.assertThat(
+            (self.poll_parent(child, root, 6).only_changes, child.copy.items), Equals((False, root.copy.items))
+        )
 
     def test_children_that_lack_the_same_share_one_block(self) -> None:
         root, child = self.family()
         other = relay("other")
-        self.taught(other, root, 5)
+        self.poll_parent(other, root, 5)
         self.confirm(root, 6, items(200, revision=5) | {"server:stall-3": (6, b"new")})
-        blocks = [self.taught(each, root, 6).block for each in (child, other)]
+        blocks = [self.poll_parent(each, root, 6).block for each in (child, other)]
         self.assertThat((blocks[0] is blocks[1], len(root.blocks)), Equals((True, 1)))
 
     def test_changes_to_an_older_poll_that_come_late_do_no_harm(self) -> None:
         root, child = self.family(20)
         early = child.poll(own=OWN, now=at(5))
         self.confirm(root, 6, items(19, revision=5))
-        self.taught(child, root, 6)
+        self.poll_parent(child, root, 6)
         self.confirm(root, 7, items(18, revision=5) | {"server:stall-19": (7, b"back")})
         child.polled(root.answer(early, now=at(7)), sent=at(5))
         self.assertThat((child.copy.items, child.copy.revision), Equals((root.copy.items, 7)))
@@ -253,7 +257,7 @@
         for seed in range(30):
             drawn = random.Random(seed)
             nodes = [relay(f"node-{number}") for number in range(6)]
-            held, told_changes = {1: items(12)}, 0
+            held, incremental_answers = {1: items(12)}, 0
             self.confirm(nodes[0], 1, held[1])
             for revision in range(2, 60):
                 found = dict(held[revision - 1])
@@ -265,11 +269,11 @@
                     self.confirm(nodes[0], revision, found)
                 for _ in range(drawn.randint(0, 6)):
                     child = drawn.randint(1, 5)
-                    answer = self.taught(nodes[child], nodes[drawn.randrange(child)], revision)
-                    told_changes += answer.only_changes
+                    answer = self.poll_parent(nodes[child], nodes[drawn.randrange(child)], revision)
+                    incremental_answers += answer.only_changes
                 for each in nodes:
                     self.assertThat(each.copy.items, Equals(held.get(each.copy.revision, {})), f"seed {seed}")
-            self.assertThat(told_changes > 20, Equals(True), f"seed {seed}: {told_changes}")
+            self.assertThat(incremental_answers > 20, Equals(True), f"seed {seed}: {incremental_answers}")
 
 
 class DistributionTree(TestCase):
@@ -335,7 +339,7 @@
             (changes, "one" in [member.node for member in core.alive(kind="stall")]), Equals(([DEAD], False))
         )
 
-    def test_a_suspect_outbids_the_rumour(self) -> None:
+    def test_a_suspect_refutes_the_suspicion(self) -> None:
         core = self.membership()
         core.handle(GossipReceived((self.member("me", state=SUSPECT),)), now=at(1))
         self.assertThat((core.me.state, core.me.count), Equals((ALIVE, 1)))
@@ -345,36 +349,36 @@
         other.handle(Ticked(), now=at(4))
         self.assertThat("one" in [member.node for member in other.alive(kind="stall")], Equals(True))
 
-    def told(self, core: Membership, turns: int) -> list[list[str]]:
+    def gossip_rounds(self, core: Membership, turns: int) -> list[list[str]]:
         return [[member_state.node for member_state in core.member_states()] for _ in range(turns)]
 
-    def test_a_rumour_is_passed_on_so_often_and_then_counts_as_known(self) -> None:
-        told = self.told(self.membership(retransmit_limit=2), 5)
-        self.assertThat([sorted(each) for each in told[:2]], Equals([["me", "one", "three", "two"]] * 2))
-        # Oneself is always told of: whoever is probed must be able to answer back.
-        self.assertThat(told[2:], Equals([["me"]] * 3))
+    def test_a_member_state_is_gossiped_so_often_and_then_counts_as_known(self) -> None:
+        rounds = self.gossip_rounds(self.membership(retransmit_limit=2), 5)
+        self.assertThat([sorted(each) for each in rounds[:2]], Equals([["me", "one", "three", "two"]] * 2))
+        # The own state always goes along: whoever is probed must be able to answer.
+        self.assertThat(rounds[2:], Equals([["me"]] * 3))
 
     def test_without_a_bound_everything_is_passed_on_for_ever(self) -> None:
-        self.assertThat([len(each) for each in self.told(self.membership(), 9)], Equals([4] * 9))
+        self.assertThat([len(each) for each in self.gossip_rounds(self.membership(), 9)], Equals([4] * 9))
 
     def test_what_changed_is_told_anew(self) -> None:
         core = self.membership(retransmit_limit=2)
-        self.told(core, 3)
+        self.gossip_rounds(core, 3)
         core.handle(GossipReceived((self.member("two", count=1),)), now=at(1))
-        self.assertThat(self.told(core, 3), Equals([["me", "two"], ["me", "two"], ["me"]]))
+        self.assertThat(self.gossip_rounds(core, 3), Equals([["me", "two"], ["me", "two"], ["me"]]))
         core.handle(IndirectProbesAnswered("one", False), now=at(1))
-        self.assertThat(self.told(core, 1), Equals([["me", "one"]]))
+        self.assertThat(self.gossip_rounds(core, 1), Equals([["me", "one"]]))
 
     def test_one_just_met_hears_of_everybody(self) -> None:
         core = self.membership(retransmit_limit=2)
-        self.told(core, 5)
+        self.gossip_rounds(core, 5)
         self.assertThat(
             sorted(member_state.node for member_state in core.member_states(complete=True)),
             Equals(["me", "one", "three", "two"]),
         )
         self.assertThat((core.knows("one"), core.knows("stranger")), Equals((True, False)))
 
-    def test_everyone_hears_of_a_newcomer_though_rumours_end(self) -> None:
+    def test_everyone_hears_of_a_newcomer_though_gossip_ends(self) -> None:
         """A fleet of forty on its own schedule: the last to join is known everywhere after some turns."""
         dice = random.Random(3)
         names = [f"n{number}" for number in range(40)]
--- a/tests/test_membership_polling.py
+++ b/tests/test_membership_polling.py
@@ -73,13 +73,13 @@
 
 class OlderUpdates(TestCase):
     def test_it_is_refused_counted_and_its_sender_named(self) -> None:
-        """A parent that was cut off comes back with what it held: nothing of it counts, and it is told once."""
+        """A parent that was cut off comes back with an old copy: nothing of it counts, and one event says so."""
         script = ScriptedRuntime([99.9, 100.2, 100.5, 100.8, 101.1])
-        told = [(5, 7), (5, 6), (4, 9), (4, 9), (5, 7)]
+        observed = [(5, 7), (5, 6), (4, 9), (4, 9), (5, 7)]
 
         async def call(address, message, *, within, still=lambda: True):
             answer = (await ScriptedRuntime.call(script, address, message, within=within)).unwrap()
-            epoch, revision = told.pop(0)
+            epoch, revision = observed.pop(0)
             return Success(answer._replace(epoch=epoch, revision=revision))
 
         script.call = call
@@ -113,10 +113,10 @@
     def test_the_next_parent_is_asked_and_the_late_answer_is_taken(self) -> None:
         script = ScriptedRuntime([])
         slow = asyncio.Event()
-        told: list[str] = []
+        observed: list[str] = []
 
         async def call(address: str, message: PollCall, *, within: timedelta, still: object = None) -> Result:
-            told.append(address)
+            observed.append(address)
             if address != FIRST:
                 raise asyncio.CancelledError
             self.assertThat(within > node.poll_span, Equals(True))
--- a/tests/test_registry_controller.py
+++ b/tests/test_registry_controller.py
@@ -81,9 +81,9 @@
         self.assertThat(patch.drops, Equals([ItemDeletion(ENTRY, 2, "read")]))
 
     def test_json_says_the_same_with_the_same_tables(self) -> None:
-        told = {"service": {"ledger": {"revision": 1, "connections": 50}}, "drop": []}
+        result = {"service": {"ledger": {"revision": 1, "connections": 50}}, "drop": []}
         self.assertThat(
-            read_text(json.dumps(told), json=True).unwrap(),
+            read_text(json.dumps(result), json=True).unwrap(),
             Equals(read_text("[service.ledger]\nrevision = 1\nconnections = 50\n").unwrap()),
         )
 
@@ -104,9 +104,9 @@
             ("", ""),
             ("not toml", ""),
         ):
-            told = read_text(text)
-            self.assertThat(told, IsInstance(Failure), text)
-            error = told.failure()
+            result = read_text(text)
+            self.assertThat(result, IsInstance(Failure), text)
+            error = result.failure()
             self.assertThat((error.field, error.remedy != ""), Equals((field, True)), text)
         for text in ("{", "[]", '{"entry": 1}', "[" * 100000):
             self.assertThat(read_text(text, json=True), IsInstance(Failure))
@@ -134,10 +134,10 @@
 
 class Settings(TestCase):
     def refused(self, kind: type, values: dict[str, Any]) -> str:
-        told = read_settings_file(kind=kind, path=None, flags=values)
-        self.assertThat(told, IsInstance(Failure), str(values))
-        self.assertThat(told.failure().remedy != "", Equals(True))
-        return told.failure().field
+        result = read_settings_file(kind=kind, path=None, flags=values)
+        self.assertThat(result, IsInstance(Failure), str(values))
+        self.assertThat(result.failure().remedy != "", Equals(True))
+        return result.failure().field
 
     def test_whole_ones_are_taken(self) -> None:
         self.assertThat(read_settings_file(kind=ControllerSettings, path=None, flags=CONTROLLER), IsInstance(Success))
@@ -162,9 +162,9 @@
             ("checkpoint_records", 0),
             ("lease_seconds", 0.0),
         ):
-            told = self.refused(ControllerSettings, {**CONTROLLER, field: value})
+            result = self.refused(ControllerSettings, {**CONTROLLER, field: value})
             self.assertThat(
-                told.partition("[")[0], Equals("bourse_port" if value == 7100 else field), f"{field} {value}"
+                result.partition("[")[0], Equals("bourse_port" if value == 7100 else field), f"{field} {value}"
             )
         self.assertThat(self.refused(ControllerSettings, {**CONTROLLER, "seeds": ["127.0.0.1"] * 4}), Equals("seeds"))
         self.assertThat(self.refused(ControllerSettings, {**CONTROLLER, "colour": 1}), Equals("colour"))
@@ -183,20 +183,20 @@
             ("drain_seconds", 0.0),
             ("backlog", 0),
         ):
-            told = self.refused(SidecarSettings, {**SIDECAR, field: value})
-            self.assertThat(told.partition("[")[0], Equals(field), f"{field} {value}")
+            result = self.refused(SidecarSettings, {**SIDECAR, field: value})
+            self.assertThat(result.partition("[")[0], Equals(field), f"{field} {value}")
 
     def test_daemons_refuse_before_they_start(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.toml"
             path.write_text('host = "127.0.0.1"\nzone = "a"\nseeds = ["127.0.0.1"]\ncold_start = false\nlosses = 99\n')
-            told = CliRunner().invoke(main, ["market", str(path), "--data-folder", folder])
-            self.assertThat((told.exit_code, "field losses" in told.output), Equals((2, True)), told.output)
+            result = CliRunner().invoke(main, ["market", str(path), "--data-folder", folder])
+            self.assertThat((result.exit_code, "field losses" in result.output), Equals((2, True)), result.output)
             # A flag wins over the file.
-            told = CliRunner().invoke(main, ["market", str(path), "--data-folder", folder, "--losses", "98"])
-            self.assertThat(told.output, Contains("98 is out of range"))
-            told = CliRunner().invoke(main, ["broker", str(path)])
-            self.assertThat((told.exit_code, "refused: params" in told.output), Equals((2, True)), told.output)
+            result = CliRunner().invoke(main, ["market", str(path), "--data-folder", folder, "--losses", "98"])
+            self.assertThat(result.output, Contains("98 is out of range"))
+            result = CliRunner().invoke(main, ["broker", str(path)])
+            self.assertThat((result.exit_code, "refused: params" in result.output), Equals((2, True)), result.output)
 
 
 class Commands(TestCase):
@@ -204,11 +204,13 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "patch.toml"
             path.write_text(SECOND)
-            told = CliRunner().invoke(main, ["items", "check", str(path)])
-            self.assertThat(json.loads(told.output), Equals({"sets": {"entry.more": 2}, "drops": {"entry.read": 2}}))
+            result = CliRunner().invoke(main, ["items", "check", str(path)])
+            self.assertThat(json.loads(result.output), Equals({"sets": {"entry.more": 2}, "drops": {"entry.read": 2}}))
             path.write_text(SECOND.replace("hold_seconds = 3", "hold_seconds = 0"))
-            told = CliRunner().invoke(main, ["items", "check", str(path)])
-            self.assertThat((told.exit_code, "entry.more.hold_seconds" in told.output), Equals((1, True)), told.output)
+            result = CliRunner().invoke(main, ["items", "check", str(path)])
+            self.assertThat(
+                (result.exit_code, "entry.more.hold_seconds" in result.output), Equals((1, True)), result.output
+            )
             path.write_bytes(b"\xff")
             self.assertThat(CliRunner().invoke(main, ["items", "check", str(path)]).output, Contains("UTF-8"))
 
@@ -219,9 +221,9 @@
             item = {**read_text(SECOND).unwrap().sets[0].item, **changes}
             counters = Counters(owner="market")
             desk = SimpleNamespace(registry=SimpleNamespace(counters=counters))
-            told = asyncio.run(Controller.patch(desk, Patch([ItemUpsert(ENTRY, 1, item)])))
-            self.assertThat(told, IsInstance(Failure))
-            self.assertThat(told.failure().field, Equals(f"sets[0].{field}"))
+            result = asyncio.run(Controller.patch(desk, Patch([ItemUpsert(ENTRY, 1, item)])))
+            self.assertThat(result, IsInstance(Failure))
+            self.assertThat(result.failure().field, Equals(f"sets[0].{field}"))
             self.assertThat(counters.read()["counts"]["happening.patch refused"], Equals(1))
 
 
@@ -257,11 +259,13 @@
             await until(ready)
             (folder / "first.toml").write_text(FIRST)
             (folder / "second.toml").write_text(SECOND)
-            code, said = await fleet.command("items", "submit", str(folder / "first.toml"))
-            self.assertThat((code, json.loads(said)["number"], json.loads(said)["signer"]), Equals((0, 1, "ben")), said)
+            code, output = await fleet.command("items", "submit", str(folder / "first.toml"))
+            self.assertThat(
+                (code, json.loads(output)["number"], json.loads(output)["signer"]), Equals((0, 1, "ben")), output
+            )
             # The same again changes nothing.
-            code, said = await fleet.command("items", "submit", str(folder / "first.toml"))
-            self.assertThat((code, json.loads(said)["changed"]), Equals((0, [])), said)
+            code, output = await fleet.command("items", "submit", str(folder / "first.toml"))
+            self.assertThat((code, json.loads(output)["changed"]), Equals((0, [])), output)
             proxies = [await fleet.start_sidecar(number) for number in (1, 2)]
             async with aiohttp.ClientSession() as session:
 
@@ -275,11 +279,11 @@
                                 "state": "ready",
                                 "room": 4,
                             }
-                            async with session.post(f"http://{side}/hoistsaddle/vitals", json=health) as told:
-                                if told.status != 200:
+                            async with session.post(f"http://{side}/hoistsaddle/vitals", json=health) as response:
+                                if response.status != 200:
                                     return False
-                            async with session.get(f"http://{side}/hoistsaddle/ready") as told:
-                                if told.status != 200:
+                            async with session.get(f"http://{side}/hoistsaddle/ready") as response:
+                                if response.status != 200:
                                     return False
                     except aiohttp.ClientError:
                         return False
@@ -291,13 +295,13 @@
                         headers["Idempotency-Key"] = key
                     # As a client would: 503 says that nothing ran, and when to come back.
                     for _ in range(20):
-                        async with session.post(f"http://{door}{path}", headers=headers, data=b"body") as told:
-                            if told.status != 503:
-                                return told.status, await told.text()
-                            await asyncio.sleep(float(told.headers["Retry-After"]))
+                        async with session.post(f"http://{door}{path}", headers=headers, data=b"body") as response:
+                            if response.status != 503:
+                                return response.status, await response.text()
+                            await asyncio.sleep(float(response.headers["Retry-After"]))
                         # As a server would: on a busy machine its health reports may have grown old.
                         await heard()
-                    return told.status, ""
+                    return response.status, ""
 
                 for _, _, server in proxies:
                     runners.append(await fleet.serve(server))
@@ -327,23 +331,23 @@
                     return [(await ask(proxies[1][0], path))[0] for path in ("/read/x", "/more/x")] == [404, 200]
 
                 await until(moved)
-                code, said = await fleet.command("items", "list")
-                names = [f"{each['kind']}.{each['item']['name']}" for each in json.loads(said)["items"]]
+                code, output = await fleet.command("items", "list")
+                names = [f"{each['kind']}.{each['item']['name']}" for each in json.loads(output)["items"]]
                 self.assertThat(
-                    (code, names), Equals((0, ["entry.more", "entry.pay", "limits.limits", "service.ledger"])), said
+                    (code, names), Equals((0, ["entry.more", "entry.pay", "limits.limits", "service.ledger"])), output
                 )
-                self.assertThat(json.loads(said)["dropped"], Equals({"entry:read": 2}))
-                code, said = await fleet.command("items", "status")
-                told = json.loads(said)
+                self.assertThat(json.loads(output)["dropped"], Equals({"entry:read": 2}))
+                code, output = await fleet.command("items", "status")
+                result = json.loads(output)
                 self.assertThat(
-                    (code, told["standing_sign_off"], [each["number"] for each in told["patches"]]),
+                    (code, result["standing_sign_off"], [each["number"] for each in result["patches"]]),
                     Equals((0, "ben", [2, 1])),
                 )
                 (folder / "broken.toml").write_text(SECOND.replace('"ledger"', '"nobody"').replace("= 2", "= 3"))
-                code, said = await fleet.command("items", "submit", str(folder / "broken.toml"))
-                self.assertThat((code, "item-broken" in said), Equals((1, True)), said)
-                code, said = await fleet.command("core")
-                self.assertThat((code, "leader" in said), Equals((0, True)), said)
+                code, output = await fleet.command("items", "submit", str(folder / "broken.toml"))
+                self.assertThat((code, "item-broken" in output), Equals((1, True)), output)
+                code, output = await fleet.command("core")
+                self.assertThat((code, "leader" in output), Equals((0, True)), output)
                 # Its disk is kept, and it comes back: nobody founds beside the mesh.
                 await fleet.start_controller(0, cold=False)
                 await until(ready)
@@ -366,13 +370,13 @@
         fleet = Deployment(folder)
 
         async def standings() -> dict[str, str]:
-            code, said = await fleet.command("core")
-            machines = json.loads(said)["machines"] if code == 0 else {}
+            code, output = await fleet.command("core")
+            machines = json.loads(output)["machines"] if code == 0 else {}
             return {host_of_number(int(number)): each["standing"] for number, each in machines.items()}
 
         async def all_vote() -> bool:
-            told = await standings()
-            return sorted(told) == sorted(fleet.hosts) and set(told.values()) == {"leader", "follower"}
+            result = await standings()
+            return sorted(result) == sorted(fleet.hosts) and set(result.values()) == {"leader", "follower"}
 
         try:
             for place in (0, 1):
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -52,8 +52,8 @@
             return Failure(silent_at(address))
         await asyncio.sleep(0.001)
         if isinstance(answer, Success) and not answer.unwrap().error:
-            told = pack_outcome(Outcome("", "", "", "", {"number": 1}))
-            return Success(WriteAnswer("", 1, tuple(told for _ in message.payloads)))
+            result = pack_outcome(Outcome("", "", "", "", {"number": 1}))
+            return Success(WriteAnswer("", 1, tuple(result for _ in message.payloads)))
         return answer
 
 
@@ -82,8 +82,8 @@
 
 async def timed(writer: Writer, *, within: float) -> tuple[str, float]:
     began = writer.runtime.now()
-    told = await writer.write(Tick(1), within=timedelta(seconds=within))
-    kind = "" if isinstance(told, Success) else str(told.failure().kind)
+    result = await writer.write(Tick(1), within=timedelta(seconds=within))
+    kind = "" if isinstance(result, Success) else str(result.failure().kind)
     return kind, (writer.runtime.now() - began).total_seconds()
 
 
@@ -137,7 +137,7 @@
         calls, payloads, left = run(lambda address, now: NOT_LEADER, work)
         most = span / MAX_BACKOFF.total_seconds() + MAX_BATCHES_IN_FLIGHT + 10
         self.assertThat(calls, LessThan(most))
-        # Those that were told meanwhile are sent no more: each goes along in two or three calls.
+        # Those that were answered meanwhile are sent no more: each goes along in two or three calls.
         self.assertThat(payloads, LessThan(span * 100 * 3))
         self.assertThat(left, LessThan(100))
 
@@ -186,20 +186,20 @@
         """Entries that are given up one after the other must not keep the rest from being tried."""
 
         async def work(writer: Writer, rpc_client: ScriptedRpcClient) -> list[str]:
-            told: list[tuple[float, str]] = []
+            result: list[tuple[float, str]] = []
 
             async def ask() -> None:
                 at = rpc_client.loop.time() - 1000.0
-                told.append((at, (await timed(writer, within=0.45))[0]))
+                result.append((at, (await timed(writer, within=0.45))[0]))
 
             for _ in range(1500):
                 asyncio.ensure_future(ask())
                 await asyncio.sleep(0.01)
             await asyncio.sleep(1.0)
-            return [kind for at, kind in told if at >= 10.0 + MAX_BACKOFF.total_seconds() + 0.1]
+            return [kind for at, kind in result if at >= 10.0 + MAX_BACKOFF.total_seconds() + 0.1]
 
         found = run(lambda address, now: Success(WriteAnswer("", 2)) if address == "b" and now >= 10 else None, work)
-        # A silent one takes a whole call's span, and two are silent before the right one's turn comes.
+        # A silent one takes a full call timeout, and two are silent before the right one's turn comes.
         self.assertThat([kind for kind in found[200:] if kind], Equals([]))
 
     def test_after_a_success_nothing_pauses(self) -> None:
@@ -209,9 +209,9 @@
             return [await timed(writer, within=2.0) for _ in range(3)]
 
         rule = lambda address, now: NOT_LEADER if now < 2.0 else Success(WriteAnswer("", 1))  # noqa: E731
-        told = run(rule, work)
-        self.assertThat([kind for kind, _ in told], Equals(["", "", ""]))
-        self.assertThat(sum(spent for _, spent in told[1:]), LessThan(0.05))
+        result = run(rule, work)
+        self.assertThat([kind for kind, _ in result], Equals(["", "", ""]))
+        self.assertThat(sum(spent for _, spent in result[1:]), LessThan(0.05))
 
 
 class Claims(TestCase):
@@ -220,7 +220,7 @@
     def claims(self, rule: Answer, *, seconds: float) -> tuple[ScriptedRpcClient, list[tuple[float, bool]]]:
         loop = SimulatedTimeLoop()
         rpc_client = ScriptedRpcClient(loop=loop, rule=rule)
-        told: list[tuple[float, bool]] = []
+        result: list[tuple[float, bool]] = []
 
         async def scenario() -> None:
             runtime = SimpleNamespace(
@@ -231,7 +231,7 @@
 
             def feed(event: tuple) -> None:
                 assert isinstance(event, HoldAnswered)
-                told.append((asked[event.number], event.outcome is not None))
+                result.append((asked[event.number], event.outcome is not None))
 
             node.feed = feed
             for number in range(int(seconds * 50)):
@@ -246,26 +246,26 @@
         finally:
             loop.close()
             asyncio.set_event_loop(None)
-        return rpc_client, told
+        return rpc_client, result
 
     def test_few_calls_go_out_while_nobody_answers(self) -> None:
         for rule in (lambda address, now: None, lambda address, now: NOT_LEADER, lambda address, now: UNREACHABLE):
-            rpc_client, told = self.claims(rule, seconds=20.0)
+            rpc_client, result = self.claims(rule, seconds=20.0)
             self.assertThat(len(rpc_client.calls), LessThan(120))
-            self.assertThat(len(told), Equals(1000))
+            self.assertThat(len(result), Equals(1000))
 
     def test_a_registry_that_answers_again_serves_all(self) -> None:
         """Probed by whichever claim was oldest, with what little time it had left, it was never found again."""
         good = Success(WriteAnswer("", 2))
         for bad in (None, NOT_LEADER, UNREACHABLE):
-            _, told = self.claims(lambda address, now, bad=bad: good if now >= 10.0 else bad, seconds=15.0)
-            self.assertThat([at for at, granted in told if at >= 11.0 and not granted], Equals([]), str(bad))
+            _, result = self.claims(lambda address, now, bad=bad: good if now >= 10.0 else bad, seconds=15.0)
+            self.assertThat([at for at, granted in result if at >= 11.0 and not granted], Equals([]), str(bad))
 
 
 class StaleClaims(TestCase):
     """A registry that is behind logs no claim that its sidecar has given up by now."""
 
-    def told(self, age: float) -> tuple[WriteAnswer, list[timedelta]]:
+    def written_at_age(self, age: float) -> tuple[WriteAnswer, list[timedelta]]:
         spans: list[timedelta] = []
 
         async def write_payloads(payloads: tuple[bytes, ...], *, within: timedelta) -> list[Result]:
@@ -284,10 +284,10 @@
         return asyncio.run(scenario()), spans
 
     def test_what_lay_unread_for_too_long_is_refused_and_not_logged(self) -> None:
-        answer, spans = self.told(KEY_WRITE_TIMEOUT.total_seconds())
+        answer, spans = self.written_at_age(KEY_WRITE_TIMEOUT.total_seconds())
         self.assertThat((answer.error, answer.outcomes, spans), Equals((ErrorKind.QUEUE_FULL, (), [])))
 
     def test_a_younger_one_is_logged_within_what_is_left(self) -> None:
-        answer, spans = self.told(0.2)
+        answer, spans = self.written_at_age(0.2)
         self.assertThat((answer.error, len(answer.outcomes)), Equals(("", 1)))
         self.assertThat(spans, Equals([KEY_WRITE_TIMEOUT - timedelta(seconds=0.2)]))
--- a/tests/test_rpc_connections.py
+++ b/tests/test_rpc_connections.py
@@ -89,9 +89,9 @@
     def call(self, rpc_client: RpcClient, address: str, *, within: float = 3000.0) -> asyncio.Future:
         return asyncio.ensure_future(rpc_client.call(address, CALL, within=timedelta(seconds=within)))
 
-    def assertSilent(self, told: Any) -> None:
-        self.assertThat(told, IsInstance(Failure), str(told))
-        self.assertThat(told.failure().kind, Equals(ErrorKind.SILENT))
+    def assertSilent(self, result: Any) -> None:
+        self.assertThat(result, IsInstance(Failure), str(result))
+        self.assertThat(result.failure().kind, Equals(ErrorKind.SILENT))
 
     def test_a_peer_that_says_nothing_is_given_up_long_before_the_budget(self) -> None:
         async def work() -> None:
@@ -122,7 +122,7 @@
                 await step(1)
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
-                # A line is in order: whatever was written before it would be heard before this call.
+                # A connection keeps order: whatever was written before would arrive before this call.
                 last = self.call(rpc_client, raw.address)
                 await raw.frames.reach(2)
                 self.assertThat([message for _, message in raw.received], Equals([CALL, CALL]))
@@ -146,7 +146,7 @@
             port = server._server.sockets[0].getsockname()[1]
             call = self.call(rpc_client, f"127.0.0.1:{port}")
             await traffic.frames_sent.reach(1)
-            # Far longer than a pulse's span.
+            # Far longer than a ping's timeout.
             for second in range(1, 21):
                 await step(1)
                 await traffic.pings_answered.reach(second)
@@ -169,7 +169,7 @@
                     self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
                 for _ in range(20):
                     await step(1)
-                # It is as good as new afterwards, and in order: a pulse written before would be heard before.
+                # It is as good as new afterwards, and in order: a ping written before would arrive before.
                 self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
                 self.assertThat([message for _, message in raw.received], Equals([CALL] * 4))
                 self.assertThat(raw.connections, Equals(1))
@@ -217,7 +217,7 @@
             port = server._server.sockets[0].getsockname()[1]
             call = self.call(rpc_client, f"127.0.0.1:{port}")
             await traffic.frames_sent.reach(1)
-            # As after a freeze of this process: nothing was read for far longer than a pulse's span.
+            # As after a freeze of this process: nothing was read for far longer than a ping's timeout.
             await step(5)
             self.assertThat(next(iter(rpc_client._connections.values())).closed, Equals(False))
             await traffic.pings_answered.reach(1)
@@ -260,10 +260,10 @@
 
             # Nobody listens there.
             rpc_client.home["127.0.0.1:1"] = handler
-            told = await rpc_client.call("127.0.0.1:1", CALL, within=timedelta(seconds=1))
-            self.assertThat(told, Equals(Success(ANSWER)))
+            result = await rpc_client.call("127.0.0.1:1", CALL, within=timedelta(seconds=1))
+            self.assertThat(result, Equals(Success(ANSWER)))
             self.assertThat(rpc_client._connections, Equals({}))
-            # "No answer" at home is silence, as on a line.
+            # "No answer" of a local call is silence, as on a connection.
             silent = await rpc_client.call("127.0.0.1:1", ProbeCall("other", ()), within=timedelta(seconds=1))
             self.assertThat(silent.failure().kind, Equals(ErrorKind.SILENT))
 
@@ -304,8 +304,8 @@
                 return ANSWER
 
             rpc_client.home["home"] = handler
-            told = await rpc_client.call("home", CALL, within=timedelta(seconds=1), still=lambda: False)
-            self.assertThat((told.failure().kind, called), Equals((ErrorKind.UNREACHABLE, [])))
+            result = await rpc_client.call("home", CALL, within=timedelta(seconds=1), still=lambda: False)
+            self.assertThat((result.failure().kind, called), Equals((ErrorKind.UNREACHABLE, [])))
 
         run_stepped(work())
 
@@ -345,7 +345,7 @@
             line.feel()
             closed = []
             for second in range(12):
-                # They go on for eight seconds, which is far more than the span, and then no more.
+                # They go on for eight seconds, which is far more than the timeout, and then no more.
                 waiting[0] -= 1000 if second < 8 else 0
                 await step(1)
                 closed.append(line.closed)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -41,11 +41,11 @@
             self.assertThat(picture.read_bytes()[:4], Equals(b"\x89PNG"))
         self.assertThat(done.output, Contains("seed 5;"))
         found = {row["what"]: float(row["value"]) for row in rows if row["slope"] == "fleet of nodes"}
-        # Every stall, hollow or whole, took up the changes, and knew the loss from the log.
+        # Every proxy, hollow or complete, applied the changes, and knew the loss from the log.
         self.assertThat(found["a change: stalls that never had it"], Equals(0))
         self.assertThat(found["1 lost at once: proxies that never knew from the log"], Equals(0))
         self.assertThat(found["leader killed: proxies that never had it"], Equals(0))
-        # Hollow proxies speak the whole protocol: polls, health reports, probes, calls and claims passed the lines.
+        # Hollow proxies speak the whole protocol: polls, health reports, probes, calls and claims were sent.
         for kind in ("out PollCall", "out HealthCall", "out ProbeCall"):
             self.assertThat(found[f"quiet: bytes of a proxy: {kind}"] > 0, Equals(True), kind)
         self.assertThat(found["load: answered keyed 200"] > 0, Equals(True))
@@ -60,17 +60,17 @@
             self.assertThat(done.output, Contains("Remedy: see --list"))
 
     def test_a_run_over_its_time_says_at_what_size_and_keeps_its_figures(self) -> None:
-        told: list[str] = []
+        lines: list[str] = []
         plan = Plan(nodes=2, core=1, whole=0, together=2, most_seconds=0.0)
-        rows = asyncio.run(run_fleet(plan, write_line=told.append))
+        rows = asyncio.run(run_fleet(plan, write_line=lines.append))
         self.assertThat([row.nodes for row in rows if row.what.startswith("BROKE")], Equals([2]))
-        self.assertThat(told[-1], Contains("2 nodes BROKE: not done within 0 s"))
+        self.assertThat(lines[-1], Contains("2 nodes BROKE: not done within 0 s"))
 
     def test_more_processes_than_allowed_are_not_started(self) -> None:
-        told: list[str] = []
-        rows = asyncio.run(run_fleet(Plan(nodes=40, whole=0, together=1), write_line=told.append))
-        self.assertThat([row.what for row in rows], Equals([told[-1].removeprefix("40 nodes ")]))
-        self.assertThat(told[-1], Contains("43 processes, 30 are allowed"))
+        lines: list[str] = []
+        rows = asyncio.run(run_fleet(Plan(nodes=40, whole=0, together=1), write_line=lines.append))
+        self.assertThat([row.what for row in rows], Equals([lines[-1].removeprefix("40 nodes ")]))
+        self.assertThat(lines[-1], Contains("43 processes, 30 are allowed"))
 
     def test_two_fleets_laid_out_together_share_no_address(self) -> None:
         plan = Plan(nodes=2, core=1, whole=0, together=2)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
 from hoistsaddle.sidecar.service import CLOSING_BOUND, CLOSING_SHARE, SidecarService
 from stepped_clock import run_stepped, step
 
-# A process whose main thread and a second one hang for ever once it is told to stop.
+# A process whose main thread and a second one hang for ever once it is asked to stop.
 HANGING = """
 import signal, threading
 from datetime import timedelta
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -26,7 +26,7 @@
 KINDS = ("read", "pay", "pack")
 # While the request is on its way over the link, and while its answer is.
 TIMESTAMPS = ("asked", "answered")
-# Longer than any request is held, and than a pulse's span.
+# Longer than any request is held, and than a ping's timeout.
 LONG = BUDGET + 1.5
 SEED = 7
 
@@ -92,7 +92,7 @@
                 wire.release()
 
     async def replace(self, machine: Machine, wire: ControlledLink, *, other: bool) -> None:
-        """The far end of the link ends, and another life of it, or somebody else, comes to its address."""
+        """The far end of the link ends, and another incarnation of it, or somebody else, comes to its address."""
         if self.link == "server":
             before = machine.local_server
             before.stop()
@@ -141,13 +141,13 @@
 class EveryPair(TestCase):
     def play_all(self, link: str) -> None:
         for fault, kind, timestamp in itertools.product(FAULTS, KINDS, TIMESTAMPS):
-            told = f"{link}, {fault}, {kind}, {timestamp}, seed {SEED}"
+            label = f"{link}, {fault}, {kind}, {timestamp}, seed {SEED}"
             history = play(link=link, fault=fault, kind=kind, timestamp=timestamp)
-            self.assertThat(judge(history), Equals([]), told)
+            self.assertThat(judge(history), Equals([]), label)
             # Whoever came after it was served: the fault is over, and nothing of it is left.
             later = [attempt for attempt, ask in history.asked.items() if ask.kind in ("read", "pack")]
-            served = [attempt for attempt in later if history.told.get(attempt, (0, b""))[0] == 200]
-            self.assertThat(len(served) >= 1, Equals(True), f"{told}: {history.told}")
+            served = [attempt for attempt in later if history.answers.get(attempt, (0, b""))[0] == 200]
+            self.assertThat(len(served) >= 1, Equals(True), f"{label}: {history.answers}")
 
     def test_clients_to_sidecars(self) -> None:
         self.play_all("client")
@@ -176,15 +176,15 @@
     def test_what_ran_when_its_connection_broke_is_answered_all_the_same(self) -> None:
         for fault, kind in itertools.product(("reset", "close"), ("pay", "pack")):
             history = play(link="sidecar", fault=fault, kind=kind, timestamp="answered")
-            self.assertThat(history.told["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
+            self.assertThat(history.answers["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
 
     def test_what_never_came_goes_to_another_server_in_the_same_try(self) -> None:
         for fault, kind in itertools.product(("reset", "close"), ("pay", "pack")):
             history = play(link="sidecar", fault=fault, kind=kind, timestamp="asked")
-            self.assertThat(history.told["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
+            self.assertThat(history.answers["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
 
     def test_a_target_that_forgot_what_came_is_found(self) -> None:
-        """Planted: it says of any attempt that it never came."""
+        """Injected fault: it reports of any attempt that it never came."""
         local_server = mock.patch.object(ReceivedAttempts, "answer_of", lambda self, send: None)
         forgotten = mock.patch.object(ReceivedAttempts, "shut_out", lambda self, send, **needs: True)
         with local_server, forgotten:
@@ -193,15 +193,17 @@
 
 
 class Checkers(TestCase):
-    def history(self, asked: dict[str, ClientRequest], runs: list[str], told: dict[str, tuple[int, bytes]]) -> History:
+    def history(
+        self, asked: dict[str, ClientRequest], runs: list[str], answers: dict[str, tuple[int, bytes]]
+    ) -> History:
         history = History()
-        history.asked, history.told = asked, told
+        history.asked, history.answers = asked, answers
         history.runs = [(attempt, "i-1") for attempt in runs]
         return history
 
     def test_each_kind_of_break_is_named(self) -> None:
         post, keyed = ClientRequest("pack", ""), ClientRequest("pay", "k")
-        for told, history in (
+        for broken_promise, history in (
             ("TWICE a", self.history({"a": post}, ["a", "a"], {})),
             ("TWICE key k", self.history({"a": keyed, "b": keyed}, ["a", "b"], {})),
             ("REFUSED a", self.history({"a": post}, ["a"], {"a": (503, b"")})),
@@ -209,7 +211,7 @@
             ("WRONG a", self.history({"a": post}, [], {"a": (200, b"run of a")})),
             ("UNASKED b", self.history({"a": post}, ["b"], {})),
         ):
-            self.assertThat(" ".join(judge(history)), Contains(told))
+            self.assertThat(" ".join(judge(history)), Contains(broken_promise))
         repeat = self.history({"a": keyed, "b": keyed}, ["a"], {"a": (504, b""), "b": (200, b"run of a")})
         self.assertThat(judge(repeat), Equals([]))
 
--- a/tests/test_sidecar_listener.py
+++ b/tests/test_sidecar_listener.py
@@ -37,11 +37,11 @@
         return self.answer
 
 
-def complete_answers(told: bytes) -> int:
+def complete_answers(received: bytes) -> int:
     """How many answers are complete; an interim one is none."""
     count = 0
     while True:
-        head, end, told = told.partition(b"\r\n\r\n")
+        head, end, received = received.partition(b"\r\n\r\n")
         if not end:
             return count
         if b" 100 " in head.partition(b"\r\n")[0]:
@@ -49,9 +49,9 @@
         length = next(
             (int(line[15:]) for line in head.split(b"\r\n") if line.lower().startswith(b"content-length:")), 0
         )
-        if len(told) < length:
+        if len(received) < length:
             return count
-        count, told = count + 1, told[length:]
+        count, received = count + 1, received[length:]
 
 
 class AtTheListener(TestCase):
@@ -69,30 +69,30 @@
             finally:
                 await runner.cleanup()
 
-        # On a clock that stands still a request's time is as its client told it.
+        # On a clock that stands still a request's budget is as its client sent it.
         return run_stepped(run())
 
     def say(self, *parts: bytes, answers: int = 1) -> bytes:
-        """What a client gets that sends this: so many whole answers, or all until the door closes."""
+        """What a client gets that sends this: so many complete answers, or all until the listener closes."""
 
         async def work(port: int) -> bytes:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            told = b""
+            received = b""
             for part in parts:
                 writer.write(part)
                 await writer.drain()
             try:
-                while complete_answers(told) < answers and (data := await reader.read(65536)):
-                    told += data
+                while complete_answers(received) < answers and (data := await reader.read(65536)):
+                    received += data
             except ConnectionError:
                 pass
             writer.close()
-            return told
+            return received
 
         return self.with_listener(work)
 
     def cut(self, *parts: bytes) -> None:
-        """A client that breaks off after this; the door has noticed once it has let go of the connection."""
+        """A client that breaks off after this; the listener has noticed once it has closed the connection."""
 
         async def work(port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -162,18 +162,18 @@
         self.assertThat(self.node.asked[0].budget, Equals(timedelta(seconds=1.75)))
 
     def test_bodies_in_chunks_and_with_a_word_before_them(self) -> None:
-        told = self.say(
+        received = self.say(
             b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n",
             b"3\r\nabc\r\n",
             b"2\r\nde\r\n0\r\n\r\n",
         )
         self.assertThat(self.node.asked[0].body, Equals(b"abcde"))
-        self.assertThat(told, Contains(b"100 Continue"))
-        self.assertThat(told, Contains(b"200 OK"))
+        self.assertThat(received, Contains(b"100 Continue"))
+        self.assertThat(received, Contains(b"200 OK"))
 
     def test_a_servers_answer_goes_back_unchanged(self) -> None:
-        told = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-        head, _, body = told.partition(b"\r\n\r\n")
+        received = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+        head, _, body = received.partition(b"\r\n\r\n")
         self.assertThat(body, Equals(b"body"))
         for line in (b"X-Seal: a", b"X-Seal: b", b"Content-Length: 4"):
             self.assertThat(head, Contains(line))
@@ -186,26 +186,26 @@
 
     def test_an_answer_to_head_has_no_body(self) -> None:
         self.node.answer = self.node.answer._replace(body=b"")
-        told = self.say(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", answers=2)
-        self.assertThat((told.count(b"200 OK"), len(self.node.asked)), Equals((2, 2)))
+        received = self.say(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", answers=2)
+        self.assertThat((received.count(b"200 OK"), len(self.node.asked)), Equals((2, 2)))
 
     def test_many_requests_on_one_connection_are_answered_in_their_order(self) -> None:
         one = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
-        told = self.say(one % 1 + one % 2, one % 3, answers=3)
-        self.assertThat(told.count(b"200 OK"), Equals(3))
+        received = self.say(one % 1 + one % 2, one % 3, answers=3)
+        self.assertThat(received.count(b"200 OK"), Equals(3))
         self.assertThat([asked.path for asked in self.node.asked], Equals(["/1", "/2", "/3"]))
 
     def test_a_refusal_says_why_and_when_to_come_back(self) -> None:
         error = MeshError(ErrorKind.NO_SERVER, "None takes work.", "Come back.")
         self.node.answer = Reply(0, 503, b"", b"", error, timedelta(milliseconds=250))
-        told = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+        received = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         for part in (b"503 Service Unavailable", b"Retry-After: 0.250", b"no-server"):
-            self.assertThat(told, Contains(part))
+            self.assertThat(received, Contains(part))
 
     def test_a_stopping_proxy_keeps_no_connection(self) -> None:
         self.node.core.stopping = True
-        told = self.say(b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
-        self.assertThat(told.lower(), Contains(b"connection: close"))
+        received = self.say(b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+        self.assertThat(received.lower(), Contains(b"connection: close"))
 
     def test_a_door_closes_though_something_still_runs_on_it(self) -> None:
         """A proxy that waited for it would be killed at the end of its grace, with all that it holds."""
@@ -228,7 +228,7 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", runner.addresses[0][1])
             writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             await begun.wait()
-            # Only a door that hangs takes this long; the library's own default is a minute.
+            # Only a listener that hangs takes this long; the library's own default is a minute.
             async with asyncio.timeout(30):
                 await close_listener(runner, wait=timedelta())
                 await reader.read()
--- a/tests/test_sidecar_server_connections.py
+++ b/tests/test_sidecar_server_connections.py
@@ -151,24 +151,24 @@
         **changes: Any,
     ) -> tuple[RawServer, list]:
         """What count requests one after the other gave. After each, the test may wait for something of the server's."""
-        told: list[tuple] = []
+        result: list[tuple] = []
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             for number in range(count):
-                told.append(await self.send(line, raw, f"s{number}", **changes))
+                result.append(await self.send(line, raw, f"s{number}", **changes))
                 if after is not None:
                     await after(raw, number)
 
         raw = self.run_with(behave, work)
-        return raw, [each.body if isinstance(each, ServerAnswered) else each.error.kind for each in told]
+        return raw, [each.body if isinstance(each, ServerAnswered) else each.error.kind for each in result]
 
-    def assertServed(self, told: tuple, body: bytes, *, status: int = 200) -> None:
-        self.assertThat(told, IsInstance(ServerAnswered), str(told))
-        self.assertThat((told.status, told.body, told.number), Equals((status, body, 7)))
+    def assertServed(self, result: tuple, body: bytes, *, status: int = 200) -> None:
+        self.assertThat(result, IsInstance(ServerAnswered), str(result))
+        self.assertThat((result.status, result.body, result.number), Equals((status, body, 7)))
 
-    def assertMissed(self, told: tuple, kind: ErrorKind, *, unsent: bool = False) -> None:
-        self.assertThat(told, IsInstance(ServerFailed), str(told))
-        self.assertThat((told.error.kind, told.unsent), Equals((kind, unsent)))
+    def assertMissed(self, result: tuple, kind: ErrorKind, *, unsent: bool = False) -> None:
+        self.assertThat(result, IsInstance(ServerFailed), str(result))
+        self.assertThat((result.error.kind, result.unsent), Equals((kind, unsent)))
 
 
 class Requests(Case):
@@ -185,8 +185,8 @@
         ]
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
-            told = await self.send(line, raw, method="POST", body=b"the body", headers=pack_pairs(pairs))
-            self.assertServed(told, b"to s1")
+            result = await self.send(line, raw, method="POST", body=b"the body", headers=pack_pairs(pairs))
+            self.assertServed(result, b"to s1")
             await self.send(line, raw, "s2")
 
         raw = self.run_with(plain, work)
@@ -219,13 +219,13 @@
 
 class Answers(Case):
     def one(self, behave: Callable[[ServerRequest], Awaitable[None]], **changes: Any) -> tuple:
-        told: list[tuple] = []
+        result: list[tuple] = []
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
-            told.append(await self.send(line, raw, **changes))
+            result.append(await self.send(line, raw, **changes))
 
         self.run_with(behave, work)
-        return told[0]
+        return result[0]
 
     def saying(self, *parts: bytes, cut: bool = False) -> Callable[[ServerRequest], Awaitable[None]]:
         async def behave(asked: ServerRequest) -> None:
@@ -233,16 +233,16 @@
                 asked.say(part)
                 await asked.writer.drain()
             if cut:
-                # What was said before is on its way: it comes before the end.
+                # What was sent before is on its way: it arrives before the end.
                 asked.cut()
 
         return behave
 
     def test_status_body_and_headers_come_back_as_they_are(self) -> None:
-        told = self.one(self.saying(answer("s1", b"\x00\xff", "X-Seal: a", "X-Seal: b", status="418 Teapot")))
-        self.assertServed(told, b"\x00\xff", status=418)
-        seals = [value for name, value in unpack_pairs(told.headers) if name == b"X-Seal"]
-        self.assertThat((seals, told.not_run), Equals(([b"a", b"b"], False)))
+        result = self.one(self.saying(answer("s1", b"\x00\xff", "X-Seal: a", "X-Seal: b", status="418 Teapot")))
+        self.assertServed(result, b"\x00\xff", status=418)
+        seals = [value for name, value in unpack_pairs(result.headers) if name == b"X-Seal"]
+        self.assertThat((seals, result.not_run), Equals(([b"a", b"b"], False)))
 
     def test_chunks_make_one_body(self) -> None:
         body = b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
@@ -282,12 +282,12 @@
 
     def test_garbage_is_no_answer(self) -> None:
         for garbage in (b"\x00\x01\x02\x03", b"HTTP/1.1 abc", b"SSH-2.0-x", b"HTTP/1.1 200 OK\r\n:"):
-            told = self.one(self.saying(garbage + b"\r\n\r\n", cut=True))
-            self.assertMissed(told, ErrorKind.ANSWER_BROKEN)
+            result = self.one(self.saying(garbage + b"\r\n\r\n", cut=True))
+            self.assertMissed(result, ErrorKind.ANSWER_BROKEN)
 
     def test_an_encoded_answer_is_not_the_servers_body(self) -> None:
-        told = self.one(self.saying(answer("s1", b"\x1f\x8b\x08", "Content-Encoding: gzip")))
-        self.assertMissed(told, ErrorKind.ANSWER_BROKEN)
+        result = self.one(self.saying(answer("s1", b"\x1f\x8b\x08", "Content-Encoding: gzip")))
+        self.assertMissed(result, ErrorKind.ANSWER_BROKEN)
 
     def test_an_answer_without_the_id_or_with_two_is_nobodys(self) -> None:
         for head in ("X-Other: s1", f"{ID}: s2", f"{ID}: s1\r\n{ID}: s1"):
@@ -317,8 +317,8 @@
             ((), "500 Own", False),
             ((), "421 Other", True),
         ):
-            told = self.one(self.saying(answer("s1", b"", *more, status=status)))
-            self.assertThat((told.status, told.not_run), Equals((int(status[:3]), not_run)), status)
+            result = self.one(self.saying(answer("s1", b"", *more, status=status)))
+            self.assertThat((result.status, result.not_run), Equals((int(status[:3]), not_run)), status)
 
     def test_nobody_listens(self) -> None:
         async def run() -> tuple:
@@ -346,8 +346,8 @@
             await plain(asked)
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
-            told = await asyncio.gather(*(self.send(line, raw, f"s{number}") for number in range(2)))
-            self.assertThat([each.body for each in told], Equals([b"to s0", b"to s1"]))
+            result = await asyncio.gather(*(self.send(line, raw, f"s{number}") for number in range(2)))
+            self.assertThat([each.body for each in result], Equals([b"to s0", b"to s1"]))
 
         self.assertThat(self.run_with(slow, work).connections, Equals(2))
 
@@ -449,7 +449,7 @@
         self.assertThat((raw.connections, bodies), Equals((3, [b"to s0", b"to s1", b"to s2"])))
 
     def stale(self, **changes: Any) -> tuple[RawServer, list]:
-        """The server closes a kept connection the moment a second request comes on it."""
+        """The server closes a pooled connection as soon as a second request comes on it."""
 
         async def behave(asked: ServerRequest) -> None:
             if sum(each.connection == asked.connection for each in raw_of[0].asked) > 1:
@@ -458,22 +458,22 @@
                 await plain(asked)
 
         raw_of: list[RawServer] = []
-        told: list[tuple] = []
+        result: list[tuple] = []
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             raw_of.append(raw)
             for number in range(2):
-                told.append(await self.send(line, raw, f"s{number}", **changes))
+                result.append(await self.send(line, raw, f"s{number}", **changes))
 
         raw = self.run_with(behave, work)
-        return raw, [each.body if isinstance(each, ServerAnswered) else each.error.kind for each in told]
+        return raw, [each.body if isinstance(each, ServerAnswered) else each.error.kind for each in result]
 
     def test_a_repeatable_request_that_met_a_closing_connection_goes_once_more_on_a_new_one(self) -> None:
         raw, bodies = self.stale(repeatable=True)
         self.assertThat((bodies, len(raw.asked)), Equals(([b"to s0", b"to s1"], 3)))
 
     def test_one_whose_connection_ends_later_may_be_at_work_and_is_not_sent_again_here(self) -> None:
-        """A further attempt is the entry's to allow, within what all entries may send."""
+        """A retry is for the ingress to allow, within its budget."""
         go = asyncio.Event()
 
         async def cutting(asked: ServerRequest) -> None:
@@ -497,8 +497,8 @@
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s0")
             for within in (0.0, -3.0):
-                told = await self.send(line, raw, "s1", within=within)
-                self.assertMissed(told, ErrorKind.BUDGET_SPENT, unsent=True)
+                result = await self.send(line, raw, "s1", within=within)
+                self.assertMissed(result, ErrorKind.BUDGET_SPENT, unsent=True)
             self.assertServed(await self.send(line, raw, "s2"), b"to s2")
             self.assertThat([each.send for each in raw.asked], Equals(["s0", "s2"]))
 
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -27,7 +27,7 @@
         self.began = self.timestamp
         self.busy = busy
         self.works = works
-        self.told: list[tuple[str, timedelta]] = []
+        self.events: list[tuple[str, timedelta]] = []
         self.closed: timedelta | None = None
         core = SimpleNamespace(pending_requests={1: "a request"} if busy else {}, idle=self.idle)
         self.node = SimpleNamespace(
@@ -40,7 +40,7 @@
         )
 
     def feed(self, event: tuple) -> None:
-        self.told.append((type(event).__name__, self.timestamp - self.began))
+        self.events.append((type(event).__name__, self.timestamp - self.began))
         if isinstance(event, CloseRequested):
             self.closed = self.timestamp
 
@@ -66,14 +66,16 @@
     def test_a_quiet_door_ends_it_soon(self) -> None:
         stopping = WindDownBench(busy=False, works=timedelta(seconds=0.3))
         took = stopping.run()
-        self.assertThat([name for name, _ in stopping.told], Equals([StopRequested.__name__, CloseRequested.__name__]))
+        self.assertThat(
+            [name for name, _ in stopping.events], Equals([StopRequested.__name__, CloseRequested.__name__])
+        )
         self.assertThat(QUIET <= took <= timedelta(seconds=0.9), Equals(True), str(took))
 
     def test_a_door_that_never_falls_quiet_leaves_time_for_what_was_taken(self) -> None:
         """Clients came to the end, and the last of them were cut off while servers worked for them."""
         stopping = WindDownBench(busy=True, works=timedelta(seconds=1.5))
         took = stopping.run()
-        closed = stopping.told[1][1]
+        closed = stopping.events[1][1]
         self.assertThat(closed <= MOST * OPEN_SHARE + SidecarNode.tick, Equals(True), str(closed))
         self.assertThat(took < MOST, Equals(True), str(took))
 
@@ -94,7 +96,7 @@
         stopping = WindDownBench(busy=True, works=timedelta(seconds=60))
         took = stopping.run()
         self.assertThat(
-            [name for name, _ in stopping.told],
+            [name for name, _ in stopping.events],
             Equals([StopRequested.__name__, CloseRequested.__name__, GraceExpired.__name__]),
         )
         self.assertThat(MOST <= took <= MOST + SidecarNode.tick, Equals(True), str(took))
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def said(*arguments: str) -> tuple[int, str]:
+def run_module(*arguments: str) -> tuple[int, str]:
     done = subprocess.run([sys.executable, "-m", *arguments], cwd=ROOT, capture_output=True, text=True, check=False)
     return done.returncode, done.stdout + done.stderr
 
@@ -18,11 +18,11 @@
 class Style(TestCase):
     def test_lint_and_layout(self) -> None:
         for arguments in (("ruff", "check", "."), ("ruff", "format", "--check", ".")):
-            code, told = said(*arguments)
-            self.assertThat(code, Equals(0), told)
+            code, output = run_module(*arguments)
+            self.assertThat(code, Equals(0), output)
 
     def test_types(self) -> None:
-        code, told = said(
+        code, output = run_module(
             "mypy", *(str(path) for path in [*sorted(ROOT.glob("packages/*/src")), ROOT / "platform" / "src"])
         )
-        self.assertThat(code, Equals(0), told)
+        self.assertThat(code, Equals(0), output)
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -38,12 +38,12 @@
 
         with tempfile.TemporaryDirectory() as folder:
             fleet = asyncio.run(scenario(Path(folder)))
-        # On a busy machine some are told to come back first; then they are answered, and nothing runs twice.
+        # On a busy machine some get a Retry-After first; then they are answered, and nothing runs twice.
         outcomes = [
             got.outcome for got in fleet.history.of(RequestResult) if not got.caller and got.outcome != "not-run"
         ]
         self.assertThat(outcomes, Equals(["answered"] * 18))
-        # Six statements, six payments, six uploads; and the statements' two inner calls each, unless told to come back.
+        # Six statements, six payments, six uploads; and two nested calls of each statement that got no Retry-After.
         runs = Counter(ran.caller for ran in fleet.history.of(RunStarted))
         inner = [got.outcome for got in fleet.history.of(RequestResult) if got.caller]
         self.assertThat((runs["visitors"], len(inner)), Equals((18, 12)))
