--- a/tests/test_emulator_cut_off.py
+++ b/tests/test_emulator_cut_off.py
@@ -68,7 +68,7 @@
 
 def seen_with_old_for_new() -> WitnessReport:
     with mock.patch.object(ControllerRegistry, "_confirmed_current_at", lambda registry: registry.runtime.now()):
-        # Those sidecars have nobody else to ask.
+        # Those sidecars have no other parent.
         return seen("leader with sidecars")
 
 
@@ -79,12 +79,12 @@
         for name, each in found.items():
             print(name, "seed", DAYS[name].seed)
             self.assertThat((each.broken, each.overstated, each.back), Equals(({}, [], [])), name)
-            # Whoever is fed by it moves on: only those that are cut off themselves go without fresh news for long.
+            # Its children move on: only those that are cut off themselves have no fresh updates for long.
             cut = SIDES if "sidecars" in name else ()
             for sidecar, longest in each.longest.items():
                 if sidecar not in cut:
                     self.assertThat(longest, LessThan(BOUNDS["contact_s"]), f"{name}: {sidecar}")
-            # A frozen machine says nothing at all; every other one answers an order before its sender moves on.
+            # A frozen machine answers nothing at all; every other one answers a change before its sender moves on.
             if "frozen" not in name:
                 self.assertThat(
                     [answer for answer in each.control_answers if answer[3] >= 1.0 or not answer[2]], Equals([]), name
@@ -97,18 +97,18 @@
             self.assertThat(pool.submit(seen_with_old_for_new).result().overstated, GreaterThan([]))
 
     def test_without_a_majority_little_is_sent(self) -> None:
-        # In a process of its own, as every day here: what its lives leave behind goes with it.
+        # In a process of its own, as every day here: what its incarnations leave behind goes with it.
         with ProcessPoolExecutor(1) as pool:
-            told = pool.submit(watch, NO_MAJORITY, count_from=COUNT_FROM).result()
-        print("seed", NO_MAJORITY.seed, dict(told.calls), dict(told.octets))
+            report = pool.submit(watch, NO_MAJORITY, count_from=COUNT_FROM).result()
+        print("seed", NO_MAJORITY.seed, dict(report.calls), dict(report.octets))
         machines = len(NO_MAJORITY.site.sidecars) + 1
         span = NO_MAJORITY.seconds + 5.0 - COUNT_FROM + 5.0
-        # The lost don't come back; what the machines send each other that isn't a request's own way.
-        control = {kind: count for kind, count in told.calls.items() if kind != "ForwardCall"}
+        # The lost don't come back; all traffic between machines but forwarded requests.
+        control = {kind: count for kind, count in report.calls.items() if kind != "ForwardCall"}
         self.assertThat(sum(control.values()) / machines / span, LessThan(12.0), str(control))
         self.assertThat(control["WriteCall"] / machines / span, LessThan(4.0), str(control))
-        octets = sum(size for kind, size in told.octets.items() if kind != "ForwardCall")
-        self.assertThat(octets / machines / span, LessThan(3000), str(dict(told.octets)))
+        octets = sum(size for kind, size in report.octets.items() if kind != "ForwardCall")
+        self.assertThat(octets / machines / span, LessThan(3000), str(dict(report.octets)))
 
 
 class Parents(TestCase):
@@ -121,18 +121,18 @@
         draw = random.Random(seed)
         parents = [self.relay(f"parent-{place}") for place in range(4)]
         child = self.relay("child")
-        news: list[tuple[int, int]] = [(1, 1)]
+        revisions: list[tuple[int, int]] = [(1, 1)]
         found, late = [], []
         timestamp = 100.0
         for _ in range(200):
             timestamp += draw.uniform(0.0, 0.3)
             now = timedelta(seconds=timestamp)
             if draw.random() < 0.3:
-                epoch, revision = news[-1]
-                news.append((epoch + (draw.random() < 0.3), revision + draw.choice((0, 1, 3))))
-            # Each parent hears of it when it does; some hear of nothing for long.
+                epoch, revision = revisions[-1]
+                revisions.append((epoch + (draw.random() < 0.3), revision + draw.choice((0, 1, 3))))
+            # Each parent learns of it at its own time; some learn nothing for long.
             parent = parents[min(draw.randrange(8), 3)]
-            epoch, revision = news[-1]
+            epoch, revision = revisions[-1]
             items = {f"item:{place}": (place, b"x") for place in range(revision)}
             if parent.copy.revision <= revision:
                 parent.accept_read(
@@ -161,7 +161,7 @@
             self.assertThat(self.walk(seed), Equals([]), f"seed {seed}")
 
     def test_without_the_look_at_what_is_held_it_would(self) -> None:
-        with mock.patch.object(Relay, "is_older", lambda relay, **told: False):
+        with mock.patch.object(Relay, "is_older", lambda relay, **needs: False):
             self.assertThat([found for seed in range(40) for found in self.walk(seed)], GreaterThan([]))
 
 
@@ -184,6 +184,6 @@
             counters=cast(Any, SimpleNamespace(add=noted.append)),
         )
         call = HealthCall("side", "life", "10.0.0.1:1", "z", "", "", "", "", 7, 1, 4)
-        told = asyncio.run(reports.record(call))
-        self.assertThat(told.error, Equals(str(ErrorKind.NO_LEADER)))
+        report = asyncio.run(reports.record(call))
+        self.assertThat(report.error, Equals(str(ErrorKind.NO_LEADER)))
         self.assertThat(noted, Equals(["vitals.not_fresh"]))
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -38,7 +38,15 @@
 FAULT_SIZES = (3,)
 
 STALLING = (StepKind.RUN, StepKind.PROPOSE, StepKind.STALL_DISK)
-HARM = (StepKind.RUN, StepKind.PROPOSE, StepKind.BATCH, StepKind.CRASH, StepKind.START, StepKind.CUT_OFF, StepKind.HEAL)
+CRASHES_AND_PARTITIONS = (
+    StepKind.RUN,
+    StepKind.PROPOSE,
+    StepKind.BATCH,
+    StepKind.CRASH,
+    StepKind.START,
+    StepKind.CUT_OFF,
+    StepKind.HEAL,
+)
 
 
 # What must be so at the end of a walk: which of the three a fault spoils first hangs on the walk.
@@ -66,7 +74,7 @@
     FaultCase(faults.AppendUnsynced, "commits by majorities that meet", space="order unsynced"),
     FaultCase(faults.CommitsOldEpoch, "only a record of the leader's epoch commits by counting"),
     FaultCase(faults.ReadWithoutRound, "confirmed reads are linear", space="reads at two leaders"),
-    FaultCase(faults.VotesForAnybody, "a leader holds all that is committed", HARM),
+    FaultCase(faults.VotesForAnybody, "a leader holds all that is committed", CRASHES_AND_PARTITIONS),
     FaultCase(faults.VotesTwice, "one leader an epoch"),
     FaultCase(faults.VotesTwice, "one leader an epoch", space="two candidates"),
     FaultCase(faults.TruncatesCommitted, "committed records are never truncated"),
@@ -173,10 +181,10 @@
     def test_each_injected_fault_is_found_by_its_check(self) -> None:
         self.assertThat({injected.fault for injected in INJECTED}, Equals(set(faults.FAULTS)))
         for injected in INJECTED:
-            told = self.found(injected)
-            print(f"{injected.fault.__name__}: {told}")
+            found_rule = self.found(injected)
+            print(f"{injected.fault.__name__}: {found_rule}")
             rules = injected.rule.split("|")
-            self.assertThat(told, MatchesAny(*(Contains(f"{rule}: ") for rule in rules)), injected.fault.__name__)
+            self.assertThat(found_rule, MatchesAny(*(Contains(f"{rule}: ") for rule in rules)), injected.fault.__name__)
 
     def found(self, injected: FaultCase) -> str:
         if injected.space:
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -27,7 +27,7 @@
 KINDS = ("read", "pay", "pack")
 # While the request is on its way over the link, and while its answer is.
 TIMESTAMPS = ("asked", "answered")
-# Longer than any request is held, and than a pulse's span.
+# Longer than any request is held, and than a ping's timeout.
 LONG = BUDGET + 1.5
 SEED = 7
 
@@ -93,7 +93,7 @@
                 wire.release()
 
     async def replace(self, machine: Machine, wire: ControlledLink, *, other: bool) -> None:
-        """The far end of the link ends, and another life of it, or somebody else, comes to its address."""
+        """The far end of the link ends, and another incarnation of it, or somebody else, comes to its address."""
         if self.link == "server":
             before = machine.local_server
             before.stop()
@@ -142,13 +142,13 @@
 class EveryPair(TestCase):
     def play_all(self, link: str) -> None:
         for fault, kind, timestamp in itertools.product(FAULTS, KINDS, TIMESTAMPS):
-            told = f"{link}, {fault}, {kind}, {timestamp}, seed {SEED}"
+            label = f"{link}, {fault}, {kind}, {timestamp}, seed {SEED}"
             history = play(link=link, fault=fault, kind=kind, timestamp=timestamp)
-            self.assertThat(judge(history), Equals([]), told)
+            self.assertThat(judge(history), Equals([]), label)
             # Whoever came after it was served: the fault is over, and nothing of it is left.
             later = [attempt for attempt, ask in history.asked.items() if ask.kind in ("read", "pack")]
-            served = [attempt for attempt in later if history.told.get(attempt, (0, b""))[0] == 200]
-            self.assertThat(len(served) >= 1, Equals(True), f"{told}: {history.told}")
+            served = [attempt for attempt in later if history.answers.get(attempt, (0, b""))[0] == 200]
+            self.assertThat(len(served) >= 1, Equals(True), f"{label}: {history.answers}")
 
     def test_clients_to_sidecars(self) -> None:
         self.play_all("client")
@@ -177,32 +177,34 @@
     def test_what_ran_when_its_connection_broke_is_answered_all_the_same(self) -> None:
         for fault, kind in itertools.product(("reset", "close"), ("pay", "pack")):
             history = play(link="sidecar", fault=fault, kind=kind, timestamp="answered")
-            self.assertThat(history.told["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
+            self.assertThat(history.answers["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
 
     def test_what_never_came_goes_to_another_server_in_the_same_try(self) -> None:
         for fault, kind in itertools.product(("reset", "close"), ("pay", "pack")):
             history = play(link="sidecar", fault=fault, kind=kind, timestamp="asked")
-            self.assertThat(history.told["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
+            self.assertThat(history.answers["try-1"], Equals((200, b"run of try-1")), f"{fault} {kind}")
 
     def test_a_target_that_forgot_what_came_is_found(self) -> None:
-        """Planted: it says of any attempt that it never came."""
-        local_server = mock.patch.object(ReceivedAttempts, "answer_of", lambda self, attempt_id: None)
+        """Injected fault: it reports of any attempt that it never came."""
+        injected_fault = mock.patch.object(ReceivedAttempts, "answer_of", lambda self, attempt_id: None)
         forgotten = mock.patch.object(ReceivedAttempts, "bar", lambda self, attempt_id, **needs: True)
-        with local_server, forgotten:
+        with injected_fault, forgotten:
             found = " ".join(judge(play(link="sidecar", fault="reset", kind="pack", timestamp="answered")))
         self.assertThat(found, Contains("TWICE"))
 
 
 class Checkers(TestCase):
-    def history(self, asked: dict[str, ClientRequest], runs: list[str], told: dict[str, tuple[int, bytes]]) -> History:
+    def history(
+        self, asked: dict[str, ClientRequest], runs: list[str], answers: dict[str, tuple[int, bytes]]
+    ) -> History:
         history = History()
-        history.asked, history.told = asked, told
+        history.asked, history.answers = asked, answers
         history.runs = [(attempt, "i-1") for attempt in runs]
         return history
 
     def test_each_kind_of_break_is_named(self) -> None:
         post, keyed = ClientRequest("pack", ""), ClientRequest("pay", "k")
-        for told, history in (
+        for broken_promise, history in (
             ("TWICE a", self.history({"a": post}, ["a", "a"], {})),
             ("TWICE key k", self.history({"a": keyed, "b": keyed}, ["a", "b"], {})),
             ("REFUSED a", self.history({"a": post}, ["a"], {"a": (503, b"")})),
@@ -210,12 +212,12 @@
             ("WRONG a", self.history({"a": post}, [], {"a": (200, b"run of a")})),
             ("UNASKED b", self.history({"a": post}, ["b"], {})),
         ):
-            self.assertThat(" ".join(judge(history)), Contains(told))
+            self.assertThat(" ".join(judge(history)), Contains(broken_promise))
         repeat = self.history({"a": keyed, "b": keyed}, ["a"], {"a": (504, b""), "b": (200, b"run of a")})
         self.assertThat(judge(repeat), Equals([]))
 
-    def found(self, local_server: Any, **needs: str) -> set[str]:
-        with local_server:
+    def found(self, injected_fault: Any, **needs: str) -> set[str]:
+        with injected_fault:
             return {line.split()[0] for line in judge(play(**needs))}
 
     def test_an_uncertain_attempt_that_is_dealt_again_is_found(self) -> None:
@@ -224,8 +226,8 @@
             request.attempts = 0
             self._place(request)
 
-        local_server = mock.patch.object(IngressCore, "_attempt_uncertain", again)
-        found = self.found(local_server, link="server", fault="reset", kind="pack", timestamp="answered")
+        injected_fault = mock.patch.object(IngressCore, "_attempt_uncertain", again)
+        found = self.found(injected_fault, link="server", fault="reset", kind="pack", timestamp="answered")
         self.assertThat(found, Contains("TWICE"))
 
     def test_an_unknown_end_that_is_called_a_refusal_is_found(self) -> None:
@@ -233,8 +235,8 @@
             error = MeshError(ErrorKind.SILENT, "planted", "planted")
             self._reply(request, 503, error=error, retry_after=milliseconds(50))
 
-        local_server = mock.patch.object(IngressCore, "_answer_unknown", unknown)
-        found = self.found(local_server, link="server", fault="reset", kind="pack", timestamp="answered")
+        injected_fault = mock.patch.object(IngressCore, "_answer_unknown", unknown)
+        found = self.found(injected_fault, link="server", fault="reset", kind="pack", timestamp="answered")
         self.assertThat(found, Contains("REFUSED"))
 
     def test_an_answer_that_counts_whatever_its_id_is_found(self) -> None:
@@ -245,8 +247,8 @@
             return message, await payload.read()
 
         self.assertThat(plain is anyones, Equals(False))
-        local_server = mock.patch.object(ServerConnectionPool, "_answer", anyones)
-        found = self.found(local_server, link="server", fault="surplus", kind="pack", timestamp="asked")
+        injected_fault = mock.patch.object(ServerConnectionPool, "_answer", anyones)
+        found = self.found(injected_fault, link="server", fault="surplus", kind="pack", timestamp="asked")
         self.assertThat(found, Contains("WRONG"))
 
     def test_a_key_that_is_free_whatever_became_of_it_is_found(self) -> None:
@@ -255,6 +257,6 @@
         def free(self: KeyClaims, claim: str) -> Any:
             return plain(self, claim)._replace(state="free")
 
-        local_server = mock.patch.object(KeyClaims, "claim_state", free)
-        found = self.found(local_server, link="sidecar", fault="reset", kind="pay", timestamp="answered")
+        injected_fault = mock.patch.object(KeyClaims, "claim_state", free)
+        found = self.found(injected_fault, link="sidecar", fault="reset", kind="pay", timestamp="answered")
         self.assertThat(found, Contains("TWICE"))
