--- a/packages/statemachine/src/hoistsaddle/statemachine/__init__.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state machine: what the records of the log make of the mesh's configuration and its keys."""
+"""The replicated state machine: it builds the mesh's configuration and idempotency keys from the log's records."""
--- a/packages/statemachine/src/hoistsaddle/statemachine/apply.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/apply.py
@@ -1,4 +1,7 @@
-"""Applies one record of the log to the state: the same on every replica, or a rejection on which the replica stops."""
+"""Applies one log record to the state, with the same result on every replica.
+
+A replica whose release can't apply a record rejects it as OtherRelease and stops.
+"""
 
 import hashlib
 from collections.abc import Callable
@@ -46,19 +49,20 @@
 def apply(
     state: State, *, offset: int, epoch: int, stamp: timedelta, payload: bytes, supported: int = LEVEL
 ) -> Applied:
-    """The state after the record at an offset, and what the record came to.
+    """Returns the state after the record at an offset, and the outcome of the record.
 
     Args:
-        state: The state after the record before it.
+        state: The state after the preceding record.
         offset: The record's offset in the log.
         epoch: The epoch of the leader that appended it.
-        stamp: The leader's mesh time when it did. Mesh time never goes back, whatever a record says.
+        stamp: The leader's mesh time when it appended the record. A timestamp lower than the state's mesh time is
+            ignored, so mesh time never goes back.
         payload: The encoded command.
         supported: The highest release level that this process supports.
 
     Returns:
-        The state and the outcome. OtherRelease as an outcome means that this release can't apply the record: the state
-        is unchanged, and the replica must not go on.
+        The state and the outcome. An OtherRelease outcome means that this release can't apply the record: the state
+        is unchanged, and the replica must apply no further records.
     """
     command = unpack_command(payload)
     if command is None or (isinstance(command, RaiseLevel) and command.level > supported):
@@ -70,10 +74,10 @@
             )
         )
     state = _expire(state._replace(offset=offset, epoch=epoch, mesh_time=max(stamp, state.mesh_time)))
-    needed = LEVEL_OF.get(type(command), 1)
-    if state.level < needed:
+    required_level = LEVEL_OF.get(type(command), 1)
+    if state.level < required_level:
         return state, reject(
-            LevelTooLow(f"{tag_of(command)} needs release level {needed}, the mesh is at {state.level}.")
+            LevelTooLow(f"{tag_of(command)} needs release level {required_level}, the mesh is at {state.level}.")
         )
     return _apply(state, command, offset, payload)
 
@@ -119,42 +123,42 @@
 
 
 def _apply_operators_command(state: State, command: Command, offset: int, payload: bytes) -> Applied:
-    """Applies a command of an operator, which carries the id of the operator's request."""
+    """Applies an operator's command, which carries the id of the operator's request."""
     match command:
         case SubmitBundle(request=request, author=operator):
-            rule: Callable[..., Applied] = bundles.submit
+            handler: Callable[..., Applied] = bundles.submit
         case SignBundle(request=request, signer=operator):
-            rule = bundles.sign
+            handler = bundles.sign
         case AdvanceBundle(request=request, operator=operator):
-            rule = bundles.advance
+            handler = bundles.advance
         case AbortBundle(request=request, operator=operator):
-            rule = bundles.abort
+            handler = bundles.abort
         case DrainServer(request=request, operator=operator):
-            rule = fleet.drain
+            handler = fleet.drain
         case ProposeOperatorChange(request=request, operator=operator):
-            rule = operators.propose
+            handler = operators.propose
         case SignOperatorChange(request=request, signer=operator):
-            rule = operators.sign
+            handler = operators.sign
         case WithdrawOperatorChange(request=request, operator=operator):
-            rule = operators.withdraw
+            handler = operators.withdraw
         case _:
-            raise AssertionError(f"no rule for {type(command).__name__}")
-    return _apply_once(state, request, operator, payload, lambda before: rule(before, command, offset))
+            raise AssertionError(f"no handler for {type(command).__name__}")
+    return _apply_once(state, request, operator, payload, lambda before: handler(before, command, offset))
 
 
 def _apply_once(
-    state: State, request: str, operator: str, payload: bytes, apply_rule: Callable[[State], Applied]
+    state: State, request: str, operator: str, payload: bytes, apply_command: Callable[[State], Applied]
 ) -> Applied:
-    """Applies an operator's request the first time it is met, and answers a repeat of it with the same outcome."""
+    """Applies an operator's request once; a repeat of the request gets the stored outcome."""
     known = state.outcomes.get(request)
     digest = hashlib.sha256(payload).hexdigest() if state.level > 1 else ""
     if known is not None:
         if digest and known.command_digest and known.command_digest != digest:
-            # Two requests that share an id by accident: neither may be answered with the other's outcome.
+            # Two different requests share an id by accident: neither may get the other's outcome.
             return state, reject(RequestReused("Another call had this request id.", field="X-Request-Id"))
         return state, known.outcome
     if (rejection := operators.reject_unknown_operator(state, operator)) is not None:
         return state, rejection
-    state, outcome = apply_rule(state)
+    state, outcome = apply_command(state)
     stored = StoredOutcome(to_microseconds(state.mesh_time), outcome, digest)
     return state._replace(outcomes=state.outcomes.set(request, stored)), outcome
--- a/packages/statemachine/src/hoistsaddle/statemachine/commands.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/commands.py
@@ -1,8 +1,8 @@
-"""The commands that the replicated log holds, and the outcome of applying one.
+"""The commands of the replicated log, and the outcome of applying one.
 
-A command is an immutable record. What a newer release's command or field does has to wait for the release level at
-which every process knows it: see docs/design/releases.md. How commands are encoded, and under which names, is the
-affair of encoding.py: classes and fields here may be renamed, their order and defaults may not change.
+A command is an immutable record. A command or field of a newer release takes effect only from the release level at
+which every process supports it: see docs/design/releases.md. encoding.py defines how commands are encoded and under
+which names. Classes and fields here may be renamed; the order and the defaults of the fields must not change.
 """
 
 from datetime import timedelta
@@ -10,19 +10,19 @@
 
 
 class LeaderChange(NamedTuple):
-    """The first record of a new leader's epoch; committing it commits what came before (KIP-595, LeaderChange)."""
+    """The first record of a new leader's epoch; committing it commits the records before it (KIP-595, LeaderChange)."""
 
     leader: int
 
 
 class Tick(NamedTuple):
-    """Carries the leader's clock into the log while nothing else is appended."""
+    """Advances mesh time by the leader's clock while no other record is appended."""
 
     leader: int
 
 
 class UpdateVoter(NamedTuple):
-    """A voter whose disk was replaced: the same replica under another incarnation."""
+    """Updates the incarnation of a voter whose disk was replaced."""
 
     replica: int
     old: str
@@ -30,21 +30,21 @@
 
 
 class AddVoter(NamedTuple):
-    """One more voter, whose replica has caught up."""
+    """Adds a voter whose replica has caught up."""
 
     replica: int
     incarnation: str
 
 
 class RemoveVoter(NamedTuple):
-    """One voter less."""
+    """Removes a voter."""
 
     replica: int
     incarnation: str
 
 
 class ReplaceVoter(NamedTuple):
-    """One voter out and a caught-up successor in, in one step: the number of voters never falls."""
+    """Replaces a voter by a caught-up successor in one step, so that the number of voters never falls."""
 
     replica: int
     incarnation: str
@@ -53,21 +53,21 @@
 
 
 class PatchItems(NamedTuple):
-    """A change of some configuration items, each with its own revision; approved by a standing sign-off."""
+    """Changes configuration items, each with its own revision; approved by a standing sign-off."""
 
     request: str
     author: str
     signer: str
     patch: bytes
-    # Seconds of mesh time for which the sender may send it again; 0 for RESEND_WINDOW.
+    # Seconds of mesh time for which the sender may resend it; 0 for RESEND_WINDOW.
     resend_seconds: int = 0
-    # The offset up to which its receiver had applied the log when the call arrived: whoever sent it can't have known
-    # of anything logged since. -1 from a release that doesn't tell.
+    # The offset up to which the receiver had applied the log when the call arrived: the sender can't have known of
+    # later records. -1 from a release that doesn't send it.
     seen_offset: int = -1
 
 
 class SubmitBundle(NamedTuple):
-    """A new bundle as a draft."""
+    """Submits a new bundle as a draft."""
 
     request: str
     author: str
@@ -75,7 +75,7 @@
 
 
 class SignBundle(NamedTuple):
-    """A second person's sign-off of a draft, by its digest; it starts the roll-out."""
+    """Signs off a draft, identified by its digest, and starts its rollout; the signer must not be the author."""
 
     request: str
     signer: str
@@ -101,7 +101,7 @@
 
 
 class RegisterServer(NamedTuple):
-    """A server's state, as its proxy or the liveness monitor reports it."""
+    """Reports a server's state; sent by the server's proxy or by the node monitor."""
 
     proxy: str
     service: str
@@ -109,19 +109,19 @@
     address: str
     zone: str
     state: str
-    # Counts the reports of one incarnation of the proxy.
+    # The sequence number of this report within the incarnation of the proxy.
     serial: int
     incarnation: str
-    # The epoch of the singleton role under which the monitor reports; 0 from the proxy itself.
+    # The epoch of the singleton role under which the node monitor reports; 0 from the proxy itself.
     role_epoch: int = 0
-    # Kept for its place in the encoding; drain marks are set by DrainServer.
+    # Unused; it keeps its position in the encoding. DrainServer sets drain marks.
     operator: str = ""
     # The newest configuration revision the reporter had seen.
     seen_revision: int = -1
 
 
 class DrainServer(NamedTuple):
-    """Sets or clears an operator's drain mark on the server beside a proxy."""
+    """Sets or clears an operator's drain mark on the server of a proxy."""
 
     request: str
     operator: str
@@ -130,7 +130,7 @@
 
 
 class RegisterNode(NamedTuple):
-    """A node's address and state, as the node or the liveness monitor reports it."""
+    """Reports a node's address and state; sent by the node or by the node monitor."""
 
     node: str
     kind: str
@@ -145,7 +145,7 @@
 
 
 class AcquireSingletonRole(NamedTuple):
-    """Takes a role that one node at a time holds; the epoch is its fencing token, one above the former holder's."""
+    """Acquires a role that one node at a time holds. The epoch is a fencing token, one above the last holder's."""
 
     role: str
     node: str
@@ -153,13 +153,13 @@
 
 
 class ClaimKey(NamedTuple):
-    """Claims an idempotency key before its request is run."""
+    """Claims an idempotency key before its request runs."""
 
     scope: str
     claim: str
     proxy: str
     body_digest: str
-    # A digest of caller, method, path and key: claims in one bucket may be the same client's.
+    # A digest of caller, method, path and key: claims in one bucket may come from the same client.
     bucket: str = ""
     # What identifies the client ("credentials", or a declared header or cookie), and a digest of its value.
     identified_by: str = ""
@@ -168,31 +168,34 @@
     route: str = ""
     # Seconds of mesh time for which the key is held; 0 for UNSETTLED_HOLD_TIMEOUT.
     hold_seconds: int = 0
-    # A claim that its holder has given up: this one replaces it.
+    # A claim that its holder has abandoned and that this claim replaces; empty for none.
     replaced_claim: str = ""
 
 
 class CompleteKey(NamedTuple):
-    """Stores the answer of a claimed key's request, for repeats of the request."""
+    """Settles a claimed key with the answer of its request, for repeats of the request."""
 
     scope: str
     claim: str
     status: int
     headers: dict[str, str]
     body: bytes
-    # False when the answer exceeded its limit: then only the completion is stored.
+    # False when the answer exceeded its size limit: then only the completion is stored.
     answer_kept: bool
 
 
 class ReleaseKey(NamedTuple):
-    """Gives a claimed key back: its request did not run."""
+    """Releases a claimed key whose request did not run."""
 
     scope: str
     claim: str
 
 
 class RaiseLevel(NamedTuple):
-    """From here on the log may hold what this level brought; logged only once every process supports it."""
+    """Raises the release level, which allows the commands and fields of that level in later records.
+
+    Appended only once every process supports the level.
+    """
 
     level: int
 
@@ -204,7 +207,7 @@
 
 
 class ProposeOperatorChange(NamedTuple):
-    """One operator's half of adding, renewing or removing another; an empty token digest removes."""
+    """Proposes to add, renew or remove an operator; an empty token digest removes."""
 
     request: str
     operator: str
@@ -213,7 +216,7 @@
 
 
 class SignOperatorChange(NamedTuple):
-    """A second person's half of it; change is the digest of what was proposed."""
+    """Signs a proposed operator change; `change` is the digest of the proposal."""
 
     request: str
     signer: str
@@ -222,7 +225,7 @@
 
 
 class WithdrawOperatorChange(NamedTuple):
-    """Withdraws a proposed change among the operators."""
+    """Withdraws a proposed operator change."""
 
     request: str
     operator: str
@@ -256,7 +259,7 @@
 )
 # The highest release level that this release supports.
 LEVEL = 4
-# The release level that each command came with, where that is above the first.
+# The release level that introduced each command; 1 for commands not listed.
 LEVEL_OF: dict[type, int] = {
     Purge: 2,
     ProposeOperatorChange: 2,
@@ -267,24 +270,24 @@
     PatchItems: 3,
     ReplaceVoter: 4,
 }
-# How long a key is held after its answer was stored, and before.
+# How long a key is held after its answer was stored, and before that.
 SETTLED_HOLD_TIMEOUT = timedelta(seconds=75)
 UNSETTLED_HOLD_TIMEOUT = timedelta(minutes=10)
 # How long the outcome of an operator's request is kept for repeats of it.
 OUTCOME_RETENTION = timedelta(minutes=10)
-# How long a patch may be sent again where it names no time of its own.
+# How long a patch may be resent if it specifies no time.
 RESEND_WINDOW = timedelta(minutes=10)
-# How often the state is searched for what has expired.
+# How often the state is searched for expired holds, outcomes and patches, in mesh time.
 EXPIRY_INTERVAL = timedelta(seconds=5)
 # Longer than any lease, hold or retry that could still refer to a server or node that is gone.
 GONE_RETENTION = timedelta(minutes=10)
 
 
 class Outcome(NamedTuple):
-    """What applying one command came to. Encoded by position, and kept in the state for repeated requests.
+    """The outcome of applying one command. Encoded by position, and stored in the state for repeated requests.
 
-    error is the kind of error as a string, empty when the command was accepted. field names the part of the request
-    that the error is about; detail holds what an accepted command reports back.
+    `error` is the kind of error as a string, empty if the command was accepted. `field` names the part of the request
+    that caused the error; `detail` holds the results of an accepted command.
     """
 
     error: str = ""
--- a/packages/statemachine/src/hoistsaddle/statemachine/state.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/state.py
@@ -1,7 +1,7 @@
-"""The state that the replicated log builds: immutable records, so that holding a reference captures one offset.
+"""The state built from the replicated log: immutable records, so a reference to a state is a snapshot at one offset.
 
-Every replica that applies the same log has an equal state. Its encoding for checkpoints is in snapshots.py; records are
-encoded by position there, so the order of their fields stays, and new fields come last with a default.
+Every replica that applies the same log has an equal state. snapshots.py encodes it for checkpoints. Records are encoded
+by position there: the order of their fields must not change, and new fields are added last, with a default.
 """
 
 from datetime import timedelta
@@ -25,17 +25,17 @@
 READY = "ready"
 WINDING_DOWN = "winding down"
 GONE = "gone"
-# Phases of a held key; encoded, and shown to operators.
+# Phases of a held idempotency key; encoded, and shown to operators.
 CLAIMED = "claimed"
 SETTLED = "settled"
-# The singleton role whose holder reports nodes that are gone; encoded.
+# The singleton role of the node monitor, which reports nodes that are gone; encoded.
 NODE_MONITOR_ROLE = "warden"
-# Bundles, and patches, that the state keeps; the oldest are dropped first.
+# The most bundles, and the most patches, that the state keeps; the oldest are dropped first.
 MAX_BUNDLES = 64
 
 
 class BundleRecord(NamedTuple):
-    """A bundle and how far its roll-out is."""
+    """A bundle and the progress of its rollout."""
 
     number: int
     based_on: int
@@ -44,17 +44,18 @@
     text: str
     digest: str
     phase: str
-    # The stages reached so far, counted from 1; 0 for a draft.
+    # The number of stages reached so far; 0 for a draft.
     stage: int
-    # The log offset of its last change.
+    # The log offset of the last change of this record.
     offset: int
-    # Who advanced it beyond each stage after the first, and who aborted it; kept from release level 4 on.
+    # The operators who advanced it, one for each stage passed, and the operator who aborted it; recorded from release
+    # level 4 on.
     advanced_by: tuple[str, ...] = ()
     aborted_by: str = ""
 
 
 class ServerRecord(NamedTuple):
-    """A server and the proxy beside it, as last reported."""
+    """The last reported state of a server and of the proxy on its machine."""
 
     proxy: str
     service: str
@@ -64,7 +65,7 @@
     state: str
     serial: int
     incarnation: str
-    # The operator who marked it for draining; empty for none.
+    # The operator who marked the server for draining; empty for none.
     drained_by: str
     offset: int
     # Microseconds of mesh time at the last change; kept from release level 2 on.
@@ -72,7 +73,7 @@
 
 
 class NodeRecord(NamedTuple):
-    """A node of the mesh, as last reported."""
+    """The last reported state of a node of the mesh."""
 
     node: str
     kind: str
@@ -86,7 +87,7 @@
 
 
 class SingletonRoleRecord(NamedTuple):
-    """A role that one node at a time holds, and the epoch that fences off its former holders."""
+    """A role that one node at a time holds; its epoch is a fencing token against former holders."""
 
     role: str
     node: str
@@ -95,19 +96,19 @@
 
 
 class KeyHold(NamedTuple):
-    """An idempotency key that is held: claimed by a running request, or settled with its answer."""
+    """An idempotency key that is held: claimed by a running request, or settled with the stored answer."""
 
     claim: str
     proxy: str
     body_digest: str
     phase: str
-    # Microseconds of mesh time.
+    # The expiry time, in microseconds of mesh time.
     expires: int
     status: int
     headers: dict
     body: bytes
     answer_kept: bool
-    # From release level 2 on; see ClaimKey.
+    # Set from release level 2 on; see ClaimKey.
     bucket: str = ""
     identified_by: str = ""
     client_digest: str = ""
@@ -115,30 +116,30 @@
 
 
 class ItemRecord(NamedTuple):
-    """A configuration item. A dropped one keeps its revision, so that an older setting can't bring it back."""
+    """A configuration item. A dropped item keeps its revision, so that an older upsert can't restore it."""
 
     revision: int
     offset: int
     dropped: bool
     body: bytes
-    # The operator's own text of it.
+    # The operator's source text of the item.
     source: bytes
 
 
 class PatchRecord(NamedTuple):
-    """A patch of items that was accepted, with who answers for it."""
+    """An accepted patch of items, with its author and signer."""
 
     number: int
     author: str
     signer: str
     digest: str
     offset: int
-    # "kind:name" of the items that it changed.
+    # The keys ("kind:name") of the items that the patch changed.
     changed: tuple[str, ...]
 
 
 class RejectedPatch(NamedTuple):
-    """A patch that was rejected against the state of its time: an older copy of it must not be accepted later."""
+    """A patch that was rejected against the state at its offset: an older copy of it must not be accepted later."""
 
     offset: int
     # Microseconds of mesh time.
@@ -146,81 +147,81 @@
 
 
 class OperatorChange(NamedTuple):
-    """A change of one operator that is proposed and not signed yet."""
+    """A proposed change of one operator that is not signed yet."""
 
     # The digest of the operator's new token; empty for a removal.
     token_digest: str
     proposer: str
-    # What the signer names: a digest of the proposal.
+    # A digest of the proposal, by which the signer refers to it.
     change: str
 
 
 class StoredOutcome(NamedTuple):
-    """The outcome of an operator's request, kept so that a repeat of the request is answered alike."""
+    """The outcome of an operator's request, kept so that a repeat of the request gets the same outcome."""
 
     # Microseconds of mesh time.
     stored_at: int
     outcome: Outcome
-    # A digest of the command; empty for one that was applied below release level 2.
+    # A digest of the command; empty for a command that was applied below release level 2.
     command_digest: str = ""
 
 
 class State(NamedTuple):
-    """All that the log's records up to one offset made."""
+    """The replicated state after applying the log up to one offset."""
 
     mesh: str = ""
-    # Of the last record applied.
+    # The offset and epoch of the last record applied.
     offset: int = 0
     epoch: int = 0
-    # Mesh time: the highest timestamp of the records applied. Whatever expires is judged by it.
+    # Mesh time: the highest timestamp of the records applied. All expiry is decided by it.
     mesh_time: timedelta = ZERO
     # The mesh time when expired holds and outcomes were last removed.
     expired_at: timedelta = ZERO
-    # Replica to its incarnation, and operator's name to the digest of a token.
+    # Replica id to the replica's incarnation; operator name to the digest of the operator's token.
     voters: Map[int, str] = Map()
     operators: Map[str, str] = Map()
     bundles: Map[int, BundleRecord] = Map()
-    # Numbers of the bundle in force and of the one that is rolling out; 0 for none.
+    # The numbers of the bundle in force and of the bundle that is rolling out; 0 for none.
     in_force: int = 0
     rolling: int = 0
-    # By the proxy beside the server, by node, and by role.
+    # Keyed by the proxy on the server's machine, by node name, and by role name.
     servers: Map[str, ServerRecord] = Map()
     nodes: Map[str, NodeRecord] = Map()
     singleton_roles: Map[str, SingletonRoleRecord] = Map()
-    # By scope, and by the id of the operator's request.
+    # Keyed by scope, and by the id of the operator's request.
     holds: Map[str, KeyHold] = Map()
     outcomes: Map[str, StoredOutcome] = Map()
-    # The offset of the last record that changed what the data plane knows.
+    # The offset of the last record that changed an item of the data plane; see data_plane.py.
     data_plane_revision: int = 0
     # The release level in force, and the offset of the record that raised it.
     level: int = 1
     level_offset: int = 0
     # The offset of the last purge that removed a server or node.
     purge_offset: int = 0
-    # Bucket of a claim to the scopes held under it: one for each client that can be told apart.
+    # Bucket of a claim to the scopes held in it: one for each client that can be distinguished.
     buckets: Map[str, tuple[str, ...]] = Map()
-    # By the name of the operator that would change.
+    # Keyed by the name of the operator that would change.
     operator_changes: Map[str, OperatorChange] = Map()
-    # By "kind:name", and by number; from release level 3 on.
+    # Keyed by "kind:name", and by patch number; used from release level 3 on.
     items: Map[str, ItemRecord] = Map()
     patches: Map[int, PatchRecord] = Map()
-    # By "kind:name", and by the digest of the patch; from release level 4 on.
+    # Keyed by "kind:name", and by the digest of the patch; used from release level 4 on.
     revision_histories: Map[str, RevisionHistory] = Map()
     rejected_patches: Map[str, RejectedPatch] = Map()
 
 
 def initial_state(*, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> State:
-    """The state before the first record.
+    """Returns the state before the first record.
 
     Args:
         mesh: The mesh's id.
-        voters: Replica to its incarnation.
-        operators: Operator's name to the SHA-256 digest of a token, in hexadecimal digits.
-        level: The release level to begin at.
+        voters: Replica id to the replica's incarnation.
+        operators: Operator name to the SHA-256 digest of the operator's token, in hexadecimal digits.
+        level: The initial release level.
     """
     return State(mesh=mesh, voters=Map(voters), operators=Map(operators), level=level)
 
 
 def bundle_in(record: BundleRecord) -> Bundle:
-    """The bundle of a record; only bundles that could be read are in the state."""
+    """Parses the bundle of a record. The state holds only bundles that parsed when they were submitted."""
     return read_bundle(record.text).unwrap()
