--- a/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
@@ -1,4 +1,4 @@
-"""What the log makes of bundles: drafts, sign-offs, roll-out stage by stage, and aborts."""
+"""Applies the commands of bundles: submitting, signing, advancing a rollout by stages, and aborting."""
 
 from returns.result import Failure, Success
 
@@ -22,7 +22,7 @@
 
 
 def submit(state: State, command: SubmitBundle, offset: int) -> tuple[State, Outcome]:
-    """Takes a bundle as a draft."""
+    """Accepts a bundle as a draft."""
     match read_bundle(command.text):
         case Failure(error):
             return state, reject(error)
@@ -51,7 +51,7 @@
             )
         )
     if bundle.based_on != state.in_force:
-        return state, _wrong_base(state, bundle.based_on)
+        return state, _reject_wrong_base(state, bundle.based_on)
     draft = BundleRecord(bundle.number, bundle.based_on, command.author, "", command.text, digest, DRAFT, 0, offset)
     return _add_draft(state, draft), Outcome(detail={"number": bundle.number, "digest": digest})
 
@@ -67,11 +67,11 @@
 
 
 def _newest_signed(state: State) -> int:
-    """The highest number of a bundle that was signed; 0 for none."""
+    """Returns the highest number of a signed bundle; 0 for none."""
     return max((number for number, each in state.bundles.items() if each.phase != DRAFT), default=0)
 
 
-def _wrong_base(state: State, based_on: int) -> Outcome:
+def _reject_wrong_base(state: State, based_on: int) -> Outcome:
     return reject(
         BundleWrongBase(
             f"It is based on {based_on}, but {state.in_force} is in force.",
@@ -82,9 +82,9 @@
 
 
 def _existing_bundle_outcome(state: State, known: BundleRecord, author: str, digest: str) -> Outcome:
-    """What a submission gets whose number is in use."""
+    """Returns the outcome of a submission whose number is in use."""
     if known.digest == digest and known.author == author and state.level >= DEDUPLICATION_LEVEL:
-        # Its answer was lost: it is confirmed again, whatever became of the bundle since.
+        # A repeat, as when the first answer was lost: it is confirmed again, whatever the bundle's phase is now.
         return Outcome(detail={"number": known.number, "digest": digest, "phase": known.phase})
     if known.digest == digest:
         return reject(
@@ -96,7 +96,7 @@
 
 
 def _reject_forgotten(state: State, number: int) -> Outcome | None:
-    """The rejection where a bundle may have been accepted and dropped for newer ones: neither yes nor no."""
+    """Rejects a request for a bundle that may have been accepted and dropped since: the outcome is unknown."""
     if state.level < DEDUPLICATION_LEVEL or len(state.bundles) < MAX_BUNDLES or number >= min(state.bundles):
         return None
     return reject(
@@ -109,7 +109,7 @@
 
 
 def sign(state: State, command: SignBundle, offset: int) -> tuple[State, Outcome]:
-    """Signs a draft off and starts its roll-out."""
+    """Signs off a draft and starts its rollout."""
     bundle = state.bundles.get(command.number)
     if bundle is None:
         return state, _reject_forgotten(state, command.number) or reject(
@@ -141,7 +141,7 @@
 
 
 def _reject_out_of_order(state: State, bundle: BundleRecord) -> Outcome | None:
-    """The rejection of a draft that can't follow the bundle that is in force or rolling out."""
+    """Rejects a draft that can't follow the bundle that is in force or rolling out."""
     if state.rolling:
         return reject(
             BundleConflict(
@@ -151,8 +151,8 @@
             )
         )
     if bundle.based_on != state.in_force:
-        return _wrong_base(state, bundle.based_on)
-    if state.level > 1 and _renames_held(state, bundle.number):
+        return _reject_wrong_base(state, bundle.based_on)
+    if state.level > 1 and _renames_route_of_held_key(state, bundle.number):
         return reject(
             LevelTooLow(
                 "Keys held since before the release level rose are known by the names of entries this bundle renames.",
@@ -160,7 +160,7 @@
                 field="entries",
             )
         )
-    # Numbers only go up: an older draft can't follow a newer bundle.
+    # Bundle numbers only increase: an older draft can't follow a newer bundle.
     newest = _newest_signed(state)
     if bundle.number < newest:
         return reject(
@@ -169,8 +169,8 @@
     return None
 
 
-def _renames_held(state: State, number: int) -> bool:
-    """Whether a bundle renames a route under whose name a key may be held since release level 1."""
+def _renames_route_of_held_key(state: State, number: int) -> bool:
+    """Whether a bundle renames a route for which a key may be held by route name, as release level 1 held keys."""
     if all(hold.bucket for hold in state.holds.values()):
         return False
     if not state.in_force:
@@ -182,7 +182,7 @@
 
 
 def _progress_outcome(bundle: BundleRecord) -> Outcome:
-    """What a repeat of an accepted request gets: how far its bundle is, and no step further."""
+    """Returns the outcome of a repeated request: the present progress of the bundle, which is not advanced."""
     stages = bundle_in(bundle).rollout()
     return Outcome(
         detail={
@@ -197,7 +197,7 @@
 
 
 def _advance_stage(state: State, number: int, offset: int) -> tuple[State, Outcome]:
-    """Moves the rolling bundle one stage on; with the last stage it is in force."""
+    """Advances the rolling bundle by one stage; from the last stage on it is in force."""
     bundle = state.bundles[number]
     stages = bundle_in(bundle).rollout()
     stage = bundle.stage + 1
@@ -220,7 +220,7 @@
 
 
 def advance(state: State, command: AdvanceBundle, offset: int) -> tuple[State, Outcome]:
-    """Moves a rolling bundle from the stage that the operator saw to the next."""
+    """Advances a rolling bundle from the stage that the operator named to the next stage."""
     bundle = state.bundles.get(command.number)
     if bundle is None and (rejection := _reject_forgotten(state, command.number)) is not None:
         return state, rejection
@@ -234,7 +234,7 @@
                 field="number",
             )
         )
-    # Two operators who advance it at once must not skip a stage.
+    # Two operators who advance a bundle concurrently must not skip a stage.
     if bundle.stage != command.from_stage:
         return state, reject(
             BundleWrongPhase(
@@ -243,7 +243,7 @@
             )
         )
     if state.level >= DEDUPLICATION_LEVEL:
-        # Who passed a stage below that level is not known.
+        # The operators who advanced it below that level were not recorded: their places stay empty.
         before = (*bundle.advanced_by, *[""] * (bundle.stage - 1 - len(bundle.advanced_by)))
         advanced = bundle._replace(advanced_by=(*before, command.operator))
         state = state._replace(bundles=state.bundles.set(bundle.number, advanced))
@@ -251,7 +251,7 @@
 
 
 def abort(state: State, command: AbortBundle, offset: int) -> tuple[State, Outcome]:
-    """Withdraws a draft or a rolling bundle; what was in force before stays in force."""
+    """Withdraws a draft or a rolling bundle; the bundle in force stays in force."""
     bundle = state.bundles.get(command.number)
     if bundle is None and (rejection := _reject_forgotten(state, command.number)) is not None:
         return state, rejection
--- a/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/fleet.py
@@ -1,4 +1,7 @@
-"""What the log makes of servers, nodes and singleton roles: reports, drain marks, fencing, and purging what is gone."""
+"""Applies the commands of servers, nodes and singleton roles: reports, drain marks, role epochs, purges.
+
+It also applies raised release levels.
+"""
 
 from immutables import Map
 
@@ -25,7 +28,7 @@
 
 
 def _reject_stale_epoch(state: State, epoch: int) -> Outcome | None:
-    """The rejection of a node monitor whose role another node has acquired since; epoch 0 is no monitor's."""
+    """Rejects a report of a node monitor that lost its role to another node; epoch 0 is a node's own report."""
     role = state.singleton_roles.get(NODE_MONITOR_ROLE)
     current = role.epoch if role is not None else 0
     if epoch and (role is None or epoch < current):
@@ -36,7 +39,7 @@
 
 
 def register_server(state: State, command: RegisterServer, offset: int) -> tuple[State, Outcome]:
-    """Takes a report about a server, unless a later one was taken before."""
+    """Applies a report about a server, unless a later report was applied before."""
     if (rejection := _reject_stale_epoch(state, command.role_epoch)) is not None:
         return state, rejection
     known = state.servers.get(command.proxy)
@@ -44,7 +47,7 @@
         return state, Outcome(
             detail={"old": True, "state": known.state if known else "", "serial": known.serial if known else 0}
         )
-    # A drain mark is about the instance, and ends with it.
+    # A drain mark applies to one instance of the server, and ends with it.
     drained_by = known.drained_by if known is not None and known.instance == command.instance else ""
     server = ServerRecord(
         command.proxy,
@@ -66,19 +69,19 @@
 
 
 def _is_outdated(state: State, command: RegisterServer, known: ServerRecord | None) -> bool:
-    """Whether a report about a server was overtaken by what the state knows."""
+    """Whether the state already holds newer information than a report about a server."""
     node = state.nodes.get(command.proxy)
-    # From an earlier incarnation of the proxy.
+    # The report is from an earlier incarnation of the proxy.
     if node is not None and node.incarnation != command.incarnation:
         return True
     if known is not None:
         if known.incarnation == command.incarnation and command.serial < known.serial:
             return True
-        # The node monitor's "gone" is about the very report that it saw last.
+        # The node monitor's "gone" refers to the last report that it saw; it doesn't apply after a later report.
         seen = (command.incarnation, command.serial)
         if command.role_epoch > 0 and (known.incarnation, known.serial) != seen:
             return True
-    # A report can't bring back what was purged after its reporter last looked.
+    # A report must not restore a server that was purged after the configuration revision that its reporter had seen.
     return state.level > 1 and (node is None or (known is None and _predates_purge(state, command)))
 
 
@@ -94,11 +97,11 @@
 
 
 def register_node(state: State, command: RegisterNode, offset: int) -> tuple[State, Outcome]:
-    """Takes a report about a node, unless a later one was taken before."""
+    """Applies a report about a node, unless a later report was applied before."""
     if (rejection := _reject_stale_epoch(state, command.role_epoch)) is not None:
         return state, rejection
     known = state.nodes.get(command.node)
-    # That an earlier incarnation is gone says nothing of the present one.
+    # That an earlier incarnation is gone says nothing about the present one.
     if known is not None and command.state == GONE and known.incarnation != command.incarnation:
         return state, Outcome(detail={"old": True})
     if state.level > 1 and command.state != GONE and command.level < state.level:
@@ -125,7 +128,7 @@
 
 
 def _timestamp(state: State) -> int:
-    # Not kept below level 2, so that former releases build the same state.
+    # Not recorded below level 2, so that former releases build the same state.
     return to_microseconds(state.mesh_time) if state.level > 1 else 0
 
 
@@ -134,19 +137,19 @@
 
 
 def _is_stale_report(state: State, command: RegisterNode, known: NodeRecord | None) -> bool:
-    """Whether a report is about a node that was purged since, or an incarnation that another one has followed."""
+    """Whether a report concerns a node that was purged since, or an incarnation that was superseded."""
     if known is None:
         return command.state == GONE or _predates_purge(state, command)
     return known.incarnation != command.incarnation and command.seen_revision < known.offset
 
 
 def purge(state: State, command: Purge, offset: int) -> tuple[State, Outcome]:
-    """Removes what has been gone for so long that no lease, hold or retry refers to it any more."""
+    """Removes servers and nodes that have been gone for so long that no lease, hold or retry refers to them."""
     if (rejection := _reject_stale_epoch(state, command.role_epoch)) is not None:
         return state, rejection
-    latest = to_microseconds(state.mesh_time - GONE_RETENTION)
-    servers = [key for key, server in state.servers.items() if server.state == GONE and server.changed <= latest]
-    nodes = [key for key, node in state.nodes.items() if node.state == GONE and node.changed <= latest]
+    cutoff = to_microseconds(state.mesh_time - GONE_RETENTION)
+    servers = [key for key, server in state.servers.items() if server.state == GONE and server.changed <= cutoff]
+    nodes = [key for key, node in state.nodes.items() if node.state == GONE and node.changed <= cutoff]
     if not servers and not nodes:
         return state, Outcome(detail={"servers": [], "nodes": []})
     kept_servers, kept_nodes = state.servers.mutate(), state.nodes.mutate()
@@ -161,10 +164,10 @@
 
 
 def raise_level(state: State, command: RaiseLevel, offset: int) -> tuple[State, Outcome]:
-    """Raises the release level; a lower one changes nothing."""
+    """Raises the release level; a level that is not higher changes nothing."""
     if command.level <= state.level:
         return state, Outcome(detail={"level": state.level})
-    # What is gone already counts as gone from now on: when it went was not kept below level 2.
+    # Servers and nodes that are gone already count as gone from now on: below level 2 the time was not recorded.
     now = to_microseconds(state.mesh_time)
     servers = Map({key: server._replace(changed=now) for key, server in state.servers.items()})
     nodes = Map({key: node._replace(changed=now) for key, node in state.nodes.items()})
@@ -175,7 +178,7 @@
 
 
 def acquire_singleton_role(state: State, command: AcquireSingletonRole, offset: int) -> tuple[State, Outcome]:
-    """Gives a singleton role to a node that knows the epoch of its last holder."""
+    """Grants a singleton role to a node that names the epoch after that of the last holder."""
     known = state.singleton_roles.get(command.role)
     epoch = known.epoch if known is not None else 0
     if command.epoch != epoch + 1:
--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -1,7 +1,8 @@
-"""What the log makes of idempotency keys: claims, stored answers, released keys, and their expiry.
+"""Applies the commands of idempotency keys: claims, stored answers, releases; and expires holds.
 
-A key's request must run once. Whoever is about to run it claims the key; a repeat of the request meets the claim, or
-the answer that was stored for it. Holds expire by mesh time, so they do on every replica alike and never early.
+The request of a key must run once. A proxy claims the key before it runs the request; a repeat of the request
+gets the existing claim or the stored answer. Holds expire by mesh time, so they expire identically on every replica and
+never early.
 """
 
 from datetime import timedelta
@@ -22,9 +23,9 @@
 from hoistsaddle.statemachine.errors import KeyClientUnsure, KeyOtherBody, ReleaseTooOld, reject
 from hoistsaddle.statemachine.state import CLAIMED, SETTLED, KeyHold, State
 
-# What identifies a client that no bundle declares a header or cookie for; encoded.
+# How a client is identified if the bundle declares no header or cookie for it; encoded.
 BY_CREDENTIALS = "credentials"
-# What a claim or release came to, in the outcome's detail; on the wire.
+# Results of a claim or release, in the outcome's detail; sent on the wire.
 GRANTED = "granted"
 RELEASED = "released"
 KEPT = "kept"
@@ -40,7 +41,7 @@
 
 
 def _repeat_outcome(hold: KeyHold, scope: str, command: ClaimKey) -> Outcome:
-    """What the same client's next claim of a held key gets."""
+    """Returns the outcome of a further claim by the same client on a held key."""
     if hold.body_digest != command.body_digest:
         return reject(KeyOtherBody("The key was used with another body.", field="Idempotency-Key"))
     if hold.phase == SETTLED:
@@ -53,38 +54,38 @@
                 "kept": hold.answer_kept,
             }
         )
-    # The same claim forwarded twice is one claim. The holder is named, as the answer may be kept there.
+    # The same claim forwarded twice is one claim. The detail names the holder's proxy, as it may have the answer.
     phase = GRANTED if hold.claim == command.claim else CLAIMED
     return Outcome(detail={"phase": phase, "scope": scope, "claim": hold.claim, "stall": hold.proxy})
 
 
 def _are_distinct_clients(hold: KeyHold, command: ClaimKey) -> bool:
-    """Whether hold and claim are certainly two clients': identified by the same header or cookie, with two values.
+    """Whether hold and claim certainly belong to two clients: identified by the same header or cookie, with two values.
 
-    Credentials don't tell: another token may be the same client's renewed one.
+    Credentials don't distinguish clients: a different token may be the renewed token of the same client.
     """
     same_kind = hold.identified_by == command.identified_by != BY_CREDENTIALS
     return same_kind and hold.client_digest != command.client_digest
 
 
 def hold_handle(command: ClaimKey) -> str:
-    """The scope under which a claim is held: nothing that a new bundle, credential or address changes is part of it."""
+    """Returns the scope under which a claim is held; it is independent of the bundle, credentials and address."""
     if not command.client_digest:
-        # An operation that its key alone identifies: nobody is to be told apart.
+        # The key alone identifies the operation, so clients are not distinguished.
         return command.bucket
     return digest_of("\0".join((command.bucket, command.identified_by, command.client_digest)))
 
 
 def claim(state: State, command: ClaimKey) -> tuple[State, Outcome]:
-    """Grants a claim, or answers with what the key is held for."""
+    """Grants a claim, or returns the state of the existing hold."""
     if state.level < 2:
         return _claim_by_scope(state, command)
     if not command.bucket:
         return state, reject(ReleaseTooOld("The claim doesn't say by what its visitor is known.", field="level"))
-    before = _active_hold(state, command.scope)
-    if before is not None and not before.bucket:
-        # Held since level 1 for this very client and route.
-        return state, _repeat_outcome(before, command.scope, command)
+    unbucketed_hold = _active_hold(state, command.scope)
+    if unbucketed_hold is not None and not unbucketed_hold.bucket:
+        # Held since release level 1, when the scope identified this client and route.
+        return state, _repeat_outcome(unbucketed_hold, command.scope, command)
     others = []
     for scope in state.buckets.get(command.bucket, ()):
         hold = _active_hold(state, scope)
@@ -101,19 +102,19 @@
                 field="Idempotency-Key",
             )
         )
-    handle = hold_handle(command)
-    buckets = state.buckets.set(command.bucket, (*(scope for scope, _ in others), handle))
-    state = state._replace(holds=state.holds.set(handle, _new_hold(state, command)), buckets=buckets)
-    return state, Outcome(detail={"phase": GRANTED, "scope": handle})
+    new_scope = hold_handle(command)
+    buckets = state.buckets.set(command.bucket, (*(scope for scope, _ in others), new_scope))
+    state = state._replace(holds=state.holds.set(new_scope, _new_hold(state, command)), buckets=buckets)
+    return state, Outcome(detail={"phase": GRANTED, "scope": new_scope})
 
 
 def _claim_again(state: State, scope: str, hold: KeyHold, command: ClaimKey) -> tuple[State, Outcome]:
-    """The same client's next claim; it replaces one that its holder has given up."""
+    """Applies a further claim of the same client; it replaces a claim that its holder has abandoned."""
     if not (command.replaced_claim and hold.claim == command.replaced_claim and hold.phase == CLAIMED):
         return state, _repeat_outcome(hold, scope, command)
     expires = to_microseconds(state.mesh_time + _hold_timeout(command))
-    moved = hold._replace(claim=command.claim, proxy=command.proxy, expires=expires)
-    state = state._replace(holds=state.holds.set(scope, moved))
+    reassigned = hold._replace(claim=command.claim, proxy=command.proxy, expires=expires)
+    state = state._replace(holds=state.holds.set(scope, reassigned))
     return state, Outcome(detail={"phase": GRANTED, "scope": scope})
 
 
@@ -136,7 +137,7 @@
 
 
 def _claim_by_scope(state: State, command: ClaimKey) -> tuple[State, Outcome]:
-    """The rule of release level 1, kept until every process knows the next one."""
+    """Applies a claim by the rules of release level 1, which hold until the level is raised."""
     known = _active_hold(state, command.scope)
     if known is not None:
         return state, _repeat_outcome(known, command.scope, command)
@@ -167,7 +168,7 @@
 
 
 def release(state: State, command: ReleaseKey) -> tuple[State, Outcome]:
-    """Gives a claimed key back; one with an answer, or with another claim, stays held."""
+    """Releases a claimed key; a key that is settled, or held by another claim, stays held."""
     known = state.holds.get(command.scope)
     if known is None or known.claim != command.claim or known.phase == SETTLED:
         return state, Outcome(detail={"phase": KEPT})
@@ -180,17 +181,17 @@
         bucket = holds.pop(scope).bucket
         if not bucket:
             continue
-        # A claim drops expired scopes from its bucket, so the bucket may be gone before their holds are.
-        left = tuple(each for each in buckets.get(bucket, ()) if each != scope)
-        if left:
-            buckets[bucket] = left
+        # A new claim removes expired scopes from its bucket, so a bucket may be removed before its holds.
+        remaining = tuple(each for each in buckets.get(bucket, ()) if each != scope)
+        if remaining:
+            buckets[bucket] = remaining
         else:
             buckets.pop(bucket, None)
     return state._replace(holds=holds.finish(), buckets=buckets.finish())
 
 
 def expire(state: State) -> State:
-    """Removes holds and stored outcomes that have expired; looks for them every EXPIRY_INTERVAL."""
+    """Removes expired holds and stored outcomes, at most once per EXPIRY_INTERVAL of mesh time."""
     if state.mesh_time - state.expired_at < EXPIRY_INTERVAL:
         return state
     now = to_microseconds(state.mesh_time)
--- a/packages/statemachine/src/hoistsaddle/statemachine/items.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/items.py
@@ -1,4 +1,4 @@
-"""What the log makes of patches of items: for each name the highest revision prevails, whether it sets or drops.
+"""Applies patches of items. For each name the highest revision prevails, whether it sets or drops the item.
 
 A patch takes effect as a whole or not at all.
 """
@@ -14,28 +14,28 @@
 from hoistsaddle.statemachine.errors import reject
 from hoistsaddle.statemachine.state import MAX_BUNDLES, ItemRecord, PatchRecord, State
 
-# Stands for an item that isn't there: every revision is above its own.
-_missing = ItemRecord(-1, 0, False, b"", b"")
+# A placeholder for an item that doesn't exist: every valid revision is above its revision.
+_ABSENT_ITEM = ItemRecord(-1, 0, False, b"", b"")
 
 
 def patch(state: State, command: PatchItems, offset: int) -> tuple[State, Outcome]:
-    """Applies a patch. It is idempotent by its revisions: sent again, by whichever way, it changes nothing.
+    """Applies a patch. Revisions make it idempotent: a resent patch changes nothing, whichever controller got it.
 
-    From release level 4 on, another content under a revision that was accepted is rejected: see deduplication.py.
+    From release level 4 on, different content under an accepted revision is rejected: see deduplication.py.
     """
     match read_patch(command.patch):
         case Failure(error):
             return state, reject(error)
-        case Success(checked):
-            return _apply_patch(state, command, checked, offset)
+        case Success(validated):
+            return _apply_patch(state, command, validated, offset)
 
 
-def _apply_patch(state: State, command: PatchItems, checked: ValidatedPatch, offset: int) -> tuple[State, Outcome]:
-    check = check_duplicate(state, command, checked)
+def _apply_patch(state: State, command: PatchItems, validated: ValidatedPatch, offset: int) -> tuple[State, Outcome]:
+    check = check_duplicate(state, command, validated)
     if check.rejection is not None:
         return state, check.rejection
-    changed = _changed_items(state, checked, offset)
-    if (rejection := _reject_unknown_service(state, checked, changed)) is not None:
+    changed = _changed_items(state, validated, offset)
+    if (rejection := _reject_unknown_service(state, validated, changed)) is not None:
         return record_rejection(state, command, offset), rejection
     state = record_accepted(state, command, check)
     if not changed:
@@ -57,29 +57,29 @@
     return known is None or revision > known.revision
 
 
-def _changed_items(state: State, checked: ValidatedPatch, offset: int) -> dict[str, ItemRecord]:
-    """What the patch changes: of each name the highest revision, where that is above the one in force."""
+def _changed_items(state: State, validated: ValidatedPatch, offset: int) -> dict[str, ItemRecord]:
+    """Returns the changed items by key: of each name the highest revision, if it is above the revision in force."""
     changed: dict[str, ItemRecord] = {}
-    for upsert, item in checked.sets:
+    for upsert, item in validated.sets:
         key = key_of(upsert.kind, item.name)
-        if _prevails(state, key, upsert.revision) and upsert.revision > changed.get(key, _missing).revision:
+        if _prevails(state, key, upsert.revision) and upsert.revision > changed.get(key, _ABSENT_ITEM).revision:
             changed[key] = ItemRecord(upsert.revision, offset, False, pack_item(item), upsert.source)
-    for deletion in checked.drops:
+    for deletion in validated.drops:
         key = key_of(deletion.kind, deletion.name)
-        if _prevails(state, key, deletion.revision) and deletion.revision > changed.get(key, _missing).revision:
-            # The name keeps its revision after it is dropped.
+        if _prevails(state, key, deletion.revision) and deletion.revision > changed.get(key, _ABSENT_ITEM).revision:
+            # The record of a dropped item remains, to keep its revision.
             changed[key] = ItemRecord(deletion.revision, offset, True, b"", b"")
     return changed
 
 
-def _reject_unknown_service(state: State, checked: ValidatedPatch, changed: dict[str, ItemRecord]) -> Outcome | None:
-    """The rejection of a route to a service that nobody declared.
+def _reject_unknown_service(state: State, validated: ValidatedPatch, changed: dict[str, ItemRecord]) -> Outcome | None:
+    """Rejects a patch with a route to an undeclared service.
 
-    It is checked against what the patch results in: a patch may bring a route together with its service. A route whose
-    item has a newer revision in force changes nothing, so its services don't matter.
+    The check covers the configuration that would result: a patch may add a route together with its service. A route
+    whose name has a newer revision in force changes nothing, so its services are not checked.
     """
-    declared = {item.name for upsert, item in checked.sets if upsert.kind == SERVICE}
-    for place, (upsert, item) in enumerate(checked.sets):
+    declared = {item.name for upsert, item in validated.sets if upsert.kind == SERVICE}
+    for index, (upsert, item) in enumerate(validated.sets):
         if not isinstance(item, RouteItem) or key_of(upsert.kind, item.name) not in changed:
             continue
         for part in item.parts:
@@ -90,7 +90,7 @@
                     InvalidItem(
                         f"Entry {item.name} names service {part.service}, which nobody declared.",
                         remedy="Declare the service in the same patch or before it.",
-                        field=f"sets[{place}].parts",
+                        field=f"sets[{index}].parts",
                     )
                 )
     return None
