--- a/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/deduplication.py
@@ -1,7 +1,7 @@
-"""Patches that come more than once: the same one again, or another content under the same revision.
+"""Detects resent patches, and patches with different content under an accepted revision.
 
-An accepted patch is never rejected later, a rejected one is never accepted later, and one revision of an item has one
-content. Where the log no longer knows which it was, it says so (OutcomeForgotten) in place of either answer.
+An accepted patch is never rejected later, a rejected patch is never accepted later, and one revision of an item has one
+content. If the state no longer holds which of the two applies, the patch is answered with OutcomeForgotten.
 """
 
 import hashlib
@@ -23,61 +23,61 @@
 )
 from hoistsaddle.statemachine.state import RejectedPatch, State
 
-# From this release level on the log remembers patches.
+# The release level from which on the state remembers patches.
 DEDUPLICATION_LEVEL = 4
-# Rejected patches that are remembered; the oldest are dropped first.
+# The most rejected patches that are remembered; the oldest are dropped first.
 MAX_REJECTED_PATCHES = 256
 
 
 class PatchedItem(NamedTuple):
-    """One item of a patch: its key, and its content under that revision."""
+    """One item of a patch: its key, its revision and the digest of its content."""
 
     key: str
     revision: int
     digest: bytes
-    # Its place in the patch.
+    # Its position in the patch, as error messages name it.
     field: str
 
 
 class PatchCheck(NamedTuple):
-    """The rejection that a patch gets, if any, and the items to remember if it is accepted."""
+    """The rejection of a patch, if any, and the items to remember if the patch is accepted."""
 
     rejection: Outcome | None
     items: tuple[PatchedItem, ...] = ()
 
 
-def _patched_items(checked: ValidatedPatch) -> list[PatchedItem]:
+def _patched_items(validated: ValidatedPatch) -> list[PatchedItem]:
     patched = [
         PatchedItem(
             key_of(upsert.kind, item.name),
             upsert.revision,
             content_digest(body=pack_item(item), source=upsert.source),
-            f"sets[{place}]",
+            f"sets[{index}]",
         )
-        for place, (upsert, item) in enumerate(checked.sets)
+        for index, (upsert, item) in enumerate(validated.sets)
     ]
     patched += [
-        PatchedItem(key_of(each.kind, each.name), each.revision, DROPPED_DIGEST, f"drops[{place}]")
-        for place, each in enumerate(checked.drops)
+        PatchedItem(key_of(each.kind, each.name), each.revision, DROPPED_DIGEST, f"drops[{index}]")
+        for index, each in enumerate(validated.drops)
     ]
     return patched
 
 
 def _revision_history(state: State, key: str) -> RevisionHistory | None:
-    known = state.revision_histories.get(key)
-    if known is not None or key not in state.items:
-        return known
-    # Accepted below DEDUPLICATION_LEVEL: nothing is known of the revisions before it.
+    history = state.revision_histories.get(key)
+    if history is not None or key not in state.items:
+        return history
+    # Accepted below DEDUPLICATION_LEVEL: the revisions before it were not recorded.
     item = state.items[key]
     digest = DROPPED_DIGEST if item.dropped else content_digest(body=item.body, source=item.source)
     return RevisionHistory((AcceptedRevision(item.revision, digest, 0),), item.revision - 1)
 
 
-def _conflict(item: PatchedItem, *, where: str) -> Outcome:
+def _conflict(item: PatchedItem, *, occurrence: str) -> Outcome:
     kind, _, name = item.key.partition(":")
     return reject(
         ItemConflict(
-            f"Revision {item.revision} of {kind} {name} has another content {where}; nothing of the patch counts.",
+            f"Revision {item.revision} of {kind} {name} has another content {occurrence}; nothing of the patch counts.",
             field=item.field,
         )
     )
@@ -87,11 +87,11 @@
     return reject(OutcomeForgotten(message, field=field))
 
 
-def check_duplicate(state: State, command: PatchItems, checked: ValidatedPatch) -> PatchCheck:
-    """Whether a patch may be accepted, by what is remembered of its items and of itself."""
+def check_duplicate(state: State, command: PatchItems, validated: ValidatedPatch) -> PatchCheck:
+    """Checks a patch against the revision histories of its items and against remembered rejections."""
     if state.level < DEDUPLICATION_LEVEL:
         return PatchCheck(None)
-    patched = _patched_items(checked)
+    patched = _patched_items(validated)
     if (conflict := _conflict_within(patched)) is not None:
         return PatchCheck(conflict)
     statuses = [
@@ -100,7 +100,7 @@
     ]
     for item, status in zip(patched, statuses, strict=True):
         if status is RevisionStatus.OTHER:
-            return PatchCheck(_conflict(item, where="already"))
+            return PatchCheck(_conflict(item, occurrence="already"))
     for item, status in zip(patched, statuses, strict=True):
         if status is RevisionStatus.FORGOTTEN:
             kind, _, name = item.key.partition(":")
@@ -109,7 +109,7 @@
     rejected = state.rejected_patches.get(patch_digest(command))
     is_new = any(status is not RevisionStatus.ACCEPTED for status in statuses)
     if rejected is not None and command.seen_offset < rejected.offset and is_new:
-        # This copy was sent before the rejection was logged, so its sender was told, or will be, that it is rejected.
+        # This copy was sent before the rejection was logged: its sender was or will be told that it is rejected.
         return PatchCheck(_forgotten("An older copy of a patch that was refused since: it doesn't count any more."))
     return PatchCheck(None, tuple(patched))
 
@@ -118,38 +118,38 @@
     digests: dict[tuple[str, int], bytes] = {}
     for item in patched:
         if digests.setdefault((item.key, item.revision), item.digest) != item.digest:
-            return _conflict(item, where="in the same patch")
+            return _conflict(item, occurrence="in the same patch")
     return None
 
 
 def patch_digest(command: PatchItems) -> str:
-    """What a copy of a patch is recognised by."""
+    """Returns the digest that identifies copies of a patch."""
     return hashlib.sha256(command.patch).hexdigest()
 
 
 def _resent_until(state: State, command: PatchItems) -> int:
-    """Microseconds of mesh time up to which the patch may be sent again."""
+    """Returns the time until which the patch may be resent, in microseconds of mesh time."""
     window = timedelta(seconds=command.resend_seconds) if command.resend_seconds > 0 else RESEND_WINDOW
     return to_microseconds(state.mesh_time + window)
 
 
 def record_accepted(state: State, command: PatchItems, check: PatchCheck) -> State:
-    """Remembers the contents of a patch that is accepted, for as long as it may be sent again."""
+    """Remembers the item contents of an accepted patch for as long as the patch may be resent."""
     if not check.items:
         return state
     now, until = to_microseconds(state.mesh_time), _resent_until(state, command)
     histories = state.revision_histories.mutate()
     for item in sorted(check.items):
-        known = histories.get(item.key) or _revision_history(state, item.key)
-        if known is None or known.accepted[-1][:2] != (item.revision, item.digest):
+        history = histories.get(item.key) or _revision_history(state, item.key)
+        if history is None or history.accepted[-1][:2] != (item.revision, item.digest):
             histories[item.key] = record_revision(
-                known, revision=item.revision, digest=item.digest, now=now, until=until
+                history, revision=item.revision, digest=item.digest, now=now, until=until
             )
     return state._replace(revision_histories=histories.finish())
 
 
 def record_rejection(state: State, command: PatchItems, offset: int) -> State:
-    """Remembers a rejection against the present state, so that an older copy isn't accepted against a later one."""
+    """Remembers a rejection, so that an older copy of the patch isn't accepted against a later state."""
     if state.level < DEDUPLICATION_LEVEL:
         return state
     rejected = state.rejected_patches.set(patch_digest(command), RejectedPatch(offset, _resent_until(state, command)))
@@ -159,7 +159,7 @@
 
 
 def expire_patches(state: State) -> State:
-    """Forgets what nobody can send again."""
+    """Removes histories and rejections of patches that can no longer be resent."""
     now = to_microseconds(state.mesh_time)
     histories, rejected = state.revision_histories.mutate(), state.rejected_patches.mutate()
     for key, history in state.revision_histories.items():
--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -82,10 +82,10 @@
         return _claim_by_scope(state, command)
     if not command.bucket:
         return state, reject(ReleaseTooOld("The claim doesn't say by what its visitor is known.", field="level"))
-    unbucketed_hold = _active_hold(state, command.scope)
-    if unbucketed_hold is not None and not unbucketed_hold.bucket:
+    hold_by_scope = _active_hold(state, command.scope)
+    if hold_by_scope is not None and not hold_by_scope.bucket:
         # Held since release level 1, when the scope identified this client and route.
-        return state, _repeat_outcome(unbucketed_hold, command.scope, command)
+        return state, _repeat_outcome(hold_by_scope, command.scope, command)
     others = []
     for scope in state.buckets.get(command.bucket, ()):
         hold = _active_hold(state, scope)
--- a/packages/statemachine/src/hoistsaddle/statemachine/operators.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/operators.py
@@ -1,4 +1,4 @@
-"""What the log makes of changes among the operators: one proposes, a second one signs, and two always remain."""
+"""Applies changes of operators: one operator proposes a change, a second one signs it, and at least two remain."""
 
 import re
 
@@ -8,26 +8,26 @@
 from hoistsaddle.statemachine.errors import OperatorConflict, OperatorSelfSigned, TooFewOperators, reject
 from hoistsaddle.statemachine.state import OperatorChange, State
 
-# An author and a signer must differ.
+# An author and a signer, who must differ.
 MIN_OPERATORS = 2
-# Hexadecimal digits of a proposal's digest by which it is signed.
+# The number of hexadecimal digits of a proposal's digest that identify it to its signer.
 CHANGE_DIGITS = 16
-_name = re.compile(r"^[a-z][a-z0-9.-]{0,62}$")
-_digest = re.compile(r"^[0-9a-f]{64}$")
+_OPERATOR_NAME_PATTERN = re.compile(r"^[a-z][a-z0-9.-]{0,62}$")
+_DIGEST_PATTERN = re.compile(r"^[0-9a-f]{64}$")
 
 
 def is_operator_name(name: str) -> bool:
     """Whether an operator may have this name."""
-    return _name.match(name) is not None
+    return _OPERATOR_NAME_PATTERN.match(name) is not None
 
 
 def is_digest(digest: str) -> bool:
     """Whether this is a SHA-256 digest in lower-case hexadecimal digits."""
-    return _digest.match(digest) is not None
+    return _DIGEST_PATTERN.match(digest) is not None
 
 
 def reject_unknown_operator(state: State, name: str) -> Outcome | None:
-    """The rejection of whoever was removed from the operators before the command was applied."""
+    """Rejects a command whose operator is unknown, as after a removal that was applied before the command."""
     if state.level < 2 or name in state.operators:
         return None
     return reject(
@@ -36,9 +36,9 @@
 
 
 def _reject_conflict(state: State, name: str, digest: str) -> Outcome | None:
-    others = {known for other, known in state.operators.items() if other != name}
-    if digest and digest in others:
-        # One token for two names would let one person be both author and signer.
+    other_digests = {other_digest for other, other_digest in state.operators.items() if other != name}
+    if digest and digest in other_digests:
+        # One token under two names would let one person be both author and signer.
         return reject(OperatorConflict("Another operator has this token.", remedy="Give a new token.", field="digest"))
     if not digest and name not in state.operators:
         return reject(OperatorConflict(f"{name} is no operator.", field="name"))
@@ -48,14 +48,14 @@
 
 
 def kind_of_change(state: State, name: str, token_digest: str) -> str:
-    """What a change does, in the words that operators read: "remove", "renew" or "add"."""
+    """Returns the kind of a change as it is shown to operators: "remove", "renew" or "add"."""
     if not token_digest:
         return "remove"
     return "renew" if name in state.operators else "add"
 
 
 def propose(state: State, command: ProposeOperatorChange, offset: int) -> tuple[State, Outcome]:
-    """Notes a change for a second operator to sign; it takes the place of an earlier one of the same name."""
+    """Stores a proposed change for a second operator to sign; it replaces an earlier proposal for the same name."""
     if not is_operator_name(command.name):
         return state, reject(
             InvalidRequest(
@@ -76,7 +76,7 @@
 
 
 def sign(state: State, command: SignOperatorChange, offset: int) -> tuple[State, Outcome]:
-    """Puts a proposed change in force."""
+    """Signs a proposed change, which puts it in force."""
     proposed = state.operator_changes.get(command.name)
     if proposed is None or proposed.change != command.change:
         return state, reject(
@@ -88,7 +88,7 @@
         )
     if proposed.proposer == command.signer:
         return state, reject(OperatorSelfSigned(f"{proposed.proposer} proposed it.", field="signer"))
-    # Checked again, as the operators may have changed since it was proposed.
+    # Checked again, as the operators may have changed since the proposal.
     digest = proposed.token_digest
     rejection = reject_unknown_operator(state, proposed.proposer) or _reject_conflict(state, command.name, digest)
     if rejection is not None:
--- a/packages/statemachine/src/hoistsaddle/statemachine/revision_history.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/revision_history.py
@@ -1,51 +1,52 @@
-"""Which content each revision of an item was accepted with, for as long as its patch may be sent again.
+"""The content with which each revision of an item was accepted, for as long as its patch may be resent.
 
-One revision of an item has one content. The items in force show only the newest; a patch whose answer was lost may be
-sent again after its revision was superseded, and so may another one under the same revision that was rejected. The
-history tells them apart. The log alone builds it, in mesh time, so it is the same on every replica.
+One revision of an item has one content. The items in force hold only the newest revision. A patch whose answer was lost
+may be resent after its revision was superseded, and so may a rejected patch with different content under the same
+revision; the history distinguishes the two. It is built from the log and mesh time alone, so it is the same on every
+replica.
 """
 
 from enum import Enum
 from typing import NamedTuple
 
-# Revisions of one name that are kept. At 30 bytes each, a name that changes without end takes 4 KB of every snapshot.
+# The most revisions kept for one name. At 30 bytes each, a name that changes constantly takes 4 KB of every snapshot.
 MAX_REVISIONS = 128
 
 
 class AcceptedRevision(NamedTuple):
-    """One revision as it was accepted."""
+    """An accepted revision and the digest of its content."""
 
     revision: int
     digest: bytes
-    # Microseconds of mesh time; not used for the name's newest revision.
+    # Microseconds of mesh time; ignored for the newest revision of a name.
     kept_until: int
 
 
 class RevisionHistory(NamedTuple):
-    """What is known of one name's revisions, in ascending order. The last one is in force."""
+    """The accepted revisions of one name in ascending order. The last one is in force."""
 
     accepted: tuple[AcceptedRevision, ...]
-    # The highest revision that was accepted and pruned since; -1 while all are known.
+    # The highest accepted revision that was pruned; -1 if none was.
     pruned: int = -1
 
 
 class RevisionStatus(Enum):
-    """How a revision with its content compares with the history of its name."""
+    """The result of comparing a revision and its content with the history of its name."""
 
-    # Above all that was accepted.
+    # Above all accepted revisions.
     NEWEST = "newest"
-    # Accepted before, with this content.
+    # Accepted before with the same content.
     ACCEPTED = "accepted"
-    # Accepted before, with another content.
+    # Accepted before with different content.
     OTHER = "other"
-    # Below the newest, and certainly never accepted with another content: it is accepted and changes nothing.
+    # Below the newest and certainly never accepted with different content: it is accepted and changes nothing.
     SUPERSEDED = "superseded"
-    # Below the newest, and pruned: what it was accepted with is no longer known.
+    # Below the newest, and possibly pruned: the content of an accepted revision is no longer known.
     FORGOTTEN = "forgotten"
 
 
 def compare_revision(history: RevisionHistory | None, *, revision: int, digest: bytes) -> RevisionStatus:
-    """How a revision with the digest of its content compares with a name's history; None for a new name."""
+    """Compares a revision and the digest of its content with the history of a name; a new name has none."""
     if history is None or revision > history.accepted[-1].revision:
         return RevisionStatus.NEWEST
     known = next((each for each in history.accepted if each.revision == revision), None)
@@ -57,22 +58,22 @@
 def record_revision(
     history: RevisionHistory | None, *, revision: int, digest: bytes, now: int, until: int
 ) -> RevisionHistory:
-    """The history with an accepted revision in it.
+    """Returns the history with an accepted revision added.
 
-    The time for which a revision is kept starts anew with each copy of its patch, and when it is superseded.
+    The retention time of a revision restarts with each copy of its patch, and when the revision is superseded.
 
     Args:
-        history: What is known of the name; None for a new one.
+        history: The history of the name; None for a new name.
         revision: The accepted revision.
         digest: The digest of its content.
-        now: Microseconds of mesh time.
-        until: Microseconds of mesh time up to which the patch may be sent again.
+        now: The present time, in microseconds of mesh time.
+        until: The time until which the patch may be resent, in microseconds of mesh time.
     """
     if history is None:
         return RevisionHistory((AcceptedRevision(revision, digest, until),))
     newest = history.accepted[-1].revision
     if revision > newest:
-        # The patch that was in force until now may have been acknowledged just before.
+        # The patch of the superseded revision may have been acknowledged just before, so it may still be resent.
         before = tuple(
             each._replace(kept_until=max(each.kept_until, until)) if each.revision == newest else each
             for each in history.accepted
@@ -86,7 +87,7 @@
 
 
 def prune(history: RevisionHistory, *, now: int) -> RevisionHistory:
-    """The history without what has expired or exceeds MAX_REVISIONS; the very same where nothing goes.
+    """Returns the history without expired revisions and at most MAX_REVISIONS long; the same object if unchanged.
 
     The newest revision is always kept.
     """
--- a/packages/statemachine/src/hoistsaddle/statemachine/voters.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/voters.py
@@ -1,4 +1,4 @@
-"""What the log's changes of voters make of the state. Each is rejected where the voters are not as it expects."""
+"""Applies changes of the voters. A change is rejected if the voters are not those that it expects."""
 
 from hoistsaddle.statemachine.commands import AddVoter, Outcome, RemoveVoter, ReplaceVoter, UpdateVoter
 from hoistsaddle.statemachine.errors import VotersChanged, reject
@@ -6,7 +6,7 @@
 
 
 def update(state: State, command: UpdateVoter, offset: int) -> tuple[State, Outcome]:
-    """Gives a voter another incarnation."""
+    """Updates the incarnation of a voter."""
     if state.voters.get(command.replica) != command.old:
         return state, reject(VotersChanged("The voter was swapped already.", field="replica"))
     voters = state.voters.set(command.replica, command.new)
@@ -22,7 +22,7 @@
 
 
 def remove(state: State, command: RemoveVoter, offset: int) -> tuple[State, Outcome]:
-    """Removes a replica from the voters; the last one stays."""
+    """Removes a replica from the voters; the last voter can't be removed."""
     if state.voters.get(command.replica) != command.incarnation or len(state.voters) < 2:
         return state, reject(VotersChanged("It is no voter.", field="replica"))
     voters = state.voters.delete(command.replica)
