--- a/packages/statemachine/src/hoistsaddle/statemachine/data_plane.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/data_plane.py
@@ -1,6 +1,6 @@
-"""What the data plane has to know of the state: a flat map of keys to values, each with the offset of its last change.
+"""The part of the state that the data plane needs: a flat map of keys to values with the offset of their last change.
 
-Copies of it are compared by digests (see digests.py) and read by view.py.
+Copies of the map are compared by digests (see digests.py) and decoded by view.py.
 """
 
 import msgspec
@@ -15,15 +15,15 @@
 ITEM = "item"
 LEVEL = "level"
 PURGED = "purged"
-# The name in the keys of what there is once in a mesh.
+# The name in the keys of values that exist once per mesh.
 MESH = "mesh"
 
 
 def data_plane_items(state: State) -> dict[str, tuple[int, bytes]]:
-    """Key to (offset of its last change, encoded value).
+    """Returns the items of the data plane: key to (offset of its last change, encoded value).
 
-    Within a kind keys come in the order of names: a map's own order depends on the process, and every copy has to list
-    servers alike.
+    Within a kind, keys are sorted by name: the order of an immutable map depends on the process, but every copy must
+    list servers in the same order.
     """
     items: dict[str, tuple[int, bytes]] = {}
     encode = msgspec.msgpack.encode
@@ -38,12 +38,12 @@
     for name, role in sorted(state.singleton_roles.items()):
         items[f"{SINGLETON_ROLE}:{name}"] = (role.offset, encode(role))
     for key, item in sorted(state.items.items()):
-        # Only the log needs a dropped item's revision; for the data plane the item is missing.
+        # Only the log needs the revision of a dropped item; the data plane doesn't contain the item.
         if not item.dropped:
             items[f"{ITEM}:{key}"] = (item.offset, encode([item.revision, item.body]))
     if state.level > 1:
         items[f"{LEVEL}:{MESH}"] = (state.level_offset, encode([state.level]))
     if state.purge_offset:
-        # Not read by anyone; it tells up to which purge a copy is informed.
+        # No code decodes this item; it shows up to which purge a copy is current.
         items[f"{PURGED}:{MESH}"] = (state.purge_offset, encode([state.purge_offset]))
     return items
--- a/packages/statemachine/src/hoistsaddle/statemachine/digests.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/digests.py
@@ -1,4 +1,4 @@
-"""Digests over ranges of keys, by which copies of the data plane's items are compared with each other and the log."""
+"""Digests over ranges of keys; they compare copies of the data plane's items with each other and with the log."""
 
 import hashlib
 import zlib
@@ -6,18 +6,21 @@
 from functools import lru_cache
 
 RANGES = 16
-# Keys whose range is cached: those of a large mesh, and then some.
+# The number of keys whose range is cached: more than a large mesh has.
 RANGE_CACHE_SIZE = 16384
 
 
 @lru_cache(maxsize=RANGE_CACHE_SIZE)
 def range_of(key: str) -> int:
-    """The range that a key belongs to, from 0 below RANGES."""
+    """Returns the range of a key, at least 0 and below RANGES."""
     return zlib.crc32(key.encode()) % RANGES
 
 
 def digests_of(items: Mapping[str, tuple[int, bytes]]) -> tuple[int, ...]:
-    """A digest of each range's keys, revisions and values; 63 bits, as they are sent as signed 64-bit integers."""
+    """Returns a digest of the keys, revisions and values of each range.
+
+    A digest has 63 bits, as it is sent as a signed 64-bit integer.
+    """
     hashes = [hashlib.blake2b(digest_size=8) for _ in range(RANGES)]
     for key in sorted(items):
         revision, value = items[key]
--- a/packages/statemachine/src/hoistsaddle/statemachine/encoding.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/encoding.py
@@ -1,8 +1,9 @@
-"""How commands and outcomes are encoded in the log: an explicit tag and explicit field names for each command.
+"""Encodes commands and outcomes for the log, with an explicit tag and explicit field names for each command.
 
-A record of the log holds a MessagePack array of a command's tag and a map of its fields by their encoded names. Both
-are on disk and pass between releases, so they never change; the Python names of classes and fields may. Fields are
-encoded in the order in which the command declares them. A newer release may add fields with defaults at the end.
+A log record holds a MessagePack array of a command's tag and a map of its fields by their encoded names. Tags and
+encoded names are stored on disk and exchanged between releases, so they never change; the Python names of classes and
+fields may. Fields are encoded in the order in which the command declares them. A newer release may add fields with
+defaults at the end.
 """
 
 from typing import Any, NamedTuple
@@ -63,14 +64,14 @@
 
 
 class CommandEncoding(NamedTuple):
-    """A command's tag and its fields' encoded names, in the order of the command's own fields."""
+    """The tag of a command and the encoded names of its fields, in the order of the command's fields."""
 
     tag: str
     fields: tuple[str, ...]
 
 
 class _CommandDecoding(NamedTuple):
-    """The command that a tag stands for, and its field for each encoded name."""
+    """The command class of a tag, and the command's field for each encoded name."""
 
     command: Any
     fields: dict[str, str]
@@ -122,63 +123,63 @@
     SignOperatorChange: CommandEncoding(SIGN_OPERATOR_CHANGE_TAG, ("request", "signer", "name", "change")),
     WithdrawOperatorChange: CommandEncoding(WITHDRAW_OPERATOR_CHANGE_TAG, ("request", "operator", "name")),
 }
-# The command that each tag stands for.
+# The command class of each tag.
 COMMANDS: dict[str, Any] = {encoding.tag: command for command, encoding in ENCODINGS.items()}
-_decodings = {
+_DECODINGS = {
     encoding.tag: _CommandDecoding(command, dict(zip(encoding.fields, COMMANDS[encoding.tag]._fields, strict=True)))
     for command, encoding in ENCODINGS.items()
 }
-# Where the tag's text begins in a packed command, and the bits of the byte before it that hold its length.
-_TAG_BEGINS = 2
-_SHORT_STRING_LENGTH = 0b11111
+# The position of the tag's text in a packed command, and the bits of the preceding byte that hold its length.
+_TAG_OFFSET = 2
+_SHORT_STRING_LENGTH_MASK = 0b11111
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder()
 
 
 def tag_of(command: Command) -> str:
-    """The command's tag, under which counters and messages name it too."""
+    """Returns the tag of a command; counters and messages use it as the command's name."""
     return ENCODINGS[type(command)].tag
 
 
 def tag_in(payload: bytes) -> str:
-    """The tag of a packed command, read without unpacking the rest; empty if there is none."""
-    if len(payload) < _TAG_BEGINS:
+    """Reads the tag of a packed command without unpacking the rest; empty if there is none."""
+    if len(payload) < _TAG_OFFSET:
         return ""
-    # An array of two whose first element is a string of under 32 bytes: one byte says so, one its length.
-    end = _TAG_BEGINS + (payload[_TAG_BEGINS - 1] & _SHORT_STRING_LENGTH)
-    return payload[_TAG_BEGINS:end].decode(errors="replace")
+    # An array of two elements, the first a string of under 32 bytes: one byte marks the array, the next the string.
+    end = _TAG_OFFSET + (payload[_TAG_OFFSET - 1] & _SHORT_STRING_LENGTH_MASK)
+    return payload[_TAG_OFFSET:end].decode(errors="replace")
 
 
 def pack_command(command: Command) -> bytes:
-    """The payload of a record that holds this command."""
+    """Packs a command into the payload of a log record."""
     tag, fields = ENCODINGS[type(command)]
-    # Of one length, which the decodings above check; asking zip to check it again costs a sixth of this call.
+    # The lengths are equal, as checked for the decodings above; strict=True would cost a sixth of this call.
     return _encoder.encode((tag, dict(zip(fields, command))))  # noqa: B905
 
 
 def unpack_command(payload: bytes) -> Command | None:
-    """The command in a record's payload; fields that a newer release added are dropped.
+    """Unpacks the command of a record's payload; fields that a newer release added are dropped.
 
     Returns:
-        None for the tag of a newer release's command. Skipping it would let replicas differ, so whoever meets one must
-        stop.
+        The command, or None if its tag is unknown, as for a command of a newer release. A replica that skipped it would
+        diverge from the others, so it must stop.
 
     Raises:
         msgspec.DecodeError: the payload is no MessagePack.
     """
-    tag, encoded = _decoder.decode(payload)
-    decoding = _decodings.get(tag)
+    tag, encoded_fields = _decoder.decode(payload)
+    decoding = _DECODINGS.get(tag)
     if decoding is None:
         return None
     command, fields = decoding
-    return command(**{fields[name]: value for name, value in encoded.items() if name in fields})
+    return command(**{fields[name]: value for name, value in encoded_fields.items() if name in fields})
 
 
 def pack_outcome(outcome: Outcome) -> bytes:
-    """An outcome as it is sent to whoever proposed the command: its fields by position."""
+    """Packs an outcome, by position, for the answer to the process that proposed the command."""
     return _encoder.encode(outcome)
 
 
 def unpack_outcome(data: bytes) -> Outcome:
-    """The outcome that pack_outcome packed."""
+    """Unpacks an outcome that pack_outcome packed."""
     return Outcome(*_decoder.decode(data))
--- a/packages/statemachine/src/hoistsaddle/statemachine/errors.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/errors.py
@@ -1,7 +1,7 @@
-"""The errors for which the state machine rejects commands, beside those that other packages make too.
+"""The errors with which the state machine rejects commands, apart from errors that other packages raise too.
 
-A rejected command's error is its outcome, and outcomes of operators' requests are kept in the state. So the texts are
-part of what the log makes: replicas of two releases build equal states only while messages and remedies stay the same.
+The error of a rejected command is part of its outcome, and outcomes of operators' requests are stored in the state. So
+messages and remedies must not change: replicas of two releases build equal states only with identical texts.
 """
 
 from hoistsaddle.common.errors import ErrorKind, MeshError, NoServer, OutcomeUnknown, TypedError
@@ -9,7 +9,7 @@
 
 
 def reject(error: MeshError) -> Outcome:
-    """The outcome of a command that is rejected for an error."""
+    """Returns the outcome of a command that is rejected with an error."""
     return Outcome(str(error.kind), error.message, error.remedy, error.field)
 
 
@@ -17,7 +17,7 @@
 
 
 class LevelTooLow(TypedError):
-    """The mesh's release level doesn't allow it yet."""
+    """The mesh's release level doesn't support the command or field yet."""
 
     KIND = ErrorKind.RELEASE_LEVEL
     REMEDY = "Install the newer release on every machine; the level then rises by itself."
@@ -31,21 +31,21 @@
 
 
 class RequestReused(TypedError):
-    """Two different requests came with one id."""
+    """Two different requests have the same id."""
 
     KIND = ErrorKind.REQUEST_REUSED
     REMEDY = "Send the call with an id of its own; repeat one only with the call it was made for."
 
 
 class OutcomeForgotten(TypedError):
-    """Whether a request was accepted before is no longer known, so the answer is neither yes nor no."""
+    """The state no longer holds whether a request was accepted before, so it is neither confirmed nor rejected."""
 
     KIND = ErrorKind.ORDER_UNSURE
     REMEDY = "Read the items: what is missing there, send under a higher revision."
 
 
 class VotersChanged(OutcomeUnknown):
-    """The voters are not as a change of them expects: another one came before it."""
+    """The voters are not those that a change of them expects: another change was applied before it."""
 
     REMEDY = "Read the voters."
 
@@ -68,7 +68,7 @@
 
 
 class ItemConflict(TypedError):
-    """Another content came under a revision that was accepted before."""
+    """A revision that was accepted before was sent with different content."""
 
     KIND = ErrorKind.ITEM_CONFLICT
     REMEDY = "Read the items, and send the change under a higher revision of its own."
@@ -78,14 +78,14 @@
 
 
 class OperatorConflict(TypedError):
-    """The change of an operator doesn't fit the operators or changes that are known."""
+    """The change of an operator conflicts with the present operators or with the proposed changes."""
 
     KIND = ErrorKind.OPERATOR_CONFLICT
     REMEDY = "Read the operators."
 
 
 class TooFewOperators(TypedError):
-    """Removing this operator would leave nobody to sign for the other."""
+    """Removing this operator would leave a single operator, whose changes no other operator could sign."""
 
     KIND = ErrorKind.OPERATOR_LAST
     REMEDY = "Add another first: an author and a signer must differ."
@@ -122,7 +122,7 @@
 
 
 class KeyClientUnsure(TypedError):
-    """The idempotency key is held, and nothing shows whether for the same client."""
+    """The idempotency key is held, and it can't be determined whether for the same client."""
 
     KIND = ErrorKind.KEY_CLIENT_UNSURE
     REMEDY = (
--- a/packages/statemachine/src/hoistsaddle/statemachine/reports.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/reports.py
@@ -1,6 +1,6 @@
-"""What operators read back: the configuration, items, keys and operators, each report made from one state.
+"""Reports for operators on the configuration, items, keys and operators, each built from one state.
 
-The keys of the reports are part of the operators' interface; they don't change with the names of the records.
+The dictionary keys of the reports are part of the operators' interface; renaming a record's field must not change them.
 """
 
 from datetime import timedelta
@@ -27,15 +27,16 @@
     bundle_in,
 )
 
-# A proxy that hasn't learnt of a drain mark holds a lease no longer than this, unless its settings say otherwise.
+# The default lease of a proxy: a proxy that has not received a drain mark keeps its lease no longer than this.
 LEASE = timedelta(seconds=1.5)
+# The number of newest patches in a report.
 PATCHES_SHOWN = 10
-# Characters of a key's scope by which it is shown.
+# The number of characters of a key's scope in a report.
 KEY_CHARACTERS = 12
 
 
 def state_report(state: State) -> dict:
-    """The whole configuration and the nodes of the mesh."""
+    """Reports the whole configuration and the nodes of the mesh."""
     active_bundles = [number for number, bundle in state.bundles.items() if bundle.phase in (IN_FORCE, ROLLING)]
     return {
         "mesh": state.mesh,
@@ -83,7 +84,7 @@
 
 
 def items_report(state: State) -> dict:
-    """The items in force, and the newest patches with who answers for them."""
+    """Reports the items in force, and the newest patches with their authors and signers."""
     patches = [state.patches[number] for number in sorted(state.patches, reverse=True)[:PATCHES_SHOWN]]
     items = sorted(state.items.items())
     return {
@@ -100,9 +101,9 @@
 
 
 def holds_report(state: State) -> dict:
-    """The keys that are held and the servers that leave, with the mesh time that each has left.
+    """Reports the held keys and the leaving servers, each with its remaining mesh time.
 
-    Scopes are shortened digests; no answers are shown.
+    Scopes are shown as shortened digests; stored answers are not shown.
     """
     now = to_microseconds(state.mesh_time)
     holds = [_hold_report(scope, hold, now) for scope, hold in state.holds.items() if hold.expires > now]
@@ -138,14 +139,14 @@
 
 
 def _seconds_left(since: int, duration: timedelta, now: int) -> float | None:
-    """Seconds until a duration since a change has passed; None below release level 2, where changes have no time."""
+    """Returns the seconds left of a duration since a change; None below release level 2, where changes have no time."""
     if not since:
         return None
     return max(0.0, round((since + to_microseconds(duration) - now) / 1e6, 1))
 
 
 def operators_report(state: State) -> dict:
-    """The operators, and the changes among them that wait for a second signature. No token's digest is shown."""
+    """Reports the operators and the changes of them that wait for a second signature; token digests are not shown."""
     changes = [
         {
             "name": name,
--- a/packages/statemachine/src/hoistsaddle/statemachine/view.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/view.py
@@ -1,4 +1,4 @@
-"""The configuration as a node of the data plane sees it, read out of its copy of the data plane's items."""
+"""The configuration as a node of the data plane sees it, decoded from its copy of the data plane's items."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 from hoistsaddle.statemachine import data_plane
 from hoistsaddle.statemachine.state import GONE, IN_FORCE, READY, NodeRecord, ServerRecord, SingletonRoleRecord
 
-# The kind of a node that is a proxy; encoded.
+# The node kind of a proxy; encoded.
 PROXY_KIND = "stall"
 
 
@@ -19,22 +19,22 @@
     """One revision of the configuration, for one node."""
 
     revision: int = -1
-    # The bundle that this node acts under: the newest whose stages have reached it.
+    # The bundle that applies at this node: the newest bundle whose rollout has reached it.
     bundle: Bundle | None = None
     # The number of the bundle that is rolling out; 0 for none.
     rolling: int = 0
-    # A bundle that this node couldn't read, and why.
+    # The number of a bundle that this node couldn't parse, 0 for none, and the error.
     refused_bundle: int = 0
     refusal: str = ""
     servers: dict[str, ServerRecord] = {}
     nodes: dict[str, NodeRecord] = {}
     singleton_roles: dict[str, SingletonRoleRecord] = {}
     level: int = 1
-    # The bundle in force and the one rolling out: other nodes may act under the one that this node doesn't.
+    # The bundle in force and the bundle rolling out: the one that doesn't apply here may apply at other nodes.
     active_bundles: tuple[Bundle, ...] = ()
-    # The bundle that each proxy acts under, as far as its stage tells.
+    # The bundle that applies at each proxy, judged by its rollout stages.
     bundle_by_proxy: dict[str, Bundle] = {}
-    # The items in force and the revision of each.
+    # The items in force, and the revision of each by its key.
     items: ItemConfiguration | None = None
     item_revisions: dict[str, int] = {}
 
@@ -44,7 +44,7 @@
         return self.bundle.number if self.bundle else 0
 
     def available_servers(self) -> list[ServerRecord]:
-        """Servers that may get new work: ready, not marked for draining, their proxy known."""
+        """Returns the servers that may get new requests: ready, not marked for draining, and with a known proxy."""
         return [
             each
             for each in self.servers.values()
@@ -52,12 +52,12 @@
         ]
 
     def service(self, name: str) -> Service | None:
-        """The service as this node's bundle declares it, or else another active one."""
+        """Returns the service as this node's bundle declares it, or else as another active bundle does."""
         declared = [each.service(name) for each in (self.bundle, *self.active_bundles) if each is not None]
         return next((service for service in declared if service is not None), None)
 
     def live_proxies(self) -> list[NodeRecord]:
-        """The proxies that aren't gone."""
+        """Returns the proxies whose state is not "gone"."""
         return [each for each in self.nodes.values() if each.kind == PROXY_KIND and each.state != GONE]
 
 
@@ -67,12 +67,12 @@
     bundle: Bundle
 
     def reaches(self, *, proxy: str, zone: str) -> bool:
-        """Whether it is in force, or one of its stages so far names the proxy."""
+        """Whether the bundle is in force, or a stage that its rollout has reached includes the proxy."""
         return self.phase == IN_FORCE or self.bundle.in_stage(stage=self.stage, proxy=proxy, zone=zone)
 
 
-class _Contents:
-    """The items of a copy, decoded by kind."""
+class _DecodedItems:
+    """The items of a copy of the data plane, decoded by kind."""
 
     def __init__(self, items: dict[str, tuple[int, bytes]]) -> None:
         self.servers: dict[str, ServerRecord] = {}
@@ -104,7 +104,7 @@
                 self._add_bundle(name, *fields)
 
     def _add_bundle(self, name: str, phase: str, stage: int, text: str) -> None:
-        # Every node checks the whole bundle itself: one that it can't read has no effect here.
+        # Every node validates the whole bundle itself; a bundle that it can't parse has no effect at this node.
         match read_bundle(text):
             case Success(bundle):
                 self.bundles.append(_ActiveBundle(phase, stage, bundle))
@@ -112,46 +112,47 @@
                 self.refused_bundle, self.refusal = int(name), str(error)
 
     def bundle_for(self, *, proxy: str, zone: str) -> Bundle | None:
-        """The newest bundle that has reached a proxy."""
+        """Returns the newest bundle whose rollout has reached a proxy."""
         reached = [each.bundle for each in self.bundles if each.reaches(proxy=proxy, zone=zone)]
         return max(reached, key=lambda bundle: bundle.number, default=None)
 
     def bundle_by_proxy(self) -> dict[str, Bundle]:
-        """The bundle that each node acts under, where one has reached it."""
-        found = ((each.node, self.bundle_for(proxy=each.node, zone=each.zone)) for each in self.nodes.values())
-        return {node: bundle for node, bundle in found if bundle is not None}
+        """Returns the bundle that applies at each node that a rollout has reached."""
+        bundles = ((each.node, self.bundle_for(proxy=each.node, zone=each.zone)) for each in self.nodes.values())
+        return {node: bundle for node, bundle in bundles if bundle is not None}
 
 
 def read_view(*, revision: int, items: dict[str, tuple[int, bytes]], node: str, zone: str, before: View) -> View:
-    """The view that a node gets from a copy of the data plane's items.
+    """Builds a node's view from its copy of the data plane's items.
 
     Args:
         revision: The copy's revision.
         items: Key to (offset of its last change, encoded value); see data_plane.py.
         node: The node's name.
         zone: The node's zone.
-        before: Its view of the revision before. Its bundle stays in force while the next one can't be read.
+        before: The node's view of the preceding revision. Its bundle stays in force while the next bundle can't be
+            parsed.
     """
-    contents = _Contents(items)
-    bundle = contents.bundle_for(proxy=node, zone=zone)
-    if contents.refused_bundle and bundle is None:
+    decoded = _DecodedItems(items)
+    bundle = decoded.bundle_for(proxy=node, zone=zone)
+    if decoded.refused_bundle and bundle is None:
         bundle = before.bundle
-    rolling = (each.bundle.number for each in contents.bundles if each.phase != IN_FORCE)
-    unchanged = contents.item_revisions == before.item_revisions
+    rolling = (each.bundle.number for each in decoded.bundles if each.phase != IN_FORCE)
+    unchanged = decoded.item_revisions == before.item_revisions
     return View(
         revision=revision,
         bundle=bundle,
         rolling=max(rolling, default=0),
-        refused_bundle=contents.refused_bundle,
-        refusal=contents.refusal,
-        servers=contents.servers,
-        nodes=contents.nodes,
-        singleton_roles=contents.singleton_roles,
-        level=contents.level,
-        active_bundles=tuple(each.bundle for each in contents.bundles),
-        bundle_by_proxy=contents.bundle_by_proxy(),
-        items=before.items if unchanged else _item_configuration(contents.item_bodies),
-        item_revisions=contents.item_revisions,
+        refused_bundle=decoded.refused_bundle,
+        refusal=decoded.refusal,
+        servers=decoded.servers,
+        nodes=decoded.nodes,
+        singleton_roles=decoded.singleton_roles,
+        level=decoded.level,
+        active_bundles=tuple(each.bundle for each in decoded.bundles),
+        bundle_by_proxy=decoded.bundle_by_proxy(),
+        items=before.items if unchanged else _item_configuration(decoded.item_bodies),
+        item_revisions=decoded.item_revisions,
     )
 
 
