--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -40,7 +40,7 @@
 from hoistsaddle.proxy.server_selection import ServerSelection
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
 from hoistsaddle.statemachine.commands import ClaimKey, ReleaseKey
-from hoistsaddle.statemachine.idempotency import hold_handle
+from hoistsaddle.statemachine.idempotency import hold_scope
 from hoistsaddle.statemachine.state import SETTLED, ServerRecord
 from hoistsaddle.statemachine.view import View
 
@@ -213,7 +213,7 @@
 
     def _release_unsure(self, command: ClaimKey) -> None:
         """Release a claim that got no answer, under each name by which the log may hold it."""
-        for scope in dict.fromkeys((hold_handle(command), command.scope)):
+        for scope in dict.fromkeys((hold_scope(command), command.scope)):
             self.keys.releases.schedule(ReleaseKey(scope, command.claim))
 
     def _claim_decided(self, request: ClientRequest, detail: dict) -> None:
--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -19,7 +19,7 @@
 from hoistsaddle.sidecar.messages import AnswerClaimQuery, ClaimQueryAnswered, ClaimQueryArrived, QueryClaim
 from hoistsaddle.sidecar.request_table import PendingRequest, RequestTable
 from hoistsaddle.statemachine.commands import ClaimKey, ReleaseKey
-from hoistsaddle.statemachine.idempotency import hold_handle
+from hoistsaddle.statemachine.idempotency import hold_scope
 from hoistsaddle.statemachine.state import GONE
 
 # How much of its latency target a request waits for its key.
@@ -262,7 +262,7 @@
 
 
 def _release_of(command: ClaimKey) -> ReleaseKey:
-    return ReleaseKey(hold_handle(command), command.claim)
+    return ReleaseKey(hold_scope(command), command.claim)
 
 
 def _key_deadline(request: PendingRequest) -> timedelta:
--- a/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/idempotency.py
@@ -68,7 +68,7 @@
     return same_kind and hold.client_digest != command.client_digest
 
 
-def hold_handle(command: ClaimKey) -> str:
+def hold_scope(command: ClaimKey) -> str:
     """Returns the scope under which a claim is held; it is independent of the bundle, credentials and address."""
     if not command.client_digest:
         # The key alone identifies the operation, so clients are not distinguished.
@@ -102,7 +102,7 @@
                 field="Idempotency-Key",
             )
         )
-    new_scope = hold_handle(command)
+    new_scope = hold_scope(command)
     buckets = state.buckets.set(command.bucket, (*(scope for scope, _ in others), new_scope))
     state = state._replace(holds=state.holds.set(new_scope, _new_hold(state, command)), buckets=buckets)
     return state, Outcome(detail={"phase": GRANTED, "scope": new_scope})
