--- a/packages/store/src/hoistsaddle/store/__init__.py
+++ b/packages/store/src/hoistsaddle/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store program: one replica of the log behind its mesh address."""
+"""The store program: serves one replica of the log at its mesh address."""
--- a/packages/store/src/hoistsaddle/store/recorded_founding.py
+++ b/packages/store/src/hoistsaddle/store/recorded_founding.py
@@ -1,13 +1,14 @@
-"""The founding that a replica's disk holds while nothing after it is known to be committed."""
+"""The mesh bootstrap recorded on a replica's disk, while no later record is known to be committed."""
 
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.rpc.messages import BootstrapCall
 
 
 def recorded_founding(core: RaftCore) -> BootstrapCall | None:
-    """The founding on this replica's disk, if nothing after it is known to be committed: others may lack it.
+    """Returns the bootstrap on this replica's disk if no later record is known to be committed, else None.
 
-    Telling it again is safe: a voter takes it only under the incarnation that it names, with no mesh on its disk.
+    Until then other voters may lack the bootstrap. Sending it again is safe: a voter accepts it only if it names the
+    voter's incarnation and the voter's disk holds no mesh.
     """
     if not core.mesh or not core.complete or core.state.offset:
         return None
--- a/packages/store/src/hoistsaddle/store/service.py
+++ b/packages/store/src/hoistsaddle/store/service.py
@@ -1,4 +1,4 @@
-"""The store: one replica of the log behind its mesh address."""
+"""The store: serves one replica of the log at its mesh address."""
 
 import asyncio
 import errno
@@ -43,18 +43,18 @@
 from hoistsaddle.store.state_parts import StateReader
 from hoistsaddle.store.status import status_of
 
-# The part of the grace in which the replica hands over: closing files and listeners needs the rest, on a slow
-# processor too.
-HAND_OVER_FRACTION = 0.5
-# Errors of a disk that may pass: failing, or full.
-PASSING_ERRORS = (errno.EIO, errno.ENOSPC)
-# Between two attempts to start on a disk that refuses.
-START_PAUSE_LEAST = milliseconds(100)
-START_PAUSE_MOST = timedelta(seconds=1)
+# The fraction of the grace period for handing over leadership and the voter role. The rest is for closing files and
+# listeners, which takes time on a slow processor.
+HANDOVER_FRACTION = 0.5
+# Disk errors that may be transient: an I/O error, or no space left.
+TRANSIENT_DISK_ERRORS = (errno.EIO, errno.ENOSPC)
+# The bounds of the backoff between attempts to start on a disk with a transient error.
+MIN_START_RETRY_DELAY = milliseconds(100)
+MAX_START_RETRY_DELAY = timedelta(seconds=1)
 
 
 def timings_of(settings: StoreSettings) -> RaftTimings:
-    """The replica's timings, as far as the settings name them."""
+    """Returns the timings of the replica, with the values that the settings specify."""
     return RaftTimings(
         checkpoint_records=settings.checkpoint_records,
         chunk_bytes=settings.chunk_bytes,
@@ -64,7 +64,7 @@
 
 
 class Store:
-    """One replica of the log and what it answers."""
+    """Serves one replica of the log: answers the calls of other processes."""
 
     def __init__(
         self,
@@ -77,16 +77,16 @@
         timings: RaftTimings | None = None,
         wanted_voters: int = 0,
     ) -> None:
-        """Takes what the replica needs; `start` reads the disk.
+        """Creates the replica without reading the disk; `start` reads it.
 
         Args:
             settings: The program's settings.
-            runtime: Clock, chance and connections.
+            runtime: The clock, the random numbers and the connections.
             disk: The replica's data folder.
-            make_worker: Makes the worker that does the disk's jobs.
-            addresses: The address of each replica, by number; those of the settings' core if not given.
-            timings: The replica's timings; those of the settings if not given.
-            wanted_voters: How many voters the losses to be borne ask for; 0 where the bootstrap named them for good.
+            make_worker: Creates the worker that runs the disk's jobs.
+            addresses: The address of each replica by its number; by default those of the settings' core.
+            timings: The replica's timings; by default those of the settings.
+            wanted_voters: The number of voters that the tolerated losses require; 0 if the bootstrap fixed the voters.
         """
         self.settings = settings
         self.runtime = runtime
@@ -104,31 +104,31 @@
             wanted_voters=wanted_voters,
         )
         self.reader = StateReader()
-        # The controllers that this one knows of: what a blank store answers to who asks for a founding.
+        # Returns the controllers known to this process; a blank store reports them as seeds in its bootstrap status.
         self.known_controllers: Callable[[], tuple[int, ...]] = tuple
         self._mesh_lock = asyncio.Lock()
-        # None until the start.
+        # None until `start`.
         self.server: Serving | None = None
 
     async def _start_runner(self) -> None:
-        """Starts the replica once its disk can be read: one that is full lets go again, and the votes on it remain."""
-        pause = ExponentialBackoff(least=START_PAUSE_LEAST, most=START_PAUSE_MOST)
+        """Starts the replica, retrying while its disk is full or fails: the votes stored on it must not be lost."""
+        backoff = ExponentialBackoff(least=MIN_START_RETRY_DELAY, most=MAX_START_RETRY_DELAY)
         while True:
             try:
                 return self.runner.start()
-            except OSError as problem:
-                if problem.errno not in PASSING_ERRORS:
+            except OSError as error:
+                if error.errno not in TRANSIENT_DISK_ERRORS:
                     raise
-                if not pause.failing:
+                if not backoff.failing:
                     self.counters.record_event(
-                        "disk refuses the start", why=str(problem), remedy="Make room, or mend it."
+                        "disk refuses the start", why=str(error), remedy="Free disk space or repair the disk."
                     )
                 self.counters.add("disk.starts_refused")
-                pause.failed(now=self.runtime.now())
-                await asyncio.sleep(pause.delay.total_seconds())
+                backoff.failed(now=self.runtime.now())
+                await asyncio.sleep(backoff.delay.total_seconds())
 
     async def start(self) -> None:
-        """Starts the replica, and then listens at the mesh address."""
+        """Starts the replica, then listens at the mesh address."""
         await self._start_runner()
         self.server = await self.runtime.serve(self.settings.listen, self.answer)
         core = self.runner.started_core()
@@ -137,14 +137,14 @@
         )
 
     async def stop(self) -> None:
-        """Hands over within a part of the grace, then closes everything."""
-        await self.runner.stop(within=timedelta(seconds=self.settings.grace_seconds * HAND_OVER_FRACTION))
+        """Hands over within a fraction of the grace period, then closes the listener and the connections."""
+        await self.runner.stop(within=timedelta(seconds=self.settings.grace_seconds * HANDOVER_FRACTION))
         if self.server is not None:
             await self.server.stop()
         self.runtime.rpc_client.close()
 
     async def answer(self, message: tuple) -> tuple | None:
-        """The answer to another process's call; None for a call that this program doesn't take."""
+        """Answers a call of another process; returns None for a call that the store doesn't serve."""
         self.counters.add(f"calls.{counted_name(message)}")
         match message:
             case FetchCall() | FetchSnapshotCall() | VoteCall() | BeginEpochCall() | EndEpochCall():
@@ -159,7 +159,7 @@
             case StatusCall(after=after):
                 return status_of(self.runner.started_core(), counters=self.counters, after=after)
             case BootstrapCall():
-                # Several founders may call at once, and the disk begins one mesh.
+                # Several processes may bootstrap concurrently, but the disk may begin only one mesh.
                 async with self._mesh_lock:
                     return await self._bootstrap(message)
             case FoundingStatusCall():
@@ -172,13 +172,13 @@
         return FoundingStatusAnswer(core.mesh, core.replica, core.incarnation, seeds, bool(core.first_seeds))
 
     async def leave_founding(self, *, with_records: bool) -> bool:
-        """Makes the replica blank again if it holds a founding after which nothing is known to be committed.
+        """Makes the replica blank again if it holds a bootstrap after which no record is known to be committed.
 
         Args:
-            with_records: Whether it may hold records, as none of them can be committed.
+            with_records: Whether the replica may hold records, because none of them can be committed.
 
         Returns:
-            Whether it is blank now.
+            Whether the replica is blank now.
         """
         async with self._mesh_lock:
             core = self.runner.started_core()
@@ -201,7 +201,7 @@
         """Begins a mesh on a blank disk."""
         core = self.runner.started_core()
         if core.mesh:
-            # The same bootstrap repeated is no error; another one is.
+            # Repeating the same bootstrap is not an error; a different bootstrap is.
             error = "" if core.mesh == call.mesh else str(ErrorKind.ALREADY_FOUNDED)
             return BootstrapAnswer(error, core.mesh, core.incarnation)
         if call.voters.get(core.replica) != core.incarnation:
@@ -215,16 +215,16 @@
 
 
 class StoreService(Service):
-    """The store as a program's service."""
+    """Runs the store as a service of a program."""
 
     def __init__(self, *, settings: StoreSettings) -> None:
-        """Names the settings; `start` makes the store with real connections and a real disk."""
+        """Stores the settings; `start` creates the store with real connections and a real disk."""
         super().__init__()
         self.store_settings = settings
         self.node: Store | None = None
 
     async def start(self) -> None:
-        """Starts the store and reports that it runs."""
+        """Starts the store and signals that it is running."""
         settings = self.store_settings
         self.node = Store(
             settings=settings,
@@ -235,6 +235,6 @@
         self.start_event.set()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stops the store, if it was started."""
+        """Stops the store if it was started."""
         if self.node is not None:
             await self.node.stop()
--- a/packages/store/src/hoistsaddle/store/state_parts.py
+++ b/packages/store/src/hoistsaddle/store/state_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the state that a store gives to confirmed reads, encoded for the wire."""
+"""The parts of the state that a store returns for confirmed reads, encoded for the wire."""
 
 from enum import StrEnum
 
@@ -12,9 +12,9 @@
 
 
 class StatePart(StrEnum):
-    """What a read may ask for; the values are their names on the wire."""
+    """The parts that a read may request; the values are their names on the wire."""
 
-    # What proxies need, as msgpack of the mesh's name and the items; only if it is newer than the reader's revision.
+    # The mesh's id and the data plane's items, as MessagePack; empty unless newer than the reader's revision.
     CONFIGURATION = "news"
     # Reports for operators, as JSON.
     STATE_REPORT = "setup"
@@ -22,7 +22,7 @@
     OPERATORS_REPORT = "changes"
     ITEMS_REPORT = "standing"
     HOLDS_REPORT = "holds"
-    # Kind, name, revision and source of every item, as msgpack.
+    # The kind, name, revision and source of every item in force, as MessagePack.
     ITEMS = "items"
 
 
@@ -30,16 +30,16 @@
     """Encodes parts of a state."""
 
     def __init__(self) -> None:
-        """Begins without digests."""
-        # Of the newest configuration, by its revision, so that a read costs no digests while nothing changes.
+        """Initializes the reader without cached digests."""
+        # The digests of the last configuration read and its revision; cached until the revision changes.
         self._digests: tuple[int, tuple[int, ...]] = (UNSET, ())
 
     def read(self, part: str, *, known_revision: int, leader: int, state: State) -> ReadAnswer:
-        """The answer to a read.
+        """Returns the answer to a read.
 
         Args:
-            part: One of StatePart; of any other the answer says only the revision.
-            known_revision: The revision of the configuration that the reader has.
+            part: A value of StatePart; for any other value the answer has no content.
+            known_revision: The revision of the configuration that the reader already has.
             leader: The leader that confirmed the state.
             state: The confirmed state.
         """
--- a/packages/store/src/hoistsaddle/store/status.py
+++ b/packages/store/src/hoistsaddle/store/status.py
@@ -1,4 +1,4 @@
-"""What a store says of itself: its replica's role, positions in the log, counters and events."""
+"""A store's status: the role of its replica, its positions in the log, its counters and its events."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 from hoistsaddle.raft.core import RaftCore
 from hoistsaddle.rpc.messages import StatusAnswer
 
-# Roles beside the Raft core's own, as operators see them.
+# Roles in addition to those of the Raft core; shown to operators.
 OBSERVER = "observer"
 CATCHING_UP = "catching up"
 BLANK = "blank"
@@ -14,23 +14,23 @@
 
 
 def role_of(core: RaftCore) -> str:
-    """The replica's role: the core's own only where its vote counts."""
+    """Returns the role of a replica: the role of its Raft core only if its vote counts."""
     if core.halted:
         return HALTED
     if not core.complete:
         return CATCHING_UP if core.mesh or core.snapshot_fetcher.checkpoint_id else BLANK
-    # A vote that only an open change gives counts for nothing yet: with a majority gone it never may.
-    votes = core.is_voter() and core.state.voters.get(core.replica) == core.incarnation
-    return core.role if votes else OBSERVER
+    # A voter by an uncommitted change only has no counting vote yet: without a majority the change may never commit.
+    has_committed_vote = core.is_voter() and core.state.voters.get(core.replica) == core.incarnation
+    return core.role if has_committed_vote else OBSERVER
 
 
 def status_of(core: RaftCore, *, counters: Counters, after: int) -> StatusAnswer:
-    """The answer to a call for the status.
+    """Returns the answer to a status call.
 
     Args:
         core: The replica.
-        counters: The store's counters; the replica's positions are put into them.
-        after: Only events above this number go along.
+        counters: The store's counters; gauges of the replica's positions are updated in them.
+        after: Only events with a higher number are included.
     """
     counters.gauge("ledger.epoch", core.epoch)
     counters.gauge("ledger.last_offset", core.last.offset)
