--- a/packages/config/src/hoistsaddle/config/bundle.py
+++ b/packages/config/src/hoistsaddle/config/bundle.py
@@ -1,7 +1,7 @@
 """Bundles: the routes and services of a mesh as operators declare them, numbered and rolled out in stages.
 
-A bundle is TOML; bundle_checks.py reads it. Its fields keep the names that operators write: where a field here is named
-otherwise, `rename` gives the declared name.
+A bundle is written in TOML and decoded by bundle_checks.py. Its fields keep the names that operators write: if a field
+here has another name, `rename` gives the declared name.
 """
 
 import hashlib
@@ -9,32 +9,32 @@
 
 import msgspec
 
-# The caller of a route that stands for all clients outside the mesh.
+# The caller name that stands for all clients outside the mesh.
 CLIENTS = "visitors"
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"})
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service, and how many retries its servers may get from the whole fleet."""
+    """A service, and the retries that the whole fleet may send to its servers."""
 
     name: str
-    # The share of its traffic that may be retries, in any 10 seconds, and how many more may be beside that.
+    # Retries allowed in any 10 seconds: the percentage of the traffic, and the number allowed in addition.
     further_percent: int = 20
     further_margin: int = 10
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which requests go to a service, who may send them, and within which limits."""
+    """A route: which requests go to a service, which callers may send them, and within which limits."""
 
     name: str
     service: str
-    # A request's path matches it if it is equal, or continues it after a slash.
+    # A request matches if its path equals this path or continues it after a slash.
     path: str
     methods: list[str]
     # Names of services, and CLIENTS.
     callers: list[str]
-    # Whether a request must run once: it carries an idempotency key then.
+    # Whether each request must run only once; such requests carry an idempotency key.
     once: bool = False
     budget_seconds: float = 5.0
     body_bytes: int = 65536
@@ -42,7 +42,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"proxies": "stalls"}):
-    """A step of the roll-out: the proxies that act under the bundle from it on."""
+    """A rollout stage: the proxies at which the bundle applies from this stage on."""
 
     name: str
     proxies: list[str] = []
@@ -50,7 +50,7 @@
     everyone: bool = False
 
     def includes(self, *, proxy: str, zone: str) -> bool:
-        """Whether a proxy is one of the stage."""
+        """Whether a proxy belongs to the stage."""
         return self.everyone or proxy in self.proxies or zone in self.zones
 
 
@@ -66,44 +66,44 @@
     routes: list[Route]
     stages: list[Stage] = []
     note: str = ""
-    # What identifies a client beside its credentials, which change: "header:NAME" or "cookie:NAME".
+    # The header or cookie that identifies a client, as credentials change: "header:NAME" or "cookie:NAME".
     client: str = ""
 
     def level(self) -> int:
-        """The release level that knows every field that is used here."""
+        """Returns the lowest release level that supports every field in use."""
         return 2 if self.client else 1
 
     def rollout(self) -> list[Stage]:
-        """The stages; without any, the whole fleet is the one stage."""
+        """Returns the stages; if none is declared, a single stage with the whole fleet."""
         return self.stages or [Stage(name="everyone", everyone=True)]
 
     def service(self, name: str) -> Service | None:
-        """The service of a name, if it is declared."""
+        """Returns the service with a name, or None if it is not declared."""
         return next((service for service in self.services if service.name == name), None)
 
     def in_stage(self, *, stage: int, proxy: str, zone: str) -> bool:
-        """Whether a proxy acts under the bundle once so many stages were reached."""
+        """Whether the bundle applies at a proxy once a number of stages has been reached."""
         return any(each.includes(proxy=proxy, zone=zone) for each in self.rollout()[:stage])
 
     def match_route(self, *, method: str, path: str) -> Route | None:
-        """The route of a request: of those that match its method and path, the one with the longest path."""
-        found = None
+        """Returns the route of a request: of the routes that match method and path, the one with the longest path."""
+        longest = None
         for route in self.routes:
             matches = method in route.methods and (path == route.path or path.startswith(route.path + "/"))
-            if matches and (found is None or len(route.path) > len(found.path)):
-                found = route
-        return found
+            if matches and (longest is None or len(route.path) > len(longest.path)):
+                longest = route
+        return longest
 
     def route(self, name: str) -> Route | None:
-        """The route of a name, if it is declared."""
+        """Returns the route with a name, or None if it is not declared."""
         return next((route for route in self.routes if route.name == name), None)
 
 
 def budget_of(route: Route) -> timedelta:
-    """The time that a request of a route may take, from its arrival to its answer."""
+    """Returns the time that a request of a route may take from its arrival to its answer."""
     return timedelta(seconds=route.budget_seconds)
 
 
 def digest_of(text: str) -> str:
-    """The SHA-256 digest of a text, in hexadecimal digits."""
+    """Returns the SHA-256 digest of a text in hexadecimal digits."""
     return hashlib.sha256(text.encode()).hexdigest()
--- a/packages/config/src/hoistsaddle/config/errors.py
+++ b/packages/config/src/hoistsaddle/config/errors.py
@@ -1,10 +1,10 @@
-"""The errors of bundles and of patches of items, beside those that other packages make too."""
+"""The errors of bundles and item patches, apart from errors that other packages raise too."""
 
 from hoistsaddle.common.errors import ErrorKind, TypedError
 
 
 class InvalidBundle(TypedError):
-    """A bundle that can't be read, or is wrong in a part."""
+    """A bundle can't be parsed, or one of its fields is invalid."""
 
     KIND = ErrorKind.BUNDLE_BROKEN
     REMEDY = "Mend the field; docs/operators/bundles.md lists them all."
--- a/packages/config/src/hoistsaddle/config/items.py
+++ b/packages/config/src/hoistsaddle/config/items.py
@@ -1,7 +1,8 @@
-"""Items: a configuration in parts. Each route, service and the limits have a revision of their own; the highest counts.
+"""Items: the separately changeable parts of a configuration. Each route, each service and the limits are one item.
 
-A patch sets some items and drops others; item_checks.py reads and checks it. Fields keep the names under which they are
-packed into the log and sent by the platform: where a field here is named otherwise, the declared name is given.
+Each item has its own revision, and the highest revision prevails. A patch sets some items and drops others;
+item_checks.py decodes and validates it. Fields keep the names under which they are packed into the log and sent by the
+platform: if a field here has another name, `rename` or `name` gives the encoded name.
 """
 
 import hashlib
@@ -20,51 +21,52 @@
 ENTRY: Kind = "entry"
 SERVICE: Kind = "service"
 LIMITS: Kind = "limits"
-# Bytes of a content's digest: 2**48 contents under one revision before two of them are taken for one.
+# The size of a content digest in bytes: a collision is expected only after 2**48 contents under one revision.
 DIGEST_BYTES = 12
-# A longer timeout or target counts as a day: clocks and timers have limits.
+# Longer timeouts and targets are reduced to a day: clocks and timers have a limited range.
 MAX_DURATION_SECONDS = 86400.0
 
 
 class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One service's weight in a route."""
+    """The weight of one service in a route."""
 
     service: str
     weight: float = 1.0
 
 
 class RouteItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Which requests go to which services, and how."""
+    """A route: which requests go to which services, and with which timeouts and priority."""
 
     name: str
     host: str
-    # Begins and ends with a slash; of a host's routes, the longest prefix of the path is taken.
+    # Begins and ends with a slash. Of the routes of a host, the one with the longest matching prefix is used.
     prefix: str
     kind: Literal["repeatable", "once per send", "once per key", "upload"]
     parts: list[Part]
-    # The longest time for which a request is held, and the latency target within which its answer has its full value.
+    # The longest time for which a request is held, and the latency target: the time within which its answer has its
+    # full value.
     hold_seconds: float
     aim_seconds: float
-    # The priority of its requests; 0 is served first.
+    # The priority of its requests; 0 is the highest.
     rank: int = 0
-    # The most servers that one request may be tried at.
+    # The most servers to which one request may be sent.
     most_sends: int = 1
 
 
 class ServiceItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"health_path": "vitals_path"}):
-    """A service: how its servers are checked, and how much each of them takes."""
+    """A service: how its servers are health-checked, and how many connections each of them accepts."""
 
     name: str
     # The path of health checks.
     health_path: str = "/"
-    # The most connections that one of its servers takes from the whole mesh.
+    # The most connections that the whole mesh may open to one of its servers.
     connections: int = 100
-    # Whether its servers keep their own record of idempotency keys.
+    # Whether its servers deduplicate by idempotency key themselves.
     keeps_keys: bool = False
 
 
 class LimitsItem(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a client may send, how long it may take for it, and how long it may stay idle."""
+    """The limits of a client: the sizes of its requests, the time to send headers, and the time that it may be idle."""
 
     name: str = LIMITS
     header_bytes: int = 16384
@@ -83,7 +85,7 @@
     kind: Kind
     revision: int
     item: dict
-    # The operator's own text of it, which is given back as it is.
+    # The operator's source text of the item, which is returned unchanged.
     source: bytes = msgspec.field(name="said", default=b"")
 
 
@@ -103,33 +105,34 @@
 
 
 def key_of(kind: str, name: str) -> str:
-    """The key of an item in the state."""
+    """Returns the key of an item in the state."""
     return f"{kind}:{name}"
 
 
 def pack_patch(patch: Patch) -> bytes:
-    """A patch as the log holds it."""
+    """Packs a patch for the log."""
     return msgspec.msgpack.encode(patch)
 
 
 def pack_item(item: Item) -> bytes:
-    """An item as the state holds it."""
+    """Packs an item for the state."""
     return msgspec.msgpack.encode(item)
 
 
 def unpack_item(kind: str, data: bytes) -> Item:
-    """The item that pack_item packed."""
+    """Unpacks an item that pack_item packed."""
     return msgspec.msgpack.decode(data, type=KINDS[kind])
 
 
 def content_digest(*, body: bytes, source: bytes) -> bytes:
-    """A digest by which two settings under one revision are told apart: of what they mean and what is given back.
+    """Returns a digest of an item's content, which distinguishes two upserts under one revision.
 
-    The order of a text's fields and its white space don't matter. A text that isn't JSON is compared byte by byte.
+    It covers the item and the source text. The order of the text's fields and its white space make no difference. The
+    bytes of a text that isn't JSON are used unchanged.
 
     Args:
         body: The packed item.
-        source: The operator's own text of it.
+        source: The operator's source text of the item.
     """
     try:
         source = msgspec.json.encode(_normalize_numbers(msgspec.json.decode(source)), order="sorted")
@@ -139,7 +142,7 @@
 
 
 def _normalize_numbers(value: Any) -> Any:
-    """The value with numbers that are equal written alike, such as 3 and 3.0."""
+    """Returns the value with equal numbers in the same form, such as 3 and 3.0."""
     match value:
         case float() if value.is_integer():
             return int(value)
@@ -150,17 +153,17 @@
     return value
 
 
-# The digest of a dropped item's content: the same for every name, and no setting's.
+# The content digest of a dropped item: the same for every name, and different from that of any upsert.
 DROPPED_DIGEST = hashlib.blake2b(b"dropped", digest_size=DIGEST_BYTES).digest()
 
 
 class ItemConfiguration:
-    """The items in force, ready for look-ups.
+    """The items in force, indexed for lookups.
 
     Attributes:
-        routes: Host to its routes, the longest prefix first.
-        services: Name to the service.
-        limits: What clients may send.
+        routes: Host to the routes of the host, the longest prefix first.
+        services: Service name to the service.
+        limits: The limits of clients.
     """
 
     def __init__(self, *, items: dict[str, Item]) -> None:
@@ -176,11 +179,11 @@
                 case LimitsItem():
                     self.limits = item
         for routes in self.routes.values():
-            # Of prefixes of one length, names decide, so that every proxy takes the same.
+            # Prefixes of equal length are ordered by name, so that every proxy selects the same route.
             routes.sort(key=lambda route: (-len(route.prefix), route.name))
 
     def match_route(self, *, host: str, path: str) -> RouteItem | None:
-        """The route of a request: of its host's, the one with the longest prefix of the path."""
+        """Returns the route of a request: of the routes of its host, the one with the longest matching prefix."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -188,10 +191,10 @@
 
 
 def hold_timeout(route: RouteItem) -> timedelta:
-    """The longest time for which a request of a route is held."""
+    """Returns the longest time for which a request of a route is held."""
     return timedelta(seconds=min(route.hold_seconds, MAX_DURATION_SECONDS))
 
 
 def latency_target(route: RouteItem) -> timedelta:
-    """The time within which an answer of a route has its full value."""
+    """Returns the latency target of a route: the time within which its answers have their full value."""
     return timedelta(seconds=min(route.aim_seconds, MAX_DURATION_SECONDS))
--- a/packages/config/src/hoistsaddle/config/patch_text.py
+++ b/packages/config/src/hoistsaddle/config/patch_text.py
@@ -1,4 +1,4 @@
-"""A patch as operators write it: TOML that they keep in git, or JSON with the same tables.
+"""Decodes patches as operators write them: TOML, which they may keep in git, or JSON with the same tables.
 
 [entry.pay]             [service.ledger]        [limits]               [[drop]]
 revision = 7            revision = 7            revision = 7           kind = "entry"
@@ -16,7 +16,7 @@
 from hoistsaddle.config.item_checks import check_patch
 from hoistsaddle.config.items import ENTRY, LIMITS, SERVICE, ItemDeletion, ItemUpsert, Kind, Patch
 
-# Characters of a text.
+# The maximum length of a text, in characters.
 MAX_TEXT_BYTES = 4 * 1024 * 1024
 
 
@@ -27,7 +27,7 @@
 
 
 class _Text(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The tables of a text."""
+    """The tables of a patch text."""
 
     service: dict[str, dict] = {}
     entry: dict[str, dict] = {}
@@ -36,34 +36,38 @@
 
 
 class _Table(NamedTuple):
-    """One table of a text: an item to set."""
+    """One table of a patch text: an item to set."""
 
     kind: Kind
     name: str
     fields: dict
 
     @property
-    def place(self) -> str:
-        """The table's name in the text."""
+    def qualified_name(self) -> str:
+        """The name of the table in the text."""
         return self.kind if self.kind == LIMITS else f"{self.kind}.{self.name}"
 
 
 def read_text(text: str, *, json: bool = False) -> Result[Patch, MeshError]:
-    """The patch in a text, checked as the log will check it again, or the first thing that is wrong with it.
+    """Decodes a patch text and validates the patch; returns the patch or its first error.
+
+    The state machine applies the same checks to the patch again.
 
     Args:
-        text: The text.
-        json: Whether it is JSON; TOML otherwise.
+        text: The patch text.
+        json: Whether the text is JSON; it is TOML otherwise.
     """
     if len(text) > MAX_TEXT_BYTES:
-        return Failure(InvalidItem("The patch is too large.", remedy="Keep it under 4 MiB; send it in parts."))
+        return Failure(InvalidItem("The patch is too large.", remedy="Split it into patches of less than 4 MiB."))
     try:
-        plain = msgspec.json.decode(text) if json else tomllib.loads(text)
-        parsed = msgspec.convert(plain, _Text)
-    except (msgspec.DecodeError, msgspec.ValidationError) as problem:
-        return Failure(InvalidItem(f"{problem}.", field=field_in(problem), remedy="Mend the field."))
-    except (tomllib.TOMLDecodeError, ValueError, RecursionError) as problem:
-        return Failure(InvalidItem(f"It is not TOML: {problem}.", remedy="Mend the line it names."))
+        decoded = msgspec.json.decode(text) if json else tomllib.loads(text)
+        parsed = msgspec.convert(decoded, _Text)
+    except (msgspec.DecodeError, msgspec.ValidationError) as decode_error:
+        return Failure(InvalidItem(f"{decode_error}.", field=field_in(decode_error), remedy="Correct the field."))
+    except (tomllib.TOMLDecodeError, ValueError, RecursionError) as decode_error:
+        return Failure(
+            InvalidItem(f"It is not TOML: {decode_error}.", remedy="Correct the line that the message names.")
+        )
     return _patch_of(_tables(parsed), parsed.drop)
 
 
@@ -98,13 +102,17 @@
     if not isinstance(revision, int) or isinstance(revision, bool):
         return Failure(
             InvalidItem(
-                "An item needs a revision.", field=table.place, remedy="Give a whole number, higher than before."
+                "An item needs a revision.",
+                field=table.qualified_name,
+                remedy="Give an integer that is higher than before.",
             )
         )
     if "name" in table.fields:
         return Failure(
             InvalidItem(
-                "The name stands in the table's head.", field=f"{table.place}.name", remedy="Leave it out here."
+                "The name is given by the header of the table.",
+                field=f"{table.qualified_name}.name",
+                remedy="Remove the field.",
             )
         )
     item: dict[str, Any] = {key: value for key, value in table.fields.items() if key != "revision"}
@@ -113,9 +121,9 @@
 
 
 def _field_in_text(field: str, tables: list[_Table]) -> str:
-    """A field of the patch under the name of its table in the text."""
+    """Returns a field of the patch as a field of its table in the text."""
     head, _, rest = field.partition(".")
     if not head.startswith("sets["):
         return field
-    place = int(head.removeprefix("sets[").removesuffix("]"))
-    return ".".join(part for part in (tables[place].place, rest) if part)
+    index = int(head.removeprefix("sets[").removesuffix("]"))
+    return ".".join(part for part in (tables[index].qualified_name, rest) if part)
