--- a/tests/test_config_bundles.py
+++ b/tests/test_config_bundles.py
@@ -1,4 +1,7 @@
-"""Bundles are validated completely: each invalid one is rejected with the field that is wrong."""
+"""Bundles are validated completely: an invalid bundle is rejected with the name of the invalid field.
+
+The tests guard against invalid bundles that are accepted and reach proxies, and against errors without field or remedy.
+"""
 
 from returns.result import Failure, Success
 from testtools import TestCase
@@ -8,9 +11,9 @@
 from hoistsaddle.config.bundle_checks import read_bundle
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
-GOOD = DEPLOYMENTS["brindlefield"].first_bundle()
-# What is changed in a good bundle, and the field the refusal must name.
-BREAKS = (
+VALID_BUNDLE = DEPLOYMENTS["brindlefield"].first_bundle()
+# The text replaced in a valid bundle, its invalid replacement, and the field that the error must name.
+INVALID_CHANGES = (
     ("number = 1", "number = 0", "number"),
     ("number = 1", 'number = "one"', "number"),
     ("based_on = 0", "based_on = 1", "based_on"),
@@ -37,23 +40,23 @@
 
 
 class Bundles(TestCase):
-    def test_the_example_bundles_are_whole(self) -> None:
+    def test_the_example_bundles_are_valid(self) -> None:
         for deployment in (each for each in DEPLOYMENTS.values() if each.services):
             self.assertThat(read_bundle(deployment.first_bundle()), IsInstance(Success))
 
-    def test_each_break_is_refused_with_its_field(self) -> None:
-        for old, new, field in BREAKS:
-            self.assertThat(GOOD.count(old) > 0, Equals(True), old)
-            result = read_bundle(GOOD.replace(old, new, 1))
+    def test_each_invalid_change_is_rejected_with_its_field(self) -> None:
+        for old, new, field in INVALID_CHANGES:
+            self.assertThat(VALID_BUNDLE.count(old) > 0, Equals(True), old)
+            result = read_bundle(VALID_BUNDLE.replace(old, new, 1))
             self.assertThat(result, IsInstance(Failure), new)
             error = result.failure()
             self.assertThat(
                 (error.kind, error.field, bool(error.remedy)), Equals((ErrorKind.BUNDLE_BROKEN, field, True)), new
             )
 
-    def test_the_longest_path_wins_and_only_whole_segments_count(self) -> None:
+    def test_the_longest_path_matches_and_only_whole_segments_match(self) -> None:
         text = (
-            GOOD
+            VALID_BUNDLE
             + '\n[[entries]]\nname = "old"\nservice = "meter"\npath = "/statements/old"\n'
             + 'methods = ["GET"]\ncallers = ["visitors"]\n'
         )
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,8 @@
-"""A stage that one machine refuses, and taking a roll-out back, in simulated time."""
+"""A rollout with a proxy that can't parse the bundle, and an aborted rollout, in simulated time.
+
+A proxy of an older release rejects a bundle with a field that it doesn't know. The test guards against a rollout that
+hides this, a proxy that stops serving, and an abort that doesn't restore the bundle in force.
+"""
 
 from unittest import mock
 
@@ -16,10 +20,10 @@
 OLD_RELEASE = "stall-05"
 
 
-def read_as_an_old_release(text: str):
-    """One proxy runs a release that can't read the new bundle; everybody else can."""
-    life = CURRENT_PROCESS.get()
-    if life is not None and life.name == OLD_RELEASE and 'note = "newer"' in text:
+def read_bundle_as_old_release(text: str):
+    """Simulates one proxy whose release can't parse the new bundle; all other nodes parse it."""
+    process = CURRENT_PROCESS.get()
+    if process is not None and process.name == OLD_RELEASE and 'note = "newer"' in text:
         return Failure(
             MeshError(
                 ErrorKind.BUNDLE_BROKEN,
@@ -28,14 +32,14 @@
                 "entries[0].newer",
             )
         )
-    return plain(text)
+    return original_read_bundle(text)
 
 
-plain = view.read_bundle
+original_read_bundle = view.read_bundle
 
 
 class Rollouts(TestCase):
-    def test_a_machine_that_refuses_is_named_stays_as_it_is_and_the_rollout_can_be_taken_back(self) -> None:
+    def test_a_rejecting_proxy_is_reported_and_keeps_its_bundle_and_a_rollout_can_be_aborted(self) -> None:
         results: dict = {}
 
         def bundles(simulation: SimulatedDeployment) -> dict[str, int]:
@@ -47,37 +51,43 @@
             await simulation.start()
             text = next_bundle(simulation, number=2, based_on=1, note="newer")
             submitted = (await simulation.operators.submit(text)).unwrap()["submitted"]
-            one = (await simulation.operators.sign(2, submitted["digest"])).unwrap()
-            two = (await simulation.operators.advance(2, 1)).unwrap()
-            results["answers"] = (one["accepted"], two["accepted"], two["refused"]["message"], two["refused"]["kind"])
-            results["refusal"] = two["machines"][OLD_RELEASE]
+            signed = (await simulation.operators.sign(2, submitted["digest"])).unwrap()
+            advanced = (await simulation.operators.advance(2, 1)).unwrap()
+            results["answers"] = (
+                signed["accepted"],
+                advanced["accepted"],
+                advanced["refused"]["message"],
+                advanced["refused"]["kind"],
+            )
+            results["refusal"] = advanced["machines"][OLD_RELEASE]
             results["bundles"] = bundles(simulation)
-            # It refuses, and goes on serving under what it has.
+            # The proxy rejects the bundle and keeps serving under its present one.
             results["ready"] = simulation.processes.nodes[OLD_RELEASE].core.ready()
-            # The next bundle, which it can read, brings it along.
+            # The proxy can parse the next bundle and applies it.
             await simulation.operators.roll_out(next_bundle(simulation, number=3, based_on=2))
             results["later"] = bundles(simulation)
-            third = (
+            fourth = (
                 await simulation.operators.submit(next_bundle(simulation, number=4, based_on=3, note="regretted"))
             ).unwrap()["submitted"]
-            assert isinstance(await simulation.operators.sign(4, third["digest"]), Success)
+            assert isinstance(await simulation.operators.sign(4, fourth["digest"]), Success)
             results["rolling"] = sorted(set(bundles(simulation).values()))
             aborted = await simulation.operators.perform(
                 lambda actions, request: actions.abort(operator="ada", number=4, request=request)
             )
             results["aborted"] = (aborted.unwrap()["accepted"], sorted(set(bundles(simulation).values())))
-            # The signature was taken before the abort: it is confirmed again and moves nothing; nobody else can sign.
-            again = (await simulation.operators.sign(4, third["digest"])).unwrap()
-            other = await simulation.operators.sign(4, third["digest"], signer="ada")
+            # The signature was accepted before the abort: a repeat is confirmed and changes nothing. No other operator
+            # can sign.
+            again = (await simulation.operators.sign(4, fourth["digest"])).unwrap()
+            other = await simulation.operators.sign(4, fourth["digest"], signer="ada")
             results["again"] = (again["phase"], sorted(set(bundles(simulation).values())), other.failure().kind)
 
-        with mock.patch.object(view, "read_bundle", read_as_an_old_release):
+        with mock.patch.object(view, "read_bundle", read_bundle_as_old_release):
             simulate(deployment=DEPLOYMENTS["thimble"], seed=6, scenario=scenario)
         self.assertThat(results["answers"], Equals((True, False, f"{OLD_RELEASE} refused it.", "bundle-refused")))
         self.assertThat(results["refusal"], Contains("entries[0].newer"))
         self.assertThat(
             results["bundles"],
-            Equals({f"stall-{place:02d}": 1 if f"stall-{place:02d}" == OLD_RELEASE else 2 for place in range(1, 7)}),
+            Equals({f"stall-{index:02d}": 1 if f"stall-{index:02d}" == OLD_RELEASE else 2 for index in range(1, 7)}),
         )
         self.assertThat((results["ready"], set(results["later"].values())), Equals((None, {3})))
         self.assertThat(
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -1,4 +1,8 @@
-"""Fencing in the state machine: epochs, incarnations, serials, and repeated commands."""
+"""Rules of the state machine that keep stale or repeated commands from changing the state.
+
+Reports carry the epoch of a singleton role, an incarnation and a serial; operators' requests carry an id. The tests
+guard against a late or repeated report or request that overrides newer state.
+"""
 
 from datetime import timedelta
 
@@ -35,8 +39,8 @@
         self.state: State = initial_state(mesh="m", voters={1: "one"}, operators={})
         self.seconds = 0.0
 
-    def apply(self, command: Command, *, later: float = 0.0) -> Outcome:
-        self.seconds += later
+    def apply(self, command: Command, *, after_seconds: float = 0.0) -> Outcome:
+        self.seconds += after_seconds
         self.state, outcome = apply(
             self.state,
             offset=self.state.offset + 1,
@@ -47,35 +51,43 @@
         return outcome
 
     def server(
-        self, *, state: str = "ready", serial: int = 1, life: str = "life", duty_epoch: int = 0, instance: str = "i1"
+        self,
+        *,
+        state: str = "ready",
+        serial: int = 1,
+        incarnation: str = "life",
+        role_epoch: int = 0,
+        instance: str = "i1",
     ) -> Outcome:
-        return self.apply(RegisterServer("stall-1", "ledger", instance, "at", "a", state, serial, life, duty_epoch))
+        return self.apply(
+            RegisterServer("stall-1", "ledger", instance, "at", "a", state, serial, incarnation, role_epoch)
+        )
 
-    def test_the_wardens_gone_does_not_undo_what_came_since(self) -> None:
+    def test_a_gone_report_of_the_node_monitor_does_not_override_later_reports(self) -> None:
         self.apply(AcquireSingletonRole("warden", "bourse-1", 1))
         self.apply(RegisterNode("stall-1", "stall", "at", "a", "life", "alive"))
         self.server(serial=1)
         self.server(state="winding down", serial=2)
-        self.server(state="gone", serial=1, duty_epoch=1)
+        self.server(state="gone", serial=1, role_epoch=1)
         self.assertThat(self.state.servers["stall-1"].state, Equals("winding down"))
-        self.server(state="gone", serial=2, duty_epoch=1)
+        self.server(state="gone", serial=2, role_epoch=1)
         self.assertThat(self.state.servers["stall-1"].state, Equals("gone"))
 
-    def test_a_former_life_says_nothing_of_the_present_one(self) -> None:
+    def test_reports_of_a_former_incarnation_do_not_change_the_present_one(self) -> None:
         self.apply(RegisterNode("stall-1", "stall", "at", "a", "second", "alive"))
-        self.server(life="second", serial=1)
-        self.server(life="first", serial=9, state="gone")
+        self.server(incarnation="second", serial=1)
+        self.server(incarnation="first", serial=9, state="gone")
         self.apply(RegisterNode("stall-1", "stall", "at", "a", "first", "gone"))
         self.assertThat(
             (self.state.servers["stall-1"].state, self.state.nodes["stall-1"].state), Equals(("ready", "alive"))
         )
 
-    def test_a_lower_duty_epoch_is_refused(self) -> None:
+    def test_a_stale_role_epoch_is_rejected(self) -> None:
         self.apply(AcquireSingletonRole("warden", "bourse-1", 1))
         self.assertThat(self.apply(AcquireSingletonRole("warden", "bourse-2", 1)).error, Equals("duty-epoch-old"))
         self.apply(AcquireSingletonRole("warden", "bourse-2", 2))
         self.server()
-        self.assertThat(self.server(state="gone", duty_epoch=1).error, Equals("duty-epoch-old"))
+        self.assertThat(self.server(state="gone", role_epoch=1).error, Equals("duty-epoch-old"))
         self.assertThat(self.state.servers["stall-1"].state, Equals("ready"))
 
     def test_a_drain_mark_belongs_to_the_instance(self) -> None:
@@ -86,7 +98,7 @@
         self.server(serial=3, instance="i2")
         self.assertThat(self.state.servers["stall-1"].drained_by, Equals(""))
 
-    def test_a_hold_runs_its_course_in_mesh_time(self) -> None:
+    def test_a_hold_expires_by_mesh_time(self) -> None:
         claim = ClaimKey("scope", "claim-1", "stall-1", "digest")
         self.assertThat(self.apply(claim).detail["phase"], Equals("granted"))
         self.assertThat(self.apply(claim).detail["phase"], Equals("granted"))
@@ -95,14 +107,16 @@
         self.assertThat(self.apply(ReleaseKey("scope", "claim-2")).detail["phase"], Equals("kept"))
         self.apply(CompleteKey("scope", "claim-1", 200, {}, b"{}", True))
         self.assertThat(self.apply(ReleaseKey("scope", "claim-1")).detail["phase"], Equals("kept"))
-        self.assertThat(self.apply(claim._replace(claim="claim-3"), later=74).detail["body"], Equals(b"{}"))
-        self.assertThat(self.apply(claim._replace(claim="claim-4"), later=2).detail["phase"], Equals("granted"))
-        # Unsettled, it stays for ten minutes, and is then swept.
-        self.assertThat(self.apply(claim._replace(claim="claim-5"), later=599).detail["phase"], Equals("claimed"))
-        self.apply(ClaimKey("other", "claim-6", "stall-1", "digest"), later=10)
+        self.assertThat(self.apply(claim._replace(claim="claim-3"), after_seconds=74).detail["body"], Equals(b"{}"))
+        self.assertThat(self.apply(claim._replace(claim="claim-4"), after_seconds=2).detail["phase"], Equals("granted"))
+        # An unsettled hold expires after ten minutes and is then removed.
+        self.assertThat(
+            self.apply(claim._replace(claim="claim-5"), after_seconds=599).detail["phase"], Equals("claimed")
+        )
+        self.apply(ClaimKey("other", "claim-6", "stall-1", "digest"), after_seconds=10)
         self.assertThat(sorted(self.state.holds), Equals(["other"]))
 
-    def test_a_newer_releases_fields_are_passed_over_and_its_commands_are_not(self) -> None:
+    def test_unknown_fields_are_ignored_and_unknown_commands_are_rejected(self) -> None:
         def record(payload: bytes) -> Outcome:
             self.state, outcome = apply(
                 self.state, offset=self.state.offset + 1, epoch=1, stamp=timedelta(), payload=payload
@@ -113,16 +127,16 @@
         newer = {**fields, "colour": "blue"}
         self.assertThat(record(msgspec.msgpack.encode([tag, newer])).detail["phase"], Equals("granted"))
         before = self.state
-        # A command nobody here knows isn't passed over: replicas that did would differ from those that don't.
+        # An unknown command isn't skipped: a replica that skipped it would diverge from replicas that apply it.
         unknown = record(msgspec.msgpack.encode(["PaintServer", {"colour": "blue"}]))
         self.assertThat((unknown.error, self.state), Equals(("other-release", before)))
-        # What an older release packed lacks the newest fields; they take their defaults.
+        # A snapshot of an older release lacks the newest fields; they get their defaults.
         older = msgspec.msgpack.decode(pack_state(self.state))
         older["colours"] = [["a", "b"]]
         del older["duties"]
         self.assertThat(unpack_state(msgspec.msgpack.encode(older)), Equals(self.state))
 
-    def test_a_repeated_call_gets_the_first_outcome(self) -> None:
+    def test_a_repeated_request_gets_the_first_outcome(self) -> None:
         first = self.apply(SubmitBundle("r1", "ada", TEXT))
         self.assertThat(self.apply(SubmitBundle("r1", "ada", TEXT)), Equals(first))
         self.assertThat(self.apply(SubmitBundle("r2", "ada", TEXT)).error, Equals("bundle-duplicate"))
@@ -132,7 +146,7 @@
         self.assertThat(self.apply(AdvanceBundle("r4", "ben", 1, 1)), Equals(advanced))
         self.assertThat((self.state.in_force, self.state.rolling), Equals((1, 0)))
 
-    def test_the_state_survives_its_packing_and_keeps_a_bounded_history(self) -> None:
+    def test_a_snapshot_restores_the_state_and_the_number_of_bundles_is_bounded(self) -> None:
         number = 0
         for number in range(1, MAX_BUNDLES + 20):
             text = TEXT.partition("[[stages]]")[0].replace(
@@ -143,6 +157,6 @@
         self.server()
         self.apply(ClaimKey("scope", "claim", "stall-1", "digest"))
         self.assertThat((self.state.in_force, len(self.state.bundles)), Equals((number, MAX_BUNDLES)))
-        again = unpack_state(pack_state(self.state))
-        self.assertThat(pack_state(again), Equals(pack_state(self.state)))
-        self.assertThat(again, Equals(self.state))
+        unpacked = unpack_state(pack_state(self.state))
+        self.assertThat(pack_state(unpacked), Equals(pack_state(self.state)))
+        self.assertThat(unpacked, Equals(self.state))
--- a/tests/test_statemachine_encoding.py
+++ b/tests/test_statemachine_encoding.py
@@ -1,4 +1,8 @@
-"""The bytes that release 9c419a2 wrote: commands, states and reports keep them whatever the Python names are."""
+"""Commands, states and reports keep the encoding that release 9c419a2 wrote.
+
+The fixtures were recorded with that release. The tests guard against renamed Python classes or fields, or changed
+messages, that would change bytes on disk or on the wire, or make replicas of two releases build different states.
+"""
 
 import gzip
 import hashlib
@@ -23,14 +27,14 @@
 
 
 def restore(value: Any) -> Any:
-    """A field's value as the fixture's JSON tells it: bytes are written as {"bytes": hex}."""
+    """Decodes a field's value from the JSON of the fixture, which writes bytes as {"bytes": hex}."""
     if isinstance(value, dict) and value.keys() == {"bytes"}:
         return bytes.fromhex(value["bytes"])
     return value
 
 
 class CommandEncoding(TestCase):
-    """Each command was recorded twice: with its required fields alone, and with every field set."""
+    """Compares with recorded commands: each was recorded with its required fields alone, and with every field set."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -49,14 +53,17 @@
             command = COMMANDS[each["tag"]](*map(restore, each["values"]))
             self.assertThat(unpack_command(bytes.fromhex(each["packed"])), Equals(command), each["tag"])
 
-    def test_the_tag_is_read_alone(self) -> None:
+    def test_the_tag_is_read_without_unpacking_the_command(self) -> None:
         for each in self.recorded:
             self.assertThat(tag_in(bytes.fromhex(each["packed"])), Equals(each["tag"]))
         self.assertThat((tag_in(b""), tag_in(b"\x92")), Equals(("", "")))
 
 
 class RecordedLog(TestCase):
-    """A log with every command at every release level, taken and refused, and what each record came to."""
+    """Replays a recorded log with every command at every release level, accepted and rejected.
+
+    The recording has the outcome of each record and a digest of the state after it.
+    """
 
     def setUp(self) -> None:
         super().setUp()
@@ -64,21 +71,21 @@
         self.records: list[dict] = recorded["records"]
         self.marks: dict[int, dict] = {mark["records"]: mark for mark in recorded["marks"]}
 
-    def test_replaying_it_gives_the_recorded_outcomes_states_and_reports(self) -> None:
+    def test_replaying_the_log_gives_the_recorded_outcomes_states_and_reports(self) -> None:
         operators = {"ada": "a" * 64, "ben": "b" * 64, "cy": "c" * 64}
         state = initial_state(mesh="m", voters={1: "one", 2: "two"}, operators=operators)
-        for place, record in enumerate(self.records, start=1):
+        for number, record in enumerate(self.records, start=1):
             payload = bytes.fromhex(record["payload"])
             stamp = timedelta(seconds=record["seconds"])
             state, outcome = apply(state, offset=state.offset + 1, epoch=1, stamp=stamp, payload=payload)
-            # Messages and remedies too: outcomes are kept in the state.
+            # Messages and remedies must be equal too, as outcomes are stored in the state.
             recorded = msgspec.msgpack.decode(bytes.fromhex(record["outcome"]))
-            self.assertThat(list(outcome), Equals(recorded), f"record {place}")
-            self.assertThat(pack_outcome(outcome).hex(), Equals(record["outcome"]), f"record {place}")
+            self.assertThat(list(outcome), Equals(recorded), f"record {number}")
+            self.assertThat(pack_outcome(outcome).hex(), Equals(record["outcome"]), f"record {number}")
             packed = pack_state(state)
-            self.assertThat(hashlib.sha256(packed).hexdigest(), Equals(record["state"]), f"record {place}")
-            if place in self.marks:
-                self.check_mark(state, packed, self.marks[place])
+            self.assertThat(hashlib.sha256(packed).hexdigest(), Equals(record["state"]), f"record {number}")
+            if number in self.marks:
+                self.check_mark(state, packed, self.marks[number])
         self.assertThat(len(self.records), Equals(max(self.marks)))
 
     def check_mark(self, state: State, packed: bytes, mark: dict) -> None:
@@ -98,7 +105,7 @@
             data = bytes.fromhex(mark["state"])
             self.assertThat(pack_state(unpack_state(data)) == data, Equals(True), f"level {mark['level']}")
 
-    def test_it_meets_every_command_at_every_level(self) -> None:
-        met = {msgspec.msgpack.decode(bytes.fromhex(record["payload"]))[0] for record in self.records}
-        self.assertThat(set(COMMANDS) - met, Equals(set()))
+    def test_the_log_holds_every_command_and_every_level(self) -> None:
+        tags = {msgspec.msgpack.decode(bytes.fromhex(record["payload"]))[0] for record in self.records}
+        self.assertThat(set(COMMANDS) - tags, Equals(set()))
         self.assertThat({mark["level"] for mark in self.marks.values()}, Equals({1, 2, 3, 4}))
--- a/tests/test_statemachine_items.py
+++ b/tests/test_statemachine_items.py
@@ -1,4 +1,8 @@
-"""Items: how a patch is validated, and what the state machine makes of it."""
+"""Patches of items: their validation, and how the state machine applies them.
+
+Operators may send patches concurrently, more than once and in any order. The tests guard against a patch that is
+applied in part, an older revision that replaces a newer one, and a result that depends on the order of patches.
+"""
 
 import random
 from datetime import timedelta
@@ -60,22 +64,22 @@
 
 
 class PatchValidation(TestCase):
-    def refusal(self, patch: Patch) -> tuple[str, str]:
+    def rejection(self, patch: Patch) -> tuple[str, str]:
         match check_patch(patch):
             case Failure(error):
                 self.assertThat((error.kind, error.remedy != ""), Equals((ErrorKind.ITEM_BROKEN, True)))
                 return error.field, error.remedy
             case Success(_):
-                self.fail(f"taken: {patch}")
+                self.fail(f"accepted: {patch}")
 
-    def test_a_whole_patch_is_taken(self) -> None:
+    def test_a_valid_patch_is_accepted(self) -> None:
         patch = Patch([service(), entry(), limits(body_bytes=5)], [ItemDeletion(ENTRY, 4, "old")])
         checked = check_patch(patch).unwrap()
         self.assertThat([type(item) for _, item in checked.sets], Equals([ServiceItem, RouteItem, LimitsItem]))
         self.assertThat(checked.drops, Equals([ItemDeletion(ENTRY, 4, "old")]))
         self.assertThat(read_patch(pack_patch(patch)).unwrap(), Equals(checked))
 
-    def test_each_refusal_names_the_field_and_a_remedy(self) -> None:
+    def test_each_rejection_names_the_field_and_a_remedy(self) -> None:
         nan = float("nan")
         for changes, field, remedy in (
             ({"host": ""}, "host", "Name the host"),
@@ -99,14 +103,14 @@
             ({"colour": "red"}, "colour", "Mend"),
             ({"rank": "first"}, "rank", "Mend"),
         ):
-            refused_field, given_remedy = self.refusal(Patch([service(), entry(**changes)]))
-            self.assertThat((refused_field, given_remedy), Equals((f"sets[1].{field}", given_remedy)), str(changes))
+            rejected_field, given_remedy = self.rejection(Patch([service(), entry(**changes)]))
+            self.assertThat((rejected_field, given_remedy), Equals((f"sets[1].{field}", given_remedy)), str(changes))
             self.assertThat(given_remedy, Contains(remedy), str(changes))
 
-    def test_an_aim_less_than_a_minute_above_the_hold_is_taken(self) -> None:
+    def test_a_latency_target_less_than_a_minute_above_the_hold_is_accepted(self) -> None:
         self.assertThat(isinstance(check_patch(Patch([entry(aim_seconds=61.9)])), Success), Equals(True))
 
-    def test_a_hold_of_any_length_can_be_counted_with(self) -> None:
+    def test_holds_and_targets_of_any_length_are_limited_to_a_day(self) -> None:
         for seconds in (1e300, float("inf")):
             _, item = check_patch(Patch([entry(hold_seconds=seconds, aim_seconds=1e200)])).unwrap().sets[0]
             self.assertThat((hold_timeout(item), latency_target(item)), Equals((timedelta(days=1),) * 2))
@@ -124,9 +128,9 @@
             (Patch(drops=[ItemDeletion(ENTRY, 1, "")]), "drops[0]"),
             (Patch(drops=[ItemDeletion(ENTRY, 1, "fine"), ItemDeletion(SERVICE, -1, "old")]), "drops[1]"),
         ):
-            self.assertThat(self.refusal(patch)[0], Equals(field), str(patch))
+            self.assertThat(self.rejection(patch)[0], Equals(field), str(patch))
 
-    def test_what_is_no_patch_is_refused(self) -> None:
+    def test_undecodable_data_is_rejected(self) -> None:
         for data in (b"", b"\xc1", b"nonsense", pack_patch(Patch([entry()]))[:-3], b"\x81\xa4more\x01"):
             self.assertThat(isinstance(read_patch(data), Failure), Equals(True), repr(data))
 
@@ -142,7 +146,7 @@
         found = configuration.match_route(host=host, path=path)
         return found.name if found else None
 
-    def test_the_longest_prefix_of_the_host_is_taken(self) -> None:
+    def test_the_longest_prefix_of_the_host_is_selected(self) -> None:
         named = [self.item("all"), self.item("deep", prefix="/a/b/"), self.item("mid", prefix="/a/")]
         for shuffle in range(6):
             random.Random(shuffle).shuffle(named)
@@ -150,14 +154,14 @@
             for path, name in (("/a/b/c/d", "deep"), ("/a/b", "mid"), ("/a", "all"), ("/", "all"), ("/ab/", "all")):
                 self.assertThat(self.name_at(configuration, path), Equals(name), path)
 
-    def test_another_hosts_entries_and_unknown_hosts_are_not_taken(self) -> None:
+    def test_routes_of_other_hosts_and_unknown_hosts_are_not_selected(self) -> None:
         configuration = self.configuration_of(self.item("a", prefix="/a/"), self.item("b", host="b.example"))
         self.assertThat(self.name_at(configuration, "/a/x", host="c.example"), Is(None))
         self.assertThat(self.name_at(configuration, "/a/x", host="b.example"), Equals("b"))
         self.assertThat(self.name_at(configuration, "/b/x"), Is(None))
         self.assertThat(self.name_at(configuration, ""), Is(None))
 
-    def test_names_settle_ties_the_same_everywhere(self) -> None:
+    def test_names_order_routes_with_equal_prefixes(self) -> None:
         one, two = self.item("one", prefix="/a/"), self.item("two", prefix="/a/")
         self.assertThat(
             [self.name_at(self.configuration_of(*order), "/a/") for order in ((one, two), (two, one))],
@@ -185,20 +189,20 @@
         patch = pack_patch(Patch(list(sets), list(drops)))
         return self.apply(PatchItems(f"request-{self.requests}", author, "standing", patch))
 
-    def stands(self) -> dict[str, int]:
+    def revisions_in_force(self) -> dict[str, int]:
         return {key: item.revision for key, item in self.state.items.items() if not item.dropped}
 
-    def test_the_highest_revision_prevails_set_or_dropped(self) -> None:
+    def test_the_highest_revision_prevails_whether_it_sets_or_drops(self) -> None:
         outcome = self.patch(service(), entry(revision=5))
         self.assertThat(outcome.detail["changed"], Equals(["entry:pay", "service:ledger"]))
         self.patch(entry(revision=9, hold_seconds=3.0))
-        self.assertThat(self.stands(), Equals({"service:ledger": 1, "entry:pay": 9}))
+        self.assertThat(self.revisions_in_force(), Equals({"service:ledger": 1, "entry:pay": 9}))
         self.patch(drops=(ItemDeletion(ENTRY, 12, "pay"),))
-        self.assertThat(self.stands(), Equals({"service:ledger": 1}))
+        self.assertThat(self.revisions_in_force(), Equals({"service:ledger": 1}))
         self.patch(entry(revision=13))
-        self.assertThat(self.stands()["entry:pay"], Equals(13))
+        self.assertThat(self.revisions_in_force()["entry:pay"], Equals(13))
 
-    def test_lower_or_equal_changes_nothing(self) -> None:
+    def test_a_lower_or_equal_revision_changes_nothing(self) -> None:
         self.patch(service(), entry(revision=5))
         before = self.state
         for outcome in (
@@ -220,18 +224,18 @@
         self.patch(service(), entry(revision=5))
         self.patch(drops=(ItemDeletion(ENTRY, 8, "pay"), ItemDeletion(ENTRY, 30, "never-there")))
         self.patch(entry(revision=7), entry("never-there", revision=29))
-        self.assertThat(self.stands(), Equals({"service:ledger": 1}))
+        self.assertThat(self.revisions_in_force(), Equals({"service:ledger": 1}))
         self.assertThat(self.state.items["entry:pay"][:3], Equals((8, 2, True)))
 
-    def test_within_one_patch_the_highest_prevails_too(self) -> None:
+    def test_within_one_patch_the_highest_revision_prevails(self) -> None:
         self.patch(service(), entry(revision=3, rank=3), entry(revision=7, rank=7), entry(revision=5, rank=5))
         self.assertThat(self.view().items.match_route(host="shop.example", path="/pay/").rank, Equals(7))
         self.patch(entry(revision=9), drops=(ItemDeletion(ENTRY, 8, "pay"),))
-        self.assertThat(self.stands()["entry:pay"], Equals(9))
+        self.assertThat(self.revisions_in_force()["entry:pay"], Equals(9))
         self.patch(entry(revision=10), drops=(ItemDeletion(ENTRY, 11, "pay"),))
-        self.assertThat(self.stands(), Equals({"service:ledger": 1}))
+        self.assertThat(self.revisions_in_force(), Equals({"service:ledger": 1}))
 
-    def test_no_part_of_a_broken_patch_counts(self) -> None:
+    def test_no_part_of_an_invalid_patch_is_applied(self) -> None:
         self.patch(service(), entry())
         before = self.state._replace(offset=0, mesh_time=timedelta())
         broken = (
@@ -243,48 +247,48 @@
         for sets, drops in broken:
             outcome = self.patch(*sets, drops=drops)
             self.assertThat((outcome.error, outcome.remedy != ""), Equals((str(ErrorKind.ITEM_BROKEN), True)))
-            # From level 4 on the log remembers that it refused it.
+            # From level 4 on the state remembers the rejected patch.
             after = self.state._replace(
                 offset=0, mesh_time=timedelta(), expired_at=before.expired_at, rejected_patches=before.rejected_patches
             )
             self.assertThat(after, Equals(before))
 
-    def test_an_unknown_service_is_refused_against_the_result(self) -> None:
+    def test_a_route_to_a_service_undeclared_in_the_result_is_rejected(self) -> None:
         outcome = self.patch(entry())
         self.assertThat((outcome.error, outcome.field), Equals((str(ErrorKind.ITEM_BROKEN), "sets[0].parts")))
         self.patch(service(), service("second"), drops=(ItemDeletion(SERVICE, 3, "gone"),))
-        # With its service in the same patch, in any order; and beside one that stands.
+        # The service is declared in the same patch, in any order; another service is in force already.
         self.assertThat(
             self.patch(entry(parts=[{"service": "third"}, {"service": "ledger"}]), service("third")).error, Equals("")
         )
-        # A dropped one is no declared one.
+        # A dropped service counts as undeclared.
         self.assertThat(self.patch(entry(revision=2, parts=[{"service": "gone"}])).field, Equals("sets[0].parts"))
-        # An entry that an older revision of its own overtakes changes nothing, so its service doesn't matter.
+        # A route below the revision in force changes nothing, so its service is not checked.
         self.assertThat(self.patch(entry(revision=0, parts=[{"service": "nobody"}])).error, Equals(""))
 
-    def test_two_desks_racing_end_alike_in_either_order(self) -> None:
+    def test_two_concurrent_patches_have_the_same_result_in_either_order(self) -> None:
         ours = (entry(revision=7, rank=7), entry("ours", revision=7))
         theirs = (entry(revision=9, rank=9), entry("theirs", revision=9))
-        ends = []
+        results = []
         for order in ((ours, theirs), (theirs, ours)):
             self.state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=self.level)
             self.patch(service())
-            for place, sets in enumerate(order):
-                self.patch(*sets, author=f"desk-{place}")
-            ends.append({key: (item.revision, item.source) for key, item in self.state.items.items()})
-        self.assertThat(ends[0], Equals(ends[1]))
-        self.assertThat(ends[0]["entry:pay"], Equals((9, b"pay as said at 9")))
-        self.assertThat(sorted(ends[0]), Equals(["entry:ours", "entry:pay", "entry:theirs", "service:ledger"]))
-
-    def test_a_patch_repeated_through_another_desk_is_one(self) -> None:
+            for index, sets in enumerate(order):
+                self.patch(*sets, author=f"desk-{index}")
+            results.append({key: (item.revision, item.source) for key, item in self.state.items.items()})
+        self.assertThat(results[0], Equals(results[1]))
+        self.assertThat(results[0]["entry:pay"], Equals((9, b"pay as said at 9")))
+        self.assertThat(sorted(results[0]), Equals(["entry:ours", "entry:pay", "entry:theirs", "service:ledger"]))
+
+    def test_a_patch_repeated_through_another_controller_is_applied_once(self) -> None:
         first = self.patch(service(), entry())
         again = self.patch(service(), entry(), author="desk-2")
         self.assertThat((first.detail["number"], again.detail["number"]), Equals((1, 0)))
-        # Whoever waits for it waits for what stands, not for nothing.
+        # The outcome names the offset of the patch in force, which the sender may wait for.
         self.assertThat(again.detail["offset"], Equals(first.detail["offset"]))
         self.assertThat(len(self.state.patches), Equals(1))
 
-    def test_each_is_a_numbered_bundle_on_the_time_line_under_the_standing_sign_off(self) -> None:
+    def test_each_patch_is_recorded_with_a_number_its_author_and_the_standing_sign_off(self) -> None:
         self.patch(service(), entry())
         self.patch(entry(revision=2), author="desk-2")
         bundles = [
@@ -302,7 +306,7 @@
         )
         self.assertThat(self.state.patches[1].digest == self.state.patches[2].digest, Equals(False))
 
-    def test_only_the_newest_bundles_are_kept_and_numbers_go_on(self) -> None:
+    def test_only_the_newest_patches_are_kept_and_numbers_increase(self) -> None:
         self.patch(service())
         for revision in range(1, MAX_BUNDLES + 5):
             self.patch(entry(revision=revision))
@@ -311,14 +315,14 @@
             Equals((6, MAX_BUNDLES + 5, MAX_BUNDLES)),
         )
 
-    def test_state_packs_to_equal_bytes_and_comes_back(self) -> None:
+    def test_equal_states_pack_to_equal_bytes_and_unpack(self) -> None:
         self.patch(service(), entry(), limits())
         self.patch(entry("more"), drops=(ItemDeletion(ENTRY, 4, "pay"),))
         packed = pack_state(self.state)
-        back = unpack_state(packed)
-        self.assertThat(back, Equals(self.state))
-        self.assertThat(pack_state(back), Equals(packed))
-        # Built in another order, the maps are the same bytes.
+        unpacked = unpack_state(packed)
+        self.assertThat(unpacked, Equals(self.state))
+        self.assertThat(pack_state(unpacked), Equals(packed))
+        # Maps built in another order pack to the same bytes.
         shuffled = self.state._replace(items=type(self.state.items)(sorted(self.state.items.items(), reverse=True)))
         self.assertThat(pack_state(shuffled), Equals(packed))
 
@@ -326,7 +330,7 @@
         items = data_plane_items(self.state)
         return read_view(revision=self.state.data_plane_revision, items=items, node="stall-1", zone="a", before=View())
 
-    def test_the_news_holds_what_stands_and_no_word_of_what_was_dropped(self) -> None:
+    def test_the_data_plane_holds_the_items_in_force_and_no_dropped_items(self) -> None:
         self.patch(service(), entry(), entry("more"))
         self.patch(drops=(ItemDeletion(ENTRY, 4, "pay"),))
         view = self.view()
@@ -335,7 +339,7 @@
         self.assertThat(view.items.match_route(host="shop.example", path="/more/x").name, Equals("more"))
         self.assertThat(view.items.limits, Equals(LimitsItem()))
 
-    def test_below_level_3_nothing_of_it_exists(self) -> None:
+    def test_below_level_3_patches_are_rejected_and_states_hold_no_items(self) -> None:
         for level in (1, 2):
             self.state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=level)
             empty = pack_state(self.state)
@@ -350,16 +354,18 @@
         self.apply(RaiseLevel(3))
         self.assertThat(self.patch(service(), entry()).detail["number"], Equals(1))
 
-    def test_a_claim_held_for_its_span_and_taken_over_after_a_free_one(self) -> None:
+    def test_a_claim_is_held_for_its_hold_time_and_replaced_only_if_abandoned(self) -> None:
         def claim(name: str, *, after: str = "") -> Outcome:
             return self.apply(
                 ClaimKey("scope", name, f"proxy-{name}", "", "scope", "operation", "scope", "pay", 10, after)
             )
 
         self.assertThat(claim("one").detail["phase"], Equals("granted"))
-        met = claim("two").detail
-        self.assertThat((met["phase"], met["claim"], met["stall"]), Equals(("claimed", "one", "proxy-one")))
-        # Only the claim that its holder gave up is taken over, and only once.
+        existing = claim("two").detail
+        self.assertThat(
+            (existing["phase"], existing["claim"], existing["stall"]), Equals(("claimed", "one", "proxy-one"))
+        )
+        # Only the abandoned claim is replaced, and only once.
         self.assertThat(claim("two", after="other").detail["claim"], Equals("one"))
         self.assertThat(claim("two", after="one").detail["phase"], Equals("granted"))
         self.assertThat(claim("three", after="one").detail["claim"], Equals("two"))
@@ -368,11 +374,11 @@
 
 
 class RememberingLog(Log):
-    """The same where the log remembers what each revision was taken with."""
+    """The same at level 4, where the state remembers the content of each accepted revision."""
 
     level = 4
 
-    def test_lower_or_equal_changes_nothing(self) -> None:
+    def test_a_lower_or_equal_revision_changes_nothing(self) -> None:
         self.patch(service(), entry(revision=5))
         before = self.state
         for outcome in (
