--- a/tests/test_statemachine_patches.py
+++ b/tests/test_statemachine_patches.py
@@ -65,7 +65,7 @@
     def __init__(self, *, level: int = 4, operators: dict[str, str] | None = None) -> None:
         self.state: State = initial_state(mesh="m", voters={1: "one"}, operators=operators or {}, level=level)
 
-    def append(self, command: Any, *, later: float = 1) -> Outcome:
+    def append_record(self, command: Any, *, later: float = 1) -> Outcome:
         self.state, outcome = apply(
             self.state,
             offset=self.state.offset + 1,
@@ -78,10 +78,10 @@
     def patch(self, *sets: ItemUpsert, drops: tuple[ItemDeletion, ...] = (), seen: int | None = None) -> Outcome:
         patch = pack_patch(Patch(list(sets), list(drops)))
         seen = self.state.offset if seen is None else seen
-        return self.append(PatchItems("request", "desk", "standing", patch, RESEND_SECONDS, seen))
+        return self.append_record(PatchItems("request", "desk", "standing", patch, RESEND_SECONDS, seen))
 
     def wait(self, seconds: float) -> None:
-        self.append(Tick(1), later=seconds)
+        self.append_record(Tick(1), later=seconds)
 
     def revisions_in_force(self) -> dict[str, int]:
         return {key: item.revision for key, item in self.state.items.items() if not item.dropped}
@@ -330,7 +330,7 @@
         log.patch(*first)
         log.patch(drops=(ItemDeletion(ENTRY, 3, "gone"),))
         log.state = unpack_state(pack_state(log.state))
-        log.append(RaiseLevel(4))
+        log.append_record(RaiseLevel(4))
         self.assertThat(log.patch(service(source_text=b'{"a":1}'), entry(revision=5)).error, Equals(""))
         self.assertThat(log.patch(drops=(ItemDeletion(ENTRY, 3, "gone"),)).error, Equals(""))
         for order, expected_error in (
@@ -463,7 +463,7 @@
     def call(self, kind: Any, operator: str, *arguments: Any) -> Outcome:
         # A repeated call without a request id gets a new one from the controller that receives it.
         self.calls += 1
-        return self.log.append(kind(f"call-{self.calls}", operator, *arguments))
+        return self.log.append_record(kind(f"call-{self.calls}", operator, *arguments))
 
     def start_rollout(self) -> str:
         digest = self.call(SubmitBundle, "ada", TEXT).detail["digest"]
@@ -543,7 +543,7 @@
         self.call(AdvanceBundle, "ben", 1, 1)
         self.assertThat(self.log.state.bundles[1].advanced_by, Equals(()))
         self.assertThat(unpack_state(pack_state(self.log.state)), Equals(self.log.state))
-        self.log.append(RaiseLevel(4))
+        self.log.append_record(RaiseLevel(4))
         self.call(AdvanceBundle, "ben", 1, 2)
         self.assertThat(self.call(AdvanceBundle, "ben", 1, 2).error, Equals(""))
         self.assertThat(self.call(AdvanceBundle, "ben", 1, 1).error, Equals("bundle-wrong-phase"))
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -1,4 +1,8 @@
-"""Release levels, purges, keys by client, operators: the rules of later levels, one record at a time."""
+"""Rules of release levels 2 and above: purges, keys by client, operator changes, copies, retry budgets.
+
+During an upgrade former and newer releases apply the same log. The tests guard against states that differ between
+releases, purged nodes that late reports restore, and keys that run a request twice or answer the wrong client.
+"""
 
 import random
 from datetime import timedelta
@@ -47,16 +51,16 @@
 from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
 TEXT = DEPLOYMENTS["thimble"].first_bundle()
-PEOPLE = {"ada": "a" * 64, "ben": "b" * 64}
+OPERATOR_DIGESTS = {"ada": "a" * 64, "ben": "b" * 64}
 
 
 class Log:
     def __init__(self, *, level: int = LEVEL) -> None:
-        self.state: State = initial_state(mesh="m", voters={1: "one"}, operators=PEOPLE, level=level)
+        self.state: State = initial_state(mesh="m", voters={1: "one"}, operators=OPERATOR_DIGESTS, level=level)
         self.seconds = 0.0
 
-    def take(self, command: Command, *, later: float = 0.0, supported: int = LEVEL) -> Outcome:
-        self.seconds += later
+    def append_record(self, command: Command, *, after_seconds: float = 0.0, supported: int = LEVEL) -> Outcome:
+        self.seconds += after_seconds
         self.state, outcome = apply(
             self.state,
             offset=self.state.offset + 1,
@@ -68,47 +72,55 @@
         return outcome
 
     def proxy(
-        self, name: str, life: str, *, state: str = "alive", seen: int | None = None, level: int = LEVEL
+        self, name: str, incarnation: str, *, state: str = "alive", seen: int | None = None, level: int = LEVEL
     ) -> Outcome:
         seen = self.state.data_plane_revision if seen is None else seen
-        return self.take(RegisterNode(name, "stall", "at", "a", life, state, seen_revision=seen, level=level))
+        return self.append_record(
+            RegisterNode(name, "stall", "at", "a", incarnation, state, seen_revision=seen, level=level)
+        )
 
     def server(
-        self, name: str, life: str, *, state: str = "ready", seen: int | None = None, serial: int = 1
+        self, name: str, incarnation: str, *, state: str = "ready", seen: int | None = None, serial: int = 1
     ) -> Outcome:
         seen = self.state.data_plane_revision if seen is None else seen
-        return self.take(
-            RegisterServer(name, "ledger", f"i-{life}", "at", "a", state, serial, life, seen_revision=seen)
+        return self.append_record(
+            RegisterServer(
+                name, "ledger", f"i-{incarnation}", "at", "a", state, serial, incarnation, seen_revision=seen
+            )
         )
 
-    def claim(self, claim: str, *, who: str, by: str = "credentials", body: str = "body", bucket: str = "b") -> Outcome:
-        return self.take(ClaimKey(f"old-{who}", claim, "stall", body, bucket, by, who, "payments"))
+    def claim(
+        self, claim: str, *, client: str, identified_by: str = "credentials", body: str = "body", bucket: str = "b"
+    ) -> Outcome:
+        return self.append_record(
+            ClaimKey(f"old-{client}", claim, "stall", body, bucket, identified_by, client, "payments")
+        )
 
 
 class Levels(TestCase):
-    def test_newer_commands_wait_for_the_level_and_change_nothing_before(self) -> None:
+    def test_newer_commands_are_rejected_below_their_level(self) -> None:
         log = Log(level=1)
         for command in (Purge(0), ProposeOperatorChange("r", "ada", "eve", "e" * 64)):
             before = log.state
-            self.assertThat(log.take(command).error, Equals("release-level"))
+            self.assertThat(log.append_record(command).error, Equals("release-level"))
             self.assertThat(log.state, Equals(before._replace(offset=before.offset + 1, epoch=1)))
         declared = TEXT.replace('note = "Opening day"', 'visitor = "header:X-Member"')
-        self.assertThat(log.take(SubmitBundle("r1", "ada", declared)).error, Equals("release-level"))
-        log.take(RaiseLevel(2))
-        self.assertThat(log.take(SubmitBundle("r2", "ada", declared)).error, Equals(""))
-        self.assertThat(log.take(RaiseLevel(1)).detail["level"], Equals(2))
+        self.assertThat(log.append_record(SubmitBundle("r1", "ada", declared)).error, Equals("release-level"))
+        log.append_record(RaiseLevel(2))
+        self.assertThat(log.append_record(SubmitBundle("r2", "ada", declared)).error, Equals(""))
+        self.assertThat(log.append_record(RaiseLevel(1)).detail["level"], Equals(2))
 
-    def test_a_record_that_cant_be_applied_stops_the_replica(self) -> None:
+    def test_a_record_above_the_supported_level_is_rejected_as_other_release(self) -> None:
         log = Log(level=1)
         before = log.state
-        self.assertThat(log.take(RaiseLevel(2), supported=1).error, Equals("other-release"))
+        self.assertThat(log.append_record(RaiseLevel(2), supported=1).error, Equals("other-release"))
         self.assertThat(log.state, Equals(before))
 
-    def test_below_the_level_a_state_packs_as_the_former_release_packs_it(self) -> None:
+    def test_below_the_level_a_state_packs_as_in_the_former_release(self) -> None:
         log = Log(level=1)
         log.proxy("stall-1", "life")
         log.server("stall-1", "life")
-        log.claim("c1", who="me")
+        log.claim("c1", client="me")
         packed = msgspec.msgpack.decode(pack_state(log.state))
         self.assertThat(
             sorted(packed),
@@ -138,8 +150,8 @@
         widths = {name: len(packed[name][0][1]) for name in ("servers", "nodes", "holds")}
         self.assertThat(widths, Equals({"servers": 10, "nodes": 7, "holds": 9}))
         self.assertThat(unpack_state(pack_state(log.state)), Equals(log.state))
-        log.take(RaiseLevel(2))
-        log.claim("c2", who="me")
+        log.append_record(RaiseLevel(2))
+        log.claim("c2", client="me")
         checkpoint_id = OffsetAndEpoch(log.state.offset, 1)
         self.assertThat(
             unpack_checkpoint(
@@ -148,86 +160,91 @@
             Equals(Success(log.state)),
         )
 
-    def test_a_former_releases_proxy_is_not_noted(self) -> None:
+    def test_a_proxy_of_a_former_release_is_not_registered(self) -> None:
         log = Log()
         self.assertThat(log.proxy("stall-1", "life", level=1).error, Equals("release-old"))
         self.assertThat("stall-1" in log.state.nodes, Equals(False))
 
-    def test_a_raise_forgets_nothing_sooner(self) -> None:
+    def test_raising_the_level_purges_nothing_sooner(self) -> None:
         log = Log(level=1)
-        log.take(AcquireSingletonRole("warden", "bourse-1", 1))
+        log.append_record(AcquireSingletonRole("warden", "bourse-1", 1))
         log.proxy("stall-1", "life")
-        log.take(RegisterNode("stall-1", "stall", "at", "a", "life", "gone", 1), later=10)
-        log.take(RaiseLevel(2), later=GONE_RETENTION.total_seconds() * 2)
-        self.assertThat(log.take(Purge(1)).detail, Equals({"servers": [], "nodes": []}))
-        self.assertThat(log.take(Purge(1), later=GONE_RETENTION.total_seconds()).detail["nodes"], Equals(["stall-1"]))
+        log.append_record(RegisterNode("stall-1", "stall", "at", "a", "life", "gone", 1), after_seconds=10)
+        log.append_record(RaiseLevel(2), after_seconds=GONE_RETENTION.total_seconds() * 2)
+        self.assertThat(log.append_record(Purge(1)).detail, Equals({"servers": [], "nodes": []}))
+        self.assertThat(
+            log.append_record(Purge(1), after_seconds=GONE_RETENTION.total_seconds()).detail["nodes"],
+            Equals(["stall-1"]),
+        )
 
-    def test_a_bundle_that_renames_waits_for_keys_held_by_name(self) -> None:
+    def test_a_bundle_that_renames_a_route_waits_for_keys_held_by_its_name(self) -> None:
         log = Log(level=1)
         text = TEXT.partition("[[stages]]")[0]
-        digest = log.take(SubmitBundle("s1", "ada", text)).detail["digest"]
-        log.take(SignBundle("g1", "ben", 1, digest))
-        log.claim("c1", who="me")
-        log.take(RaiseLevel(2))
+        digest = log.append_record(SubmitBundle("s1", "ada", text)).detail["digest"]
+        log.append_record(SignBundle("g1", "ben", 1, digest))
+        log.claim("c1", client="me")
+        log.append_record(RaiseLevel(2))
         renamed = text.replace("number = 1\nbased_on = 0", "number = 2\nbased_on = 1").replace('"payments"', '"pay"', 1)
-        digest = log.take(SubmitBundle("s2", "ada", renamed)).detail["digest"]
-        self.assertThat(log.take(SignBundle("g2", "ben", 2, digest)).error, Equals("release-level"))
-        self.assertThat(log.take(SignBundle("g3", "ben", 2, digest), later=606).error, Equals(""))
+        digest = log.append_record(SubmitBundle("s2", "ada", renamed)).detail["digest"]
+        self.assertThat(log.append_record(SignBundle("g2", "ben", 2, digest)).error, Equals("release-level"))
+        self.assertThat(log.append_record(SignBundle("g3", "ben", 2, digest), after_seconds=606).error, Equals(""))
 
 
 class Keys(TestCase):
-    def test_an_expired_hold_goes_though_its_bucket_was_released_before_the_next_expiry_pass(self) -> None:
+    def test_an_expired_hold_is_removed_though_its_bucket_was_removed_before_the_expiry_pass(self) -> None:
         log = Log()
-        first = log.claim("c1", who="me", by="header:X-Member")
-        # A pass looks for expired holds just before this one expires; the next pass is EXPIRY_INTERVAL later.
-        log.take(Tick(1), later=UNSETTLED_HOLD_TIMEOUT.total_seconds() - 1)
-        log.take(Tick(1), later=1.5)
-        second = log.claim("c2", who="you", by="header:X-Member")
-        released = log.take(ReleaseKey(second.detail["scope"], "c2"))
+        first = log.claim("c1", client="me", identified_by="header:X-Member")
+        # An expiry pass runs just before this hold expires; the next pass is EXPIRY_INTERVAL later.
+        log.append_record(Tick(1), after_seconds=UNSETTLED_HOLD_TIMEOUT.total_seconds() - 1)
+        log.append_record(Tick(1), after_seconds=1.5)
+        second = log.claim("c2", client="you", identified_by="header:X-Member")
+        released = log.append_record(ReleaseKey(second.detail["scope"], "c2"))
         self.assertThat((second.detail["phase"], released.detail["phase"]), Equals(("granted", "released")))
         self.assertThat(list(log.state.holds), Equals([first.detail["scope"]]))
-        log.take(Tick(1), later=EXPIRY_INTERVAL.total_seconds())
+        log.append_record(Tick(1), after_seconds=EXPIRY_INTERVAL.total_seconds())
         self.assertThat((len(log.state.holds), len(log.state.buckets)), Equals((0, 0)))
 
-    def test_the_same_client_meets_its_hold_and_nobody_else_does(self) -> None:
+    def test_a_hold_is_shown_to_its_client_only(self) -> None:
         log = Log()
-        granted = log.claim("c1", who="me")
+        granted = log.claim("c1", client="me")
         self.assertThat(granted.detail["phase"], Equals("granted"))
         scope = granted.detail["scope"]
-        self.assertThat(log.claim("c2", who="me").detail["phase"], Equals("claimed"))
-        log.take(CompleteKey(scope, "c1", 200, {}, b"{}", True))
-        self.assertThat(log.claim("c3", who="me").detail["body"], Equals(b"{}"))
-        self.assertThat(log.claim("c4", who="me", body="other").error, Equals("key-other-body"))
-        # Other credentials, another kind of mark: nobody can say, so neither runs nor hears anything.
-        self.assertThat(log.claim("c5", who="renewed").error, Equals("key-visitor-unsure"))
-        self.assertThat(log.claim("c6", who="one", by="header:x-member").error, Equals("key-visitor-unsure"))
-        self.assertThat(log.claim("c7", who="renewed", bucket="another key").detail["phase"], Equals("granted"))
-
-    def test_two_declared_clients_are_two_and_expire_apart(self) -> None:
+        self.assertThat(log.claim("c2", client="me").detail["phase"], Equals("claimed"))
+        log.append_record(CompleteKey(scope, "c1", 200, {}, b"{}", True))
+        self.assertThat(log.claim("c3", client="me").detail["body"], Equals(b"{}"))
+        self.assertThat(log.claim("c4", client="me", body="other").error, Equals("key-other-body"))
+        # Other credentials or another kind of identity: the client can't be determined, so nothing runs or is answered.
+        self.assertThat(log.claim("c5", client="renewed").error, Equals("key-visitor-unsure"))
+        self.assertThat(
+            log.claim("c6", client="one", identified_by="header:x-member").error, Equals("key-visitor-unsure")
+        )
+        self.assertThat(log.claim("c7", client="renewed", bucket="another key").detail["phase"], Equals("granted"))
+
+    def test_declared_clients_are_distinguished_and_expire_separately(self) -> None:
         log = Log()
-        one = log.claim("c1", who="one", by="header:x-member").detail
-        log.take(CompleteKey(one["scope"], "c1", 200, {}, b"1", True))
-        two = log.claim("c2", who="two", by="header:x-member").detail
+        one = log.claim("c1", client="one", identified_by="header:x-member").detail
+        log.append_record(CompleteKey(one["scope"], "c1", 200, {}, b"1", True))
+        two = log.claim("c2", client="two", identified_by="header:x-member").detail
         self.assertThat((two["phase"], two["scope"] != one["scope"]), Equals(("granted", True)))
-        self.assertThat(log.claim("c3", who="one", by="header:x-member").detail["body"], Equals(b"1"))
-        log.take(CompleteKey(two["scope"], "c2", 200, {}, b"2", True), later=70)
-        self.assertThat(log.claim("c4", who="two", by="header:x-member").detail["body"], Equals(b"2"))
-        log.take(Purge(0), later=10)
+        self.assertThat(log.claim("c3", client="one", identified_by="header:x-member").detail["body"], Equals(b"1"))
+        log.append_record(CompleteKey(two["scope"], "c2", 200, {}, b"2", True), after_seconds=70)
+        self.assertThat(log.claim("c4", client="two", identified_by="header:x-member").detail["body"], Equals(b"2"))
+        log.append_record(Purge(0), after_seconds=10)
         self.assertThat(len(log.state.holds), Equals(1))
-        log.take(Purge(0), later=100)
+        log.append_record(Purge(0), after_seconds=100)
         self.assertThat((len(log.state.holds), len(log.state.buckets)), Equals((0, 0)))
 
-    def test_a_hold_of_level_one_keeps_its_effect(self) -> None:
+    def test_a_hold_of_level_one_stays_effective(self) -> None:
         log = Log(level=1)
-        log.claim("c1", who="me")
-        log.take(RaiseLevel(2))
-        self.assertThat(log.claim("c2", who="me").detail["phase"], Equals("claimed"))
-        log.take(CompleteKey("old-me", "c1", 200, {}, b"first", True))
-        self.assertThat(log.claim("c3", who="me").detail["body"], Equals(b"first"))
-        # A former release's claim says nothing of its client, so it can't be compared and isn't granted.
-        self.assertThat(log.take(ClaimKey("x", "c4", "stall", "body")).error, Equals("release-old"))
-
-    def test_by_what_a_client_is_known(self) -> None:
+        log.claim("c1", client="me")
+        log.append_record(RaiseLevel(2))
+        self.assertThat(log.claim("c2", client="me").detail["phase"], Equals("claimed"))
+        log.append_record(CompleteKey("old-me", "c1", 200, {}, b"first", True))
+        self.assertThat(log.claim("c3", client="me").detail["body"], Equals(b"first"))
+        # A claim of a former release doesn't identify its client, so it can't be compared and isn't granted.
+        self.assertThat(log.append_record(ClaimKey("x", "c4", "stall", "body")).error, Equals("release-old"))
+
+    def test_how_a_client_is_identified(self) -> None:
         def of(declared: str = "", twice: tuple[str, ...] = (), **headers: str) -> str:
             sent = {name.replace("_", "-"): value for name, value in headers.items()}
             known = identify_client(caller="", declared=declared, headers=sent, twice=twice)
@@ -248,28 +265,28 @@
 
 
 class Forgetting(TestCase):
-    def test_what_is_forgotten_stays_so_whatever_comes_late(self) -> None:
+    def test_late_reports_do_not_restore_purged_servers_and_nodes(self) -> None:
         log = Log()
-        log.take(AcquireSingletonRole("warden", "bourse-1", 1))
+        log.append_record(AcquireSingletonRole("warden", "bourse-1", 1))
         log.proxy("stall-1", "life")
         log.server("stall-1", "life")
         seen = log.state.data_plane_revision
-        log.take(RegisterServer("stall-1", "ledger", "i-life", "at", "a", "gone", 1, "life", 1))
-        log.take(RegisterNode("stall-1", "stall", "at", "a", "life", "gone", 1))
-        self.assertThat(log.take(Purge(1), later=590).detail, Equals({"servers": [], "nodes": []}))
-        purged = log.take(Purge(1), later=10).detail
+        log.append_record(RegisterServer("stall-1", "ledger", "i-life", "at", "a", "gone", 1, "life", 1))
+        log.append_record(RegisterNode("stall-1", "stall", "at", "a", "life", "gone", 1))
+        self.assertThat(log.append_record(Purge(1), after_seconds=590).detail, Equals({"servers": [], "nodes": []}))
+        purged = log.append_record(Purge(1), after_seconds=10).detail
         self.assertThat(purged, Equals({"servers": ["stall-1"], "nodes": ["stall-1"]}))
         before = (log.state.nodes, log.state.servers)
         log.proxy("stall-1", "life", seen=seen)
         log.server("stall-1", "life", seen=seen)
         log.proxy("stall-1", "life", state="gone")
         self.assertThat((log.state.nodes, log.state.servers), Equals(before))
-        # Having heard of the forgetting, the same machine is welcome again.
+        # Reports that have seen the purge register the same machine again.
         log.proxy("stall-1", "life")
         log.server("stall-1", "life", serial=7)
         self.assertThat((len(log.state.nodes), len(log.state.servers)), Equals((1, 1)))
 
-    def test_a_former_lifes_late_word_does_not_undo_the_present_one(self) -> None:
+    def test_a_late_report_of_a_former_incarnation_does_not_replace_the_present_one(self) -> None:
         log = Log()
         log.proxy("stall-1", "first")
         seen = log.state.data_plane_revision
@@ -277,29 +294,31 @@
         log.proxy("stall-1", "first", seen=seen)
         self.assertThat(log.state.nodes["stall-1"].incarnation, Equals("second"))
 
-    def test_a_year_of_replaced_servers_leaves_nothing_behind(self) -> None:
-        """A machine in every half hour is replaced by one that never was, for a year of mesh time."""
+    def test_a_year_of_replaced_servers_does_not_grow_the_state(self) -> None:
+        """Every half hour of a year of mesh time a machine is replaced by a machine with a new name."""
         log = Log()
-        log.take(AcquireSingletonRole("warden", "bourse-1", 1))
+        log.append_record(AcquireSingletonRole("warden", "bourse-1", 1))
         sizes, names = [], []
-        for turn in range(365 * 48):
-            name = f"stall-{turn}"
-            log.proxy(name, f"life-{turn}")
-            log.server(name, f"life-{turn}")
+        for number in range(365 * 48):
+            name = f"stall-{number}"
+            log.proxy(name, f"life-{number}")
+            log.server(name, f"life-{number}")
             names.append(name)
             if len(names) > 11:
                 gone = names.pop(0)
                 node, server = log.state.nodes[gone], log.state.servers[gone]
-                log.take(RegisterNode(gone, "stall", "at", "a", node.incarnation, "gone", 1))
-                log.take(RegisterServer(gone, "ledger", server.instance, "at", "a", "gone", 1, server.incarnation, 1))
-            log.take(Purge(1), later=1800)
-            if turn % 4380 == 4379:
+                log.append_record(RegisterNode(gone, "stall", "at", "a", node.incarnation, "gone", 1))
+                log.append_record(
+                    RegisterServer(gone, "ledger", server.instance, "at", "a", "gone", 1, server.incarnation, 1)
+                )
+            log.append_record(Purge(1), after_seconds=1800)
+            if number % 4380 == 4379:
                 sizes.append((len(log.state.nodes), len(data_plane_items(log.state)), len(pack_state(log.state))))
         print("nodes, items of news, bytes of state after each quarter of a year:", sizes)
         self.assertThat(sizes[-1][:2], Equals(sizes[0][:2]))
         self.assertThat(sizes[-1][2], LessThan(sizes[0][2] * 1.1))
 
-    def test_members_removed_for_long_are_forgotten(self) -> None:
+    def test_members_dead_for_the_retention_time_are_removed(self) -> None:
         me = MemberState("me", "stall", "at-me", "a", "life", 0, ALIVE)
         core = Membership(
             me=me, rng=random.Random(1), probe_interval=timedelta(0), suspicion_timeout=timedelta(seconds=1)
@@ -315,14 +334,14 @@
 
 
 class OperatorChanges(TestCase):
-    def test_nobody_changes_the_operators_alone_and_two_remain(self) -> None:
+    def test_operator_changes_need_two_operators_and_two_remain(self) -> None:
         log = Log()
 
         def propose(operator: str, name: str, digest: str) -> Outcome:
-            return log.take(ProposeOperatorChange(f"p{log.state.offset}", operator, name, digest))
+            return log.append_record(ProposeOperatorChange(f"p{log.state.offset}", operator, name, digest))
 
         def sign(signer: str, name: str, change: str) -> str:
-            return log.take(SignOperatorChange(f"s{log.state.offset}", signer, name, change)).error
+            return log.append_record(SignOperatorChange(f"s{log.state.offset}", signer, name, change)).error
 
         self.assertThat(propose("ada", "ben", "").error, Equals("operator-last"))
         self.assertThat(propose("ada", "eve", "a" * 64).error, Equals("operator-conflict"))
@@ -333,38 +352,42 @@
         self.assertThat(sorted(log.state.operators), Equals(["ada", "ben"]))
         self.assertThat(sign("ben", "eve", change), Equals(""))
         self.assertThat(sign("ben", "eve", change), Equals("operator-conflict"))
-        # Proposed while three were left, signed when only two are: looked at again.
+        # Both were proposed while there were three operators; the second is checked again when only two are left.
         first, second = (propose("eve", name, "").detail["change"] for name in ("ada", "ben"))
         self.assertThat((sign("ben", "ada", first), sign("eve", "ben", second)), Equals(("", "operator-self-signed")))
         self.assertThat(sign("ben", "ben", second), Equals("operator-last"))
-        # Whoever was removed has no say in what comes to the log later.
+        # Later commands of a removed operator are rejected.
         self.assertThat(propose("ada", "eve", "").error, Equals("operator-unknown"))
-        self.assertThat(log.take(SubmitBundle("late", "ada", TEXT)).error, Equals("operator-unknown"))
-        self.assertThat(log.take(WithdrawOperatorChange("d", "ben", "ben")).error, Equals(""))
+        self.assertThat(log.append_record(SubmitBundle("late", "ada", TEXT)).error, Equals("operator-unknown"))
+        self.assertThat(log.append_record(WithdrawOperatorChange("d", "ben", "ben")).error, Equals(""))
         self.assertThat(len(log.state.operator_changes), Equals(0))
 
-    def test_one_request_id_is_one_call(self) -> None:
+    def test_a_request_id_belongs_to_one_call(self) -> None:
         log = Log()
-        first = log.take(ProposeOperatorChange("r", "ada", "eve", "e" * 64))
-        self.assertThat(log.take(ProposeOperatorChange("r", "ada", "eve", "e" * 64)), Equals(first))
-        self.assertThat(log.take(ProposeOperatorChange("r", "ben", "eve", "e" * 64)).error, Equals("request-reused"))
-        self.assertThat(log.take(ProposeOperatorChange("r", "ada", "dan", "d" * 64)).error, Equals("request-reused"))
+        first = log.append_record(ProposeOperatorChange("r", "ada", "eve", "e" * 64))
+        self.assertThat(log.append_record(ProposeOperatorChange("r", "ada", "eve", "e" * 64)), Equals(first))
+        self.assertThat(
+            log.append_record(ProposeOperatorChange("r", "ben", "eve", "e" * 64)).error, Equals("request-reused")
+        )
+        self.assertThat(
+            log.append_record(ProposeOperatorChange("r", "ada", "dan", "d" * 64)).error, Equals("request-reused")
+        )
 
 
 class Copies(TestCase):
-    def test_a_damaged_parent_teaches_nobody_and_a_damaged_root_mends(self) -> None:
+    def test_a_corrupted_parent_serves_no_copy_and_a_corrupted_root_recovers(self) -> None:
         log = Log()
-        for place in range(6):
-            log.proxy(f"stall-{place}", "life")
+        for index in range(6):
+            log.proxy(f"stall-{index}", "life")
         items, revision = data_plane_items(log.state), log.state.data_plane_revision
         now, span = timedelta(seconds=1), timedelta(seconds=1.5)
         own = AppliedVersion("child", 0, 0, "", "life", 0)
         root, child = (Relay(node=name, incarnation="life", lease_span=span) for name in ("root", "child"))
 
         def read(known: int) -> bool:
-            said = items if known < revision else None
+            sent_items = items if known < revision else None
             return root.accept_read(
-                asked=now, mesh="m", revision=revision, items=said, expected_digests=digests_of(items)
+                asked=now, mesh="m", revision=revision, items=sent_items, expected_digests=digests_of(items)
             )
 
         read(root.known_revision())
@@ -374,53 +397,56 @@
         root.copy.items = {**items, key: (items[key][0], b"damage")}
         answer = root.answer(child.poll(own=own, now=now), now=now)
         self.assertThat((answer.error, child.accept_answer(answer, sent=now)), Equals(("copy-damaged", False)))
-        # The next read says that it holds nothing, and takes all of it anew.
+        # The next read reports no known revision and gets the whole copy again.
         self.assertThat((root.known_revision(), read(revision)), Equals((-1, False)))
         self.assertThat((read(root.known_revision()), root.copy.items), Equals((True, items)))
         child.copy.items = {name: item for name, item in items.items() if name != key}
         self.assertThat(child.accept_answer(root.answer(child.poll(own=own, now=now), now=now), sent=now), Equals(True))
         self.assertThat(child.copy.items, Equals(items))
-        # Changed on its way: what doesn't add up is not taken, and renews nothing.
+        # An answer that was changed in transit doesn't match its digests: it is not applied and renews no lease.
         child.copy.items = {}
         before = child.lease_start
         call = child.poll(own=own, now=now)
         for takes_block in (True, False):
             answer = root.answer(call._replace(takes_block=takes_block), now=now)
             found = unpack_items(answer.block) if takes_block else answer.items
-            spoilt = (found[0]._replace(value=b"x"), *found[1:])
-            changed = {"block": pack_items(spoilt)} if takes_block else {"items": spoilt}
+            corrupted = (found[0]._replace(value=b"x"), *found[1:])
+            changed = {"block": pack_items(corrupted)} if takes_block else {"items": corrupted}
             self.assertThat(child.accept_answer(answer._replace(**changed), sent=now * 2), Equals(False))
             self.assertThat((child.copy.items, child.lease_start), Equals(({}, before)))
 
 
 class Margins(TestCase):
-    def test_parts_add_up_to_the_margin_exactly(self) -> None:
+    def test_quotas_add_up_to_the_margin_exactly(self) -> None:
         for margin in range(30):
             for count in (1, 2, 7, 11, 13):
-                proxies = [f"stall-{place}" for place in range(count)]
-                parts = [retry_quota_of(service="s", proxy=name, proxies=proxies, margin=margin) for name in proxies]
-                self.assertThat((sum(parts), max(parts) - min(parts) <= 1), Equals((margin, True)))
+                proxies = [f"stall-{index}" for index in range(count)]
+                quotas = [retry_quota_of(service="s", proxy=name, proxies=proxies, margin=margin) for name in proxies]
+                self.assertThat((sum(quotas), max(quotas) - min(quotas) <= 1), Equals((margin, True)))
 
-    def test_parts_fall_at_once_and_rise_after_a_span(self) -> None:
+    def test_quotas_fall_at_once_and_rise_after_a_lease(self) -> None:
         span = timedelta(seconds=1.5)
-        account = RetryBudget(wait=span)
+        budget = RetryBudget(wait=span)
 
-        def allot(part: int, seconds: float, percent: int = 20) -> float:
+        def set_and_earn(amount: int, seconds: float, percent: int = 20) -> float:
             now = timedelta(seconds=seconds)
-            account.set_quota("s", quota=part, percent=percent, now=now)
+            budget.set_quota("s", quota=amount, percent=percent, now=now)
             for _ in range(100):
-                account.earn("s", percent=percent)
-            return float(account.available("s", now=now))
-
-        self.assertThat([allot(4, 0), allot(4, 1.4), allot(4, 1.5)], Equals([0, 0, 2]))
-        # The other half are slots, and they wait for a window more.
-        self.assertThat(allot(4, 12.0), Equals(4))
-        self.assertThat([allot(1, 12.1), allot(4, 12.2), allot(4, 13.6), allot(4, 13.7)], Equals([1, 1, 1, 2]))
-        self.assertThat(allot(4, 30), Equals(4))
-        ways = [account.try_spend("s", now=timedelta(seconds=30)) for _ in range(5)]
-        self.assertThat(ways, Equals(["share", "share", "slot", "slot", ""]))
-        account.refund("s", "slot")
-        self.assertThat(account.try_spend("s", now=timedelta(seconds=30)), Equals("slot"))
-        self.assertThat(account.try_spend("s", now=timedelta(seconds=40.4)), Equals(""))
-        self.assertThat(account.try_spend("s", now=timedelta(seconds=40.5)), Equals("slot"))
-        self.assertThat(float(account.available("s", now=timedelta(seconds=40.5))), GreaterThan(0.9))
+                budget.earn("s", percent=percent)
+            return float(budget.available("s", now=now))
+
+        self.assertThat([set_and_earn(4, 0), set_and_earn(4, 1.4), set_and_earn(4, 1.5)], Equals([0, 0, 2]))
+        # The other half of the quota are slots, which become available one window later.
+        self.assertThat(set_and_earn(4, 12.0), Equals(4))
+        self.assertThat(
+            [set_and_earn(1, 12.1), set_and_earn(4, 12.2), set_and_earn(4, 13.6), set_and_earn(4, 13.7)],
+            Equals([1, 1, 1, 2]),
+        )
+        self.assertThat(set_and_earn(4, 30), Equals(4))
+        kinds = [budget.try_spend("s", now=timedelta(seconds=30)) for _ in range(5)]
+        self.assertThat(kinds, Equals(["share", "share", "slot", "slot", ""]))
+        budget.refund("s", "slot")
+        self.assertThat(budget.try_spend("s", now=timedelta(seconds=30)), Equals("slot"))
+        self.assertThat(budget.try_spend("s", now=timedelta(seconds=40.4)), Equals(""))
+        self.assertThat(budget.try_spend("s", now=timedelta(seconds=40.5)), Equals("slot"))
+        self.assertThat(float(budget.available("s", now=timedelta(seconds=40.5))), GreaterThan(0.9))
