--- a/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
+++ b/packages/statemachine/src/hoistsaddle/statemachine/bundles.py
@@ -152,7 +152,7 @@
         )
     if bundle.based_on != state.in_force:
         return _reject_wrong_base(state, bundle.based_on)
-    if state.level > 1 and _renames_held(state, bundle.number):
+    if state.level > 1 and _renames_route_of_held_key(state, bundle.number):
         return reject(
             LevelTooLow(
                 "Keys held since before the release level rose are known by the names of entries this bundle renames.",
@@ -169,7 +169,7 @@
     return None
 
 
-def _renames_held(state: State, number: int) -> bool:
+def _renames_route_of_held_key(state: State, number: int) -> bool:
     """Whether a bundle renames a route for which a key may be held by route name, as release level 1 held keys."""
     if all(hold.bucket for hold in state.holds.values()):
         return False
--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -127,7 +127,7 @@
 def _claims_by_name():
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch.object(idempotency, "claim", idempotency._claim_by_scope))
-    patches.enter_context(mock.patch.object(bundles, "_renames_held", lambda state, number: False))
+    patches.enter_context(mock.patch.object(bundles, "_renames_route_of_held_key", lambda state, number: False))
     return patches
 
 
