--- a/packages/config/src/hoistsaddle/config/item_checks.py
+++ b/packages/config/src/hoistsaddle/config/item_checks.py
@@ -71,13 +71,13 @@
         return InvalidItem("The revision is out of range.", field=f"{field_prefix}.revision", remedy="Give 0 or more.")
     match item:
         case RouteItem():
-            return _check_entry(item, field_prefix)
+            return _check_route(item, field_prefix)
         case LimitsItem():
             return _check_limits(item, field_prefix)
     return None
 
 
-def _check_entry(route: RouteItem, field_prefix: str) -> MeshError | None:
+def _check_route(route: RouteItem, field_prefix: str) -> MeshError | None:
     return _check_destination(route, field_prefix) or _check_timeouts(route, field_prefix)
 
 
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -335,7 +335,7 @@
 
 
 def _entries_unchecked():
-    return mock.patch("hoistsaddle.config.item_checks._check_entry", lambda entry, where: None)
+    return mock.patch("hoistsaddle.config.item_checks._check_route", lambda entry, where: None)
 
 
 def _patches_unanswered():
