--- a/packages/raft/src/hoistsaddle/raft/__init__.py
+++ b/packages/raft/src/hoistsaddle/raft/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log: elections, replication, changes of voters, snapshots, and its disk."""
+"""The replicated log: elections, replication, voter changes, snapshots, and storage on disk."""
--- a/packages/raft/src/hoistsaddle/raft/checkpoint.py
+++ b/packages/raft/src/hoistsaddle/raft/checkpoint.py
@@ -1,6 +1,6 @@
-"""The checkpoint file: a header, the packed state, and a footer by which a torn file is recognised.
+"""The checkpoint file: a header, the packed state, and a footer that detects torn files.
 
-Its name holds the offset and the epoch, as KIP-630 names its snapshots.
+Its name contains the offset and the epoch, as those of KIP-630's snapshots do.
 """
 
 import hashlib
@@ -16,57 +16,57 @@
 from hoistsaddle.statemachine.state import State
 
 MAGIC = b"HOISTSADDLE-CHECKPOINT-1\n"
-# The magic of every release but for the form's number and the line's end.
+# The prefix common to the magic of all releases, without the format number and the line break.
 MAGIC_FAMILY = MAGIC[:-2]
-# Offset and epoch.
-_id_form = struct.Struct("!qq")
-# Length of the body and its SHA-256.
-_footer_form = struct.Struct("!Q32s")
-START_WRITER = "Start the release that wrote it."
+# The offset and the epoch.
+_id_struct = struct.Struct("!qq")
+# The length of the body and its SHA-256 digest.
+_footer_struct = struct.Struct("!Q32s")
+OTHER_RELEASE_REMEDY = "Start the release that wrote it."
 _file_name = re.compile(r"^(\d{20})-(\d+)\.checkpoint$")
 
 
 def checkpoint_file_name(checkpoint_id: OffsetAndEpoch) -> str:
-    """The name of the checkpoint's file."""
+    """The file name of a checkpoint."""
     return f"{checkpoint_id.offset:020d}-{checkpoint_id.epoch}.checkpoint"
 
 
 def parse_checkpoint_file_name(name: str) -> OffsetAndEpoch | None:
-    """The checkpoint that a file of this name holds; None for any other file."""
+    """The checkpoint that a file name stands for; None if it is no checkpoint's."""
     found = _file_name.match(name)
     return OffsetAndEpoch(int(found[1]), int(found[2])) if found else None
 
 
 def pack_checkpoint(*, checkpoint_id: OffsetAndEpoch, state: State) -> bytes:
-    """The content of a checkpoint's file."""
-    body = MAGIC + _id_form.pack(*checkpoint_id) + pack_state(state)
-    return body + _footer_form.pack(len(body), hashlib.sha256(body).digest())
+    """The content of a checkpoint file."""
+    body = MAGIC + _id_struct.pack(*checkpoint_id) + pack_state(state)
+    return body + _footer_struct.pack(len(body), hashlib.sha256(body).digest())
 
 
 def unpack_checkpoint(*, checkpoint_id: OffsetAndEpoch, data: bytes) -> Result[State, MeshError]:
-    """The state in a checkpoint's file.
+    """Verifies a checkpoint file and returns its state.
 
     Args:
-        checkpoint_id: What the file's name says that it holds.
+        checkpoint_id: The checkpoint that the file is named after.
         data: The file's content.
 
     Returns:
-        CheckpointTorn for a file that fails its check, OtherRelease for one in an unknown form.
+        CheckpointTorn for a file that fails verification, OtherRelease for one in an unknown format.
     """
     file_name = checkpoint_file_name(checkpoint_id)
-    torn: Result[State, MeshError] = Failure(CheckpointTorn(f"{file_name} fails its check."))
-    body, footer = data[: -_footer_form.size], data[-_footer_form.size :]
+    torn: Result[State, MeshError] = Failure(CheckpointTorn(f"{file_name} is damaged or incomplete."))
+    body, footer = data[: -_footer_struct.size], data[-_footer_struct.size :]
     if data.startswith(MAGIC_FAMILY) and not data.startswith(MAGIC):
-        # Not torn; setting it aside would throw away what it holds.
-        return Failure(OtherRelease(f"{file_name} was written by another release.", remedy=START_WRITER))
-    if len(footer) < _footer_form.size or not body.startswith(MAGIC):
+        # The file is intact; setting it aside would lose its data.
+        return Failure(OtherRelease(f"{file_name} was written by another release.", remedy=OTHER_RELEASE_REMEDY))
+    if len(footer) < _footer_struct.size or not body.startswith(MAGIC):
         return torn
-    length, digest = _footer_form.unpack(footer)
-    # Length first, digest second: either alone would miss some torn file.
+    length, digest = _footer_struct.unpack(footer)
+    # Checks both length and digest: either alone would miss some torn files.
     if length != len(body) or hashlib.sha256(body).digest() != digest:
         return torn
     id_start = len(MAGIC)
-    state_start = id_start + _id_form.size
-    if OffsetAndEpoch(*_id_form.unpack(body[id_start:state_start])) != checkpoint_id:
+    state_start = id_start + _id_struct.size
+    if OffsetAndEpoch(*_id_struct.unpack(body[id_start:state_start])) != checkpoint_id:
         return torn
     return Success(unpack_state(body[state_start:]))
--- a/packages/raft/src/hoistsaddle/raft/checkpoint_folder.py
+++ b/packages/raft/src/hoistsaddle/raft/checkpoint_folder.py
@@ -1,6 +1,6 @@
 """The folder of a replica's checkpoints.
 
-A checkpoint is synced under a temporary name, renamed, and then its folder is synced.
+A checkpoint is written and synced under a temporary name, then renamed, and then the folder is synced.
 """
 
 from pathlib import Path
@@ -21,13 +21,13 @@
 from hoistsaddle.raft.replica import OFFSET_OUT_OF_RANGE, SNAPSHOT_NOT_FOUND
 from hoistsaddle.statemachine.state import State
 
-# Suffixes of a checkpoint that is being written, and of one that is being fetched from the leader.
+# The suffixes of a checkpoint that is being written, and of one that is being fetched from the leader.
 WRITING_SUFFIX = ".part"
 FETCHING_SUFFIX = ".pulled"
 
 
 class Chunk(NamedTuple):
-    """A part of a checkpoint file as it is sent; error is one of KIP-630's, empty if there is none."""
+    """A chunk of a checkpoint file; error is one of those of KIP-630, empty if there is none."""
 
     error: str
     data: bytes = b""
@@ -35,33 +35,33 @@
 
 
 class CheckpointFolder:
-    """Stores, reads and drops the checkpoints of one replica."""
+    """Stores, reads and removes the checkpoints of one replica."""
 
     def __init__(self, *, folder: Path, files: Files, remarks: list[str]) -> None:
-        """Names the folder; `make` makes it.
+        """Configures the folder; `make` creates it.
 
         Args:
-            folder: Where the checkpoints are.
-            files: The calls by which the folder changes.
-            remarks: Takes a line for each damaged file that is set aside.
+            folder: The path of the checkpoint folder.
+            files: The file operations that change the folder.
+            remarks: The list to which a message is appended for each damaged file that is set aside.
         """
         self.folder = folder
         self.files = files
         self.remarks = remarks
 
     def path(self, checkpoint_id: OffsetAndEpoch, suffix: str = "") -> Path:
-        """Where the checkpoint's file is, or its unfinished form with the suffix."""
+        """The path of a checkpoint file, or of an unfinished one with the suffix."""
         return self.folder / (checkpoint_file_name(checkpoint_id) + suffix)
 
     def make(self) -> None:
-        """Makes the folder, and removes files that a former process left half-made: they would only take up space."""
+        """Creates the folder, and removes unfinished files of a former process, which would only take up space."""
         self.files.make_folder(self.folder)
         for path in sorted(self.folder.iterdir()):
             if path.suffix in (WRITING_SUFFIX, FETCHING_SUFFIX):
                 self.files.remove(path)
 
     def set_all_aside(self) -> None:
-        """Sets aside every checkpoint: of a former incarnation, beside which this one must not take a newer one."""
+        """Sets aside every checkpoint of a former incarnation, so that the new one never loads one of them."""
         former = [path for path in sorted(self.folder.iterdir()) if parse_checkpoint_file_name(path.name)]
         for path in former:
             set_aside(self.files, path)
@@ -69,10 +69,10 @@
             self.files.sync_folder(self.folder)
 
     def newest(self, *, least: int, mesh: str) -> tuple[OffsetAndEpoch, State] | None:
-        """The newest sound checkpoint of the mesh, if one is at or above the offset; damaged ones are set aside.
+        """The newest valid checkpoint of the mesh at or above the offset, if any; damaged ones are set aside.
 
         Raises:
-            DataOfOtherRelease: A checkpoint is in a form that this release doesn't know.
+            DataOfOtherRelease: A checkpoint has a format that this release doesn't know.
         """
         names = (path.name for path in self.folder.iterdir())
         for checkpoint_id in sorted(filter(None, map(parse_checkpoint_file_name, names)), reverse=True):
@@ -93,7 +93,7 @@
         return None
 
     def store(self, *, checkpoint_id: OffsetAndEpoch, state: State) -> int:
-        """Stores a checkpoint so that it lasts; returns its size in bytes."""
+        """Stores a checkpoint durably; returns its size in bytes."""
         data = pack_checkpoint(checkpoint_id=checkpoint_id, state=state)
         self._store(checkpoint_id, data)
         return len(data)
@@ -104,21 +104,21 @@
             self.files.write(temporary, data)
             self.files.sync(temporary)
         except OSError:
-            # On a full disk half a file would take the space that the log needs.
+            # On a full disk a partial file would take space that the log needs.
             self.files.remove(temporary)
             raise
         self.files.rename(temporary, self.path(checkpoint_id))
         self.files.sync_folder(self.folder)
 
     def store_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, data: bytes, last: bool) -> State | None:
-        """Puts a fetched chunk in its place; after the last one the whole file is checked, synced and named.
+        """Writes a fetched chunk at its position; after the last one the file is verified, synced and renamed.
 
         Returns:
-            The state, once the last chunk made a sound file.
+            The state after the last chunk, if the whole file is valid; None otherwise.
         """
         partial = self.path(checkpoint_id, FETCHING_SUFFIX)
         if not position:
-            # A fetch that was abandoned for a newer checkpoint leaves its chunks behind.
+            # An abandoned fetch of another checkpoint has left its chunks behind.
             for path in sorted(self.folder.glob(f"*{FETCHING_SUFFIX}")):
                 self.files.remove(path)
         self.files.write(partial, data, position=position)
@@ -134,7 +134,7 @@
                 return None
 
     def read_chunk(self, *, checkpoint_id: OffsetAndEpoch, position: int, max_bytes: int) -> Chunk:
-        """At most so many bytes of a checkpoint's file, from the position on."""
+        """Reads at most max_bytes bytes of a checkpoint file from the position on."""
         path = self.path(checkpoint_id)
         try:
             size = path.stat().st_size
--- a/packages/raft/src/hoistsaddle/raft/disk_jobs.py
+++ b/packages/raft/src/hoistsaddle/raft/disk_jobs.py
@@ -1,4 +1,4 @@
-"""The disk's jobs in order, and the one thread beside the loop that does them."""
+"""The disk's jobs, and the thread that executes them in order beside the event loop."""
 
 import queue
 import sqlite3
@@ -26,14 +26,14 @@
 )
 from hoistsaddle.rpc.messages import FetchSnapshotAnswer
 
-# A write that the disk refused is repeated after this time.
+# The delay before a failed write is retried.
 DISK_RETRY = timedelta(milliseconds=200)
-# How long the end waits for the thread's last write: part of what the hand-over leaves of the grace.
+# How long stopping waits for the thread's last write; part of the grace period that the hand-over leaves.
 STOP_TIMEOUT = timedelta(seconds=1)
 
 
 class BootstrapMesh(NamedTuple):
-    """Job: begin a mesh on this disk."""
+    """Job: bootstrap a mesh on this disk."""
 
     mesh: str
     voters: dict[int, str]
@@ -42,47 +42,47 @@
 
 
 class LeaveMesh(NamedTuple):
-    """Job: make the disk blank again, under its incarnation."""
+    """Job: make the disk blank again; its incarnation stays."""
 
 
 class MeshChanged(NamedTuple):
-    """Report: what the disk holds since it began or left a mesh; boot is None when it refused."""
+    """Report: the disk's content after it bootstrapped or left a mesh; boot is None if that failed."""
 
     boot: Boot | None
 
 
 class ChunkRead(NamedTuple):
-    """Report: the answer to the call that asked for a chunk."""
+    """Report: the answer to the call that requested a chunk."""
 
     ticket: int
     answer: FetchSnapshotAnswer
 
 
 class DiskWorker(Protocol):
-    """Does a replica's disk jobs in order, beside the loop, and reports them."""
+    """Executes a replica's disk jobs in order, beside the event loop, and reports their results."""
 
     def put(self, job: tuple) -> None:
         """Queues a job."""
         ...
 
     def stop(self) -> bool:
-        """Whether it has ended: only then may the disk be closed."""
+        """Stops the worker; returns whether it has ended, as only then the disk may be closed."""
         ...
 
 
 class DiskJobs:
-    """What each job does on the disk, and how it is reported."""
+    """Executes single jobs on the disk and creates their reports."""
 
     def __init__(self, *, disk: Disk, counters: Counters) -> None:
-        """Takes an opened disk."""
+        """Uses a disk that is open already."""
         self.disk = disk
         self.counters = counters
 
     def do_next(self, jobs: deque) -> tuple | None:
-        """Does the first job and returns its report, if it has one.
+        """Executes the first job and returns its report, if it has one.
 
         Raises:
-            OSError, sqlite3.Error: A write failed; it stays the first job, to be repeated.
+            OSError, sqlite3.Error: A write failed; it stays the first job, to be retried.
         """
         if isinstance(jobs[0], Write):
             return self._do_writes(jobs)
@@ -94,7 +94,7 @@
             return self._report_failure(job)
 
     def _do_writes(self, jobs: deque) -> Synced:
-        """Everything queued while the last sync ran goes into this one."""
+        """Executes all writes at the head of the queue in one transaction with one sync."""
         writes = []
         for job in jobs:
             if not isinstance(job, Write):
@@ -172,14 +172,14 @@
 
 
 class DiskThread:
-    """The one thread beside the loop: disks stall, and the loop must not."""
+    """Executes disk jobs in a thread, so that a stalled disk does not block the event loop."""
 
     def __init__(self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters) -> None:
         """Starts the thread.
 
         Args:
             disk: An opened disk; only the thread uses it from here on.
-            report: Takes the jobs' reports, on the thread.
+            report: Called with each job's report, on this thread.
             counters: Counts syncs, checkpoints and failures.
         """
         self.jobs = DiskJobs(disk=disk, counters=counters)
@@ -205,7 +205,7 @@
             try:
                 report = self.jobs.do_next(waiting)
             except (sqlite3.Error, OSError):
-                # A write is repeated until it lasts: the core sees the wait and steps down if it must.
+                # A write is retried until it succeeds; the core sees the delay and steps down if it is too long.
                 self.jobs.counters.add("disk.mishaps")
                 if self.stopped.wait(DISK_RETRY.total_seconds()):
                     return
@@ -214,7 +214,7 @@
                 self.report(report)
 
     def stop(self) -> bool:
-        """Ends the thread after the jobs queued so far; false if it hangs in a call of the disk."""
+        """Ends the thread after the jobs queued so far; false if a disk call in it has not returned."""
         self.stopped.set()
         self.queue.put(None)
         self.thread.join(STOP_TIMEOUT.total_seconds())
--- a/packages/raft/src/hoistsaddle/raft/errors.py
+++ b/packages/raft/src/hoistsaddle/raft/errors.py
@@ -1,4 +1,4 @@
-"""The errors of a replica's disk and of its process."""
+"""The errors of a replica's disk and process."""
 
 import errno
 
@@ -6,25 +6,25 @@
 
 
 class CheckpointTorn(TypedError):
-    """A checkpoint file whose length, digest or name doesn't fit its content."""
+    """The length, digest or name of a checkpoint file doesn't match its content."""
 
     KIND = ErrorKind.CHECKPOINT_TORN
-    REMEDY = "It is set aside; an older one or the leader's is used."
+    REMEDY = "The file is set aside; an older checkpoint or the leader's is used."
 
 
 class DataFolderUnusable(OSError):
     """The log database can't be used now: the disk is full, locked or failing. Nothing is lost; try again later."""
 
     def __init__(self, problem: Exception) -> None:
-        """Names the database's own error."""
+        """Includes the database's own error in the message."""
         super().__init__(errno.EIO, f"the log database can't be used now: {problem}")
 
 
 class DataOfOtherRelease(OSError):
-    """The data folder holds a checkpoint of another release; this one must not start on it."""
+    """The data folder contains a checkpoint of another release, so this release must not start on it."""
 
     def __init__(self, problem: MeshError) -> None:
-        """Names the error of the checkpoint."""
+        """Takes the message from the checkpoint's error."""
         super().__init__(errno.EPROTO, str(problem))
 
 
--- a/packages/raft/src/hoistsaddle/raft/log_database.py
+++ b/packages/raft/src/hoistsaddle/raft/log_database.py
@@ -1,6 +1,6 @@
-"""The log, epoch, vote and other facts of a replica, in one sqlite3 database that syncs every transaction.
+"""The log, epoch, vote and other facts of a replica, in one SQLite database that syncs every transaction.
 
-Tables and the names of facts are the form on disk: they stay as they are.
+The tables and the names of the facts are the on-disk format and must not change.
 """
 
 import sqlite3
@@ -14,14 +14,14 @@
 from hoistsaddle.rpc.messages import Record
 
 DATABASE_NAME = "ledger.sqlite3"
-# Bounds the write-ahead file, in bytes, so that the folder of a small disk doesn't grow.
+# The limit of the write-ahead file in bytes, so that it doesn't fill up a small disk.
 WRITE_AHEAD_BYTES = 4 * 1024 * 1024
-# Facts that say something of the mesh, not of the disk.
-FACTS_OF_MESH = ("mesh", "voters", "begin", "catching", "committed")
+# The facts that describe the mesh rather than the disk.
+MESH_FACTS = ("mesh", "voters", "begin", "catching", "committed")
 
 
 class Facts(NamedTuple):
-    """What the database says of its replica beside the log."""
+    """The replica's persistent facts other than the log."""
 
     incarnation: str
     epoch: int
@@ -35,20 +35,20 @@
 
 
 class LogDatabase:
-    """An open database."""
+    """The open database of a replica."""
 
     def __init__(self, connection: sqlite3.Connection) -> None:
-        """Takes a connection over; `open` makes one."""
+        """Takes over a connection; `open` creates one."""
         self.connection = connection
 
     @classmethod
     def open(cls, path: Path, *, synchronous: str, write_ahead_pages: int) -> "LogDatabase":
-        """Opens the database, and makes its tables where they are missing.
+        """Opens the database and creates missing tables.
 
         Args:
-            path: The database's file.
-            synchronous: sqlite3's setting; anything below FULL loses writes with the power.
-            write_ahead_pages: After so many pages the library moves the write-ahead file into the database.
+            path: The database file.
+            synchronous: SQLite's setting; any value below FULL may lose writes in a power loss.
+            write_ahead_pages: The number of pages at which SQLite checkpoints the write-ahead file into the database.
 
         Raises:
             sqlite3.OperationalError: The disk is full, locked or failing.
@@ -87,7 +87,7 @@
         return self._fact("incarnation")
 
     def facts(self) -> Facts:
-        """All facts, with what a new replica knows for those that are not written yet."""
+        """All facts; those not written yet have the values of a new replica."""
         vote = self._fact("vote")
         return Facts(
             incarnation=self._fact("incarnation"),
@@ -112,7 +112,7 @@
     # -- changes -----------------------------------------------------------------------------------------------------
 
     def reset(self, incarnation: str) -> None:
-        """Forgets everything and begins a new incarnation."""
+        """Deletes log and facts and begins a new incarnation."""
         self.connection.execute("BEGIN")
         self.connection.execute("DELETE FROM log")
         self.connection.execute("DELETE FROM facts")
@@ -120,36 +120,36 @@
         self.connection.execute("COMMIT")
 
     def bootstrap(self, *, mesh: str, voters: dict[int, str]) -> None:
-        """Writes the mesh and its first voters, in the place of a catch-up that a blank replica had begun."""
+        """Writes the mesh and its first voters; a catch-up that the blank replica had begun is discarded."""
         self.connection.execute("BEGIN")
         self.connection.execute("DELETE FROM log")
-        self.connection.executemany("DELETE FROM facts WHERE name = ?", [(name,) for name in FACTS_OF_MESH])
+        self.connection.executemany("DELETE FROM facts WHERE name = ?", [(name,) for name in MESH_FACTS])
         self._set_fact("mesh", mesh)
         self._set_fact("voters", sorted(voters.items()))
         self.connection.execute("COMMIT")
 
     def record_first_start(self, seeds: tuple[int, ...]) -> None:
-        """Notes that this incarnation was there at the first start of all, with the seeds of that start."""
+        """Records that this incarnation took part in the mesh's first start, with the seeds of that start."""
         self.connection.execute("BEGIN")
         self._set_fact("first_seeds", seeds)
         self.connection.execute("COMMIT")
 
     def leave(self) -> None:
-        """Drops the mesh with its voters and its log; epoch, vote and incarnation stay."""
+        """Deletes the facts about the mesh and the log; epoch, vote and incarnation stay."""
         self.connection.execute("BEGIN")
         self.connection.execute("DELETE FROM log")
-        self.connection.executemany("DELETE FROM facts WHERE name = ?", [(name,) for name in FACTS_OF_MESH])
+        self.connection.executemany("DELETE FROM facts WHERE name = ?", [(name,) for name in MESH_FACTS])
         self.connection.execute("COMMIT")
 
     def clear_log(self, begin: OffsetAndEpoch) -> None:
-        """Drops all records and begins the log at the position."""
+        """Deletes all records and begins the log after the position."""
         self.connection.execute("BEGIN")
         self.connection.execute("DELETE FROM log")
         self._set_fact("begin", begin)
         self.connection.execute("COMMIT")
 
     def write(self, writes: list[Write]) -> None:
-        """Carries the writes out in one transaction, so with one sync.
+        """Executes the writes in one transaction, so with one sync.
 
         Raises:
             sqlite3.Error: The transaction failed; nothing of it is in the database.
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -110,7 +110,7 @@
         def former_rule(*, begin, records, checkpoint_id) -> bool:
             return checkpoint_id.offset <= (records[-1].offset if records else begin.offset)
 
-        with mock.patch.object(disk, "_continues", former_rule):
+        with mock.patch.object(disk, "_log_matches_checkpoint", former_rule):
             findings = self.play(SCENARIOS["catching up"], max_broken=FEW)
         self.assertThat(self.found(findings), Contains("a log that parts from its checkpoint"))
 
@@ -214,5 +214,5 @@
             again = disk.Disk(folder=folder, replica=1)
             again.boot()
             again.close()
-        self.assertThat(len(list(folder.glob("*.aside-*"))), Equals(files.MOST_ASIDE))
+        self.assertThat(len(list(folder.glob("*.aside-*"))), Equals(files.MAX_SET_ASIDE))
         self.assertThat(list((folder / "checkpoints").iterdir()), Equals([]))
