--- a/packages/raft/src/hoistsaddle/raft/applying.py
+++ b/packages/raft/src/hoistsaddle/raft/applying.py
@@ -1,4 +1,4 @@
-"""Applies committed records to the state, announces what they changed, and captures checkpoints."""
+"""Applies committed records to the state, announces the changes, and captures checkpoints."""
 
 from typing import TYPE_CHECKING
 
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
 
-# An expired key's scope is a digest; operators see so many characters of it.
+# An expired key's scope is a digest, shortened to so many characters in events for operators.
 SHOWN_SCOPE_CHARACTERS = 12
 
 
 class Applying:
-    """Brings the state up to the high watermark."""
+    """Applies the log to the state up to the high watermark."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Begins without a checkpoint under way."""
+        """Begins without a checkpoint being stored."""
         self.core = core
         # The checkpoint that the disk is storing.
         self.capturing: OffsetAndEpoch | None = None
@@ -46,7 +46,8 @@
             self._announce_changes(before, outcome)
             if core.pending_voter_changes and core.pending_voter_changes[0].offset <= record.offset:
                 self._announce_voter_change(core.pending_voter_changes.pop(0).change)
-                # A start that doesn't know it to be committed would ask the set before it too, whose disks may be gone.
+                # Stores the high watermark: a restart that doesn't know the change to be committed would also require a
+                # majority of the previous set, whose disks may be gone.
                 core.persist()
             core.replication.record_applied(record.offset, outcome)
         self._capture_if_due()
@@ -55,7 +56,7 @@
         core = self.core
         latest = core.checkpoint.offset if core.checkpoint else 0
         if self.capturing is None and core.complete and core.state.offset - latest > core.timings.checkpoint_records:
-            # The state is immutable, so keeping this reference is the whole capture; records go on applying.
+            # The state is immutable, so a reference captures it while further records are applied.
             self.capturing = OffsetAndEpoch(core.state.offset, core.state.epoch)
             core.commands.append(Capture(self.capturing, core.state))
 
--- a/packages/raft/src/hoistsaddle/raft/contact.py
+++ b/packages/raft/src/hoistsaddle/raft/contact.py
@@ -1,7 +1,8 @@
-"""Since when a leader knows that a majority follows it, dated by when it asked and never by when it was answered.
+"""The time of a leader's last contact with a majority, measured from when rounds began, not from when fetches arrived.
 
-Fetches wait in sockets while a leader is frozen and arrive as if they were young. Each carries the newest round that
-its sender had heard of, and the leader remembers when it began each round: so a fetch proves no more than it can.
+While a leader is frozen, fetches wait in its sockets and appear recent when they are read. So each fetch carries the
+newest round that its sender has seen, and the leader remembers when each round began: a fetch proves contact as of that
+time only.
 """
 
 from collections import deque
@@ -9,14 +10,15 @@
 
 from hoistsaddle.raft.voters import ReplicaKey
 
-# Rounds begin every begin_epoch_interval at most and with each read; fetches older than so many rounds prove nothing.
+# Rounds begin with answers to fetches, a quarter of fetch_max_wait apart at least, and with each read; a fetch older
+# than so many rounds proves nothing.
 ROUNDS_KEPT = 4096
-# The age of a state that isn't known to have been the newest at any time.
-NEVER = timedelta(days=3650)
+# The age of a state that isn't known to have been current at any time.
+UNBOUNDED_AGE = timedelta(days=3650)
 
 
 class Rounds:
-    """A leader's rounds in one epoch, and when each began."""
+    """A leader's rounds in one epoch, and the time at which each began."""
 
     def __init__(self, *, now: timedelta) -> None:
         """Begins round zero."""
@@ -34,7 +36,7 @@
         return self._began[-1]
 
     def began(self, number: int) -> timedelta | None:
-        """When that round began; None for one that is forgotten by now, or never was."""
+        """When that round began; None for a round that is too old to be remembered or never began."""
         index = len(self._began) - 1 - (self.newest - number)
         return self._began[index] if 0 <= index < len(self._began) else None
 
@@ -42,24 +44,24 @@
 def majority_contact(
     *,
     voter_sets: list[dict[int, str]],
-    me: ReplicaKey,
+    leader: ReplicaKey,
     now: timedelta,
-    heard: dict[ReplicaKey, timedelta | None],
+    last_contact: dict[ReplicaKey, timedelta | None],
 ) -> timedelta | None:
-    """The newest time after which a majority of every voter set still followed.
+    """The latest time at which a majority of every voter set is known to have followed the leader.
 
     Args:
-        voter_sets: The sets of voters in force, each from replica to incarnation.
-        me: The leader, which always follows itself.
-        now: The present time.
-        heard: When each replica is known to have followed last.
+        voter_sets: The voter sets in force, each a map from replica to incarnation.
+        leader: The leader's own key; it counts as following itself at all times.
+        now: The current time.
+        last_contact: When each replica is known to have followed last.
 
     Returns:
         None if no majority is known to have followed at any time.
     """
     oldest = now
     for voters in voter_sets:
-        timestamps = [now if voter == me else heard.get(voter) for voter in voters.items()]
+        timestamps = [now if voter == leader else last_contact.get(voter) for voter in voters.items()]
         known = sorted((timestamp for timestamp in timestamps if timestamp is not None), reverse=True)
         needed = len(voters) // 2 + 1
         if not voters or len(known) < needed:
--- a/packages/raft/src/hoistsaddle/raft/core.py
+++ b/packages/raft/src/hoistsaddle/raft/core.py
@@ -1,8 +1,8 @@
 """One replica of the log: Raft by fetch, checkpoints after KIP-630, mesh time, voters by disk incarnation.
 
-The core is given events and the present time, and returns commands; it does no I/O. docs/kip-630.md says which rule
-comes from where. Here events are handed to the parts, each an object with the state of its own job; the state that they
-share is in replica.py.
+The core takes events and the current time and returns commands; it does no I/O. docs/kip-630.md gives the source of
+each rule. RaftCore dispatches every event to the component responsible for it. Each component keeps its own state; the
+state that they share is in replica.py.
 """
 
 import random
@@ -68,12 +68,12 @@
     "RaftCore",
 ]
 
-# A resignation because of the disk waits for no write.
-WITHOUT_SYNC = 0
+# The sequence number of a message that need not wait for any write: a resignation because of a stalled disk.
+NO_WRITE_TO_AWAIT = 0
 
 
 class RaftCore(Replica):
-    """The parts joined: hands each event to the part whose job it is."""
+    """Combines the components of a replica and dispatches each event to the component that handles it."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         level: int = LEVEL,
         wanted_voters: int = 0,
     ) -> None:
-        """Takes up what the disk held; the arguments are Replica's."""
+        """Restores the replica from its disk; the arguments are those of Replica."""
         super().__init__(
             boot=boot,
             replicas=replicas,
@@ -108,11 +108,11 @@
         self.check_level()
 
     def handle(self, event: tuple, *, now: timedelta) -> list[tuple]:
-        """Takes one event and returns the commands that follow from it, in order.
+        """Handles one event and returns the resulting commands, in order.
 
         Args:
             event: One of the events of events.py.
-            now: The present time of the process's monotonic clock.
+            now: The current time of the process's monotonic clock.
         """
         self.now = max(now, self.now)
         self.commands = []
@@ -184,48 +184,48 @@
             self._tick_as_leader()
             return
         self.log_fetcher.tick()
-        if self.now < self.elections.election_at:
+        if self.now < self.elections.election_deadline:
             return
         if self.elections.is_electable():
-            # A pre-vote first: a replica that was merely cut off must not raise everyone's epoch.
+            # Starts with a pre-vote: a replica that was only partitioned must not raise the epoch of the others.
             self.elections.campaign(pre_vote=True)
         else:
             self.leader = UNSET
-            self.elections.postpone()
+            self.elections.reset_election_timer()
 
     def _tick_as_leader(self) -> None:
         if self.disk_delay() > self.timings.disk_stall_timeout:
             self._step_down_for_disk()
             return
-        # No majority fetching means no majority following: the leader says so by stepping down.
+        # Without fetches from a majority the leader has lost its followers, so it steps down.
         fetching = {
             key
             for key, progress in self.replication.progress.items()
-            if self.now - progress.heard_at < self.timings.quorum_timeout
+            if self.now - progress.last_fetch_at < self.timings.quorum_timeout
         }
-        long_enough = self.now - self.replication.leader_since > self.timings.quorum_timeout
-        if long_enough and not self.is_majority(fetching | {self.key}):
+        past_quorum_timeout = self.now - self.replication.leader_since > self.timings.quorum_timeout
+        if past_quorum_timeout and not self.is_majority(fetching | {self.key}):
             self.announce("majority lost", heard=sorted(replica for replica, _ in fetching))
             self.elections.step_down(self.epoch, UNSET)
             return
         self.reads.note_current(self.reads.contact())
         if self.now - self.replication.begin_epoch_sent_at >= self.timings.begin_epoch_interval:
-            self.elections.call_to_follow(everyone=False)
+            self.elections.send_begin_epoch(include_fetching=False)
         self.replication.answer_pending_fetches()
         self.snapshot_server.raise_begin_offset()
         self.voter_changes.review()
         self._log_time()
 
     def _step_down_for_disk(self) -> None:
-        """The disk doesn't write: others are to lead, and hear so without waiting for it."""
+        """Resigns because the disk is stalled; the resignation is sent without waiting for the disk."""
         self.announce("disk stalled", since=str(self.disk_delay()))
         for replica in self.others():
             self.number += 1
-            self.commands.append(Send(self.number, replica, EndEpochCall(self.epoch, self.replica), WITHOUT_SYNC))
+            self.commands.append(Send(self.number, replica, EndEpochCall(self.epoch, self.replica), NO_WRITE_TO_AWAIT))
         self.elections.step_down(self.epoch, UNSET)
 
     def _log_time(self) -> None:
-        """Time must go on for keys that are held to expire even when nothing else is written."""
+        """Logs a tick while keys are held and nothing else is written, so that mesh time advances and keys expire."""
         if (
             self.state.holds
             and self.now - self.appended_at >= self.timings.tick_record_interval
@@ -233,7 +233,7 @@
         ):
             self.append((self.replication.new_record(pack_command(Tick(self.replica))),))
 
-    # -- the end of taking part --------------------------------------------------------------------------------------
+    # -- halting -----------------------------------------------------------------------------------------------------
 
     def check_level(self) -> None:
         """Halts if the log is past the release level that this replica supports."""
@@ -241,7 +241,7 @@
             self.halt(f"the log is at release level {self.state.level}, this release supports {self.level}")
 
     def halt(self, why: str) -> None:
-        """Stops taking part: going on without a record would let this replica differ from the others."""
+        """Stops taking part: skipping a record would make this replica's state diverge from the others."""
         self.halted = why
         if self.role == LEADER:
             self.elections.resign()
--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -1,4 +1,4 @@
-"""Elections: who leads, who follows whom, pre-votes before votes, and stepping down."""
+"""Elections: pre-votes, votes, following a leader, and stepping down."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
@@ -22,56 +22,57 @@
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
 
-# Parts of an election time-out that a follower still waits: once the leader's process is gone, once the leader resigned
-# and named nobody, and once it resigned and named another replica. Some spread keeps followers from standing at once.
+# The fraction of an election timeout that a follower still waits before it becomes a candidate: after the leader's
+# process has gone, after the leader resigned without naming a successor, and after it resigned and named another
+# replica. The timeout is random, which keeps followers from becoming candidates at the same time.
 REFUSED_FRACTION = 0.2
 RESIGNED_FRACTION = 0.15
 SUCCESSOR_NAMED_FRACTION = 0.5
-# The part of an election time-out by which candidates spread their further attempts.
+# The fraction of an election timeout that is added to the interval between the attempts of a candidate.
 VOTE_RETRY_FRACTION = 0.5
-# A write that has waited for this part of the disk's time-out keeps a replica from standing.
+# A replica whose oldest write has waited for the disk stall timeout divided by this does not become a candidate.
 ELECTABLE_STALL_DIVISOR = 3
 
 
 class Elections:
-    """Who leads and who follows, seen from one replica."""
+    """The election state of one replica: as a follower, as a candidate and as a leader."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Draws the first election time-out."""
+        """Draws the first election timeout."""
         self.core = core
-        # After a start nobody is known to lead. Should somebody, its call comes first, and the voters that hear it
-        # refuse the pre-vote; if nobody does, all were down and every millisecond counts.
-        self.election_at = core.now + self.random_timeout() * core.timings.startup_election_fraction
-        # When the leader was heard last; None while no leader is heard.
+        # No leader is known after a start. If there is one, its call arrives first, and the voters that follow it
+        # refuse the pre-vote. If there is none, all replicas were down, and this timeout adds to the recovery time.
+        self.election_deadline = core.now + self.random_timeout() * core.timings.startup_election_fraction
+        # When the leader last answered; None while no leader answers.
         self.leader_heard_at: timedelta | None = None
-        # Whether the candidacy under way is a pre-vote, and who granted it.
+        # Whether the current candidacy is a pre-vote, and the replicas that granted it.
         self.pre_vote = False
         self.granted: set[ReplicaKey] = set()
 
     def random_timeout(self) -> timedelta:
-        """An election time-out drawn anew."""
+        """Draws an election timeout."""
         timings = self.core.timings
         spread = timings.election_timeout_max - timings.election_timeout_min
         return timings.election_timeout_min + spread * self.core.random.random()
 
-    def postpone(self) -> None:
-        """Starts the election time-out anew."""
-        self.election_at = self.core.now + self.random_timeout()
+    def reset_election_timer(self) -> None:
+        """Restarts the election timer with a new timeout."""
+        self.election_deadline = self.core.now + self.random_timeout()
 
     def connection_refused(self, replica: int) -> None:
-        """The leader's process is gone: no need to wait until its time-out has passed."""
+        """Shortens the election timeout if the replica is the leader: its process has gone."""
         core = self.core
         if replica != core.leader or core.role == LEADER:
             return
         self.leader_heard_at = None
         core.log_fetcher.fetch_sent_at = None
-        # A leader that is back by then answers the fetches.
-        self.election_at = min(self.election_at, core.now + self.random_timeout() * REFUSED_FRACTION)
+        # A leader that restarts within this time answers the fetches.
+        self.election_deadline = min(self.election_deadline, core.now + self.random_timeout() * REFUSED_FRACTION)
 
     # -- following and stepping down ---------------------------------------------------------------------------------
 
     def step_down(self, epoch: int, leader: int) -> None:
-        """Becomes a follower, of a newer epoch or of the present one; leader is UNSET while it is not known."""
+        """Becomes a follower in a newer epoch or in the current one; leader is UNSET while it is not known."""
         core = self.core
         former_role = core.role
         if epoch > core.epoch:
@@ -79,21 +80,21 @@
             core.vote = None
             core.persist()
         if former_role == LEADER:
-            self._close_leadership(leader)
+            self._close_term(leader)
             core.announce("leader stepped down", leader=leader)
         core.role = FOLLOWER
         core.replication.level_being_raised = 1
         core.leader = leader
         self.leader_heard_at = None
-        self.postpone()
+        self.reset_election_timer()
         self.granted = set()
 
-    def _close_leadership(self, leader: int) -> None:
-        """Answers everything that waits for this leader, and forgets it."""
+    def _close_term(self, leader: int) -> None:
+        """Answers all pending requests of this leader's term and clears the term's state."""
         core = self.core
         replication = core.replication
         for ticket in list(replication.proposals):
-            # The records may still commit under the next leader, so the true answer is "unsure".
+            # The records may still commit under the next leader, so the outcome is not known.
             core.commands.append(ProposalResult(ticket, str(ErrorKind.UNSURE), leader, UNSET, ()))
         for read in core.reads.pending:
             core.commands.append(ReadResult(read.ticket, str(ErrorKind.NOT_LEADER), leader, None))
@@ -112,43 +113,51 @@
             return
         self.step_down(epoch, leader)
         core.log_fetcher.newest_round = 0
-        # Hearing of a leader gives it time to answer the first fetch.
+        # The restarted election timer gives the new leader time to answer the first fetch.
         core.announce("following", leader=leader)
-        # The checkpoint being fetched was the old leader's. What is held here stayed complete, so the new one is asked
-        # for the log after it; where that is gone, or nothing is held, it says where to begin.
+        # The checkpoint being fetched was the old leader's. The log and state of this replica are still complete, so it
+        # fetches the log after them from the new leader. If that part of the log has been trimmed, or this replica has
+        # no state, the new leader answers with a checkpoint.
         core.snapshot_fetcher.abandon("")
         core.log_fetcher.fetch()
 
     def begin_epoch_call(self, ticket: int, call: BeginEpochCall) -> None:
-        """A leader says that it leads."""
+        """Handles the announcement of a leader."""
         core = self.core
-        # A leader of another mesh is no leader here; a blank disk takes the first that calls.
+        # Ignores the leader of another mesh; a replica with a blank disk accepts the first leader that calls.
         if (not core.mesh or call.mesh == core.mesh) and call.epoch >= core.epoch and call.leader != core.replica:
             self.follow(call.epoch, call.leader)
         core.answer(ticket, EpochAcknowledged(core.epoch))
 
     def end_epoch_call(self, ticket: int, call: EndEpochCall) -> None:
-        """A leader says that it resigns."""
+        """Handles the resignation of a leader."""
         self._leader_resigned(call)
         self.core.answer(ticket, EpochAcknowledged(self.core.epoch))
 
     def epoch_acknowledged(self, answer: EpochAcknowledged) -> None:
-        """A replica's answer to the call of a leader."""
-        # A higher epoch elsewhere means this leadership is over or can't reach that replica: stand again.
+        """Handles a replica's answer to a leader's call."""
+        # A higher epoch means that this leader has been superseded, or that the replica can't follow it in this epoch.
         if answer.epoch > self.core.epoch:
             self.step_down(answer.epoch, UNSET)
 
     def resign(self, *, successor: int = UNSET) -> None:
-        """Gives up the lead and tells the others, with the replica that is to stand at once if there is one."""
+        """Resigns as leader and informs the other replicas.
+
+        Args:
+            successor: The replica that is to become a candidate at once; UNSET for none.
+        """
         core = self.core
         for replica in core.others():
             core.send(replica, EndEpochCall(core.epoch, core.replica, successor))
         self.step_down(core.epoch, UNSET)
 
     def _leader_resigned(self, call: EndEpochCall) -> None:
-        """The leader goes. Whom it names stands at once; the others wait, shorter if it names nobody."""
+        """Becomes a candidate at once if this replica is the named successor; otherwise shortens the election timeout.
+
+        The timeout is shorter still if the leader named no successor.
+        """
         core = self.core
-        # Its answer to the last fetch may have come first and said that it no longer leads.
+        # The leader may be unknown here already: its answer to the last fetch may have come first and reported this.
         if call.epoch != core.epoch or core.leader not in (call.leader, UNSET):
             return
         core.leader = UNSET
@@ -158,23 +167,23 @@
             self.campaign(pre_vote=False, leadership_transfer=True)
             return
         fraction = RESIGNED_FRACTION if call.successor == UNSET else SUCCESSOR_NAMED_FRACTION
-        self.election_at = core.now + self.random_timeout() * fraction
+        self.election_deadline = core.now + self.random_timeout() * fraction
 
     # -- candidacy ---------------------------------------------------------------------------------------------------
 
     def is_electable(self) -> bool:
-        """Whether this replica may stand."""
+        """Whether this replica may become a candidate."""
         core = self.core
-        # A disk that can't write now couldn't lead either.
+        # A replica whose disk is stalled could not commit anything as leader.
         stalled = core.disk_delay() > core.timings.disk_stall_timeout / ELECTABLE_STALL_DIVISOR
         return core.complete and core.is_voter() and not core.leaving.stopping and not stalled and not core.halted
 
     def campaign(self, *, pre_vote: bool, leadership_transfer: bool = False) -> None:
-        """Asks all replicas for their votes, or for a pre-vote that raises nobody's epoch.
+        """Requests votes from all replicas, or pre-votes, which leave every epoch as it is.
 
         Args:
-            pre_vote: Whether the replicas only say how they would vote.
-            leadership_transfer: Whether the leader named this replica for its place.
+            pre_vote: Whether to request pre-votes: each replica only answers how it would vote.
+            leadership_transfer: Whether the leader named this replica as its successor.
         """
         core = self.core
         core.role = CANDIDATE
@@ -185,7 +194,9 @@
             core.vote = core.key
             core.persist()
         self.granted = {core.key}
-        self.election_at = core.now + core.timings.vote_retry_interval + self.random_timeout() * VOTE_RETRY_FRACTION
+        self.election_deadline = (
+            core.now + core.timings.vote_retry_interval + self.random_timeout() * VOTE_RETRY_FRACTION
+        )
         position = core.vote_position
         call = VoteCall(
             core.mesh,
@@ -203,26 +214,26 @@
         self.count_votes()
 
     def vote_call(self, ticket: int, call: VoteCall) -> None:
-        """Answers a candidate, after its vote is on the disk."""
-        granted = self._grants(call)
+        """Answers a candidate once the vote is on the disk."""
+        granted = self._grants_vote(call)
         core = self.core
         core.answer(ticket, VoteAnswer(core.epoch, core.replica, core.incarnation, granted, call.pre_vote, call.epoch))
 
-    def _grants(self, call: VoteCall) -> bool:
-        """Whether the candidate gets this replica's vote or pre-vote; a vote that is given is written."""
+    def _grants_vote(self, call: VoteCall) -> bool:
+        """Whether this replica grants its vote or pre-vote; a granted vote is written to the disk."""
         core = self.core
-        # A blank or foreign disk never votes: it can't know what its predecessor promised.
-        # A complete replica that its own log doesn't show as a voter may be one by a record that it hasn't fetched yet;
-        # its vote is kept on its disk and counts in those sets alone that name this disk.
+        # A blank disk, or one of another mesh, never votes: it can't know which votes its predecessor granted.
+        # A complete replica that is no voter according to its own log may be one by a record that it hasn't fetched
+        # yet. Its vote is kept on its disk and counts only in the voter sets that contain its incarnation.
         if (
             not (core.is_voter() or core.complete)
             or call.mesh != core.mesh
-            or self._hears_leader(call)
+            or self._has_live_leader(call)
             or call.epoch < core.epoch
             or core.halted
         ):
             return False
-        # A leader must be able to apply whatever the log may hold.
+        # A leader must be able to apply every record that the log may contain.
         if call.level < core.state.level:
             return False
         position = core.vote_position
@@ -237,13 +248,13 @@
         if core.vote is None:
             core.vote = candidate
             core.persist()
-        self.postpone()
+        self.reset_election_timer()
         return True
 
-    def _hears_leader(self, call: VoteCall) -> bool:
-        """While a leader answers, a vote request from elsewhere would only disturb it, unless the leader asked for it.
+    def _has_live_leader(self, call: VoteCall) -> bool:
+        """Whether a leader is alive, so that a vote request would only disrupt it unless it transfers its leadership.
 
-        What KIP-996 and Raft's thesis call the leader's stickiness.
+        KIP-996 and the Raft thesis call this leader stickiness.
         """
         core = self.core
         if call.leadership_transfer:
@@ -253,7 +264,7 @@
         return self.leader_heard_at is not None and core.now - self.leader_heard_at < core.timings.election_timeout_min
 
     def vote_answer(self, answer: VoteAnswer) -> None:
-        """A replica's answer to this candidate."""
+        """Handles a replica's answer to this candidate."""
         core = self.core
         if answer.epoch > core.epoch:
             self.step_down(answer.epoch, UNSET)
@@ -269,7 +280,7 @@
             self.count_votes()
 
     def count_votes(self) -> None:
-        """Goes on once a majority granted: from the pre-vote to the vote, from the vote to leading."""
+        """Once a majority has granted: proceeds from the pre-vote to the vote, or from the vote to leadership."""
         core = self.core
         if not core.is_majority(self.granted):
             return
@@ -285,18 +296,18 @@
         core.replication.begin_leading()
         core.announce("leading", offset=core.replication.epoch_began)
         core.append((core.replication.new_record(pack_command(LeaderChange(core.replica))),))
-        self.call_to_follow(everyone=True)
+        self.send_begin_epoch(include_fetching=True)
         core.replication.advance()
 
-    def call_to_follow(self, *, everyone: bool) -> None:
-        """Leader: tells the others that it leads, those that fetch only if everyone is to hear it."""
+    def send_begin_epoch(self, *, include_fetching: bool) -> None:
+        """Leader: announces itself to the other replicas; include_fetching adds those that are fetching from it."""
         core = self.core
         core.replication.begin_epoch_sent_at = core.now
         fetching = {
             replica
             for (replica, _), progress in core.replication.progress.items()
-            if core.now - progress.heard_at < core.timings.fetch_timeout
+            if core.now - progress.last_fetch_at < core.timings.fetch_timeout
         }
         for replica in core.others():
-            if everyone or replica not in fetching:
+            if include_fetching or replica not in fetching:
                 core.send(replica, BeginEpochCall(core.mesh, core.epoch, core.replica))
--- a/packages/raft/src/hoistsaddle/raft/events.py
+++ b/packages/raft/src/hoistsaddle/raft/events.py
@@ -1,4 +1,4 @@
-"""Events that reach the Raft core, commands that it gives back, and its timings. The core itself does no I/O."""
+"""The events that the Raft core handles, the commands that it returns, and its timings. The core does no I/O."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -32,9 +32,9 @@
     records: tuple[Record, ...] = ()
     checkpoint: OffsetAndEpoch | None = None
     state: State | None = None
-    # Up to here the log was known to be committed when it was last written.
+    # The highest offset known to be committed when the disk was last written.
     committed: int = 0
-    # The seeds of the first start of all, if this incarnation of the disk was there.
+    # The seeds of the mesh's first start, if this incarnation of the disk took part in it.
     first_seeds: tuple[int, ...] = ()
 
 
@@ -42,14 +42,14 @@
 
 
 class CallArrived(NamedTuple):
-    """Another replica's call; the answer names the ticket."""
+    """Another replica's call; the ticket identifies the answer."""
 
     ticket: int
     message: tuple
 
 
 class AnswerArrived(NamedTuple):
-    """A replica's answer to the call that was sent under the number."""
+    """A replica's answer to the call with the number."""
 
     number: int
     replica: int
@@ -57,23 +57,23 @@
 
 
 class CallRefused(NamedTuple):
-    """A replica's address takes no connections: its process is gone, unlike one that only gives no answer."""
+    """A replica's address refuses connections: its process has gone, unlike one that merely doesn't answer."""
 
     replica: int
 
 
 class Ticked(NamedTuple):
-    """Time went on; comes every few milliseconds."""
+    """The timer fired; arrives every few milliseconds."""
 
 
 class Synced(NamedTuple):
-    """Every write up to the sequence number lasts on the disk."""
+    """Every write up to the sequence number is durable."""
 
     sequence: int
 
 
 class RaiseArrived(NamedTuple):
-    """A request to raise the release level, from a process that knows that all nodes support it."""
+    """A request to raise the release level, from a process that has checked that all nodes support it."""
 
     ticket: int
     level: int
@@ -93,7 +93,7 @@
 
 
 class CheckpointLoaded(NamedTuple):
-    """A checkpoint that was fetched completely; state is None when its check failed."""
+    """A checkpoint has been fetched completely; state is None if its verification failed."""
 
     checkpoint_id: OffsetAndEpoch
     state: State | None
@@ -115,7 +115,8 @@
 class StopRequested(NamedTuple):
     """The process is to stop.
 
-    Within the span the replica hands over what would otherwise hang on it alone; then it ends regardless.
+    Within the span the replica makes sure that all committed records are on a majority without it; then it ends in any
+    case.
     """
 
     span: timedelta = timedelta()
@@ -190,7 +191,7 @@
 
 
 class ProposalResult(NamedTuple):
-    """What became of a proposal; error is the kind of the error, empty if its records were committed."""
+    """The result of a proposal; error is the kind of the error, empty if its records were committed."""
 
     ticket: int
     error: str
@@ -200,7 +201,7 @@
 
 
 class ReadResult(NamedTuple):
-    """A confirmed state, or the kind of the error."""
+    """The result of a confirmed read: the state, or the kind of the error."""
 
     ticket: int
     error: str
@@ -209,7 +210,7 @@
 
 
 class Ended(NamedTuple):
-    """Nothing keeps the process any longer; why says whether all was handed over."""
+    """The replica has ended and the process may exit; why gives the reason."""
 
     why: str
 
@@ -222,58 +223,59 @@
 
 
 class RaftTimings(NamedTuple):
-    """Time-outs, intervals and batch sizes of a replica; docs/measurements.md says how the defaults were measured."""
+    """Timeouts, intervals and batch sizes of a replica; docs/measurements.md says how the defaults were measured."""
 
-    # How long a leader holds a fetch that it has no records for (Kafka's fetch.max.wait.ms).
+    # How long a leader keeps a fetch pending while it has no records for it (Kafka's fetch.max.wait.ms).
     fetch_max_wait: timedelta = timedelta(milliseconds=100)
-    # How long new records wait for each other before they go to a replica without a vote: nothing commits by its
-    # fetches, and each costs the leader as much as a voter's.
+    # How long new records are batched before they are sent to an observer: its fetches commit nothing, but each costs
+    # the leader as much as a voter's.
     observer_batch_delay: timedelta = timedelta(milliseconds=40)
-    # The least time between two answers with records to one voter: under load records then go in batches, and the first
-    # after a pause still goes at once.
+    # The minimum time between two answers with records to one voter. Under load it batches records; the first record
+    # after a pause is still sent at once.
     voter_batch_interval: timedelta = timedelta()
     # A fetch that got no answer for this long is sent again.
     fetch_timeout: timedelta = timedelta(milliseconds=350)
-    # An election time-out is drawn anew between the two each time.
+    # Each election timeout is drawn at random between these two.
     election_timeout_min: timedelta = timedelta(milliseconds=500)
     election_timeout_max: timedelta = timedelta(milliseconds=850)
-    # The part of an election time-out that a replica waits for a leader after its own start.
+    # The fraction of an election timeout that a replica waits for a leader after it has started.
     startup_election_fraction: float = 1.0
-    # How long a candidate waits for a majority, beside a part of an election time-out.
+    # How long a candidate waits for a majority before it retries, plus a fraction of an election timeout.
     vote_retry_interval: timedelta = timedelta(milliseconds=250)
     # A leader that no majority has fetched from for this long steps down.
     quorum_timeout: timedelta = timedelta(milliseconds=1000)
-    # How often a leader tells the replicas that don't fetch from it that it leads.
+    # How often a leader announces itself to the replicas that don't fetch from it.
     begin_epoch_interval: timedelta = timedelta(milliseconds=150)
     # A replica that fetched within this time counts as alive.
     liveness_timeout: timedelta = timedelta(seconds=3)
     # How long the log is kept for live replicas that have not fetched it yet.
     lag_wait: timedelta = timedelta(seconds=10)
-    # A leader whose oldest write has waited this long for its sync steps down.
+    # A leader whose oldest unsynced write has waited this long steps down.
     disk_stall_timeout: timedelta = timedelta(seconds=1)
     # How often a leader logs the time while keys are held and nothing else is written.
     tick_record_interval: timedelta = timedelta(seconds=1)
-    # A checkpoint is captured after so many records.
+    # The number of applied records after which a checkpoint is captured.
     checkpoint_records: int = 2000
-    # How often a replica that no leader knows of asks for one.
+    # How often a replica that is unknown to the leader looks for one.
     leader_discovery_interval: timedelta = timedelta(milliseconds=300)
-    # How long a voter must be silent to be replaced: replacement_timeout_for the defaults of the settings.
+    # How long a voter must be silent before it is replaced: replacement_timeout_for() of the default settings.
     replacement_timeout: timedelta = timedelta(seconds=1)
     # The size of a chunk of a fetched checkpoint, in bytes.
     chunk_bytes: int = 65536
-    # The most records in one answer to a fetch.
+    # The maximum number of records in one answer to a fetch.
     fetch_records: int = 500
-    # An answer larger than this would take longer than a fetch waits, on a slow link shared with other traffic.
+    # The maximum bytes of records in one answer: on a slow link shared with other traffic, sending more would exceed
+    # the fetch timeout.
     fetch_bytes: int = 256 * 1024
 
 
 def replacement_timeout_for(*, settle: timedelta, losses: int) -> timedelta:
     """How long a voter must be silent before a ready successor takes its place.
 
-    From the successor's readiness to its counted vote no more than half of the settling time may go by, also when as
-    many voters as may be lost fall silent at once: they are replaced one after the other, each change in a part of
-    that half, and the silence that must come first is one part more. Below two fetches that got no answer a voter that
-    is merely busy would look lost.
+    A ready successor must become a voter within half of the settle time, even if the maximum number of voters is lost
+    at once. They are replaced one after the other, so that half is divided into one part for each change and one part
+    for the preceding silence. The result is at least two fetch timeouts, because a voter that is merely busy would look
+    lost otherwise.
 
     Args:
         settle: The time within which the mesh must have recovered from losses.
--- a/packages/raft/src/hoistsaddle/raft/leaving.py
+++ b/packages/raft/src/hoistsaddle/raft/leaving.py
@@ -1,9 +1,9 @@
-"""Graceful shutdown: a replica whose process is to stop hands over what would hang on fewer disks without it.
+"""Graceful shutdown: before a replica stops, all committed records must be on a majority of voters without it.
 
-A leader gives its own vote to a ready successor by the log, if there is one, concludes what is under way, takes no
-more, and calls the most caught-up voter to stand at once. Then, like any follower, it goes on fetching and says that it
-leaves, until the leader has seen every live voter hold what is committed and has given its vote to a ready successor,
-if there is one. All of this ends at the bound the settings give.
+A stopping leader first replaces itself as a voter by a ready successor through the log, if there is one. It then stops
+accepting proposals, completes the pending ones and transfers its leadership to the most caught-up voter. From then on,
+like any stopping follower, it keeps fetching with the leaving flag set, until every live voter has all committed
+records and its vote has passed to a ready successor, if there is one. All of this ends at the configured deadline.
 """
 
 from datetime import timedelta
@@ -18,75 +18,76 @@
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
 
-# The part of the time to stop in which a leader waits for a successor that still catches up.
+# A leader waits for a successor that is still catching up for the time given to stop divided by this.
 CATCH_UP_DIVISOR = 2
-# For so many of a fetch's waits the others may not have heard that the leader's vote is gone.
-VOTE_GONE_FETCH_WAITS = 2
-# A leader that hands over waits for what is under way for this part of the quorum's time-out.
+# Within so many fetch_max_wait intervals the others may not have fetched the record that removes the leader's vote.
+VOTE_REMOVAL_FETCH_WAITS = 2
+# A leader that transfers its leadership waits for pending proposals for the quorum timeout divided by this.
 TRANSFER_DIVISOR = 2
-# One answer that says nothing to a leave may have been under way; more come from a release that knows no leave.
-UNANSWERED_LEAVES = 1
+# One answer without a leave status may have been in flight already; more come from a release without planned leaves.
+MAX_IGNORED_LEAVES = 1
 
 
 class Leaving:
-    """Both sides of a planned leave: the replica that goes, and the leader that lets it go."""
+    """Both sides of a planned leave: the replica that stops, and the leader that allows it."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Begins as a replica that stays."""
+        """Begins with no stop requested."""
         self.core = core
         self.stopping = False
         self.stop_requested_at = core.now
-        # When the replica ends regardless.
-        self.stop_by = core.now
+        # When the replica ends in any case.
+        self.stop_deadline = core.now
         self.ended = False
-        # Answers in a row that said nothing to its leaving.
-        self.unanswered = 0
-        # Since when this leader takes no more proposals, as it hands the lead over.
+        # The number of successive answers without a leave status.
+        self.ignored_leaves = 0
+        # Since when this leader accepts no proposals because it is transferring its leadership.
         self.transfer_since: timedelta | None = None
-        # Since when this leader, which leaves, has had no vote any more.
+        # Since when this leader, while stopping, has no longer been a voter.
         self.voteless_since: timedelta | None = None
 
-    # -- the replica that goes ---------------------------------------------------------------------------------------
+    # -- the stopping replica ----------------------------------------------------------------------------------------
 
     def stop(self, span: timedelta) -> None:
-        """The process is to stop within the span; with none it ends at once."""
+        """Begins to leave, within the given time; with zero the replica ends at once."""
         core = self.core
         self.stopping = True
         self.stop_requested_at = core.now
-        self.stop_by = core.now + span
+        self.stop_deadline = core.now + span
         if not span:
             if core.role == LEADER:
                 core.elections.resign()
-            self._end("no time given")
+            self._end("no time to hand over")
         elif core.halted or not core.complete or not core.is_voter():
-            self._end("no vote here")
+            self._end("not a voter")
         elif core.role != LEADER and core.leader != UNSET:
-            # At once, in place of the fetch that the leader may hold.
+            # Sent at once, in place of the fetch that may be pending at the leader.
             core.log_fetcher.fetch()
 
     def tick(self) -> None:
-        """Goes on leaving; ends when the time is over or nobody is there to wait for."""
+        """Continues to leave; ends at the deadline, or when there is no leader to wait for."""
         core = self.core
         if self.ended:
             return
         waited = core.now - self.stop_requested_at
-        if core.now >= self.stop_by:
+        if core.now >= self.stop_deadline:
             if core.role == LEADER:
                 core.elections.resign()
             self._end("time over")
         elif core.role == LEADER:
-            self._hand_over_lead(waited)
+            self._transfer_leadership(waited)
         elif core.now - max(core.log_fetcher.leader_known_at, self.stop_requested_at) >= core.timings.quorum_timeout:
-            # Most likely everybody stops at once: there is nobody to wait for.
-            self._end("nobody leads")
+            # Most likely all replicas are stopping together, so no leader will allow this one to leave.
+            self._end("no leader")
 
-    def _hand_over_lead(self, waited: timedelta) -> None:
-        """Leads on while a successor catches up; then concludes what is under way and names who leads next."""
+    def _transfer_leadership(self, waited: timedelta) -> None:
+        """Keeps leading while a successor catches up; then completes pending proposals and names the next leader."""
         core = self.core
         if core.is_voter():
-            span = self.stop_by - self.stop_requested_at
-            if self._has_successors_to_come() and waited < span / CATCH_UP_DIVISOR:
-                # It knows this leader: another one would have to be found first. The vote goes to it by the log.
+            span = self.stop_deadline - self.stop_requested_at
+            if self._has_potential_successor() and waited < span / CATCH_UP_DIVISOR:
+                # The successor already follows this leader and would first have to discover another one. The vote
+                # passes to it through the log.
                 return
         elif self.voteless_since is None:
             self.voteless_since = core.now
@@ -94,22 +95,22 @@
         if successor is None:
             if waited >= core.timings.quorum_timeout:
                 core.elections.resign()
-                self._end("nobody to hand over to")
+                self._end("no successor")
             return
-        vote_gone_wait = core.timings.fetch_max_wait * VOTE_GONE_FETCH_WAITS
-        if self.voteless_since is not None and core.now - self.voteless_since < vote_gone_wait:
-            # The others must hear that this vote is gone, or they would ask for it when they elect.
+        vote_removal_wait = core.timings.fetch_max_wait * VOTE_REMOVAL_FETCH_WAITS
+        if self.voteless_since is not None and core.now - self.voteless_since < vote_removal_wait:
+            # The others must first learn that this replica is no voter any more, or their election would need its vote.
             return
-        # Proposals under way are concluded first: whoever sent them gets a clear answer.
+        # Pending proposals are completed first, so that their senders learn the outcome.
         if self.transfer_since is None:
             self.transfer_since = core.now
-        waits_in_vain = core.now - self.transfer_since >= core.timings.quorum_timeout / TRANSFER_DIVISOR
-        if core.high_watermark == core.last.offset or waits_in_vain:
+        transfer_timed_out = core.now - self.transfer_since >= core.timings.quorum_timeout / TRANSFER_DIVISOR
+        if core.high_watermark == core.last.offset or transfer_timed_out:
             core.announce("lead handed over", successor=successor)
             core.elections.resign(successor=successor)
 
     def _next_leader(self) -> int | None:
-        """The most caught-up of the live voters that stay."""
+        """The most caught-up of the live voters that are not leaving; None if there is none."""
         core = self.core
         live = [
             (progress.offset, replica)
@@ -118,20 +119,20 @@
             and replica != core.replica
             and progress.complete
             and not progress.leaving
-            and core.now - progress.heard_at < core.timings.fetch_timeout
+            and core.now - progress.last_fetch_at < core.timings.fetch_timeout
         ]
         return max(live)[1] if live else None
 
     def leave_answered(self, answer: FetchAnswer) -> None:
-        """What the leader says to this one's leave. A former release says nothing: then nothing is waited for."""
+        """Handles the leader's answer to the leave; a leader of an older release gives none and is not waited for."""
         if answer.leave == LEAVE_GO:
             self._end("handed over")
         elif answer.leave == LEAVE_WAIT:
-            self.unanswered = 0
+            self.ignored_leaves = 0
         elif answer.leave == LEAVE_UNANSWERED and answer.records == () and answer.high_watermark != UNSET:
-            self.unanswered += 1
-            if self.unanswered > UNANSWERED_LEAVES:
-                self._end("the leader's release knows no leave")
+            self.ignored_leaves += 1
+            if self.ignored_leaves > MAX_IGNORED_LEAVES:
+                self._end("the leader's release does not support planned leaves")
 
     def _end(self, why: str) -> None:
         if self.ended:
@@ -140,21 +141,21 @@
         self.core.announce("left", why=why, waited=str(self.core.now - self.stop_requested_at))
         self.core.commands.append(Ended(why))
 
-    # -- the leader that lets it go ----------------------------------------------------------------------------------
+    # -- the leader --------------------------------------------------------------------------------------------------
 
     def answer_leaving(self, call: FetchCall) -> int:
-        """What the answer to the fetch of a replica that leaves says of its leave."""
+        """The leave status for the answer to a leaving replica's fetch."""
         key = (call.replica, call.incarnation)
-        decision = self.decide(key)
+        decision = self.decide_leave(key)
         progress = self.core.replication.progress
         if decision == LEAVE_GO and key in progress:
-            # From here on nothing may be committed by its acknowledgement.
+            # From here on its acknowledgement must not count towards a commit.
             progress[key].complete = False
-            progress[key].gone = True
+            progress[key].leave_granted = True
         return decision
 
-    def decide(self, key: ReplicaKey) -> int:
-        """Whether this replica may go: nothing that is committed may hang on fewer disks than a majority without it.
+    def decide_leave(self, key: ReplicaKey) -> int:
+        """Whether this replica may leave: all committed records must be on a majority of the voters without it.
 
         Returns:
             LEAVE_GO or LEAVE_WAIT.
@@ -163,7 +164,7 @@
         if not core.replication.has_committed() or core.pending_voter_changes:
             return LEAVE_WAIT
         voters = dict(core.state.voters)
-        if voters.get(key[0]) == key[1] and self._has_successors_to_come():
+        if voters.get(key[0]) == key[1] and self._has_potential_successor():
             return LEAVE_WAIT
         holders = 0
         for voter in voters.items():
@@ -173,23 +174,27 @@
                 holders += core.durable >= core.high_watermark
                 continue
             progress = core.replication.progress.get(voter)
-            if progress is None or progress.gone or core.now - progress.heard_at >= core.timings.quorum_timeout:
+            if (
+                progress is None
+                or progress.leave_granted
+                or core.now - progress.last_fetch_at >= core.timings.quorum_timeout
+            ):
                 continue
             if not progress.complete or progress.offset < core.high_watermark:
                 return LEAVE_WAIT
             holders += 1
-        # A leader that goes too, with nobody to take its place, has nothing to keep the others for.
-        all_go = self.stopping and self._next_leader() is None
-        return LEAVE_GO if all_go or holders * 2 > len(voters) else LEAVE_WAIT
+        # If the leader is stopping too and no voter can succeed it, keeping the others has no use.
+        all_stopping = self.stopping and self._next_leader() is None
+        return LEAVE_GO if all_stopping or holders * 2 > len(voters) else LEAVE_WAIT
 
-    def _has_successors_to_come(self) -> bool:
-        """Whether a replica without a vote is there that will be able to take one, ready or still catching up."""
+    def _has_potential_successor(self) -> bool:
+        """Whether a live replica without a vote can become a voter, now or once it has caught up."""
         core = self.core
         if not core.wanted_voters or core.state.level < LEVEL_OF[ReplaceVoter]:
             return False
         return any(
             key[0] not in core.state.voters
             and not progress.leaving
-            and core.now - progress.heard_at < core.timings.quorum_timeout
+            and core.now - progress.last_fetch_at < core.timings.quorum_timeout
             for key, progress in core.replication.progress.items()
         )
--- a/packages/raft/src/hoistsaddle/raft/reads.py
+++ b/packages/raft/src/hoistsaddle/raft/reads.py
@@ -1,10 +1,10 @@
-"""Confirmed reads, and how old the state here is: what fetches prove that heard of a round after it began."""
+"""Confirmed (linearizable) reads and the age of the state, both proven by the rounds that fetches have seen."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, NamedTuple
 
 from hoistsaddle.common.errors import ErrorKind
-from hoistsaddle.raft.contact import NEVER, majority_contact
+from hoistsaddle.raft.contact import UNBOUNDED_AGE, majority_contact
 from hoistsaddle.raft.events import ReadResult
 from hoistsaddle.raft.replica import LEADER
 
@@ -13,36 +13,36 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that waits until a majority has fetched since its round began."""
+    """A read that waits until a majority has fetched after seeing its round."""
 
     ticket: int
     round: int
 
 
 class Reads:
-    """Reads of the newest state, and the age of the state where it isn't known to be the newest."""
+    """Reads of the newest state, and the age of a state that may not be the newest."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Begins without a read, and with a state of unknown age."""
+        """Begins without pending reads and with a state of unknown age."""
         self.core = core
         self.pending: list[PendingRead] = []
-        # A time at which this replica's applied state held all that was committed anywhere; None while none is known.
+        # The latest known time at which this replica's state included every committed record; None if unknown.
         self.current_as_of: timedelta | None = None
 
     def read(self, ticket: int) -> None:
-        """Answers with the state once a majority has fetched after this read began."""
+        """Answers with the state once a majority has fetched since this read began."""
         core = self.core
         if core.role != LEADER:
             core.commands.append(ReadResult(ticket, str(ErrorKind.NOT_LEADER), core.leader, None))
             return
-        # Only fetches sent after this round was announced prove that nobody else led when the read began.
+        # Only fetches sent after this round was announced prove that no other replica led when the read began.
         self.pending.append(PendingRead(ticket, core.replication.rounds.begin(now=core.now)))
-        core.replication.answer_pending_fetches(everyone=True)
+        core.replication.answer_pending_fetches(all_pending=True)
         self.confirm()
 
     def confirm(self) -> None:
-        """Answers the reads that a majority has confirmed by now."""
-        if not self.pending or not self._holds_all_committed():
+        """Answers the reads that a majority has confirmed."""
+        if not self.pending or not self._has_applied_all_committed():
             return
         core = self.core
         unconfirmed = []
@@ -55,30 +55,30 @@
                 unconfirmed.append(read)
         self.pending = unconfirmed
 
-    def _holds_all_committed(self) -> bool:
-        """Leader: whether its state holds all that is committed, also by the leaders before it."""
+    def _has_applied_all_committed(self) -> bool:
+        """Leader: whether its state includes every committed record, also those of earlier leaders."""
         core = self.core
         return core.replication.has_committed() and core.state.offset >= core.high_watermark
 
     def contact(self) -> timedelta | None:
-        """Leader: the newest time at which nobody else can have led, and this state held all that was committed."""
-        if not self._holds_all_committed():
+        """Leader: the latest time at which no other replica can have led and this state was therefore current."""
+        if not self._has_applied_all_committed():
             return None
         core = self.core
         rounds = core.replication.rounds
         return majority_contact(
             voter_sets=core.voter_sets(),
-            me=core.key,
+            leader=core.key,
             now=core.now,
-            heard={key: rounds.began(progress.round) for key, progress in core.replication.progress.items()},
+            last_contact={key: rounds.began(progress.round) for key, progress in core.replication.progress.items()},
         )
 
     def contact_age(self) -> timedelta:
-        """Leader: how long ago that was."""
+        """Leader: the time since the last contact with a majority."""
         contact = self.contact()
-        return NEVER if contact is None else self.core.now - contact
+        return UNBOUNDED_AGE if contact is None else self.core.now - contact
 
     def note_current(self, timestamp: timedelta | None) -> None:
-        """The state here held all that was committed at that time, if one is given."""
+        """Records that this state included every committed record at that time; None is ignored."""
         if timestamp is not None and (self.current_as_of is None or timestamp > self.current_as_of):
             self.current_as_of = timestamp
--- a/packages/raft/src/hoistsaddle/raft/replica.py
+++ b/packages/raft/src/hoistsaddle/raft/replica.py
@@ -1,7 +1,7 @@
-"""The state that all parts of a replica share: its identity, epoch, vote, role and log, and the commands it gives.
+"""The state that a replica's components share: identity, epoch, vote, role and log, and the commands it returns.
 
-The parts (elections, replication, log fetching, snapshots, ...) are objects that core.py joins. Each holds the state of
-its own job and reaches the shared state and the other parts through the core.
+The components (elections, replication, log fetching, snapshots, ...) are objects that core.py combines. Each keeps its
+own state and accesses the shared state and the other components through the core.
 """
 
 import random
@@ -19,7 +19,7 @@
 CANDIDATE = "candidate"
 LEADER = "leader"
 
-# Errors of the protocol, named as in KIP-630 and Kafka; the last two are our own.
+# Protocol errors, named as in KIP-630 and Kafka; the last two are specific to this project.
 SNAPSHOT_NOT_FOUND = "SNAPSHOT_NOT_FOUND"
 OFFSET_OUT_OF_RANGE = "OFFSET_OUT_OF_RANGE"
 NOT_LEADER_FOR_PARTITION = "NOT_LEADER_FOR_PARTITION"
@@ -28,7 +28,7 @@
 
 
 class UnsyncedWrite(NamedTuple):
-    """A write whose sync is still to come: its number, the log's end with it, and when it was given to the disk."""
+    """A write that is not synced yet: its sequence number, the log's end after it, and when it was queued."""
 
     sequence: int
     log_end: int
@@ -36,14 +36,14 @@
 
 
 class StoredCheckpoint(NamedTuple):
-    """A checkpoint on this replica's disk, and since when it is there."""
+    """A checkpoint on this replica's disk, and when it was stored."""
 
     checkpoint_id: OffsetAndEpoch
     stored_at: timedelta
 
 
 class Replica:
-    """Identity, persistent facts, role and log of one replica."""
+    """Identity, persistent state, role and log of one replica."""
 
     def __init__(
         self,
@@ -56,25 +56,25 @@
         level: int = LEVEL,
         wanted_voters: int = 0,
     ) -> None:
-        """Takes up what the disk held.
+        """Restores the replica from what its disk held.
 
         Args:
             boot: What the disk held when the process started.
-            replicas: The replicas that this one may always turn to, by number.
-            timings: Time-outs, intervals and batch sizes.
-            seed: The source of chance; only election time-outs draw from it.
-            now: The present time of the process's monotonic clock.
+            replicas: The numbers of the replicas that this one may always call.
+            timings: Timeouts, intervals and batch sizes.
+            seed: The random number generator; only election timeouts draw from it.
+            now: The current time of the process's monotonic clock.
             level: The highest release level that this replica supports.
-            wanted_voters: How many voters the losses to be borne ask for; 0 where the bootstrap named them for good.
+            wanted_voters: How many voters the configured losses require; 0 if the bootstrap fixed the voters.
         """
         self.replica = boot.replica
         self.incarnation = boot.incarnation
-        # Voters that joined since are called beside these.
+        # Voters that joined later are called in addition to these.
         self.seeds = replicas
         self.wanted_voters = wanted_voters
         self.timings = timings
         self.level = min(level, LEVEL)
-        # Why this replica can't go on; empty while it can.
+        # Why this replica has halted; empty while it runs.
         self.halted = ""
         self.random = seed
         self.now = now
@@ -87,21 +87,21 @@
         self.checkpoint = boot.checkpoint
         self.checkpoints = [StoredCheckpoint(boot.checkpoint, now)] if boot.checkpoint else []
         self.known_voters = boot.voters
-        # What a former incarnation knew to be committed; this one's high watermark begins below it.
+        # The high watermark known before the restart; after it the high watermark starts at the checkpoint, below this.
         self.committed_before = 0 if boot.catching else boot.committed
         self.appended_at = now
-        # Of the newest write.
+        # The sequence number of the newest write.
         self.sequence = 0
         self.unsynced: list[UnsyncedWrite] = []
-        # Of the newest call.
+        # The number of the newest call.
         self.number = 0
-        # What the event under way makes the process do.
+        # The commands that result from the event being handled.
         self.commands: list[tuple] = []
         self._restore_log(boot)
 
     def _restore_log(self, boot: Boot) -> None:
-        # Whether this replica holds a state with the log above it; a log without a checkpoint between its begin and its
-        # high watermark counts as empty.
+        # Whether this replica has a state together with the log above it. A log without a checkpoint between its begin
+        # offset and its high watermark counts as empty.
         self.complete = boot.state is not None and not boot.catching
         self.state = State()
         self.begin = OffsetAndEpoch(0, 0)
@@ -111,13 +111,13 @@
             self.begin = boot.begin
             self.log = list(boot.records)
         self.high_watermark = self.state.offset if self.complete else 0
-        # The end of the log that is synced here.
+        # The offset of the last record that is synced here.
         self.durable = self.last.offset
         self.pending_voter_changes: list[LoggedVoterChange] = []
         self.find_voter_changes()
 
     def find_voter_changes(self) -> None:
-        """Lists anew the changes of voters in the log that are not applied yet."""
+        """Rebuilds the list of voter changes in the log that are not applied yet."""
         self.pending_voter_changes = [
             LoggedVoterChange(record.offset, change)
             for record in self.log
@@ -133,7 +133,7 @@
 
     @property
     def last(self) -> OffsetAndEpoch:
-        """The log's last record, or where it begins if it holds none."""
+        """The position of the log's last record, or the position before its first if it is empty."""
         return OffsetAndEpoch(self.log[-1].offset, self.log[-1].epoch) if self.log else self.begin
 
     @property
@@ -143,12 +143,12 @@
 
     @property
     def vote_position(self) -> OffsetAndEpoch:
-        """The end of the log as it counts in votes."""
+        """The end of the log as compared in votes."""
         # KIP-630: with an incomplete checkpoint a replica votes as if its log were empty.
         return self.last if self.complete else OffsetAndEpoch(-1, -1)
 
     def epoch_at(self, offset: int) -> int | None:
-        """The epoch of the record at the offset; None if the log doesn't reach there."""
+        """The epoch of the record at the offset; None if the log doesn't contain it."""
         if offset == self.begin.offset:
             return self.begin.epoch
         index = offset - self.begin_offset
@@ -157,7 +157,7 @@
     def last_offset_of_epoch(self, epoch: int, *, at_most: int) -> int:
         """The last offset up to the given one whose record's epoch is not above the given one (KIP-595).
 
-        Where the log holds none, it is the log's begin, or the given offset if that lies below.
+        Without such a record it is the offset before the log's first record, or the given offset if that is lower.
         """
         offset = min(at_most, self.last.offset)
         while offset > self.begin.offset and self.log[offset - self.begin_offset].epoch > epoch:
@@ -165,11 +165,11 @@
         return offset
 
     def voter_sets(self) -> list[dict[int, str]]:
-        """The voters, and beside them the set that an uncommitted change would make: until it commits, both must agree.
+        """The current voters, and the set that results from an uncommitted change: until it commits, both must agree.
 
-        A change is logged only once the one before it is committed, so of several unapplied ones, as a start finds
-        them, only the last is open; and not even that if a former incarnation knew it to be committed. To ask the sets
-        before them as well would ask for disks that may have been lost and replaced since.
+        A change is logged only once the previous one is committed. So of several unapplied changes found after a start
+        only the last can be uncommitted, and not even that one if it was known to be committed before the restart.
+        Requiring the earlier sets too would require disks that may have been lost and replaced since.
         """
         voters = dict(self.state.voters) if self.complete else dict(self.known_voters)
         sets = [voters]
@@ -191,7 +191,7 @@
         return [replica for replica in self.replicas if replica != self.replica]
 
     def is_voter(self) -> bool:
-        """Whether this replica's disk has a vote in any set in force."""
+        """Whether this replica, with its present incarnation, is a voter in any set in force."""
         return any(voters.get(self.replica) == self.incarnation for voters in self.voter_sets())
 
     def is_majority(self, agreed: set[ReplicaKey]) -> bool:
@@ -204,13 +204,13 @@
     # -- commands ----------------------------------------------------------------------------------------------------
 
     def send(self, replica: int, message: tuple) -> int:
-        """Calls a replica once everything written so far is synced; returns the call's number."""
+        """Calls a replica once all writes so far are synced; returns the call's number."""
         self.number += 1
         self.commands.append(Send(self.number, replica, message, self.sequence))
         return self.number
 
     def answer(self, ticket: int, message: tuple) -> None:
-        """Answers a call once everything written so far is synced: what an answer says rests on it."""
+        """Answers a call once all writes so far are synced, since the answer depends on them."""
         self.commands.append(Answer(ticket, message, self.sequence))
 
     def announce(self, kind: str, **detail) -> None:
@@ -218,7 +218,7 @@
         self.commands.append(Announce(kind, {"replica": self.replica, "epoch": self.epoch, **detail}))
 
     def persist(self, *, records: tuple[Record, ...] = (), truncate_from: int = UNSET, clear: bool = False) -> None:
-        """Writes epoch, vote and the other facts to the disk, and the given change of the log with them."""
+        """Writes epoch, vote and the other facts to the disk, together with the given change of the log."""
         self.sequence += 1
         if self.complete:
             self.known_voters = tuple(sorted(self.state.voters.items()))
@@ -240,7 +240,7 @@
         self.unsynced.append(UnsyncedWrite(self.sequence, self.last.offset, self.now))
 
     def append(self, records: tuple[Record, ...]) -> None:
-        """Puts records at the log's end and writes them to the disk."""
+        """Appends records to the log and writes them to the disk."""
         for record in records:
             self.log.append(record)
             if change := voter_change_in(record.payload):
--- a/packages/raft/src/hoistsaddle/raft/runner.py
+++ b/packages/raft/src/hoistsaddle/raft/runner.py
@@ -1,4 +1,4 @@
-"""Runs one Raft core: its calls, its timer and its disk thread."""
+"""Runs one Raft core with its calls, its timer and its disk thread."""
 
 import asyncio
 import contextlib
@@ -47,12 +47,12 @@
 
 TICK = timedelta(milliseconds=15)
 CALL_TIMEOUT = timedelta(milliseconds=900)
-# The last messages get this long to leave before the process ends.
-FAREWELL_DELAY = milliseconds(100)
+# How long a stopping replica waits for its last messages to be sent.
+FINAL_SEND_DELAY = milliseconds(100)
 
 
 class RaftRunner:
-    """Feeds a core with events and carries out its commands."""
+    """Feeds a core with events and executes its commands."""
 
     def __init__(
         self,
@@ -66,17 +66,17 @@
         level: int = LEVEL,
         wanted_voters: int = 0,
     ) -> None:
-        """Takes what the replica needs; `start` reads the disk and makes the core.
+        """Keeps the replica's parameters; `start` reads the disk and creates the core.
 
         Args:
             disk: The replica's data folder.
             addresses: The address of each replica, by number.
-            timings: The core's time-outs, intervals and batch sizes.
+            timings: The core's timeouts, intervals and batch sizes.
             counters: Counts calls and records events.
-            runtime: Clock, chance and connections.
-            make_worker: Makes the worker that does the disk's jobs.
+            runtime: Clock, random numbers and connections.
+            make_worker: Creates the worker that executes the disk's jobs.
             level: The highest release level that the replica supports.
-            wanted_voters: How many voters the losses to be borne ask for; 0 where the bootstrap named them for good.
+            wanted_voters: How many voters the configured losses require; 0 if the bootstrap fixed the voters.
         """
         self.wanted_voters = wanted_voters
         self.disk = disk
@@ -89,24 +89,24 @@
         # None until the start.
         self.core: RaftCore | None = None
         self.worker: DiskWorker | None = None
-        # The newest write that lasts, and commands that wait for one, each with that write's number.
+        # The sequence number of the newest durable write, and the commands that wait for a write, each with its number.
         self.synced = 0
         self.waiting: list[tuple[int, tuple]] = []
-        # What the core's answers go to, by ticket.
+        # The future that waits for each answer of the core, by ticket.
         self.answers: dict[int, asyncio.Future] = {}
         self.tickets = 0
         self.tasks: set[asyncio.Task] = set()
-        # Set while the disk begins or leaves a mesh; its caller lets one such change run at a time.
+        # Set while the disk bootstraps or leaves a mesh; the caller runs only one such change at a time.
         self.mesh_change: asyncio.Future | None = None
         self.ended = asyncio.Event()
 
     # -- start and settings ------------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Reads the disk, makes the core and starts the timer.
+        """Reads the disk, creates the core and starts the timer.
 
         Raises:
-            OSError: The disk refuses at present, or holds another release's data.
+            OSError: The disk can't be used at present, or contains another release's data.
         """
         loop = asyncio.get_running_loop()
         began = time.monotonic()
@@ -139,7 +139,7 @@
         """The core.
 
         Raises:
-            NotStarted: `start` has not made it yet.
+            NotStarted: `start` has not created it yet.
         """
         if self.core is None:
             raise NotStarted("the replica is not started")
@@ -153,7 +153,7 @@
     def apply_settings(
         self, *, wanted_voters: int, replacement_timeout: timedelta, lag_wait: timedelta, seeds: tuple[int, ...]
     ) -> None:
-        """Takes up settings that changed while the replica runs; seeds are replicas to turn to beside those known."""
+        """Applies settings that changed while the replica runs; seeds are called in addition to the known replicas."""
         self.wanted_voters = wanted_voters
         self.timings = self.timings._replace(replacement_timeout=replacement_timeout, lag_wait=lag_wait)
         if self.core is not None:
@@ -162,23 +162,23 @@
             self.core.seeds = tuple(dict.fromkeys((*seeds, *self.core.seeds)))
 
     async def bootstrap(self, *, mesh: str, voters: dict[int, str], operators: dict[str, str], level: int = 1) -> bool:
-        """Begins a mesh where none is yet: the core starts over from what the disk then holds.
+        """Bootstraps a mesh on a blank disk and creates a new core from the result.
 
         Returns:
-            Whether the disk took it.
+            Whether the disk could do so.
         """
         return await self._change_mesh(BootstrapMesh(mesh, voters, operators, level))
 
     async def leave_mesh(self) -> bool:
-        """Makes the replica blank again, under its incarnation: only where it acknowledged nothing that may count.
+        """Makes the disk blank again under its incarnation; allowed only if it has acknowledged nothing that may count.
 
         Returns:
-            Whether the disk took it.
+            Whether the disk could do so.
         """
         return await self._change_mesh(LeaveMesh())
 
     async def _change_mesh(self, job: BootstrapMesh | LeaveMesh) -> bool:
-        # Until the disk thread is done, nothing that the present core does may be written over it.
+        # Until the disk thread has finished, no command of the present core may overwrite the result.
         self.mesh_change = asyncio.get_running_loop().create_future()
         self._started_worker().put(job)
         boot = await self.mesh_change
@@ -205,12 +205,12 @@
             self.feed(Ticked())
 
     def _count_lateness(self, late: timedelta) -> None:
-        """Counts how late the timer was: a loop that is busy reads calls and heartbeats as late."""
+        """Counts how late the timer fired: a busy event loop handles calls and heartbeats just as late."""
         self.counters.add("loop.ticks")
         self.counters.add("loop.late_milliseconds", max(0.0, late / milliseconds(1)))
 
     def feed(self, event: tuple) -> None:
-        """Hands the core an event, or a waiting call the disk's report on it, and carries out what follows."""
+        """Passes an event to the core and executes the resulting commands; a chunk that was read answers its call."""
         if self.mesh_change is not None:
             if isinstance(event, MeshChanged):
                 self.mesh_change.set_result(event.boot)
@@ -255,7 +255,7 @@
         caller = self.core
         result = await self.runtime.rpc_client.call(self.addresses[send.replica], send.message, within=CALL_TIMEOUT)
         if self.core is not caller:
-            # The disk began or left a mesh meanwhile: the core that it made anew numbers its calls from one again.
+            # The disk bootstrapped or left a mesh meanwhile, and the new core numbers its calls from one again.
             return
         match result:
             case Success(message):
@@ -268,7 +268,7 @@
     # -- requests to the core ----------------------------------------------------------------------------------------
 
     async def _request(self, make_event: Callable[[int], tuple]) -> Any:
-        """Feeds the event made for a fresh ticket and waits for the core's answer to it."""
+        """Feeds an event with a new ticket to the core and waits for the answer."""
         self.tickets += 1
         ticket = self.tickets
         future = self.answers[ticket] = asyncio.get_running_loop().create_future()
@@ -283,7 +283,7 @@
         return await self._request(lambda ticket: CallArrived(ticket, message))
 
     async def propose(self, payloads: tuple[bytes, ...]) -> ProposalResult:
-        """Appends the payloads to the log; returns once they are applied, or refused."""
+        """Appends the payloads to the log; returns once they are applied or rejected."""
         result = await self._request(lambda ticket: ProposalArrived(ticket, payloads))
         if not result.error:
             for payload in payloads:
@@ -299,15 +299,15 @@
         return await self._request(lambda ticket: ReadArrived(ticket))
 
     async def stop(self, *, within: timedelta = timedelta()) -> None:
-        """Ends the replica. Within that time it hands over what would hang on fewer disks without it."""
+        """Stops the replica; within that time it hands over what must be on a majority of disks without it."""
         self.feed(StopRequested(within))
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.ended.wait(), within.total_seconds())
-        await asyncio.sleep(FAREWELL_DELAY.total_seconds())
+        await asyncio.sleep(FINAL_SEND_DELAY.total_seconds())
         for task in list(self.tasks):
             task.cancel()
         if self._started_worker().stop():
             self.disk.close()
         else:
-            # Closing would wait on this loop for the call that hangs in the thread.
-            self.counters.record_event("disk left open", why="it still hangs in a call")
+            # close() would block the event loop until the call that hangs in the disk thread returns.
+            self.counters.record_event("disk left open", why="a disk call has not returned")
--- a/packages/raft/src/hoistsaddle/raft/snapshot_fetcher.py
+++ b/packages/raft/src/hoistsaddle/raft/snapshot_fetcher.py
@@ -1,4 +1,4 @@
-"""The follower's side of checkpoints after KIP-630: fetching the leader's, and loading it."""
+"""The follower's part of checkpoints after KIP-630: fetching the leader's checkpoint and loading it."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING
@@ -12,28 +12,28 @@
 if TYPE_CHECKING:
     from hoistsaddle.raft.core import RaftCore
 
-# A chunk that got no answer for so many of a fetch's time-outs is asked for again.
+# A chunk that got no answer for so many fetch timeouts is requested again.
 CHUNK_TIMEOUTS = 2
 
 
 class SnapshotFetcher:
-    """Fetches the leader's checkpoint and the log above it, beside what is held here already."""
+    """Fetches the leader's checkpoint and the log above it; the replica's own log and state stay meanwhile."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Begins without a fetch under way."""
+        """Begins without a fetch in progress."""
         self.core = core
         # The checkpoint that is being fetched; None while none is.
         self.checkpoint_id: OffsetAndEpoch | None = None
-        # The log above that checkpoint; log and state stay what they were until it is loaded.
+        # The log above that checkpoint; the replica's log and state stay unchanged until the checkpoint is loaded.
         self.staged: list[Record] = []
-        # After a failed fetch the leader is asked anew where to begin, whatever is held here.
+        # Set after a failed fetch: the next log fetch asks the leader where to begin, whatever this replica has.
         self.starting_over = False
-        # The newest chunk's call, and when it was sent; None while no answer is awaited.
+        # The number of the newest chunk's call, and when it was sent; None while no answer is awaited.
         self.call_number = 0
         self.call_sent_at: timedelta | None = None
-        # Bytes fetched so far.
+        # The number of bytes fetched so far.
         self.position = 0
-        # Whether all chunks are there, and the disk checks the whole file.
+        # Whether all chunks have arrived and the disk is verifying the whole file.
         self.loading = False
 
     @property
@@ -44,7 +44,7 @@
         return OffsetAndEpoch(self.staged[-1].offset, self.staged[-1].epoch)
 
     def tick(self) -> None:
-        """Asks again for a chunk whose answer stays away."""
+        """Requests a chunk again if its answer has not arrived in time."""
         core = self.core
         if self.checkpoint_id is None or self.loading:
             return
@@ -52,15 +52,15 @@
             self._fetch_chunk()
 
     def begin(self, answer: FetchAnswer) -> None:
-        """Fetches the leader's checkpoint and its log side by side.
+        """Begins to fetch the leader's checkpoint, in parallel with the log above it.
 
-        KIP-630 throws log and checkpoints away first. Here both stay until the fetched one is complete and on the disk:
-        a replica that was sent to a checkpoint still holds all that it ever acknowledged, whatever happens meanwhile.
+        KIP-630 deletes log and checkpoints first. Here both stay until the fetched checkpoint is complete and on the
+        disk, so that the replica keeps everything that it has acknowledged if the fetch is interrupted.
         """
         self.starting_over = False
         if self.checkpoint_id is not None:
-            # Silent for so long that the leader no longer has the log after what was staged here.
-            self.abandon("the leader's log goes on above it")
+            # This replica did not fetch for so long that the leader has trimmed the log after the staged records.
+            self.abandon("the leader's log begins above it")
         self.checkpoint_id = OffsetAndEpoch(answer.checkpoint_offset, answer.checkpoint_epoch)
         self.staged = []
         self.position = 0
@@ -69,7 +69,7 @@
         self._fetch_chunk()
 
     def abandon(self, why: str) -> None:
-        """Drops what was fetched so far, if anything; without a reason nothing is announced."""
+        """Discards what has been fetched so far; announced only with a reason."""
         if self.checkpoint_id is not None and why:
             self.core.announce("catch-up restarts", mishap=why)
         self.checkpoint_id = None
@@ -78,16 +78,16 @@
         self.starting_over = False
 
     def stage(self, records: tuple[Record, ...]) -> None:
-        """Keeps records of the log above the checkpoint."""
+        """Stages records of the log above the checkpoint."""
         self.staged.extend(records)
 
     def _fetch_chunk(self) -> None:
-        """Asks the leader for the next chunk."""
+        """Requests the next chunk from the leader."""
         core = self.core
         if self.checkpoint_id is None:
             return
         if core.leader in (UNSET, core.replica):
-            # Nobody leads at present: the next chunk is asked for once somebody does.
+            # No leader is known: the next chunk is requested once there is one.
             self.call_sent_at = None
             return
         self.call_sent_at = core.now
@@ -104,14 +104,14 @@
         )
 
     def chunk_answer(self, number: int, answer: FetchSnapshotAnswer) -> None:
-        """Stores the chunk if it is the one that was asked for last, and asks for the next."""
+        """Stores the chunk if it is the one last requested, and requests the next."""
         if number != self.call_number:
             return
         self.call_sent_at = None
         if self.checkpoint_id is None or self.loading or self.core.role == LEADER:
             return
         if answer.error:
-            # KIP-630: on any of the three errors ask again from offset and epoch zero.
+            # KIP-630: after any of the three errors, fetch again from offset and epoch zero.
             self.abandon(answer.error)
             self.starting_over = True
             return
@@ -128,18 +128,18 @@
             self.loading = True
 
     def loaded(self, checkpoint_id: OffsetAndEpoch, state: State | None) -> None:
-        """The disk has checked the whole file; state is None if the check failed."""
+        """Takes over the verified checkpoint and the log above it; state is None if the verification failed."""
         core = self.core
         if self.checkpoint_id != checkpoint_id or not self.loading:
             return
         if core.role == LEADER:
-            # Elected meanwhile by those who hold no more than it does: its own log is the log now.
+            # This replica was elected meanwhile, by replicas whose logs are not ahead of its own: its log prevails.
             self.abandon("")
             return
         staged = self.staged
-        refused = self._why_not_load(state)
-        self.abandon(refused)
-        if refused or state is None:
+        load_error = self._load_error(state)
+        self.abandon(load_error)
+        if load_error or state is None:
             self.starting_over = True
             return
         core.state = state
@@ -154,19 +154,19 @@
         core.unsynced = [write._replace(log_end=checkpoint_id.offset) for write in core.unsynced]
         core.check_level()
         core.find_voter_changes()
-        # The fetched file lasts already. With this one write the log above it takes the old log's place; only after it
-        # may the old checkpoints go.
+        # The fetched file is durable already. This one write replaces the old log by the log above the checkpoint; the
+        # old checkpoints may be removed only after it.
         core.persist(records=tuple(staged), clear=True)
         core.commands.append(DropCheckpoints(checkpoint_id.offset))
         core.announce("caught up", checkpoint=checkpoint_id.offset, log_end=core.last.offset)
         core.log_fetcher.fetch()
 
-    def _why_not_load(self, state: State | None) -> str:
-        """Why the fetched state isn't taken; empty if it is."""
+    def _load_error(self, state: State | None) -> str:
+        """Why the fetched state is rejected; empty if it is accepted."""
         core = self.core
         if state is None:
             return str(ErrorKind.CHECKPOINT_TORN)
         if core.mesh and state.mesh != core.mesh:
             return str(ErrorKind.WRONG_MESH)
-        # What was applied here was agreed, and every later leader holds it.
-        return "it is older than the state held here" if state.offset < core.state.offset else ""
+        # The records applied here were committed, so every later leader has them.
+        return "it is older than this replica's state" if state.offset < core.state.offset else ""
--- a/packages/raft/src/hoistsaddle/raft/snapshot_server.py
+++ b/packages/raft/src/hoistsaddle/raft/snapshot_server.py
@@ -1,4 +1,4 @@
-"""Checkpoints after KIP-630: when they are kept, trimming the log below them, serving them to other replicas."""
+"""Checkpoints after KIP-630: retention, trimming the log below them, serving them to other replicas."""
 
 from datetime import timedelta
 from typing import TYPE_CHECKING, NamedTuple
@@ -13,28 +13,28 @@
 
 
 class SnapshotFetch(NamedTuple):
-    """The checkpoint that a replica is fetching from here, and when it last asked for a chunk."""
+    """The checkpoint that a replica is fetching from the leader, and when it last requested a chunk."""
 
     checkpoint_id: OffsetAndEpoch
     asked_at: timedelta
 
 
 class SnapshotServer:
-    """Keeps the checkpoints on this replica's disk, and serves them while it leads."""
+    """Manages the checkpoints on this replica's disk, and serves them while it leads."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Begins with nobody fetching."""
+        """Begins without any checkpoint being fetched."""
         self.core = core
-        # By the replica's number.
+        # Keyed by the replica's number.
         self.fetches: dict[int, SnapshotFetch] = {}
-        # Checkpoints that were left only because a replica was fetching them.
+        # Checkpoints below the begin offset, kept only because a replica is fetching them.
         self.retained: tuple[OffsetAndEpoch, ...] = ()
 
     def checkpoint_stored(self, checkpoint_id: OffsetAndEpoch) -> None:
-        """A captured checkpoint is on the disk."""
+        """Registers a captured checkpoint that is now on the disk."""
         core = self.core
         core.applying.capturing = None
-        # A follower that threw its log away meanwhile has no use for the old capture.
+        # A follower that has loaded a newer checkpoint meanwhile has no use for the captured one.
         if core.complete and checkpoint_id.offset >= core.begin.offset:
             core.checkpoints.append(StoredCheckpoint(checkpoint_id, core.now))
             core.checkpoint = max((each.checkpoint_id for each in core.checkpoints), key=lambda each: each.offset)
@@ -49,7 +49,7 @@
         live = [
             progress
             for progress in core.replication.progress.values()
-            if core.now - progress.heard_at < core.timings.liveness_timeout
+            if core.now - progress.last_fetch_at < core.timings.liveness_timeout
         ]
         for checkpoint_id, stored_at in sorted(core.checkpoints, reverse=True):
             if checkpoint_id.offset <= core.begin.offset:
@@ -60,7 +60,7 @@
                 return
 
     def trim_log(self, offset: int) -> None:
-        """Makes offset + 1 the begin offset; checkpoints completely below it go."""
+        """Makes offset + 1 the begin offset; checkpoints below the offset are removed."""
         core = self.core
         epoch = core.epoch_at(offset)
         if epoch is None or offset <= core.begin.offset:
@@ -74,13 +74,13 @@
         core.announce("log trimmed", begin_offset=core.begin_offset)
 
     def _being_fetched(self) -> list[OffsetAndEpoch]:
-        """Leader: the checkpoints that live replicas are fetching, one each at the most."""
+        """Leader: the checkpoints that live replicas are fetching, at most one per replica."""
         core = self.core
         if core.role != LEADER:
             return []
-        # A replica fetches as a complete one again once it has loaded what it fetched.
+        # After loading its checkpoint a replica sends its log fetches with complete set.
         latest: dict[int, Progress] = {}
-        for (replica, _), progress in sorted(core.replication.progress.items(), key=lambda each: each[1].heard_at):
+        for (replica, _), progress in sorted(core.replication.progress.items(), key=lambda each: each[1].last_fetch_at):
             latest[replica] = progress
         done = {replica for replica, progress in latest.items() if progress.complete}
         self.fetches = {
@@ -91,7 +91,7 @@
         return sorted({fetch.checkpoint_id for fetch in self.fetches.values()})
 
     def _drop_retained(self) -> None:
-        """Removes what was left only for fetches that have ended since."""
+        """Removes retained checkpoints whose fetches have ended."""
         if not self.retained:
             return
         still_fetched = tuple(each for each in self._being_fetched() if each in self.retained)
@@ -100,7 +100,7 @@
             self.core.commands.append(DropCheckpoints(self.core.begin.offset, still_fetched))
 
     def fetch_snapshot_call(self, ticket: int, call: FetchSnapshotCall) -> None:
-        """A replica asks for a chunk of a checkpoint."""
+        """Handles a replica's request for a chunk of a checkpoint."""
         core = self.core
         checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
         if core.role != LEADER or call.epoch != core.epoch:
--- a/packages/raft/src/hoistsaddle/raft/voter_changes.py
+++ b/packages/raft/src/hoistsaddle/raft/voter_changes.py
@@ -1,7 +1,7 @@
-"""The leader's changes of the set of voters, one logged change at a time.
+"""Changes of the voter set by the leader, one logged change at a time.
 
-Until a change commits, every count needs a majority of the set before it and of the set after it, so no wait is needed
-for safety: at worst a replica that is alive loses its vote, which it may be given again.
+Until a change commits, every decision needs a majority of the old set and of the new set, so safety doesn't depend on
+the waiting times: at worst a replica that is alive loses its vote, and may become a voter again later.
 """
 
 from datetime import timedelta
@@ -22,16 +22,16 @@
 
 
 class VoterChanges:
-    """Swaps blank disks in, grows to the number wanted, and replaces voters that are lost or leave."""
+    """Adopts new disks, adds voters up to the wanted number, and replaces voters that are lost or leaving."""
 
     def __init__(self, core: "RaftCore") -> None:
-        """Holds no state of its own: what is due follows from the log and from the replicas' progress."""
+        """Keeps no state of its own: the next change follows from the log and the replicas' progress."""
         self.core = core
 
     def review(self) -> None:
-        """Logs the change that is due now, if one is."""
+        """Logs the next voter change, if one is due."""
         core = self.core
-        # One change at a time, and only once this epoch has committed something.
+        # One change at a time, and only once a record of this epoch is committed.
         if core.pending_voter_changes or not core.replication.has_committed():
             return
         change = self._swap_for_new_disk()
@@ -42,9 +42,9 @@
             core.replication.answer_pending_fetches()
 
     def _swap_for_new_disk(self) -> VoterChange | None:
-        """A caught-up new disk takes the place of the one that was at its address.
+        """Replaces a voter's incarnation by the new one at the same address, once that has caught up.
 
-        Only one process can be there, so the former incarnation is over as soon as a later one is heard.
+        Only one process can listen on an address, so the old incarnation has ended once a later one fetches.
         """
         progress_of = self.core.replication.progress
         for (replica, incarnation), progress in progress_of.items():
@@ -52,7 +52,7 @@
             if old is None or old == incarnation or not self._is_ready((replica, incarnation)):
                 continue
             former = progress_of.get((replica, old))
-            if former is None or former.heard_at < progress.heard_at:
+            if former is None or former.last_fetch_at < progress.last_fetch_at:
                 return UpdateVoter(replica, old, incarnation)
         return None
 
@@ -72,43 +72,43 @@
             replica, incarnation = (lost or leaving)[0]
             successor, successor_incarnation = ready[0]
             return ReplaceVoter(replica, incarnation, successor, successor_incarnation)
-        # Before that level: the new one joins next, once this is committed; never fewer than one below what is wanted.
+        # Below that level the successor is added once the removal is committed; at most one voter is missing meanwhile.
         return RemoveVoter(*lost[0]) if lost else None
 
     def _is_ready(self, key: ReplicaKey) -> bool:
-        """Whether the replica holds what is committed, keeps up and stays."""
+        """Whether the replica has a complete state, keeps up with the log, is alive and is not leaving."""
         core = self.core
         progress = core.replication.progress[key]
         return (
             progress.complete
             and progress.keeps_up
             and not progress.leaving
-            and core.now - progress.heard_at < core.timings.fetch_timeout
+            and core.now - progress.last_fetch_at < core.timings.fetch_timeout
         )
 
     def _ready_successors(self) -> list[ReplicaKey]:
-        """Replicas without a vote that could take one now, in order."""
+        """Replicas without a vote that are ready to become voters, in order."""
         voters = self.core.state.voters
         return sorted(key for key in self.core.replication.progress if key[0] not in voters and self._is_ready(key))
 
-    def _silence(self, key: ReplicaKey) -> timedelta:
-        """For how long this voter's disk has not been heard; a new leader counts from its election."""
+    def _silent_for(self, key: ReplicaKey) -> timedelta:
+        """How long ago this voter last fetched; a new leader counts from its election."""
         replication = self.core.replication
         progress = replication.progress.get(key)
-        return self.core.now - (replication.leader_since if progress is None else progress.heard_at)
+        return self.core.now - (replication.leader_since if progress is None else progress.last_fetch_at)
 
     def _lost_voters(self) -> list[ReplicaKey]:
-        """Voters that have been silent for too long, the longest first."""
+        """Voters that have not fetched within the replacement timeout, the longest silent first."""
         core = self.core
         lost = [
             key
             for key in core.state.voters.items()
-            if key != core.key and self._silence(key) > core.timings.replacement_timeout
+            if key != core.key and self._silent_for(key) > core.timings.replacement_timeout
         ]
-        return sorted(lost, key=lambda key: (-self._silence(key), key))
+        return sorted(lost, key=lambda key: (-self._silent_for(key), key))
 
     def _leaving_voters(self) -> list[ReplicaKey]:
-        """Voters whose processes are to stop and wait for a successor; the leader itself after the others."""
+        """Voters that are stopping and wait for a successor; the leader itself comes last."""
         core = self.core
         progress = core.replication.progress
         leaving = [key for key in sorted(core.state.voters.items()) if key in progress and progress[key].leaving]
--- a/packages/raft/src/hoistsaddle/raft/voters.py
+++ b/packages/raft/src/hoistsaddle/raft/voters.py
@@ -1,26 +1,26 @@
-"""Logged changes of the set of voters: how one is recognised in a record, and what set results from it."""
+"""Logged changes of the voter set: recognising one in a record, and computing the resulting set."""
 
 from typing import NamedTuple
 
 from hoistsaddle.statemachine.commands import AddVoter, RemoveVoter, ReplaceVoter, UpdateVoter
 from hoistsaddle.statemachine.encoding import unpack_command
 
-# A replica's number and the incarnation of its disk (KIP-853: ReplicaKey). Plain tuples, as maps of voters give them.
+# A replica's number and the incarnation of its disk (KIP-853: ReplicaKey). A plain tuple, as in a voter map's items.
 ReplicaKey = tuple[int, str]
 
 VoterChange = UpdateVoter | AddVoter | RemoveVoter | ReplaceVoter
 
 
 class LoggedVoterChange(NamedTuple):
-    """A change of voters in the log that is not applied yet, and its record's offset."""
+    """A voter change in the log that is not applied yet, and its record's offset."""
 
     offset: int
     change: VoterChange
 
 
 def voter_change_in(payload: bytes) -> VoterChange | None:
-    """The voter change that a record holds, if it holds one."""
-    # A cheap test first: nearly no record is a voter change.
+    """The voter change in a record's payload; None if it contains another command."""
+    # A cheap test first, since voter changes are rare.
     if b"Voter" not in payload[:16]:
         return None
     command = unpack_command(payload)
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -301,7 +301,7 @@
         mesh = begun(4)
         leader = mesh.leader()
         leader.core.leaving.answer_leaving = lambda call: 0
-        leader.core.leaving.decide = lambda key: 0
+        leader.core.leaving.decide_leave = lambda key: 0
         self.assertThat(mesh.stop(follower(mesh).replica), LessThan(SECOND))
 
     def test_the_only_voter_hands_everything_to_its_successor(self) -> None:
