--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -294,7 +294,7 @@
         core.log_fetcher.fetch_sent_at = None
         core.reads.pending = []
         core.replication.begin_leading()
-        core.announce("leading", offset=core.replication.epoch_began)
+        core.announce("leading", offset=core.replication.epoch_start_offset)
         core.append((core.replication.new_record(pack_command(LeaderChange(core.replica))),))
         self.send_begin_epoch(include_fetching=True)
         core.replication.advance()
--- a/packages/raft/src/hoistsaddle/raft/replication.py
+++ b/packages/raft/src/hoistsaddle/raft/replication.py
@@ -78,7 +78,7 @@
         # Mesh time when this leader's term began.
         self.base_stamp = ZERO
         # The offset of the first record of this leader's epoch.
-        self.epoch_began = 0
+        self.epoch_start_offset = 0
         self.rounds = Rounds(now=ZERO)
         # A release level that is logged but not yet committed already restricts which replicas may fetch.
         self.level_being_raised = 1
@@ -98,11 +98,11 @@
         self.begin_epoch_sent_at = core.now
         # Mesh time continues from the newest stamp in the log: it does not advance without a leader.
         self.base_stamp = max(core.log[-1].stamp if core.log else ZERO, core.state.mesh_time)
-        self.epoch_began = core.last.offset + 1
+        self.epoch_start_offset = core.last.offset + 1
 
     def has_committed(self) -> bool:
         """Whether a record of this leader's epoch is committed."""
-        return self.core.high_watermark >= self.epoch_began
+        return self.core.high_watermark >= self.epoch_start_offset
 
     def mesh_time(self) -> timedelta:
         """The leader's stamp for the present time: its first stamp plus its own monotonic time since."""
@@ -321,7 +321,7 @@
             return
         new_high_watermark = min(self._synced_by_majority(voters) for voters in core.voter_sets())
         # Raft: only records of the current epoch commit by counting replicas; older records commit along with them.
-        if new_high_watermark > core.high_watermark and new_high_watermark >= self.epoch_began:
+        if new_high_watermark > core.high_watermark and new_high_watermark >= self.epoch_start_offset:
             core.high_watermark = new_high_watermark
             core.applying.apply_committed()
             core.reads.confirm()
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
@@ -101,7 +101,7 @@
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
         """Lets the epoch begin with the first record."""
-        machine.core.replication.epoch_began = 0
+        machine.core.replication.epoch_start_offset = 0
         return event
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/core.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/core.py
@@ -46,7 +46,7 @@
             return False
         # The leader must have committed in its own epoch: before that, equal offsets say nothing of the log's end.
         core = processes.nodes[leader].runner.core
-        return core.high_watermark >= core.replication.epoch_began and all(
+        return core.high_watermark >= core.replication.epoch_start_offset and all(
             (replica := processes.nodes[machine.store].runner.core) is not None
             and replica.state.offset == core.last.offset
             for machine in processes.core
--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -376,7 +376,7 @@
     def led(self) -> bool:
         """Whether a leader has committed a record of its own epoch."""
         node = self.leader()
-        return node is not None and node.core.high_watermark >= node.core.replication.epoch_began > 0
+        return node is not None and node.core.high_watermark >= node.core.replication.epoch_start_offset > 0
 
     def write(self, *, most: timedelta = timedelta(seconds=5)) -> int:
         """One record committed through whoever leads; gives its offset."""
