--- a/tests/test_kip_630.py
+++ b/tests/test_kip_630.py
@@ -1,4 +1,4 @@
-"""KIP-630's rules, each on the core or the disk that must keep it."""
+"""The rules of KIP-630, each tested on the core or the disk that implements it."""
 
 import random
 import sqlite3
@@ -71,7 +71,7 @@
 
 
 class Bench:
-    """One core without I/O: its writes are synced at once, every other command is recorded."""
+    """A core without I/O: its writes are synced at once, and all commands are recorded."""
 
     def __init__(self, *, replica: int = 1, boot: Boot | None = None) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={})
@@ -164,14 +164,14 @@
 
 
 class Checkpoints(TestCase):
-    def test_names_hold_offset_of_twenty_digits_and_epoch(self) -> None:
+    def test_names_contain_the_offset_with_twenty_digits_and_the_epoch(self) -> None:
         self.assertThat(checkpoint_file_name(OffsetAndEpoch(5120793, 2)), Equals("00000000000005120793-2.checkpoint"))
         self.assertThat(
             parse_checkpoint_file_name("00000000000005120793-2.checkpoint"), Equals(OffsetAndEpoch(5120793, 2))
         )
         self.assertThat(parse_checkpoint_file_name("00000000000005120793-2.checkpoint.part"), Equals(None))
 
-    def test_torn_files_are_recognised_wherever_they_tear(self) -> None:
+    def test_torn_files_are_detected_wherever_they_are_torn(self) -> None:
         checkpoint_id, state = (
             OffsetAndEpoch(7, 2),
             initial_state(mesh="m", voters=VOTERS, operators={"ada": "d"})._replace(offset=7, epoch=2),
@@ -183,9 +183,9 @@
                 unpack_checkpoint(checkpoint_id=checkpoint_id, data=data[:length]), IsInstance(Failure), str(length)
             )
         for place in range(0, len(data), 5):
-            spoilt = data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]
+            damaged = data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]
             self.assertThat(
-                unpack_checkpoint(checkpoint_id=checkpoint_id, data=spoilt), IsInstance(Failure), str(place)
+                unpack_checkpoint(checkpoint_id=checkpoint_id, data=damaged), IsInstance(Failure), str(place)
             )
         self.assertThat(unpack_checkpoint(checkpoint_id=OffsetAndEpoch(8, 2), data=data), IsInstance(Failure))
 
@@ -195,7 +195,7 @@
         bench.commit()
         self.assertThat(bench.of(Capture), Equals([]))
         bench.write(3)
-        # Not committed yet, so not counted.
+        # These are not committed yet, so they don't count.
         self.assertThat(bench.of(Capture), Equals([]))
         bench.commit()
         capture = bench.of(Capture)[0]
@@ -204,7 +204,7 @@
             Equals((bench.core.high_watermark, bench.core.high_watermark)),
         )
 
-    def test_the_capture_stands_still_while_records_apply(self) -> None:
+    def test_a_capture_does_not_change_while_records_apply(self) -> None:
         bench = Bench().lead()
         bench.write(6)
         bench.commit()
@@ -239,19 +239,19 @@
         bench.fetch(3, 1, 0)
         bench.feed(CheckpointStored(checkpoint_id, 100))
         for _ in range(int(TIMINGS.lag_wait / timedelta(milliseconds=500)) + 1):
-            # The slow one lives on: it fetches, but always from the first record.
+            # The slow replica stays alive: it fetches, but always from the first record.
             bench.fetch(3, 1, 0, later=timedelta(milliseconds=250))
             bench.fetch(2, bench.core.last.offset + 1, bench.core.last.epoch, later=timedelta(milliseconds=250))
             bench.feed(Ticked())
         self.assertThat(bench.core.begin_offset, Equals(checkpoint_id.offset + 1))
 
-    def test_the_dead_are_not_waited_for(self) -> None:
+    def test_dead_replicas_are_not_waited_for(self) -> None:
         bench, checkpoint_id = self.leader_with_checkpoint()
         bench.feed(CheckpointStored(checkpoint_id, 100))
-        # Replica 3 never fetched: the leader judges life from fetches alone.
+        # Replica 3 never fetched, and only fetches show the leader that a replica is alive.
         self.assertThat(bench.core.begin_offset, Equals(checkpoint_id.offset + 1))
 
-    def test_a_fetch_below_it_is_sent_to_the_checkpoint(self) -> None:
+    def test_a_fetch_below_it_is_directed_to_the_checkpoint(self) -> None:
         bench, checkpoint_id = self.leader_with_checkpoint()
         bench.feed(CheckpointStored(checkpoint_id, 100))
         answer = bench.fetch(3, 1, 0)
@@ -272,7 +272,7 @@
 
 
 class CatchUp(TestCase):
-    def follower_pulling(self) -> Bench:
+    def follower_fetching_a_checkpoint(self) -> Bench:
         bench = Bench(replica=2)
         bench.call(BeginEpochCall("m", 3, 1))
         bench.feed(
@@ -284,11 +284,11 @@
         )
         return bench
 
-    def test_checkpoint_and_log_are_pulled_side_by_side_and_nothing_goes_before_both_are_here(self) -> None:
-        bench = self.follower_pulling()
-        pull, fetch = bench.sent(FetchSnapshotCall)[-1].message, bench.sent(FetchCall)[-1].message
+    def test_checkpoint_and_log_are_fetched_in_parallel_and_nothing_is_deleted_before_both_are_complete(self) -> None:
+        bench = self.follower_fetching_a_checkpoint()
+        request, fetch = bench.sent(FetchSnapshotCall)[-1].message, bench.sent(FetchCall)[-1].message
         self.assertThat(
-            (pull.checkpoint_offset, pull.checkpoint_epoch, pull.position, pull.max_bytes),
+            (request.checkpoint_offset, request.checkpoint_epoch, request.position, request.max_bytes),
             Equals((40, 2, 0, TIMINGS.chunk_bytes)),
         )
         self.assertThat((fetch.fetch_offset, fetch.fetch_epoch, fetch.complete), Equals((41, 2, False)))
@@ -296,8 +296,8 @@
         self.assertThat(bench.of(DropCheckpoints), Equals([]))
         self.assertThat((bench.core.complete, bench.core.state.mesh), Equals((True, "m")))
 
-    def test_once_it_is_loaded_log_and_checkpoints_are_thrown_away_in_one_write(self) -> None:
-        bench = self.follower_pulling()
+    def test_once_it_is_loaded_the_old_log_is_cleared_in_one_write_and_old_checkpoints_are_dropped(self) -> None:
+        bench = self.follower_fetching_a_checkpoint()
         records = tuple(Record(offset, 3, timedelta(seconds=offset), claim(offset)) for offset in (41, 42))
         bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 3, 1, 42, 41, records)))
         bench.feed(
@@ -311,13 +311,13 @@
             [(write.begin, write.catching, write.records) for write in cleared],
             Equals([(OffsetAndEpoch(40, 2), False, records)]),
         )
-        # Only after that write: until it lasts, the old log rests on the old checkpoint.
+        # They are dropped only after that write: until it is durable, the old log needs the old checkpoint.
         kinds = [type(command) for command in bench.commands]
         self.assertThat(kinds.index(DropCheckpoints) > bench.commands.index(cleared[0]), Equals(True))
         self.assertThat(bench.of(DropCheckpoints), Equals([DropCheckpoints(40)]))
 
-    def test_it_pulls_until_continue_turns_false_then_applies_the_log_above(self) -> None:
-        bench = self.follower_pulling()
+    def test_it_fetches_until_continues_is_false_then_applies_the_log_above(self) -> None:
+        bench = self.follower_fetching_a_checkpoint()
         for position, data, continues in ((0, b"abc", True), (3, b"def", True), (6, b"g", False)):
             self.assertThat(bench.sent(FetchSnapshotCall)[-1].message.position, Equals(position))
             bench.feed(
@@ -340,14 +340,14 @@
 
     def test_each_of_the_three_errors_restarts_at_offset_and_epoch_zero(self) -> None:
         for error in (SNAPSHOT_NOT_FOUND, OFFSET_OUT_OF_RANGE, NOT_LEADER_FOR_PARTITION):
-            bench = self.follower_pulling()
+            bench = self.follower_fetching_a_checkpoint()
             bench.feed(AnswerArrived(bench.core.snapshot_fetcher.call_number, 1, FetchSnapshotAnswer(error, 3, 40, 2)))
             bench.feed(Ticked(), later=TIMINGS.fetch_timeout * 2)
             fetch = bench.sent(FetchCall)[-1].message
             self.assertThat((fetch.fetch_offset, fetch.fetch_epoch), Equals((0, 0)), error)
 
-    def test_a_torn_pull_restarts_too(self) -> None:
-        bench = self.follower_pulling()
+    def test_a_torn_fetched_checkpoint_restarts_too(self) -> None:
+        bench = self.follower_fetching_a_checkpoint()
         bench.feed(
             AnswerArrived(
                 bench.core.snapshot_fetcher.call_number, 1, FetchSnapshotAnswer("", 3, 40, 2, 0, b"abc", False)
@@ -357,18 +357,18 @@
         bench.feed(Ticked(), later=TIMINGS.fetch_timeout * 2)
         self.assertThat(bench.sent(FetchCall)[-1].message.fetch_offset, Equals(0))
 
-    def test_an_incomplete_replica_votes_with_minus_one_and_does_not_stand(self) -> None:
-        # Its former release threw its log away and was stopped before the checkpoint was whole.
+    def test_an_incomplete_replica_votes_with_minus_one_and_does_not_become_a_candidate(self) -> None:
+        # An older release deleted the log and was stopped before the checkpoint was complete.
         voters = tuple(VOTERS.items())
         bench = Bench(boot=Boot(replica=2, incarnation="two", epoch=3, voters=voters, mesh="m", catching=True))
         self.assertThat(bench.core.vote_position, Equals(OffsetAndEpoch(-1, -1)))
         bench.feed(Ticked(), later=timedelta(seconds=5))
         self.assertThat(bench.sent(VoteCall), Equals([]))
-        # Even a candidate with nothing at all is complete beside it.
+        # Even a candidate with an empty log counts as up to date compared with an incomplete replica.
         answer = bench.call(VoteCall("m", 9, 3, "three", -1, -1, False))
         self.assertThat(answer.granted, Equals(True))
 
-    def test_records_above_a_checkpoint_still_being_pulled_do_not_count(self) -> None:
+    def test_records_above_a_checkpoint_still_being_fetched_do_not_count(self) -> None:
         bench = Bench().lead()
         bench.write(3)
         last = bench.core.last
@@ -396,7 +396,7 @@
         leading.fetch(2, last.offset + 1, last.epoch, incarnation="two-again")
         self.assertThat(leading.core.high_watermark, Equals(0))
 
-    def test_a_caught_up_one_is_swapped_in_by_a_record_both_voter_sets_agree_to(self) -> None:
+    def test_a_caught_up_one_becomes_a_voter_by_a_record_both_voter_sets_agree_to(self) -> None:
         bench = Bench().lead()
         bench.commit()
         self.assertThat(bench.core.high_watermark, Equals(1))
@@ -406,7 +406,7 @@
             bench.feed(Ticked())
         self.assertThat(bench.core.state.voters[3], Equals("three-again"))
 
-    def test_not_while_the_old_incarnation_is_heard(self) -> None:
+    def test_not_while_the_old_incarnation_still_fetches(self) -> None:
         bench = Bench().lead()
         bench.commit()
         for _ in range(9):
@@ -418,14 +418,14 @@
 
 
 class MeshTime(TestCase):
-    def test_it_stands_still_while_nobody_leads_and_never_goes_back(self) -> None:
+    def test_it_does_not_advance_without_a_leader_and_never_goes_back(self) -> None:
         bench = Bench().lead()
         bench.write(1)
         first = bench.core.log[-1].stamp
         bench.feed(Ticked(), later=timedelta(milliseconds=700))
         bench.write(1)
         self.assertThat(bench.core.log[-1].stamp - first, Equals(timedelta(milliseconds=700)))
-        # A majority is lost for an hour; the next leadership goes on from the newest stamp.
+        # The majority is lost for an hour; the next leader continues from the newest stamp.
         newest = bench.core.log[-1].stamp
         bench.feed(Ticked(), later=timedelta(hours=1))
         bench.lead()
@@ -442,7 +442,7 @@
         self.addCleanup(folder.cleanup)
         return folder.name
 
-    def founded(self) -> Disk:
+    def bootstrapped(self) -> Disk:
         disk = Disk(folder=self.folder, replica=1)
         boot = disk.boot()
         disk.bootstrap(mesh="m", voters={1: boot.incarnation}, operators={})
@@ -453,8 +453,8 @@
     ) -> None:
         disk.write([Write(1, 4, (1, boot.incarnation), boot.voters, "m", begin, False, False, -1, records)])
 
-    def test_log_epoch_and_vote_come_back(self) -> None:
-        disk = self.founded()
+    def test_log_epoch_and_vote_survive_a_restart(self) -> None:
+        disk = self.bootstrapped()
         boot = disk.boot()
         records = tuple(Record(offset, 4, timedelta(seconds=offset), claim(offset)) for offset in (1, 2, 3))
         self.write(disk, boot, records)
@@ -466,7 +466,7 @@
         )
 
     def test_a_torn_checkpoint_is_set_aside_and_the_older_one_used(self) -> None:
-        disk = self.founded()
+        disk = self.bootstrapped()
         boot = disk.boot()
         records = tuple(Record(offset, 4, timedelta(seconds=offset), claim(offset)) for offset in (1, 2, 3))
         self.write(disk, boot, records)
@@ -484,7 +484,7 @@
         self.assertThat(len(again.remarks), Equals(1))
 
     def test_another_releases_checkpoint_is_refused_and_left_alone(self) -> None:
-        disk = self.founded()
+        disk = self.bootstrapped()
         path = self.folder / "checkpoints" / checkpoint_file_name(OffsetAndEpoch(0, 0))
         path.write_bytes(path.read_bytes().replace(b"CHECKPOINT-1\n", b"CHECKPOINT-2\n"))
         disk.close()
@@ -492,7 +492,7 @@
         self.assertThat(path.exists(), Equals(True))
 
     def test_without_a_checkpoint_in_range_it_is_a_blank_disk(self) -> None:
-        disk = self.founded()
+        disk = self.bootstrapped()
         boot = disk.boot()
         self.write(
             disk, boot, tuple(Record(offset, 4, timedelta(seconds=offset), claim(offset)) for offset in (1, 2, 3))
@@ -507,7 +507,7 @@
         )
 
     def test_a_database_that_cannot_be_read_makes_a_blank_disk(self) -> None:
-        disk = self.founded()
+        disk = self.bootstrapped()
         boot = disk.boot()
         disk.close()
         for path in self.folder.glob("ledger.sqlite3*"):
@@ -516,7 +516,7 @@
         self.assertThat((booted.incarnation != boot.incarnation, booted.mesh), Equals((True, "")))
 
     def test_a_disk_that_fails_now_keeps_its_votes(self) -> None:
-        disk = self.founded()
+        disk = self.bootstrapped()
         boot = disk.boot()
         disk.close()
         failing = Disk(folder=self.folder, replica=1)
@@ -525,7 +525,7 @@
         self.assertThat(Disk(folder=self.folder, replica=1).boot().incarnation, Equals(boot.incarnation))
 
     def test_chunks_are_served_by_position_and_stored_whole_or_not_at_all(self) -> None:
-        disk = self.founded()
+        disk = self.bootstrapped()
         state = disk.boot().state._replace(offset=3, epoch=4)
         disk.store_checkpoint(checkpoint_id=OffsetAndEpoch(3, 4), state=state)
         self.assertThat(
@@ -567,15 +567,15 @@
 
 
 class Releases(TestCase):
-    """Not KIP-630's: the release level, which its "new revisions" would need too. docs/design/releases.md says why."""
+    """The release level, an addition to KIP-630, whose "new revisions" would need it: see docs/design/releases.md."""
 
     def raise_to(self, bench: Bench, level: int) -> str:
         ticket = 5000 + bench.tickets
         bench.feed(RaiseArrived(ticket, level))
-        concluded = [each for each in bench.of(ProposalResult) if each.ticket == ticket]
-        return concluded[0].error if concluded else "waits"
+        results = [each for each in bench.of(ProposalResult) if each.ticket == ticket]
+        return results[0].error if results else "waits"
 
-    def test_the_level_rises_only_when_every_voter_says_it_supports_it(self) -> None:
+    def test_the_level_is_raised_only_when_every_voter_reports_support(self) -> None:
         bench = Bench().lead()
         bench.commit()
         bench.fetch(3, bench.core.last.offset + 1, bench.core.last.epoch)
@@ -594,13 +594,13 @@
         fetch(3, 2)
         bench.tickets += 1
         bench.feed(RaiseArrived(9000, 2))
-        # Logged and not committed: from here on a former release gets no records any more.
+        # Once the raise is logged, even before it commits, an older release receives no more records.
         self.assertThat(fetch(3, 1).error, Equals("release-old"))
         last = bench.core.last
         fetch(2, 2)
         self.assertThat((bench.core.state.level, bench.of(ProposalResult)[-1].error), Equals((2, "")))
 
-    def test_after_the_raise_a_former_release_gets_neither_records_nor_votes(self) -> None:
+    def test_after_the_raise_an_older_release_gets_neither_records_nor_votes(self) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={}, level=2)
         boot = Boot(1, "one", voters=tuple(VOTERS.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
         bench = Bench(boot=boot)
@@ -609,7 +609,7 @@
         self.assertThat(bench.call(old).granted, Equals(False))
         self.assertThat(bench.call(old._replace(level=2)).granted, Equals(True))
 
-    def test_a_replica_that_meets_what_it_cant_apply_stops_and_says_so(self) -> None:
+    def test_a_replica_halts_at_a_record_that_it_cannot_apply(self) -> None:
         bench = Bench(replica=2)
         bench.call(BeginEpochCall("m", 1, 1))
         record = Record(1, 1, timedelta(), pack_command(RaiseLevel(99)))
@@ -623,7 +623,7 @@
         self.assertThat((len(bench.sent(FetchCall)), len(bench.sent(VoteCall))), Equals((fetches, votes)))
         self.assertThat(bench.call(VoteCall("m", 9, 1, "one", 10, 4, False, 99)).granted, Equals(False))
 
-    def test_a_disk_past_this_releases_level_is_left_alone(self) -> None:
+    def test_a_disk_past_this_releases_level_is_not_changed(self) -> None:
         state = initial_state(mesh="m", voters=VOTERS, operators={}, level=99)
         boot = Boot(1, "one", voters=tuple(VOTERS.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
         bench = Bench(boot=boot)
--- a/tests/test_raft_disk_founding.py
+++ b/tests/test_raft_disk_founding.py
@@ -1,4 +1,4 @@
-"""A disk that takes a founding, leaves it, and remembers the first start of all."""
+"""A disk that bootstraps a mesh, leaves it, and records the mesh's first start."""
 
 import tempfile
 from pathlib import Path
@@ -17,9 +17,9 @@
 class DiskCase(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        place = tempfile.TemporaryDirectory()
-        self.addCleanup(place.cleanup)
-        self.folder = Path(place.name)
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = Path(temporary.name)
 
     def booted(self, *, first_seeds: tuple[int, ...] = ()) -> tuple[Disk, Boot]:
         disk = Disk(folder=self.folder, replica=11, synchronous="OFF")
@@ -28,9 +28,9 @@
         return disk, disk.boot()
 
 
-class TakenFoundings(DiskCase):
-    def test_one_in_the_place_of_a_catch_up_that_had_begun_is_complete(self) -> None:
-        """Guards against a replica in a mesh without a state for good: it had followed a leader while it was blank."""
+class Bootstraps(DiskCase):
+    def test_one_that_interrupts_a_catch_up_leaves_a_complete_replica(self) -> None:
+        """Guards against a replica that stays without a state: it had followed a leader while its disk was blank."""
         disk, boot = self.booted()
         disk.write([Write(1, 3, VOTE, (), "", OffsetAndEpoch(0, 0), True, False, -1, (), 0)])
         disk.bootstrap(mesh="mesh", voters={11: boot.incarnation}, operators={})
@@ -40,9 +40,9 @@
         self.assertThat((boot.epoch, boot.vote), Equals((3, VOTE)))
 
 
-class LeftFoundings(DiskCase):
+class LeftMeshes(DiskCase):
     def test_the_disk_is_blank_again_and_still_knows_its_vote(self) -> None:
-        """Guards against a second vote in one epoch by a replica that left a founding and took it again."""
+        """Guards against a second vote in one epoch by a replica that left a bootstrapped mesh and joined it again."""
         disk, first = self.booted(first_seeds=SEEDS)
         voters = {11: first.incarnation}
         disk.bootstrap(mesh="mesh", voters=voters, operators={})
@@ -52,12 +52,14 @@
         _, boot = self.booted()
         self.assertThat(boot, Equals(Boot(11, first.incarnation, 3, VOTE, first_seeds=SEEDS)))
 
-    def test_another_founding_may_follow(self) -> None:
+    def test_another_bootstrap_may_follow(self) -> None:
         disk, boot = self.booted()
         for mesh in ("one", "two"):
             disk.bootstrap(mesh=mesh, voters={11: boot.incarnation}, operators={})
-            taken = disk.boot()
-            self.assertThat((taken.mesh, taken.state is not None and taken.state.mesh), Equals((mesh, mesh)))
+            bootstrapped = disk.boot()
+            self.assertThat(
+                (bootstrapped.mesh, bootstrapped.state is not None and bootstrapped.state.mesh), Equals((mesh, mesh))
+            )
             disk.leave_mesh()
 
 
@@ -66,11 +68,11 @@
         self.booted(first_seeds=SEEDS)[0].close()
         self.assertThat(self.booted()[1].first_seeds, Equals(SEEDS))
 
-    def test_it_is_noted_once(self) -> None:
+    def test_it_is_recorded_once(self) -> None:
         self.booted(first_seeds=SEEDS)[0].close()
         self.assertThat(self.booted(first_seeds=(14,))[1].first_seeds, Equals(SEEDS))
 
-    def test_a_disk_that_belongs_to_a_mesh_notes_none(self) -> None:
+    def test_a_disk_that_belongs_to_a_mesh_records_none(self) -> None:
         disk, boot = self.booted()
         disk.bootstrap(mesh="mesh", voters={11: boot.incarnation}, operators={})
         disk.close()
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -1,4 +1,4 @@
-"""Every combination of kept and lost files that a power loss may leave, at every step of a data folder's history."""
+"""Every combination of kept and lost file changes after a power loss, at every step of a data folder's history."""
 
 import itertools
 import shutil
@@ -23,11 +23,11 @@
 
 class _Case(TestCase):
     def folder(self) -> Path:
-        place = tempfile.TemporaryDirectory()
-        self.addCleanup(place.cleanup)
-        return Path(place.name)
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        return Path(temporary.name)
 
-    def play(self, scenario, *, max_broken: int = 0, **how) -> Findings:
+    def check_scenario(self, scenario, *, max_broken: int = 0, **how) -> Findings:
         folder = self.folder()
         return check(
             record(scenario, folder=folder / "life", seed=SEED, **how), folder=folder, seed=SEED, max_broken=max_broken
@@ -35,9 +35,9 @@
 
 
 class TornAndMixedDisks(_Case):
-    def test_every_mix_boots_into_what_was_synced(self) -> None:
+    def test_every_combination_boots_into_what_was_synced(self) -> None:
         for name, scenario in SCENARIOS.items():
-            findings = self.play(scenario)
+            findings = self.check_scenario(scenario)
             print(name, f"seed {SEED}: {findings.crash_points} crash points, {findings.folder_states} folder states")
             self.assertThat(findings.folder_states, GreaterThan(500))
             self.assertThat([*findings.broken[:3]], Equals([]), name)
@@ -46,7 +46,7 @@
         folder_states = 0
         for name, scenario in SCENARIOS.items():
             operations = record(scenario, folder=self.folder() / "life", seed=SEED)
-            # A drawn state of every sixth crash point, and a part of the states that the boot after it may leave.
+            # A random state of every sixth crash point, and a sample of the states that a loss in the boot may leave.
             for number, start in enumerate(itertools.islice(folder_states_of(operations, seed=SEED), 0, None, 6)):
                 folder = self.folder()
                 again = record(going_on, folder=folder / "life", seed=SEED, start=start)
@@ -67,58 +67,64 @@
             super().sync_folder(folder)
 
 
-def _drops_too_soon(recorded: RecordedDisk) -> None:
+def _trims_before_storing(recorded: RecordedDisk) -> None:
     boot = recorded.do("boot")
     recorded.do("bootstrap", mesh="m", voters={1: boot.incarnation, 2: "two", 3: "three"}, operators={})
     writer = Writer(recorded=recorded, boot=recorded.do("boot"))
     writer.write(records(1, 6, epoch=1))
     writer.begin = OffsetAndEpoch(5, 1)
-    # Wrong: the begin offset lasts before the checkpoint that it rests on.
+    # The fault: the begin offset becomes durable before the checkpoint that it depends on.
     writer.write()
     recorded.do("store_checkpoint", checkpoint_id=OffsetAndEpoch(5, 1), state=state_at(OffsetAndEpoch(5, 1)))
     recorded.do("drop_checkpoints", below=5)
 
 
-# A fault shows in many folder states; the first few are enough to see it.
-FEW = 5
+# A fault breaks many folder states; the check stops after the first few.
+MAX_BROKEN = 5
 
 
 class InjectedFaults(_Case):
-    """Each of these faults removes one step that the disk relies on, and the model must find it."""
+    """Each injected fault omits or reorders one step that the disk relies on; the model must detect it."""
 
-    def found(self, findings: Findings) -> str:
+    def problems(self, findings: Findings) -> str:
         return "; ".join(each.problem for each in findings.broken)
 
     def test_a_checkpoint_that_is_not_synced_before_its_name(self) -> None:
         self.assertThat(
-            self.found(self.play(SCENARIOS["trimming"], max_broken=FEW, make_recorder=_NoFileSync)), Contains("blank")
+            self.problems(self.check_scenario(SCENARIOS["trimming"], max_broken=MAX_BROKEN, make_recorder=_NoFileSync)),
+            Contains("blank"),
         )
 
-    def test_a_checkpoint_whose_name_does_not_last(self) -> None:
+    def test_a_checkpoint_whose_name_is_not_durable(self) -> None:
         self.assertThat(
-            self.found(self.play(SCENARIOS["trimming"], max_broken=FEW, make_recorder=_NoFolderSync)), Contains("blank")
+            self.problems(
+                self.check_scenario(SCENARIOS["trimming"], max_broken=MAX_BROKEN, make_recorder=_NoFolderSync)
+            ),
+            Contains("blank"),
         )
 
     def test_a_log_that_is_not_synced_when_the_write_returns(self) -> None:
-        findings = self.play(SCENARIOS["trimming"], synchronous="NORMAL")
-        self.assertThat(self.found(findings), Contains("a state that never was"))
+        findings = self.check_scenario(SCENARIOS["trimming"], synchronous="NORMAL")
+        self.assertThat(self.problems(findings), Contains("a state that never was"))
 
-    def test_a_begin_offset_that_lasts_before_its_checkpoint(self) -> None:
-        self.assertThat(self.found(self.play(_drops_too_soon, max_broken=FEW)), Contains("blank"))
+    def test_a_begin_offset_that_is_durable_before_its_checkpoint(self) -> None:
+        self.assertThat(
+            self.problems(self.check_scenario(_trims_before_storing, max_broken=MAX_BROKEN)), Contains("blank")
+        )
 
-    def test_a_start_that_takes_a_log_beside_a_checkpoint_it_parts_from(self) -> None:
+    def test_a_start_that_accepts_a_log_that_diverges_from_its_checkpoint(self) -> None:
         def former_rule(*, begin, records, checkpoint_id) -> bool:
             return checkpoint_id.offset <= (records[-1].offset if records else begin.offset)
 
         with mock.patch.object(disk, "_log_matches_checkpoint", former_rule):
-            findings = self.play(SCENARIOS["catching up"], max_broken=FEW)
-        self.assertThat(self.found(findings), Contains("a log that parts from its checkpoint"))
+            findings = self.check_scenario(SCENARIOS["catching up"], max_broken=MAX_BROKEN)
+        self.assertThat(self.problems(findings), Contains("a log that parts from its checkpoint"))
 
 
 class FileSystemModel(TestCase):
-    """The modelled file system itself keeps what its specification says."""
+    """The file system model follows its specification."""
 
-    def left(self, *operations) -> set[tuple]:
+    def states_after(self, *operations) -> set[tuple]:
         model = FolderModel(files={"old": b"was"})
         for operation in operations:
             model.do(operation)
@@ -126,26 +132,26 @@
 
     def test_a_write_is_there_missing_or_torn_until_the_sync(self) -> None:
         written = Written("old", 0, b"NEWS")
-        self.assertThat(self.left(written), Equals({(("old", each),) for each in (b"was", b"NEWS", b"NEs")}))
-        self.assertThat(self.left(written, FileSynced("old")), Equals({(("old", b"NEWS"),)}))
+        self.assertThat(self.states_after(written), Equals({(("old", each),) for each in (b"was", b"NEWS", b"NEs")}))
+        self.assertThat(self.states_after(written, FileSynced("old")), Equals({(("old", b"NEWS"),)}))
 
     def test_a_new_name_may_be_lost_until_its_folder_is_synced(self) -> None:
         made = (Created("new"), Written("new", 0, b"x"), FileSynced("new"))
         kept = (("new", b"x"), ("old", b"was"))
-        self.assertThat(self.left(*made), Equals({kept, (("old", b"was"),)}))
-        self.assertThat(self.left(*made, FolderSynced("")), Equals({kept}))
+        self.assertThat(self.states_after(*made), Equals({kept, (("old", b"was"),)}))
+        self.assertThat(self.states_after(*made, FolderSynced("")), Equals({kept}))
 
-    def test_both_names_of_a_renamed_file_are_kept_or_lost_by_themselves(self) -> None:
+    def test_both_names_of_a_renamed_file_are_kept_or_lost_independently(self) -> None:
         renamed = Renamed("old", "new")
         self.assertThat(
-            self.left(renamed),
+            self.states_after(renamed),
             Equals({(("new", b"was"),), (("old", b"was"),), (("new", b"was"), ("old", b"was")), ()}),
         )
-        self.assertThat(self.left(renamed, FolderSynced("")), Equals({(("new", b"was"),)}))
+        self.assertThat(self.states_after(renamed, FolderSynced("")), Equals({(("new", b"was"),)}))
 
 
 class FormerRelease(_Case):
-    """Data folders written by the release of commit 6b0c8b3, before any of this; made by that release's own disk."""
+    """Data folders written by the Disk of the release at commit 6b0c8b3."""
 
     def boot(self, name: str) -> tuple[Path, Boot]:
         folder = self.folder() / name
@@ -154,7 +160,7 @@
         self.addCleanup(opened.close)
         return folder, opened.boot()
 
-    def test_a_whole_one_is_read_as_it_was_left(self) -> None:
+    def test_a_complete_one_is_read_unchanged(self) -> None:
         _, boot = self.boot("whole")
         self.assertThat(
             (boot.incarnation, boot.mesh, boot.epoch, boot.vote, boot.begin, boot.checkpoint, boot.committed),
@@ -163,18 +169,18 @@
         self.assertThat([record.offset for record in boot.records], Equals([3, 4]))
         self.assertThat(sorted(boot.state.holds), Equals(["scope-1", "scope-2"]))
 
-    def test_one_that_had_thrown_its_log_away_stays_who_it_is_and_is_not_whole(self) -> None:
+    def test_one_that_had_deleted_its_log_keeps_its_incarnation_and_is_incomplete(self) -> None:
         folder, boot = self.boot("catching")
         self.assertThat(
             (boot.incarnation, boot.catching, boot.epoch, boot.vote, boot.records, boot.state),
             Equals(("0123456789abcdef", True, 3, (3, "three"), (), None)),
         )
-        # What it had pulled so far is worth nothing: the pull starts over.
+        # The chunks of the interrupted checkpoint fetch are removed, and the fetch starts over.
         self.assertThat(list((folder / "checkpoints").iterdir()), Equals([]))
 
 
 class Folders(_Case):
-    def test_folders_above_the_data_last_too(self) -> None:
+    def test_parent_folders_are_durable_too(self) -> None:
         synced = []
 
         class Noted(Files):
@@ -186,7 +192,7 @@
         Noted().make_folder(top / "a" / "b")
         self.assertThat(synced, Equals([top, top / "a"]))
 
-    def test_a_folder_laid_anew_never_takes_a_former_lifes_checkpoint(self) -> None:
+    def test_a_reset_folder_never_loads_a_former_incarnations_checkpoint(self) -> None:
         folder = self.folder() / "data"
         former = disk.Disk(folder=folder, replica=1)
         boot = former.boot()
@@ -202,7 +208,7 @@
         blank.close()
         self.assertThat((founded.checkpoint, founded.incarnation), Equals((OffsetAndEpoch(0, 0), boot.incarnation)))
 
-    def test_damaged_files_and_half_made_ones_stay_bounded(self) -> None:
+    def test_damaged_and_unfinished_files_stay_bounded(self) -> None:
         folder = self.folder() / "data"
         first = disk.Disk(folder=folder, replica=1)
         first.boot()
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -1,7 +1,7 @@
 """Successive losses: replacements, wiped disks, planned leaves, each complete within half of the settle timeout.
 
-Fault histories over cores with a modelled network, disk and processor (coremesh). Where it matters the processor has
-0.245 of a core and a sync takes 2 ms.
+The fault histories run on cores with a modelled network, disk and processor (coremesh). Where speed matters, the
+processor has 0.245 of a core and a sync takes 2 ms.
 """
 
 from datetime import timedelta
@@ -32,7 +32,7 @@
 SLOW = {"processor": 0.245, "sync": milliseconds(2)}
 
 
-def begun(seed: int, **details) -> CoreMesh:
+def started_mesh(seed: int, **details) -> CoreMesh:
     mesh = CoreMesh(seed=seed, **details)
     mesh.until(mesh.led, most=10 * SECOND)
     return mesh.run(SECOND)
@@ -43,14 +43,14 @@
     return next(node for replica, node in sorted(mesh.nodes.items()) if node is not leader and mesh.votes(replica))
 
 
-def ready(mesh: CoreMesh, replica: int) -> bool:
-    """Whether this machine holds all that is committed, by its own word."""
+def has_all_committed(mesh: CoreMesh, replica: int) -> bool:
+    """Whether this replica has a complete state and all records that the leader has committed."""
     node, leader = mesh.nodes[replica], mesh.leader()
     return node.up and node.core.complete and leader and node.core.last.offset >= leader.core.high_watermark
 
 
 class ReplacementTimeouts(TestCase):
-    def test_the_span_follows_from_the_settings(self) -> None:
+    def test_the_timeout_follows_from_the_settings(self) -> None:
         for settle, losses, milliseconds_given in ((4, 1, 1000), (6, 1, 1500), (6, 2, 1000), (4, 2, 700), (1, 1, 700)):
             span = replacement_timeout_for(settle=timedelta(seconds=settle), losses=losses)
             self.assertThat(span, Equals(milliseconds(milliseconds_given)), f"{settle} s, {losses}")
@@ -60,97 +60,99 @@
     def spans(self, *, leader: bool) -> list[timedelta]:
         spans = []
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
-            # Past a checkpoint, so that the blank disk pulls one.
+            mesh = started_mesh(seed, **SLOW)
+            # Enough records for a checkpoint, so that the blank disk fetches one.
             for _ in range(110):
                 mesh.write()
-            gone = (mesh.leader() if leader else follower(mesh)).replica
-            mesh.wipe(gone)
+            lost = (mesh.leader() if leader else follower(mesh)).replica
+            mesh.wipe(lost)
             mesh.run(milliseconds(mesh.random.uniform(100, 3000)))
-            mesh.nodes[gone].start()
-            spans.append(mesh.until(lambda: mesh.votes(gone), most=SETTLE))
+            mesh.nodes[lost].start()
+            spans.append(mesh.until(lambda: mesh.votes(lost), most=SETTLE))
         print("from the wiped machine's start to its counted vote:", min(spans), max(spans), "seeds", list(SEEDS))
         return spans
 
-    def test_a_wiped_follower_votes_again_within_half_of_the_settling_span(self) -> None:
+    def test_a_wiped_follower_votes_again_within_half_of_the_settle_time(self) -> None:
         self.assertThat(max(self.spans(leader=False)), LessThan(SETTLE / 2))
 
     def test_so_does_a_wiped_leader(self) -> None:
         self.assertThat(max(self.spans(leader=True)), LessThan(SETTLE / 2))
 
-    def test_the_next_loss_a_settling_span_later_is_borne_and_nothing_is_lost(self) -> None:
+    def test_the_next_loss_after_the_settle_time_is_tolerated_and_nothing_is_lost(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
-            for gone in (mesh.leader().replica, follower(mesh).replica, mesh.leader().replica):
-                written = mesh.write()
-                if gone not in mesh.nodes:
+            mesh = started_mesh(seed, **SLOW)
+            for lost in (mesh.leader().replica, follower(mesh).replica, mesh.leader().replica):
+                last_write = mesh.write()
+                if lost not in mesh.nodes:
                     continue
-                mesh.wipe(gone)
-                mesh.nodes[gone].start()
+                mesh.wipe(lost)
+                mesh.nodes[lost].start()
                 mesh.run(SETTLE)
-                self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
+                self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
 
 
 class Replacements(TestCase):
-    def test_a_lost_voter_is_replaced_in_one_step_within_half_of_the_settling_span(self) -> None:
+    def test_a_lost_voter_is_replaced_in_one_step_within_half_of_the_settle_time(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
-            gone = (mesh.leader() if seed % 2 else follower(mesh)).replica
-            mesh.remove(gone)
+            mesh = started_mesh(seed, **SLOW)
+            lost = (mesh.leader() if seed % 2 else follower(mesh)).replica
+            mesh.remove(lost)
             mesh.run(milliseconds(mesh.random.uniform(0, 2000)))
             mesh.add(4)
-            mesh.until(lambda: ready(mesh, 4), most=SETTLE)
+            mesh.until(lambda: has_all_committed(mesh, 4), most=SETTLE)
             span = mesh.until(lambda: mesh.votes(4), most=SETTLE)
             self.assertThat(span, LessThan(SETTLE / 2), f"seed {seed}")
             kinds = [kind for _, kind, _ in mesh.announcements]
             self.assertThat(kinds, Contains("voter replaced"))
-            # Never fewer than 2n + 1 in between.
+            # At no time are there fewer than 2n + 1 voters.
             self.assertThat("voter dropped" in kinds, Equals(False))
 
     def test_a_second_loss_when_the_first_is_settled_leaves_a_majority(self) -> None:
-        """Twice over: whoever is lost, the successor has been up for the settling span and no longer."""
+        """Three losses in succession: at each one the last successor has been up for just the settle time."""
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
-            fresh = 4
+            mesh = started_mesh(seed, **SLOW)
+            newcomer = 4
             for loss in range(3):
-                written = mesh.write()
-                gone = (mesh.leader() if (seed >> loss) % 2 else follower(mesh)).replica
-                mesh.remove(gone)
-                mesh.add(fresh)
-                fresh += 1
+                last_write = mesh.write()
+                lost = (mesh.leader() if (seed >> loss) % 2 else follower(mesh)).replica
+                mesh.remove(lost)
+                mesh.add(newcomer)
+                newcomer += 1
                 mesh.run(SETTLE)
-                self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
+                self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
             self.assertThat(len(mesh.voters()), Equals(3))
 
     def test_two_of_five_lost_at_once_are_both_replaced_in_time(self) -> None:
         for seed in SEEDS:
             span = replacement_timeout_for(settle=SETTLE, losses=2)
             timings = CoreMesh(seed=0).timings._replace(replacement_timeout=span)
-            mesh = begun(seed, machines=5, voters=5, timings=timings, **SLOW)
-            for gone in [1, 2, 3, 4, 5][seed % 4 : seed % 4 + 2]:
-                mesh.remove(gone)
+            mesh = started_mesh(seed, machines=5, voters=5, timings=timings, **SLOW)
+            for lost in [1, 2, 3, 4, 5][seed % 4 : seed % 4 + 2]:
+                mesh.remove(lost)
             mesh.add(6)
             mesh.add(7)
             mesh.run(SETTLE)
             self.assertThat((mesh.votes(6), mesh.votes(7), len(mesh.voters())), Equals((True, True, 5)), f"seed {seed}")
 
-    def test_a_voter_merely_frozen_becomes_a_spare_and_may_be_taken_again(self) -> None:
+    def test_a_frozen_voter_becomes_a_spare_and_may_become_a_voter_again(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, machines=4)
+            mesh = started_mesh(seed, machines=4)
             frozen = follower(mesh).replica
             mesh.freeze(frozen, 3 * SECOND)
             mesh.run(2 * SECOND)
             self.assertThat((mesh.votes(frozen), mesh.votes(4)), Equals((False, True)), f"seed {seed}")
             mesh.run(2 * SECOND)
-            # One step and no more: once it is back nothing changes hands again.
+            # There is only one replacement: the voters don't change again once the frozen replica is back.
             self.assertThat([kind for _, kind, _ in mesh.announcements].count("voter replaced"), LessThan(5))
-            self.assertThat((mesh.votes(frozen), ready(mesh, frozen)), Equals((False, True)), f"seed {seed}")
+            self.assertThat(
+                (mesh.votes(frozen), has_all_committed(mesh, frozen)), Equals((False, True)), f"seed {seed}"
+            )
             mesh.remove(4)
             mesh.until(lambda: mesh.votes(frozen), most=SETTLE)
             mesh.write()
 
     def test_a_voter_frozen_for_seconds_with_no_spare_keeps_its_vote(self) -> None:
-        mesh = begun(1)
+        mesh = started_mesh(1)
         frozen = follower(mesh).replica
         mesh.freeze(frozen, 6 * SECOND)
         mesh.run(5 * SECOND)
@@ -158,15 +160,15 @@
         mesh.run(3 * SECOND)
         self.assertThat((mesh.votes(frozen), len(mesh.voters())), Equals((True, 3)))
 
-    def test_below_the_level_that_knows_it_two_steps_do_it(self) -> None:
-        mesh = begun(2, level=LEVEL_OF[ReplaceVoter] - 1)
+    def test_below_the_level_with_replacement_it_takes_two_steps(self) -> None:
+        mesh = started_mesh(2, level=LEVEL_OF[ReplaceVoter] - 1)
         mesh.remove(follower(mesh).replica)
         mesh.add(4)
         mesh.until(lambda: mesh.votes(4), most=SETTLE * 2)
         kinds = [kind for _, kind, _ in mesh.announcements if "voter" in kind]
         self.assertThat(list(dict.fromkeys(kinds)), Equals(["voter dropped", "voter added"]))
 
-    def test_a_machine_that_came_back_blank_keeps_no_vote_alive_while_it_still_pulls(self) -> None:
+    def test_a_replica_that_came_back_blank_does_not_keep_its_vote_while_it_catches_up(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3, level=LEVEL_OF[ReplaceVoter]).lead()
         until = bench.timestamp + TIMINGS.replacement_timeout + SECOND
         while bench.timestamp < until:
@@ -176,20 +178,20 @@
             bench.feed(Ticked(), later=milliseconds(200))
         self.assertThat(bench.voters(), Equals({1: "one", 2: "two", 4: "four"}))
 
-    def test_the_one_silent_for_longest_goes_first(self) -> None:
+    def test_the_voter_silent_for_longest_is_replaced_first(self) -> None:
         bench = Growing({**TWO, 3: "three", 4: "four", 5: "five"}, wanted=5, level=LEVEL)
         bench.core.role = CANDIDATE
         bench.core.elections.pre_vote, bench.core.elections.granted = False, {(1, "one"), (2, "two"), (4, "four")}
         bench.core.elections.count_votes()
         bench.feed(Synced(bench.core.sequence))
-        bench.go_on(2, 3, 4, 5, span=2 * SECOND)
-        bench.go_on(2, 3, 4, span=SECOND / 2)
-        bench.go_on(2, 4, span=TIMINGS.replacement_timeout * 2)
-        bench.go_on(2, 4, 9, span=SECOND / 2)
+        bench.keep_fetching(2, 3, 4, 5, span=2 * SECOND)
+        bench.keep_fetching(2, 3, 4, span=SECOND / 2)
+        bench.keep_fetching(2, 4, span=TIMINGS.replacement_timeout * 2)
+        bench.keep_fetching(2, 4, 9, span=SECOND / 2)
         self.assertThat([each["voter"] for each in bench.announced("voter replaced")], Equals([5]))
 
-    def test_a_whole_replica_votes_though_its_log_does_not_show_it_as_a_voter_yet(self) -> None:
-        """The record that made it one may be on the candidates alone, and a majority of that set may need its vote."""
+    def test_a_complete_replica_votes_although_its_log_does_not_name_it_a_voter_yet(self) -> None:
+        """The record that adds it may be on the candidate alone, and a majority of that set may need its vote."""
         state = initial_state(mesh="m", voters=TWO, operators={}, level=LEVEL)
         for complete in (True, False):
             boot = Boot(4, "four", voters=tuple(TWO.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
@@ -197,10 +199,13 @@
             vote = VoteCall("m", 2, 2, "two", 9, 1, False, LEVEL)
             self.assertThat((bench.core.is_voter(), bench.call(vote).granted), Equals((False, complete)))
 
-    def test_a_change_that_is_committed_is_known_so_on_each_disk_without_a_further_record(self) -> None:
-        """Replaced, settled, then a disk lost and all power with it: nobody may ask the set of before."""
+    def test_each_disk_knows_that_a_change_is_committed_without_a_further_record(self) -> None:
+        """Guards against a restart that still requires the voter set before a committed replacement.
+
+        A voter is replaced, another disk is wiped, and then all replicas lose power: that set has lost its majority.
+        """
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
+            mesh = started_mesh(seed, **SLOW)
             mesh.remove(follower(mesh).replica)
             mesh.add(4)
             mesh.run(SETTLE)
@@ -215,7 +220,7 @@
 
 
 class PlannedLeaves(TestCase):
-    def test_a_vote_that_the_leader_asked_for_is_granted_although_it_was_heard_just_now(self) -> None:
+    def test_a_vote_for_a_leadership_transfer_is_granted_although_the_leader_is_alive(self) -> None:
         for handed in (False, True):
             bench = Growing({**TWO, 3: "three"}, replica=3)
             bench.call(BeginEpochCall("m", 1, 1))
@@ -225,7 +230,7 @@
 
     def test_a_plain_restart_stays_quick(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
+            mesh = started_mesh(seed, **SLOW)
             for replica in (1, 2, 3):
                 self.assertThat(
                     mesh.stop(replica), LessThan(milliseconds(500)), f"seed {seed}: {mesh.announcements[-5:]}"
@@ -234,42 +239,44 @@
                 mesh.run(SETTLE)
                 mesh.write()
 
-    def test_a_leaving_leader_names_its_successor_and_nobody_waits_for_its_silence(self) -> None:
+    def test_a_leaving_leader_names_its_successor_without_an_election_timeout(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed)
+            mesh = started_mesh(seed)
             old = mesh.leader().replica
             mesh.nodes[old].feed(StopRequested(3 * SECOND))
             mesh.until(lambda: mesh.nodes[old].ended != "", most=SECOND)
-            # It leads once more than it did, and by the call: no election's span went by.
+            # The successor was elected by leadership transfer, without an election timeout.
             self.assertThat([kind for _, kind, _ in mesh.announcements], Contains("called to stand"))
             self.assertThat((mesh.nodes[old].ended, mesh.led()), Equals(("handed over", True)), f"seed {seed}")
 
-    def test_what_hangs_on_the_leaving_one_and_one_more_is_handed_to_the_third_first(self) -> None:
-        """The third was cut off while the record was committed; then the first leaves for good, then the second's disk
-        is lost: without the hand-over the record is gone."""
+    def test_records_only_on_the_leaving_replica_and_one_more_are_replicated_to_the_third_first(self) -> None:
+        """Guards against the loss of a committed record that is on the leaving replica and one more only.
+
+        The third was partitioned when the record was committed; the first leaves, then the second's disk is lost.
+        """
         for seed in SEEDS:
             for leaver_leads in (True, False):
-                mesh = begun(seed)
+                mesh = started_mesh(seed)
                 leader = mesh.leader().replica
                 second = follower(mesh).replica
                 third = ({1, 2, 3} - {leader, second}).pop()
                 mesh.cuts = {frozenset((third, each)) for each in (leader, second)}
-                written = [mesh.write() for _ in range(3)][-1]
+                last_write = [mesh.write() for _ in range(3)][-1]
                 leaver, stays = (leader, second) if leaver_leads else (second, leader)
-                # Joined again while the other is told to stop.
+                # The partition heals while the leaving replica is stopping.
                 mesh.later(milliseconds(300), mesh.cuts.clear)
                 mesh.stop(leaver)
                 mesh.remove(leaver)
-                self.assertThat(mesh.nodes[third].core.last.offset >= written, Equals(True), f"seed {seed}")
+                self.assertThat(mesh.nodes[third].core.last.offset >= last_write, Equals(True), f"seed {seed}")
                 mesh.wipe(stays)
-                self.assertThat(mesh.nodes[third].core.epoch_at(written) is not None, Equals(True))
+                self.assertThat(mesh.nodes[third].core.epoch_at(last_write) is not None, Equals(True))
 
     def test_a_ready_successor_takes_the_vote_of_the_one_that_leaves(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
+            mesh = started_mesh(seed, **SLOW)
             old = (mesh.leader() if seed % 2 else follower(mesh)).replica
             mesh.add(4)
-            # Told to stop while the new one still catches up: it waits for it, inside its grace.
+            # It is stopped while the new replica is still catching up, and waits for it within its grace period.
             mesh.until(lambda: any(replica == 4 for replica, _ in mesh.leader().core.replication.progress), most=SETTLE)
             mesh.stop(old)
             self.assertThat(
@@ -277,58 +284,58 @@
             )
             mesh.remove(old)
             mesh.write()
-            # And the next loss comes at once.
+            # The next loss follows at once.
             mesh.remove(follower(mesh).replica)
             mesh.write()
 
-    def test_without_a_majority_beside_it_it_stays_to_the_end_of_its_time_and_no_longer(self) -> None:
-        mesh = begun(3)
-        gone = follower(mesh).replica
-        mesh.nodes[gone].kill()
+    def test_without_a_majority_of_others_it_stays_until_its_deadline_and_no_longer(self) -> None:
+        mesh = started_mesh(3)
+        lost = follower(mesh).replica
+        mesh.nodes[lost].kill()
         leader = mesh.leader().replica
         stayed = mesh.stop(leader, grace=3 * SECOND)
         self.assertThat((mesh.nodes[leader].ended, stayed < 3.2 * SECOND), Equals(("time over", True)))
 
-    def test_all_told_to_stop_at_once_end_soon(self) -> None:
+    def test_all_stopped_at_once_end_soon(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed)
+            mesh = started_mesh(seed)
             for node in mesh.nodes.values():
                 node.feed(StopRequested(3 * SECOND))
             span = mesh.until(lambda: all(node.ended for node in mesh.nodes.values()), most=3 * SECOND)
             self.assertThat(span, LessThan(timedelta(seconds=2)), f"seed {seed}")
 
-    def test_a_former_release_leads_and_nobody_waits_for_a_word_it_does_not_know(self) -> None:
-        mesh = begun(4)
+    def test_a_leader_of_an_older_release_that_does_not_know_leaves_is_not_waited_for(self) -> None:
+        mesh = started_mesh(4)
         leader = mesh.leader()
         leader.core.leaving.answer_leaving = lambda call: 0
         leader.core.leaving.decide_leave = lambda key: 0
         self.assertThat(mesh.stop(follower(mesh).replica), LessThan(SECOND))
 
-    def test_the_only_voter_hands_everything_to_its_successor(self) -> None:
+    def test_the_only_voter_hands_over_to_its_successor(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, machines=1, voters=1)
-            written = mesh.write()
+            mesh = started_mesh(seed, machines=1, voters=1)
+            last_write = mesh.write()
             mesh.add(4)
             mesh.run(SECOND)
             mesh.stop(1)
             mesh.remove(1)
-            self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
+            self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
 
 
 class RegressionDays(TestCase):
-    """The two days of the review after which nobody led any more (finding 13), by the losses in them."""
+    """The losses of the two review histories after which no leader could be elected any more (finding 13)."""
 
-    def replaced(self, mesh: CoreMesh, fresh: int, *, planned: bool, leader: bool) -> None:
+    def replaced(self, mesh: CoreMesh, newcomer: int, *, planned: bool, leader: bool) -> None:
         old = (mesh.leader() if leader else follower(mesh)).replica
         if planned:
-            mesh.add(fresh)
+            mesh.add(newcomer)
             mesh.run(2 * SECOND)
             mesh.stop(old)
             mesh.remove(old)
         else:
             mesh.remove(old)
             mesh.run(milliseconds(500))
-            mesh.add(fresh)
+            mesh.add(newcomer)
         mesh.write()
 
     def all_lose_power(self, mesh: CoreMesh) -> None:
@@ -342,30 +349,30 @@
     def test_four_replacements_and_a_loss_of_power_at_the_end(self) -> None:
         for seed in SEEDS:
             for leader in (True, False):
-                mesh = begun(seed, **SLOW)
-                for fresh, (planned, rest) in enumerate(((True, 4), (True, 9), (False, 7), (False, 5)), start=4):
-                    self.replaced(mesh, fresh, planned=planned, leader=leader)
+                mesh = started_mesh(seed, **SLOW)
+                for newcomer, (planned, rest) in enumerate(((True, 4), (True, 9), (False, 7), (False, 5)), start=4):
+                    self.replaced(mesh, newcomer, planned=planned, leader=leader)
                     mesh.run(rest * SECOND)
-                written = mesh.write()
+                last_write = mesh.write()
                 self.all_lose_power(mesh)
-                self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
+                self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
 
     def test_a_replacement_a_wipe_a_planned_one_and_the_leaders_power(self) -> None:
         for seed in SEEDS:
-            mesh = begun(seed, **SLOW)
+            mesh = started_mesh(seed, **SLOW)
             self.replaced(mesh, 4, planned=False, leader=bool(seed % 2))
             mesh.run(SETTLE + SECOND)
-            gone = follower(mesh).replica
-            mesh.wipe(gone)
-            mesh.nodes[gone].start()
+            lost = follower(mesh).replica
+            mesh.wipe(lost)
+            mesh.nodes[lost].start()
             mesh.run(SETTLE)
             self.replaced(mesh, 5, planned=True, leader=not seed % 2)
             mesh.run(SETTLE)
-            written = mesh.write()
+            last_write = mesh.write()
             leader = mesh.leader()
             leader.kill()
             mesh.run(milliseconds(700))
             leader.start()
-            self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
+            self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
             self.all_lose_power(mesh)
-            self.assertThat(mesh.write() > written, Equals(True), f"seed {seed}")
+            self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -1,4 +1,4 @@
-"""Membership changes through the log: growth, replacement, the majorities that count, and unknown replicas."""
+"""Voter changes through the log: growth, replacement, the majorities required, and unknown replicas."""
 
 import random
 from datetime import timedelta
@@ -20,12 +20,12 @@
 TWO = {1: "one", 2: "two"}
 
 
-def life_of(replica: int) -> str:
+def incarnation_of(replica: int) -> str:
     return {1: "one", 2: "two", 3: "three", 4: "four", 5: "five", 9: "nine"}[replica]
 
 
 class Growing(Bench):
-    """A bench whose core was founded by these voters at the level that knows voter changes."""
+    """A bench whose mesh was bootstrapped with these voters at a level that supports voter changes."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         self.tickets = 0
 
     def fetch_from(self, replica: int, *, incarnation: str = "", complete: bool = True) -> FetchAnswer | None:
-        """What this replica says when it has all there is."""
+        """The answer to a fetch by a replica that has the whole log."""
         last = self.core.last
         return self.call(
             FetchCall(
                 "m",
                 replica,
-                incarnation or life_of(replica),
+                incarnation or incarnation_of(replica),
                 self.core.epoch,
                 last.offset + 1,
                 last.epoch,
@@ -70,8 +70,8 @@
             )
         )
 
-    def go_on(self, *replicas: int, span: timedelta, complete: bool = True) -> None:
-        """These fetch on and on for the span, the newest always synced; the others say nothing."""
+    def keep_fetching(self, *replicas: int, span: timedelta, complete: bool = True) -> None:
+        """These replicas keep fetching for the span, with the whole log synced; the others are silent."""
         until = self.timestamp + span
         while self.timestamp < until:
             for replica in replicas:
@@ -86,68 +86,68 @@
 
 
 class Growth(TestCase):
-    def test_a_core_grows_one_voter_at_a_time_to_what_the_losses_ask_for(self) -> None:
+    def test_voters_are_added_one_at_a_time_up_to_the_number_wanted(self) -> None:
         bench = Growing(wanted=5).lead()
-        bench.go_on(2, 3, 4, 5, 9, span=timedelta(seconds=8))
-        # Twice the losses and one, and no more, however many keep up.
-        self.assertThat(bench.voters(), Equals({each: life_of(each) for each in (1, 2, 3, 4, 5)}))
+        bench.keep_fetching(2, 3, 4, 5, 9, span=timedelta(seconds=8))
+        # The number of voters wanted, and no more, however many replicas keep up.
+        self.assertThat(bench.voters(), Equals({each: incarnation_of(each) for each in (1, 2, 3, 4, 5)}))
         added = bench.announced("voter added")
         self.assertThat([(each["voter"], each["voters"]) for each in added], Equals([(3, 3), (4, 4), (5, 5)]))
 
-    def test_whoever_lags_or_still_pulls_its_checkpoint_joins_nothing(self) -> None:
+    def test_a_replica_that_lags_or_still_fetches_its_checkpoint_does_not_become_a_voter(self) -> None:
         bench = Growing().lead()
         bench.write(3)
-        bench.go_on(2, span=timedelta(seconds=1))
+        bench.keep_fetching(2, span=timedelta(seconds=1))
         until = bench.timestamp + timedelta(seconds=6)
         while bench.timestamp < until:
             bench.fetch_from(2)
-            # Behind the high-watermark, and whole only in its own words.
+            # It lags behind the high watermark, although it reports a complete state.
             bench.call(FetchCall("m", 3, "three", bench.core.epoch, 2, bench.core.epoch, 0, True, 3))
             bench.fetch_from(4, complete=False)
             bench.feed(Ticked(), later=STEP)
         self.assertThat(bench.voters(), Equals(TWO))
 
-    def test_nothing_grows_where_founding_named_the_voters_once_and_for_all(self) -> None:
+    def test_no_voter_is_added_if_the_bootstrap_fixed_the_voters(self) -> None:
         bench = Growing(wanted=0).lead()
-        bench.go_on(2, 3, span=timedelta(seconds=8))
+        bench.keep_fetching(2, 3, span=timedelta(seconds=8))
         self.assertThat(bench.voters(), Equals(TWO))
 
-    def test_nothing_grows_below_the_level_that_knows_it(self) -> None:
+    def test_no_voter_is_added_below_the_level_with_voter_changes(self) -> None:
         bench = Growing(level=2).lead()
-        bench.go_on(2, 3, span=timedelta(seconds=8))
-        # Nor is a record written that every replica would refuse: the log holds the leader's note alone.
+        bench.keep_fetching(2, 3, span=timedelta(seconds=8))
+        # No record is written that the replicas would reject: the log contains only the leader change.
         self.assertThat((bench.voters(), bench.core.last.offset), Equals((TWO, 1)))
 
-    def test_a_voter_long_silent_makes_room_for_one_that_keeps_up(self) -> None:
+    def test_a_voter_silent_for_long_is_replaced_by_a_replica_that_keeps_up(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, 3, 4, span=timedelta(seconds=5))
+        bench.keep_fetching(2, 3, 4, span=timedelta(seconds=5))
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
-        bench.go_on(2, 4, span=TIMINGS.replacement_timeout / 2)
-        # Not for a while's silence: a machine that restarts comes back.
+        bench.keep_fetching(2, 4, span=TIMINGS.replacement_timeout / 2)
+        # A short silence is tolerated: a machine that restarts comes back.
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
-        bench.go_on(2, 4, span=timedelta(seconds=5))
+        bench.keep_fetching(2, 4, span=timedelta(seconds=5))
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 4]))
         self.assertThat([each["voter"] for each in bench.announced("voter dropped")], Equals([3]))
         self.assertThat([each["voter"] for each in bench.announced("voter added")], Equals([4]))
 
-    def test_a_silent_voter_stays_while_nobody_could_take_its_place(self) -> None:
+    def test_a_silent_voter_stays_while_no_replica_can_replace_it(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, span=TIMINGS.replacement_timeout * 2)
+        bench.keep_fetching(2, span=TIMINGS.replacement_timeout * 2)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
 
-    def test_a_new_leader_waits_its_own_span_before_it_calls_anyone_silent(self) -> None:
+    def test_a_new_leader_waits_the_replacement_timeout_before_it_replaces_a_voter(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, 4, span=TIMINGS.replacement_timeout - STEP)
+        bench.keep_fetching(2, 4, span=TIMINGS.replacement_timeout - STEP)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
-        bench.go_on(2, 4, span=STEP * 4)
+        bench.keep_fetching(2, 4, span=STEP * 4)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 4]))
 
 
 class Majorities(TestCase):
     def growing(self) -> Growing:
-        """Leads three voters, and the record that adds the fourth isn't committed yet."""
+        """A leader of three voters whose record adding a fourth is not committed yet."""
         bench = Growing({**TWO, 3: "three"}, wanted=5).lead()
-        bench.go_on(2, 3, span=timedelta(seconds=4))
+        bench.keep_fetching(2, 3, span=timedelta(seconds=4))
         bench.fetch_from(4)
         bench.feed(Ticked())
         self.assertThat(len(bench.core.voter_sets()), Equals(2))
@@ -156,19 +156,19 @@
     def test_until_a_change_commits_every_set_must_agree(self) -> None:
         bench = self.growing()
         before = bench.core.high_watermark
-        # Two of the three of old agree; of the four that is half, and half is no majority.
+        # Two of the three old voters agree; that is only half of the four, which is no majority.
         bench.fetch_from(2)
         self.assertThat(bench.core.high_watermark, Equals(before))
         bench.fetch_from(4)
         self.assertThat((bench.core.high_watermark, sorted(bench.voters())), Equals((before + 1, [1, 2, 3, 4])))
 
-    def test_a_drop_too_needs_the_voters_of_old(self) -> None:
+    def test_a_removal_too_needs_a_majority_of_the_old_voters(self) -> None:
         bench = Growing({**TWO, 3: "three", 4: "four"}, wanted=4)
         bench.core.role = CANDIDATE
         bench.core.elections.pre_vote, bench.core.elections.granted = False, {(1, "one"), (2, "two"), (3, "three")}
         bench.core.elections.count_votes()
         bench.feed(ProposalArrived(77, (pack_command(RemoveVoter(4, "four")),)))
-        # Two of the three that are left, but only half of the four.
+        # Two of the three remaining voters agree, but only half of the four.
         bench.fetch_from(2)
         self.assertThat((bench.core.high_watermark, len(bench.voters())), Equals((0, 4)))
         bench.fetch_from(3)
@@ -180,7 +180,7 @@
         bench.fetch_from(4)
         self.assertThat(bench.core.high_watermark, Equals(before))
 
-    def test_no_second_change_begins_while_one_is_under_way(self) -> None:
+    def test_no_second_change_begins_while_one_is_pending(self) -> None:
         bench = self.growing()
         for _ in range(5):
             bench.fetch_from(4)
@@ -188,7 +188,7 @@
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
         self.assertThat(len(bench.core.pending_voter_changes), Equals(1))
 
-    def test_a_change_that_never_committed_goes_with_its_record(self) -> None:
+    def test_an_uncommitted_change_is_undone_when_its_record_is_truncated(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
         bench.call(BeginEpochCall("m", 1, 1))
         records = (
@@ -197,7 +197,7 @@
         )
         bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 1, 1, records)))
         self.assertThat(bench.core.voter_sets()[-1], Contains(4))
-        # The next leader never had it.
+        # The next leader does not have the record.
         bench.call(BeginEpochCall("m", 2, 3))
         bench.feed(
             AnswerArrived(
@@ -215,7 +215,7 @@
         bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 2, FetchAnswer("", 1, 2, 0, 1, (added,))))
         bench.feed(Ticked(), later=timedelta(seconds=2))
         self.assertThat(bench.core.role, Equals(CANDIDATE))
-        # All three others are asked, the one that isn't committed yet too.
+        # All three others are asked, including the one whose addition is not committed yet.
         self.assertThat(sorted(each.replica for each in bench.sent(VoteCall)), Equals([2, 3, 4]))
         bench.core.elections.granted = {(1, "one"), (4, "four")}
         bench.core.elections.count_votes()
@@ -227,7 +227,7 @@
         bench.core.elections.count_votes()
         self.assertThat(bench.core.elections.pre_vote, Equals(False))
 
-    def test_a_replica_added_by_a_record_it_has_itself_votes(self) -> None:
+    def test_a_replica_whose_own_log_adds_it_votes(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
         bench.core.incarnation, bench.core.replica = "four", 4
         self.assertThat(bench.core.is_voter(), Equals(False))
@@ -237,18 +237,18 @@
         self.assertThat(bench.core.is_voter(), Equals(True))
 
 
-class Seeking(TestCase):
+class LeaderDiscovery(TestCase):
     def blank(self, replica: int = 9) -> Growing:
         return Growing(boot=Boot(replica=replica, incarnation="blank"))
 
-    def test_a_blank_disk_asks_each_it_may_turn_to_who_leads(self) -> None:
+    def test_a_blank_replica_asks_each_seed_for_the_leader(self) -> None:
         bench = self.blank()
         for _ in range(7):
             bench.feed(Ticked(), later=TIMINGS.leader_discovery_interval)
         self.assertThat({each.replica for each in bench.sent(FetchCall)}, Equals({1, 2, 3}))
         self.assertThat(bench.sent(VoteCall), Equals([]))
 
-    def test_it_follows_the_one_it_is_sent_to(self) -> None:
+    def test_it_follows_the_leader_named_in_the_answer(self) -> None:
         bench = self.blank()
         bench.feed(Ticked(), later=TIMINGS.leader_discovery_interval)
         asked = bench.sent(FetchCall)[-1]
@@ -256,16 +256,16 @@
         fetch = bench.sent(FetchCall)[-1]
         self.assertThat((bench.core.leader, fetch.replica, fetch.message.epoch), Equals((2, 2, 4)))
 
-    def test_it_follows_the_one_it_asked_if_that_one_leads(self) -> None:
+    def test_it_follows_the_replica_it_asked_if_that_one_leads(self) -> None:
         bench = self.blank()
         bench.feed(Ticked(), later=TIMINGS.leader_discovery_interval)
         asked = bench.sent(FetchCall)[-1]
         bench.feed(AnswerArrived(asked.number, asked.replica, FetchAnswer("", 0, asked.replica, 0, 1)))
         self.assertThat((bench.core.leader, bench.sent(FetchCall)[-1].replica), Equals((asked.replica, asked.replica)))
 
-    def test_a_wiped_replica_finds_the_leader_and_is_swapped_for_its_former_life(self) -> None:
+    def test_a_wiped_replica_finds_the_leader_and_replaces_its_former_incarnation(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, span=timedelta(seconds=5))
+        bench.keep_fetching(2, span=timedelta(seconds=5))
         until = bench.timestamp + timedelta(seconds=2)
         while bench.timestamp < until:
             bench.fetch_from(2)
@@ -273,7 +273,7 @@
             bench.feed(Ticked(), later=STEP)
         self.assertThat(bench.voters(), Equals({1: "one", 2: "two", 3: "three-again"}))
 
-    def test_a_wiped_replica_counts_for_nothing_before_that(self) -> None:
+    def test_a_wiped_replica_does_not_count_before_that(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
         bench.write(2)
         bench.fetch_from(3, incarnation="three-again")
@@ -281,23 +281,27 @@
         blank = self.blank(3)
         self.assertThat(blank.call(VoteCall("m", 5, 2, "two", 9, 4, False, 3)).granted, Equals(False))
 
-    def test_a_voter_dropped_while_it_was_away_finds_the_leader_again(self) -> None:
-        # Nobody calls it any more, and its own log still names it a voter.
+    def test_a_voter_removed_while_it_was_away_finds_the_leader_again(self) -> None:
+        # The leader doesn't call it any more, but according to its own log it is still a voter.
         bench = Growing({**TWO, 9: "nine"}, replica=9)
         for _ in range(60):
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
-        sought = bench.sent(FetchCall)
-        self.assertThat({each.replica for each in sought}, Equals({1, 2, 3}))
-        bench.feed(AnswerArrived(sought[-1].number, sought[-1].replica, FetchAnswer(NOT_LEADER_FOR_PARTITION, 4, 3)))
+        discovery_calls = bench.sent(FetchCall)
+        self.assertThat({each.replica for each in discovery_calls}, Equals({1, 2, 3}))
+        bench.feed(
+            AnswerArrived(
+                discovery_calls[-1].number, discovery_calls[-1].replica, FetchAnswer(NOT_LEADER_FOR_PARTITION, 4, 3)
+            )
+        )
         self.assertThat((bench.core.leader, bench.core.role), Equals((3, FOLLOWER)))
 
-    def test_a_voter_that_merely_waits_for_an_election_asks_nobody(self) -> None:
+    def test_a_voter_that_only_waits_for_an_election_sends_no_discovery_calls(self) -> None:
         bench = Growing({**TWO, 3: "three"}, replica=3)
         for _ in range(20):
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
         self.assertThat(bench.sent(FetchCall), Equals([]))
 
-    def test_the_leader_answers_a_stranger_and_counts_it_for_nothing(self) -> None:
+    def test_the_leader_answers_an_unknown_replica_and_does_not_count_it(self) -> None:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
         answer = bench.call(FetchCall("", 9, "blank", 0, 0, 0, 0, False, 3))
         self.assertThat((answer.leader, answer.epoch, bench.core.high_watermark), Equals((1, 1, 0)))
@@ -315,7 +319,7 @@
         )
         return after, outcome.error
 
-    def test_adding_and_dropping_say_exactly_who(self) -> None:
+    def test_additions_and_removals_must_name_the_exact_incarnation(self) -> None:
         state = initial_state(mesh="m", voters=TWO, operators={}, level=3)
         unsure = str(ErrorKind.UNSURE)
         self.assertThat(self.apply(state, AddVoter(2, "other"))[1], Equals(unsure))
@@ -324,29 +328,29 @@
         state, error = self.apply(state, AddVoter(3, "three"))
         self.assertThat((error, sorted(state.voters), state.data_plane_revision), Equals(("", [1, 2, 3], state.offset)))
         for replica in (1, 2):
-            state, error = self.apply(state, RemoveVoter(replica, life_of(replica)))
+            state, error = self.apply(state, RemoveVoter(replica, incarnation_of(replica)))
             self.assertThat((error, replica in state.voters), Equals(("", False)))
-        # The last one stays.
+        # The last voter can't be removed.
         self.assertThat(self.apply(state, RemoveVoter(3, "three"))[1], Equals(unsure))
 
-    def test_a_proposal_of_a_voter_change_is_met_by_the_next_sets_at_once(self) -> None:
+    def test_a_proposed_voter_change_takes_effect_on_the_voter_sets_at_once(self) -> None:
         bench = Growing({**TWO, 3: "three"}).lead()
         bench.feed(ProposalArrived(77, (pack_command(RemoveVoter(3, "three")),)))
         self.assertThat([sorted(each) for each in bench.core.voter_sets()], Equals([[1, 2, 3], [1, 2]]))
 
 
 class ObserversFetches(TestCase):
-    """A replica without a vote commits nothing, so it is sent records in batches; a voter at once."""
+    """Records go to a voter at once, but in batches to an observer, whose fetches commit nothing."""
 
     def last_sent(self, bench: Growing, replica: int) -> int:
-        """The offset that the replica was sent last; 0 for nothing since it began to wait."""
+        """The last offset that the replica was sent in answer to its pending fetch; 0 if it is still pending."""
         fetch_ticket = self.tickets[replica]
         answers = [each for each in bench.of(Answer) if each.ticket == fetch_ticket and each.message.records]
         return answers[-1].message.records[-1].offset if answers else 0
 
     def waiting(self, *replicas: int) -> Growing:
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
-        bench.go_on(2, 3, 9, span=timedelta(seconds=1))
+        bench.keep_fetching(2, 3, 9, span=timedelta(seconds=1))
         self.tickets = {}
         for replica in replicas:
             self.assertThat(bench.fetch_from(replica), Equals(None))
@@ -367,9 +371,9 @@
         bench.feed(ProposalArrived(0, tuple(claim(number) for number in range(TIMINGS.fetch_records))))
         self.assertThat(self.last_sent(bench, 9), Equals(bench.core.last.offset))
 
-    def test_an_observer_that_is_about_to_vote_is_sent_records_at_once(self) -> None:
+    def test_an_observer_about_to_become_a_voter_is_sent_records_at_once(self) -> None:
         bench = Growing(wanted=3).lead()
-        bench.go_on(2, 3, span=timedelta(milliseconds=200))
+        bench.keep_fetching(2, 3, span=timedelta(milliseconds=200))
         while not bench.core.pending_voter_changes:
             bench.fetch_from(2)
             bench.fetch_from(3)
@@ -381,13 +385,13 @@
 
 
 class VotersFetches(TestCase):
-    """Under load records go to a voter in batches; the first after a pause goes at once."""
+    """Under load records go to a voter in batches; the first after a pause is sent at once."""
 
     def test_records_that_follow_soon_wait_for_each_other(self) -> None:
         gap = timedelta(milliseconds=10)
         bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
         bench.core.timings = TIMINGS._replace(voter_batch_interval=gap)
-        bench.go_on(2, 3, span=timedelta(seconds=1))
+        bench.keep_fetching(2, 3, span=timedelta(seconds=1))
         bench.feed(Ticked(), later=gap)
         self.assertThat(bench.fetch_from(2), Equals(None))
         bench.feed(ProposalArrived(0, (claim(1),)))
