--- a/packages/raft/src/hoistsaddle/raft/disk_jobs.py
+++ b/packages/raft/src/hoistsaddle/raft/disk_jobs.py
@@ -66,7 +66,7 @@
         ...
 
     def stop(self) -> bool:
-        """Stops the worker; returns whether it has ended, as only then the disk may be closed."""
+        """Stops the worker; returns whether it has ended, since the disk may be closed only then."""
         ...
 
 
--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -136,7 +136,7 @@
 
     def epoch_acknowledged(self, answer: EpochAcknowledged) -> None:
         """Handles a replica's answer to a leader's call."""
-        # A higher epoch means that this leader has been superseded, or that the replica can't follow it in this epoch.
+        # A higher epoch means that this leader is superseded or can't lead that replica: it must be elected again.
         if answer.epoch > self.core.epoch:
             self.step_down(answer.epoch, UNSET)
 
@@ -252,7 +252,7 @@
         return True
 
     def _has_live_leader(self, call: VoteCall) -> bool:
-        """Whether a leader is alive, so that a vote request would only disrupt it unless it transfers its leadership.
+        """Whether a leader is alive, so that a vote request would only disrupt it, unless it is a leadership transfer.
 
         KIP-996 and the Raft thesis call this leader stickiness.
         """
--- a/packages/raft/src/hoistsaddle/raft/replica.py
+++ b/packages/raft/src/hoistsaddle/raft/replica.py
@@ -87,7 +87,7 @@
         self.checkpoint = boot.checkpoint
         self.checkpoints = [StoredCheckpoint(boot.checkpoint, now)] if boot.checkpoint else []
         self.known_voters = boot.voters
-        # The high watermark known before the restart; after it the high watermark starts at the checkpoint, below this.
+        # The offset known to be committed before the restart; the high watermark restarts at the checkpoint, below it.
         self.committed_before = 0 if boot.catching else boot.committed
         self.appended_at = now
         # The sequence number of the newest write.
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -27,10 +27,13 @@
         self.addCleanup(temporary.cleanup)
         return Path(temporary.name)
 
-    def check_scenario(self, scenario, *, max_broken: int = 0, **how) -> Findings:
+    def check_scenario(self, scenario, *, max_broken: int = 0, **options) -> Findings:
         folder = self.folder()
         return check(
-            record(scenario, folder=folder / "life", seed=SEED, **how), folder=folder, seed=SEED, max_broken=max_broken
+            record(scenario, folder=folder / "life", seed=SEED, **options),
+            folder=folder,
+            seed=SEED,
+            max_broken=max_broken,
         )
 
 
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -25,7 +25,7 @@
 from hoistsaddle.statemachine.commands import LEVEL, LEVEL_OF, ReplaceVoter
 from hoistsaddle.statemachine.state import initial_state
 from test_kip_630 import TIMINGS
-from test_raft_voters import TWO, Growing
+from test_raft_voters import TWO, VoterBench
 
 SECOND = timedelta(seconds=1)
 SEEDS = range(1, 13)
@@ -169,7 +169,7 @@
         self.assertThat(list(dict.fromkeys(kinds)), Equals(["voter dropped", "voter added"]))
 
     def test_a_replica_that_came_back_blank_does_not_keep_its_vote_while_it_catches_up(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3, level=LEVEL_OF[ReplaceVoter]).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3, level=LEVEL_OF[ReplaceVoter]).lead()
         until = bench.timestamp + TIMINGS.replacement_timeout + SECOND
         while bench.timestamp < until:
             bench.fetch_from(2)
@@ -179,7 +179,7 @@
         self.assertThat(bench.voters(), Equals({1: "one", 2: "two", 4: "four"}))
 
     def test_the_voter_silent_for_longest_is_replaced_first(self) -> None:
-        bench = Growing({**TWO, 3: "three", 4: "four", 5: "five"}, wanted=5, level=LEVEL)
+        bench = VoterBench({**TWO, 3: "three", 4: "four", 5: "five"}, wanted=5, level=LEVEL)
         bench.core.role = CANDIDATE
         bench.core.elections.pre_vote, bench.core.elections.granted = False, {(1, "one"), (2, "two"), (4, "four")}
         bench.core.elections.count_votes()
@@ -195,7 +195,7 @@
         state = initial_state(mesh="m", voters=TWO, operators={}, level=LEVEL)
         for complete in (True, False):
             boot = Boot(4, "four", voters=tuple(TWO.items()), mesh="m", checkpoint=OffsetAndEpoch(0, 0), state=state)
-            bench = Growing(boot=boot if complete else Boot(4, "four", mesh="m"))
+            bench = VoterBench(boot=boot if complete else Boot(4, "four", mesh="m"))
             vote = VoteCall("m", 2, 2, "two", 9, 1, False, LEVEL)
             self.assertThat((bench.core.is_voter(), bench.call(vote).granted), Equals((False, complete)))
 
@@ -221,12 +221,12 @@
 
 class PlannedLeaves(TestCase):
     def test_a_vote_for_a_leadership_transfer_is_granted_although_the_leader_is_alive(self) -> None:
-        for handed in (False, True):
-            bench = Growing({**TWO, 3: "three"}, replica=3)
+        for transfer in (False, True):
+            bench = VoterBench({**TWO, 3: "three"}, replica=3)
             bench.call(BeginEpochCall("m", 1, 1))
             bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 1, FetchAnswer("", 1, 1, 0, 1)))
-            vote = VoteCall("m", 2, 2, "two", 0, 0, False, LEVEL, handed)
-            self.assertThat(bench.call(vote, later=milliseconds(50)).granted, Equals(handed))
+            vote = VoteCall("m", 2, 2, "two", 0, 0, False, LEVEL, transfer)
+            self.assertThat(bench.call(vote, later=milliseconds(50)).granted, Equals(transfer))
 
     def test_a_plain_restart_stays_quick(self) -> None:
         for seed in SEEDS:
@@ -322,10 +322,10 @@
             self.assertThat(mesh.write() > last_write, Equals(True), f"seed {seed}")
 
 
-class RegressionDays(TestCase):
+class RegressionHistories(TestCase):
     """The losses of the two review histories after which no leader could be elected any more (finding 13)."""
 
-    def replaced(self, mesh: CoreMesh, newcomer: int, *, planned: bool, leader: bool) -> None:
+    def replace_voter(self, mesh: CoreMesh, newcomer: int, *, planned: bool, leader: bool) -> None:
         old = (mesh.leader() if leader else follower(mesh)).replica
         if planned:
             mesh.add(newcomer)
@@ -351,7 +351,7 @@
             for leader in (True, False):
                 mesh = started_mesh(seed, **SLOW)
                 for newcomer, (planned, rest) in enumerate(((True, 4), (True, 9), (False, 7), (False, 5)), start=4):
-                    self.replaced(mesh, newcomer, planned=planned, leader=leader)
+                    self.replace_voter(mesh, newcomer, planned=planned, leader=leader)
                     mesh.run(rest * SECOND)
                 last_write = mesh.write()
                 self.all_lose_power(mesh)
@@ -360,13 +360,13 @@
     def test_a_replacement_a_wipe_a_planned_one_and_the_leaders_power(self) -> None:
         for seed in SEEDS:
             mesh = started_mesh(seed, **SLOW)
-            self.replaced(mesh, 4, planned=False, leader=bool(seed % 2))
+            self.replace_voter(mesh, 4, planned=False, leader=bool(seed % 2))
             mesh.run(SETTLE + SECOND)
             lost = follower(mesh).replica
             mesh.wipe(lost)
             mesh.nodes[lost].start()
             mesh.run(SETTLE)
-            self.replaced(mesh, 5, planned=True, leader=not seed % 2)
+            self.replace_voter(mesh, 5, planned=True, leader=not seed % 2)
             mesh.run(SETTLE)
             last_write = mesh.write()
             leader = mesh.leader()
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -24,7 +24,7 @@
     return {1: "one", 2: "two", 3: "three", 4: "four", 5: "five", 9: "nine"}[replica]
 
 
-class Growing(Bench):
+class VoterBench(Bench):
     """A bench whose mesh was bootstrapped with these voters at a level that supports voter changes."""
 
     def __init__(
@@ -87,7 +87,7 @@
 
 class Growth(TestCase):
     def test_voters_are_added_one_at_a_time_up_to_the_number_wanted(self) -> None:
-        bench = Growing(wanted=5).lead()
+        bench = VoterBench(wanted=5).lead()
         bench.keep_fetching(2, 3, 4, 5, 9, span=timedelta(seconds=8))
         # The number of voters wanted, and no more, however many replicas keep up.
         self.assertThat(bench.voters(), Equals({each: incarnation_of(each) for each in (1, 2, 3, 4, 5)}))
@@ -95,7 +95,7 @@
         self.assertThat([(each["voter"], each["voters"]) for each in added], Equals([(3, 3), (4, 4), (5, 5)]))
 
     def test_a_replica_that_lags_or_still_fetches_its_checkpoint_does_not_become_a_voter(self) -> None:
-        bench = Growing().lead()
+        bench = VoterBench().lead()
         bench.write(3)
         bench.keep_fetching(2, span=timedelta(seconds=1))
         until = bench.timestamp + timedelta(seconds=6)
@@ -108,18 +108,18 @@
         self.assertThat(bench.voters(), Equals(TWO))
 
     def test_no_voter_is_added_if_the_bootstrap_fixed_the_voters(self) -> None:
-        bench = Growing(wanted=0).lead()
+        bench = VoterBench(wanted=0).lead()
         bench.keep_fetching(2, 3, span=timedelta(seconds=8))
         self.assertThat(bench.voters(), Equals(TWO))
 
     def test_no_voter_is_added_below_the_level_with_voter_changes(self) -> None:
-        bench = Growing(level=2).lead()
+        bench = VoterBench(level=2).lead()
         bench.keep_fetching(2, 3, span=timedelta(seconds=8))
         # No record is written that the replicas would reject: the log contains only the leader change.
         self.assertThat((bench.voters(), bench.core.last.offset), Equals((TWO, 1)))
 
     def test_a_voter_silent_for_long_is_replaced_by_a_replica_that_keeps_up(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.keep_fetching(2, 3, 4, span=timedelta(seconds=5))
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
         bench.keep_fetching(2, 4, span=TIMINGS.replacement_timeout / 2)
@@ -131,12 +131,12 @@
         self.assertThat([each["voter"] for each in bench.announced("voter added")], Equals([4]))
 
     def test_a_silent_voter_stays_while_no_replica_can_replace_it(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.keep_fetching(2, span=TIMINGS.replacement_timeout * 2)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
 
     def test_a_new_leader_waits_the_replacement_timeout_before_it_replaces_a_voter(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.keep_fetching(2, 4, span=TIMINGS.replacement_timeout - STEP)
         self.assertThat(sorted(bench.voters()), Equals([1, 2, 3]))
         bench.keep_fetching(2, 4, span=STEP * 4)
@@ -144,9 +144,9 @@
 
 
 class Majorities(TestCase):
-    def growing(self) -> Growing:
+    def growing(self) -> VoterBench:
         """A leader of three voters whose record adding a fourth is not committed yet."""
-        bench = Growing({**TWO, 3: "three"}, wanted=5).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=5).lead()
         bench.keep_fetching(2, 3, span=timedelta(seconds=4))
         bench.fetch_from(4)
         bench.feed(Ticked())
@@ -163,7 +163,7 @@
         self.assertThat((bench.core.high_watermark, sorted(bench.voters())), Equals((before + 1, [1, 2, 3, 4])))
 
     def test_a_removal_too_needs_a_majority_of_the_old_voters(self) -> None:
-        bench = Growing({**TWO, 3: "three", 4: "four"}, wanted=4)
+        bench = VoterBench({**TWO, 3: "three", 4: "four"}, wanted=4)
         bench.core.role = CANDIDATE
         bench.core.elections.pre_vote, bench.core.elections.granted = False, {(1, "one"), (2, "two"), (3, "three")}
         bench.core.elections.count_votes()
@@ -189,7 +189,7 @@
         self.assertThat(len(bench.core.pending_voter_changes), Equals(1))
 
     def test_an_uncommitted_change_is_undone_when_its_record_is_truncated(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
+        bench = VoterBench({**TWO, 3: "three"}, replica=2, wanted=5)
         bench.call(BeginEpochCall("m", 1, 1))
         records = (
             Record(1, 1, timedelta(seconds=1), claim(1)),
@@ -209,7 +209,7 @@
         self.assertThat((bench.core.last.offset, len(bench.core.voter_sets())), Equals((1, 1)))
 
     def test_a_vote_needs_a_majority_of_every_set(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=5)
+        bench = VoterBench({**TWO, 3: "three"}, wanted=5)
         bench.call(BeginEpochCall("m", 1, 2))
         added = Record(1, 1, timedelta(seconds=1), pack_command(AddVoter(4, "four")))
         bench.feed(AnswerArrived(bench.core.log_fetcher.fetch_number, 2, FetchAnswer("", 1, 2, 0, 1, (added,))))
@@ -228,7 +228,7 @@
         self.assertThat(bench.core.elections.pre_vote, Equals(False))
 
     def test_a_replica_whose_own_log_adds_it_votes(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, replica=2, wanted=5)
+        bench = VoterBench({**TWO, 3: "three"}, replica=2, wanted=5)
         bench.core.incarnation, bench.core.replica = "four", 4
         self.assertThat(bench.core.is_voter(), Equals(False))
         bench.call(BeginEpochCall("m", 1, 1))
@@ -238,8 +238,8 @@
 
 
 class LeaderDiscovery(TestCase):
-    def blank(self, replica: int = 9) -> Growing:
-        return Growing(boot=Boot(replica=replica, incarnation="blank"))
+    def blank(self, replica: int = 9) -> VoterBench:
+        return VoterBench(boot=Boot(replica=replica, incarnation="blank"))
 
     def test_a_blank_replica_asks_each_seed_for_the_leader(self) -> None:
         bench = self.blank()
@@ -264,7 +264,7 @@
         self.assertThat((bench.core.leader, bench.sent(FetchCall)[-1].replica), Equals((asked.replica, asked.replica)))
 
     def test_a_wiped_replica_finds_the_leader_and_replaces_its_former_incarnation(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.keep_fetching(2, span=timedelta(seconds=5))
         until = bench.timestamp + timedelta(seconds=2)
         while bench.timestamp < until:
@@ -274,7 +274,7 @@
         self.assertThat(bench.voters(), Equals({1: "one", 2: "two", 3: "three-again"}))
 
     def test_a_wiped_replica_does_not_count_before_that(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.write(2)
         bench.fetch_from(3, incarnation="three-again")
         self.assertThat(bench.core.high_watermark, Equals(0))
@@ -283,7 +283,7 @@
 
     def test_a_voter_removed_while_it_was_away_finds_the_leader_again(self) -> None:
         # The leader doesn't call it any more, but according to its own log it is still a voter.
-        bench = Growing({**TWO, 9: "nine"}, replica=9)
+        bench = VoterBench({**TWO, 9: "nine"}, replica=9)
         for _ in range(60):
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
         discovery_calls = bench.sent(FetchCall)
@@ -296,13 +296,13 @@
         self.assertThat((bench.core.leader, bench.core.role), Equals((3, FOLLOWER)))
 
     def test_a_voter_that_only_waits_for_an_election_sends_no_discovery_calls(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, replica=3)
+        bench = VoterBench({**TWO, 3: "three"}, replica=3)
         for _ in range(20):
             bench.feed(Ticked(), later=timedelta(milliseconds=100))
         self.assertThat(bench.sent(FetchCall), Equals([]))
 
     def test_the_leader_answers_an_unknown_replica_and_does_not_count_it(self) -> None:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         answer = bench.call(FetchCall("", 9, "blank", 0, 0, 0, 0, False, 3))
         self.assertThat((answer.leader, answer.epoch, bench.core.high_watermark), Equals((1, 1, 0)))
         self.assertThat(bench.core.role, Equals(LEADER))
@@ -334,7 +334,7 @@
         self.assertThat(self.apply(state, RemoveVoter(3, "three"))[1], Equals(unsure))
 
     def test_a_proposed_voter_change_takes_effect_on_the_voter_sets_at_once(self) -> None:
-        bench = Growing({**TWO, 3: "three"}).lead()
+        bench = VoterBench({**TWO, 3: "three"}).lead()
         bench.feed(ProposalArrived(77, (pack_command(RemoveVoter(3, "three")),)))
         self.assertThat([sorted(each) for each in bench.core.voter_sets()], Equals([[1, 2, 3], [1, 2]]))
 
@@ -342,14 +342,14 @@
 class ObserversFetches(TestCase):
     """Records go to a voter at once, but in batches to an observer, whose fetches commit nothing."""
 
-    def last_sent(self, bench: Growing, replica: int) -> int:
+    def last_sent(self, bench: VoterBench, replica: int) -> int:
         """The last offset that the replica was sent in answer to its pending fetch; 0 if it is still pending."""
         fetch_ticket = self.tickets[replica]
         answers = [each for each in bench.of(Answer) if each.ticket == fetch_ticket and each.message.records]
         return answers[-1].message.records[-1].offset if answers else 0
 
-    def waiting(self, *replicas: int) -> Growing:
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+    def waiting(self, *replicas: int) -> VoterBench:
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.keep_fetching(2, 3, 9, span=timedelta(seconds=1))
         self.tickets = {}
         for replica in replicas:
@@ -372,7 +372,7 @@
         self.assertThat(self.last_sent(bench, 9), Equals(bench.core.last.offset))
 
     def test_an_observer_about_to_become_a_voter_is_sent_records_at_once(self) -> None:
-        bench = Growing(wanted=3).lead()
+        bench = VoterBench(wanted=3).lead()
         bench.keep_fetching(2, 3, span=timedelta(milliseconds=200))
         while not bench.core.pending_voter_changes:
             bench.fetch_from(2)
@@ -389,7 +389,7 @@
 
     def test_records_that_follow_soon_wait_for_each_other(self) -> None:
         gap = timedelta(milliseconds=10)
-        bench = Growing({**TWO, 3: "three"}, wanted=3).lead()
+        bench = VoterBench({**TWO, 3: "three"}, wanted=3).lead()
         bench.core.timings = TIMINGS._replace(voter_batch_interval=gap)
         bench.keep_fetching(2, 3, span=timedelta(seconds=1))
         bench.feed(Ticked(), later=gap)
