--- a/packages/registry/src/hoistsaddle/registry/bootstrap.py
+++ b/packages/registry/src/hoistsaddle/registry/bootstrap.py
@@ -1,8 +1,8 @@
-"""Founding without a person: controllers with blank disks agree on the first voters of a mesh, each by its disk.
+"""Automatic founding: controllers with blank disks agree on the initial voters of a mesh.
 
-Nobody is told how many controllers there are. A founding names its voters by the incarnations of their disks, and its
-mesh's id follows from them, so controllers that see the same blank disks found the same mesh. Which disks must be
-blank, and why two meshes can't be founded: docs/design/founding.md.
+No controller is configured with the number of controllers. A founding identifies its voters by the incarnations of
+their disks, and the id of the mesh is derived from them, so controllers that see the same blank disks found the same
+mesh. docs/design/founding.md states which disks must be blank, and why two meshes can't be founded.
 """
 
 import hashlib
@@ -14,35 +14,36 @@
 from hoistsaddle.statemachine.commands import LEVEL
 
 INSPECT_INTERVAL = milliseconds(150)
-# Once it has gone on for so long, a bootstrap asks less often: it may wait for a machine that is away for hours.
-BRISK_SPAN = timedelta(seconds=15)
+# After this long, a bootstrap inspects less often: it may have to wait hours for a machine that is down.
+FAST_INSPECT_DURATION = timedelta(seconds=15)
 SLOW_INSPECT_INTERVAL = timedelta(seconds=1)
-# A seed that gives no answer for so long is left out, where that is safe; it joins once it is there.
+# A seed that has not answered for this long is left out where that is safe; it joins the mesh once it is up.
 MAX_WAIT_FOR_SEEDS = timedelta(seconds=3)
-# From one controller's turn to found to the next one's: mostly the first one is there.
+# Delay between one controller's turn to found and the next one's: usually the first controller is up and founds.
 TURN_INTERVAL = milliseconds(500)
-# A controller that holds a founding with an empty log leaves the telling to its founder for so long.
+# A controller that has recorded a founding waits this long for its founder before it sends the founding itself.
 MAX_WAIT_FOR_FOUNDER = timedelta(seconds=1)
-# A founding that no majority of its voters has taken for so long is given up, as long as nothing was logged under it.
+# A founding that no majority of its voters has acknowledged for this long is abandoned, unless the log has records
+# that may be committed.
 MAX_WAIT_FOR_MAJORITY = timedelta(seconds=3)
 MESH_ID_DIGITS = 16
 
 
 class InspectReplicas(NamedTuple):
-    """Ask these replicas what is on their disks."""
+    """Ask these replicas which mesh their disks belong to, if any."""
 
     replicas: tuple[int, ...]
 
 
 class FoundReplicas(NamedTuple):
-    """Tell these replicas that they are founded."""
+    """Send the founding to these replicas."""
 
     replicas: tuple[int, ...]
     call: BootstrapCall
 
 
 class LeaveFounding(NamedTuple):
-    """Make the replica beside blank again; with records only if none of them can be committed."""
+    """Abandon the founding and make the local replica blank; with records only if none of them can be committed."""
 
     with_records: bool
 
@@ -51,7 +52,7 @@
 
 
 class OwnReplica(NamedTuple):
-    """The replica beside: the mesh it belongs to, and its founding while nothing is known to be committed under it."""
+    """The local replica: its mesh, and its founding as long as nothing is known to be committed under it."""
 
     mesh: str = ""
     recorded_call: BootstrapCall | None = None
@@ -59,7 +60,7 @@
 
 
 class BlankDisk(NamedTuple):
-    """A blank disk as a replica describes it."""
+    """A blank disk as reported by its replica."""
 
     incarnation: str
     seeds: frozenset[int]
@@ -67,23 +68,24 @@
 
 
 class Proposal(NamedTuple):
-    """A founding that what was seen allows: its voters, and everything that it rests on."""
+    """A founding that the last round allows: its voters, and all the blank disks that the round found."""
 
     voters: tuple[tuple[int, str], ...]
     seen: tuple[tuple[int, BlankDisk], ...]
 
     def call(self) -> BootstrapCall:
-        """The founding; its mesh's id follows from the voters' disks."""
+        """The founding; the id of its mesh is derived from the incarnations of the voters' disks."""
         text = ",".join(f"{replica}={incarnation}" for replica, incarnation in sorted(self.voters))
         mesh = hashlib.sha256(text.encode()).hexdigest()[:MESH_ID_DIGITS]
         return BootstrapCall(mesh, dict(self.voters), {}, LEVEL)
 
 
 def may_leave_out(*, seeds: int, witnesses: int, losses: int) -> bool:
-    """Whether so many blank witnesses of the first start show that the other seeds founded nothing without them.
+    """Whether this many blank witnesses of the first start prove that the other seeds founded no mesh without them.
 
-    A founding counts once a majority of its voters holds it, and has at least as many voters as this one would: any
-    such majority must have a witness in it.
+    A witness is a blank disk that was present at the first start. A founding takes effect once a majority of its
+    voters has recorded it, and it has at least as many voters as this one would: any such majority must include a
+    witness.
     """
     fewest_voters = min(2 * losses + 1, witnesses)
     majority = fewest_voters // 2 + 1
@@ -91,7 +93,7 @@
 
 
 class Bootstrap:
-    """Decides, without I/O, whom to inspect, what to found, and when to give a founding up."""
+    """Decides, without I/O, which replicas to inspect, what to found, and when to abandon a founding."""
 
     def __init__(
         self, *, replica: int, first_seeds: tuple[int, ...], seeds: tuple[int, ...], losses: int, now: timedelta
@@ -99,41 +101,41 @@
         """Begins a bootstrap.
 
         Args:
-            replica: The replica beside it.
-            first_seeds: The seeds of the first start of all, if the replica's disk was there; else empty.
-            seeds: The seeds of the present settings.
+            replica: The number of the local replica.
+            first_seeds: The seeds of the first start, if the replica's disk was present at it; else empty.
+            seeds: The seeds of the current settings.
             losses: How many core machines may be lost at once.
             now: The time on this node's clock.
         """
         self.replica = replica
         self.first_seeds = first_seeds
-        # The controllers that this one has heard of; more are named by the answers of those.
+        # The controllers known so far; their answers may name more.
         self.known: tuple[int, ...] = tuple(sorted({replica, *seeds}))
         self.losses = losses
-        # Over once something is committed: from then on whoever lacks something gets it from the leader.
+        # Becomes false once a record is committed: from then on, replicas fetch what they lack from the leader.
         self.active = True
         self.started_at = now
         self.last_round_at: timedelta | None = None
         self._heard_at: dict[int, timedelta] = {}
-        # What the round under way has heard so far.
+        # The answers received in the current round.
         self._blank: dict[int, BlankDisk] = {}
         self._mesh_seen = False
-        # What the last round allowed, and since when each round has allowed just that.
+        # The proposal of the last round, and the time since which every round has led to the same one.
         self._proposal: Proposal | None = None
         self._allowed_since: timedelta | None = None
-        # Whether this node has told a founding of its own making.
+        # Whether this node founded the mesh, rather than having recorded another node's founding.
         self._told = False
-        # Of the founding that the replica beside holds.
+        # When the local replica was first seen with its recorded founding, and when a majority last acknowledged that.
         self._held_since: timedelta | None = None
         self._majority_at = now
         self._acknowledged: set[int] = set()
-        # Voters whose disk, the one that the founding names, belongs to another mesh.
+        # Voters whose disk is the one that the founding names, but belongs to another mesh.
         self._elsewhere: set[int] = set()
 
     # -- answers -----------------------------------------------------------------------------------------------------
 
     def inspected(self, answer: FoundingStatusAnswer, *, now: timedelta) -> None:
-        """Notes what a replica has on its disk."""
+        """Records a replica's report on its disk."""
         self._heard_at[answer.replica] = now
         if answer.mesh:
             self._mesh_seen = True
@@ -141,7 +143,7 @@
         self._blank[answer.replica] = BlankDisk(answer.incarnation, frozenset(answer.seeds), answer.first_start)
 
     def acknowledged(self, replica: int, call: BootstrapCall, answer: BootstrapAnswer) -> None:
-        """Notes whether a replica took the founding."""
+        """Records whether a replica accepted the founding."""
         if not answer.error:
             self._acknowledged.add(replica)
         elif answer.mesh and answer.incarnation == call.voters.get(replica):
@@ -150,10 +152,10 @@
     # -- rounds ------------------------------------------------------------------------------------------------------
 
     def handle(self, own: OwnReplica, *, now: timedelta) -> list[BootstrapCommand]:
-        """What to do now.
+        """The commands to carry out now.
 
         Args:
-            own: The replica beside it.
+            own: The state of the local replica.
             now: The time on this node's clock.
         """
         if own.mesh and own.recorded_call is None:
@@ -161,26 +163,26 @@
         if not self.active or not self._is_round_due(now):
             return []
         if own.recorded_call is not None:
-            return self._tell(own.recorded_call, has_records=own.has_records, now=now)
+            return self._repeat_founding(own.recorded_call, has_records=own.has_records, now=now)
         self._held_since = None
-        return self._look_around(now=now)
+        return self._inspect_round(now=now)
 
     def _is_round_due(self, now: timedelta) -> bool:
-        if self.last_round_at is None or self._is_second_look_due():
+        if self.last_round_at is None or self._is_confirming_round_due():
             return True
-        brisk = now - self.started_at < BRISK_SPAN
-        return now - self.last_round_at >= (INSPECT_INTERVAL if brisk else SLOW_INSPECT_INTERVAL)
+        fast = now - self.started_at < FAST_INSPECT_DURATION
+        return now - self.last_round_at >= (INSPECT_INTERVAL if fast else SLOW_INSPECT_INTERVAL)
 
-    def _is_second_look_due(self) -> bool:
-        """Whether all seeds of the first start were found blank, for the first time in a row."""
+    def _is_confirming_round_due(self) -> bool:
+        """Whether this is the first round to find all seeds of the first start blank; the next one follows at once."""
         seeds = self.first_seeds
         return bool(seeds) and self._proposal is None and all(seed in self._blank for seed in seeds)
 
-    def _look_around(self, *, now: timedelta) -> list[BootstrapCommand]:
-        """With a blank disk: concludes the last round, and begins the next one."""
+    def _inspect_round(self, *, now: timedelta) -> list[BootstrapCommand]:
+        """Concludes the last inspection round and begins the next one; for a local replica that is blank."""
         self._learn_controllers()
         proposal = self._allowed_proposal(now=now)
-        # Seen twice alike: at some moment between the two all of these disks were blank at once.
+        # Two rounds with the same result: at some moment between them, all of these disks were blank at once.
         confirmed = proposal is not None and proposal == self._proposal
         self._proposal = proposal
         self._blank.clear()
@@ -190,24 +192,24 @@
             self._allowed_since = None
         elif not confirmed:
             self._allowed_since = now
-            # The second look follows at once.
+            # Makes the confirming round due at once.
             self.last_round_at = None
         elif self._is_own_turn(now):
             self._told = True
             call = proposal.call()
             return [FoundReplicas(tuple(call.voters), call)]
-        return [InspectReplicas(self._asked())]
+        return [InspectReplicas(self._inspection_targets())]
 
-    def _asked(self) -> tuple[int, ...]:
+    def _inspection_targets(self) -> tuple[int, ...]:
         return tuple(dict.fromkeys((*(self.first_seeds or self.known), self.replica)))
 
     def _is_own_turn(self, now: timedelta) -> bool:
         order = self.first_seeds or self.known
-        place = order.index(self.replica) if self.replica in order else len(order)
-        return self._allowed_since is not None and now - self._allowed_since >= place * TURN_INTERVAL
+        position = order.index(self.replica) if self.replica in order else len(order)
+        return self._allowed_since is not None and now - self._allowed_since >= position * TURN_INTERVAL
 
     def _learn_controllers(self) -> None:
-        """Without a record of the first start: whoever is blank too names the controllers that it knows."""
+        """Without a record of the first start: adds the controllers known to other blank disks without a record."""
         if self.first_seeds:
             return
         named = (disk.seeds for disk in self._blank.values() if not disk.first_start)
@@ -223,12 +225,12 @@
         return Proposal(voters, tuple(sorted(self._blank.items())))
 
     def _members_of_first_start(self, *, now: timedelta) -> tuple[int, ...]:
-        """The seeds to found with: all if all are blank, else the witnesses once the others were silent for long."""
+        """The seeds to found with: all if all are blank, else the witnesses once the other seeds have timed out."""
         seeds = self.first_seeds
         if all(seed in self._blank for seed in seeds):
             return seeds
-        silent = [seed for seed in seeds if seed not in self._blank]
-        if any(now - self._heard_at.get(seed, self.started_at) < MAX_WAIT_FOR_SEEDS for seed in silent):
+        unresponsive = [seed for seed in seeds if seed not in self._blank]
+        if any(now - self._heard_at.get(seed, self.started_at) < MAX_WAIT_FOR_SEEDS for seed in unresponsive):
             return ()
         witnesses = tuple(seed for seed in seeds if self._is_witness(seed))
         if not may_leave_out(seeds=len(seeds), witnesses=len(witnesses), losses=self.losses):
@@ -242,8 +244,8 @@
     def _members_without_record(self, *, now: timedelta) -> tuple[int, ...]:
         """All known controllers, if each is blank, knows the same ones, and none has a record of the first start.
 
-        All processes of a first start ended before one had recorded it. Of a mesh no more disks are lost at once than
-        are to be borne, so one of these would hold it.
+        This happens if every process of a first start ended before it had recorded that start. It is no mesh whose
+        disks were all replaced: a mesh loses at most `losses` disks at once, so one of these would still belong to it.
         """
         if now - self.started_at < MAX_WAIT_FOR_SEEDS or len(self.known) <= self.losses:
             return ()
@@ -254,16 +256,16 @@
                 return ()
         return self.known
 
-    # -- a founding on the disk beside -------------------------------------------------------------------------------
+    # -- a founding recorded on the local disk -----------------------------------------------------------------------
 
-    def _tell(self, call: BootstrapCall, *, has_records: bool, now: timedelta) -> list[BootstrapCommand]:
-        """Tells the founding to its voters until something is committed; the same founding twice is one."""
+    def _repeat_founding(self, call: BootstrapCall, *, has_records: bool, now: timedelta) -> list[BootstrapCommand]:
+        """Sends the founding to its voters until a record is committed; a repeated founding changes nothing."""
         self.last_round_at = now
         if self._held_since is None:
             self._held_since = self._majority_at = now
         elif len(self._acknowledged) * 2 > len(call.voters):
             self._majority_at = now
-        # A disk that acknowledged a record never leaves its mesh: those elsewhere have acknowledged none of this one.
+        # A disk that acknowledged a record never leaves its mesh: those in other meshes acknowledged none of this one.
         never_committed = (len(call.voters) - len(self._elsewhere)) * 2 <= len(call.voters)
         self._acknowledged.clear()
         self._elsewhere.clear()
@@ -271,7 +273,7 @@
             self._majority_at = now
             return []
         if now - self._majority_at > MAX_WAIT_FOR_MAJORITY and (never_committed or not has_records):
-            # Another founding has the others, or their disks are gone.
+            # The other voters have accepted another founding, or their disks are lost.
             self._held_since = None
             self._told = False
             return [LeaveFounding(never_committed)]
--- a/packages/registry/src/hoistsaddle/registry/bootstrap_runner.py
+++ b/packages/registry/src/hoistsaddle/registry/bootstrap_runner.py
@@ -1,4 +1,4 @@
-"""Carries out what the bootstrap decides: inspects stores, tells them that they are founded, leaves a founding."""
+"""Carries out the commands of a bootstrap: inspects stores, sends them foundings, abandons a founding."""
 
 import asyncio
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class BootstrapRunner:
-    """Runs one bootstrap to its end."""
+    """Runs one bootstrap until it ends."""
 
     def __init__(
         self,
@@ -34,12 +34,12 @@
         """Calls the stores at their mesh addresses.
 
         Args:
-            bootstrap: What decides.
-            store: The store beside it.
-            node: The name under which it calls.
+            bootstrap: Decides what to do.
+            store: The store in the same process.
+            node: The node name sent as the caller.
             stores: The stores' addresses by replica number.
             runtime: Clock and connections.
-            counters: Where foundings and what became of them are noted.
+            counters: Records the events of foundings.
         """
         self.bootstrap = bootstrap
         self.store = store
@@ -49,7 +49,7 @@
         self.counters = counters
 
     async def run(self) -> None:
-        """Goes on until there is nothing left to found."""
+        """Runs until the bootstrap is no longer active."""
         while self.bootstrap.active:
             for command in self.bootstrap.handle(self._own_replica(), now=self.runtime.now()):
                 match command:
@@ -74,9 +74,9 @@
     async def _found(self, replicas: Iterable[int], call: BootstrapCall) -> None:
         if not self._own_replica().mesh:
             self.counters.record_event("founding", mesh=call.mesh, voters=sorted(call.voters))
-        await asyncio.gather(*(self._tell(replica, call) for replica in replicas))
+        await asyncio.gather(*(self._send_founding(replica, call) for replica in replicas))
 
-    async def _tell(self, replica: int, call: BootstrapCall) -> None:
+    async def _send_founding(self, replica: int, call: BootstrapCall) -> None:
         match await self.runtime.rpc_client.call(self.stores[replica], call, within=FOUND_TIMEOUT):
             case Success(BootstrapAnswer() as answer):
                 self.bootstrap.acknowledged(replica, call, answer)
--- a/tests/test_registry_bootstrap.py
+++ b/tests/test_registry_bootstrap.py
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals, Is
 
 from hoistsaddle.registry.bootstrap import (
-    BRISK_SPAN,
+    FAST_INSPECT_DURATION,
     INSPECT_INTERVAL,
     MAX_WAIT_FOR_MAJORITY,
     MAX_WAIT_FOR_SEEDS,
@@ -179,7 +179,7 @@
     def test_others_are_asked_no_more_often_than_that(self) -> None:
         bench = Bench(disks={}).go_on(seconds=3)
         self.assertThat(len(bench.commands) <= timedelta(seconds=3) / INSPECT_INTERVAL + 1, Equals(True))
-        bench.go_on(seconds=BRISK_SPAN.total_seconds())
+        bench.go_on(seconds=FAST_INSPECT_DURATION.total_seconds())
         before = len(bench.commands)
         bench.go_on(seconds=10)
         self.assertThat(len(bench.commands) - before <= 10, Equals(True))
