--- a/packages/registry/src/hoistsaddle/registry/founding.py
+++ b/packages/registry/src/hoistsaddle/registry/founding.py
@@ -1,4 +1,4 @@
-"""Founding a mesh at an operator's call: explicit, once, on core machines that are all reachable and blank."""
+"""Founding of a mesh by an operator: explicit, once, on core machines that are all reachable and blank."""
 
 import asyncio
 import secrets
@@ -13,7 +13,7 @@
 
 FOUNDING_TIMEOUT = timedelta(seconds=5)
 MESH_ID_BYTES = 6
-# An author and a signer must differ.
+# The author of a bundle and its signer must differ.
 MIN_OPERATORS = 2
 
 
@@ -30,7 +30,7 @@
 
 
 def _blank_stores(statuses: dict[int, StatusAnswer | None]) -> Result[dict[int, StatusAnswer], MeshError]:
-    """The statuses of all stores, if every one answers and none of them is founded."""
+    """The statuses of all stores, provided that each one answers and none belongs to a mesh."""
     known = {replica: status for replica, status in statuses.items() if status is not None}
     missing = sorted(replica for replica in statuses if replica not in known)
     if missing:
@@ -49,11 +49,11 @@
     """Founds a mesh on the core machines that the registry's settings name.
 
     Args:
-        registry: The registry that was called.
-        operators: The first operators: the SHA-256 digest of the token, in hex, by name.
+        registry: The registry that received the operator's call.
+        operators: The hexadecimal SHA-256 digest of each initial operator's token by name.
 
     Returns:
-        The new mesh's id and its voters, or why it could not be founded.
+        The new mesh's id and its voters, or the error that prevented the founding.
     """
     if (error := _check_operators(operators)) is not None:
         return Failure(error)
@@ -63,7 +63,7 @@
         case Success(stores):
             pass
     mesh = secrets.token_hex(MESH_ID_BYTES)
-    # A new mesh begins at what all its core machines support: nothing older is there to be kept in step.
+    # A new mesh starts at the highest level that all its core machines support; it has no older members to wait for.
     level = min(registry.level, *(status.level for status in stores.values()))
     voters = {replica: status.incarnation for replica, status in stores.items()}
     call = BootstrapCall(mesh, voters, operators, level)
@@ -75,7 +75,7 @@
     )
     founded = sum(_is_founded(answer) for answer in answers)
     if founded * 2 <= len(voters):
-        return Failure(NotFounded(f"Only {founded} of {len(voters)} stores took the founding.", field="core"))
+        return Failure(NotFounded(f"Only {founded} of {len(voters)} stores accepted the founding.", field="core"))
     return Success({"mesh": mesh, "voters": voters})
 
 
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -1,4 +1,4 @@
-"""The registry's node: a root of the distribution tree that takes the mesh's calls and writes to the log for them."""
+"""The registry's node: a root of the distribution tree that answers other nodes and writes to the log for them."""
 
 import asyncio
 from datetime import timedelta
@@ -51,20 +51,20 @@
 REPORT_TIMEOUT = timedelta(seconds=2)
 STATUS_TIMEOUT = milliseconds(600)
 WRITE_TIMEOUT = timedelta(seconds=3)
-# A proxy waits half a second for its key at one registry and then asks the next: trying on for longer helps nobody.
+# A proxy waits half a second for its key claim at one registry, then calls the next one: a later result is of no use.
 KEY_WRITE_TIMEOUT = milliseconds(450)
-DUTY_INTERVAL = milliseconds(200)
-DUTY_REFRESH_TIMEOUT = milliseconds(500)
+MONITOR_INTERVAL = milliseconds(200)
+MONITOR_REFRESH_TIMEOUT = milliseconds(500)
 LEVEL_PEER_TIMEOUT = milliseconds(300)
 LEVEL_RAISE_TIMEOUT = milliseconds(700)
-# Above the number of every event: asks a store for none of its events.
+# Higher than any event number: a status call with it returns no events.
 NO_EVENTS = 2**62
 REGISTRY_KIND = "bourse"
 PROXY_KIND = "stall"
 
 
 class Registry:
-    """One registry: its copy of the configuration, its part in the membership, and its way to the log's leader."""
+    """One registry: its copy of the configuration, its membership, and its writer to the leader of the log."""
 
     def __init__(
         self,
@@ -74,13 +74,13 @@
         long_poll_timeout: timedelta = LONG_POLL_TIMEOUT,
         member_timings: MemberTimings = MemberTimings(),  # noqa: B008
     ) -> None:
-        """Makes the parts; nothing is opened before `start`.
+        """Creates the parts; opens no listener before `start`.
 
         Args:
             settings: The settings of this process.
             runtime: Clock, randomness and connections.
             long_poll_timeout: How long a child's poll waits for an update.
-            member_timings: How often and how patiently other members are probed.
+            member_timings: Intervals and timeouts of the probes of other members.
         """
         self.long_poll_timeout = long_poll_timeout
         self.settings = settings
@@ -97,7 +97,7 @@
         lease_span = timedelta(seconds=settings.lease_seconds)
         self.relay = Relay(node=self.node, incarnation=self.incarnation, lease_span=lease_span)
         self.view = View()
-        # When each incarnation of a proxy was first seen called gone: its last lease may outlive that update a little.
+        # When each incarnation of a node was first seen as gone: its last lease may expire some time after that update.
         self.gone_first_seen: dict[tuple[str, str], timedelta] = {}
         self.configuration_changed = asyncio.Condition()
         self.node_monitor = NodeMonitor(node=self.node, health_span=timedelta(seconds=settings.health_seconds))
@@ -133,17 +133,17 @@
         return {machine.replica: machine.store for machine in self.settings.core}
 
     async def start(self) -> None:
-        """Opens the mesh address and begins to read the configuration, to probe members and to do its duties."""
+        """Opens the mesh address and starts the tasks that read the configuration, probe members and monitor nodes."""
         self.server = await self.runtime.serve(self.settings.listen, self.answer)
         self.tasks = [
             asyncio.ensure_future(work)
-            for work in (self.member.run(), self._follow_configuration(), self._do_duties(), self._register())
+            for work in (self.member.run(), self._follow_configuration(), self._run_node_monitor(), self._register())
         ]
         # Events' names are part of the operators' interface.
         self.counters.record_event("bourse up", incarnation=self.incarnation)
 
     async def stop(self) -> None:
-        """Ends all of it at once."""
+        """Cancels all tasks and closes all connections at once."""
         for task in self.tasks:
             task.cancel()
         self.writer.stop()
@@ -159,7 +159,11 @@
             await asyncio.sleep(READ_INTERVAL.total_seconds())
 
     async def refresh(self, *, within: timedelta) -> bool:
-        """Reads once, confirmed by the leader; the lease counts from just before the read was sent."""
+        """Reads the configuration once, confirmed by the leader; the lease starts when the read was sent.
+
+        Returns:
+            Whether a read succeeded within the time.
+        """
         deadline = self.runtime.now() + within
         while self.runtime.now() < deadline:
             sent_at = self.runtime.now()
@@ -195,7 +199,7 @@
         await self._notify_children()
 
     def _update_view(self) -> None:
-        """Reads the view anew out of the copy of the configuration."""
+        """Derives the view from the copy of the configuration."""
         self.view = read_view(
             revision=self.relay.copy.revision,
             items=self.relay.copy.items,
@@ -206,7 +210,7 @@
         self._track_gone_nodes()
 
     async def _notify_children(self) -> None:
-        """Wakes the polls that wait here for an update."""
+        """Wakes the long polls that wait for an update."""
         async with self.configuration_changed:
             self.configuration_changed.notify_all()
 
@@ -216,7 +220,7 @@
         self.gone_first_seen = {each: self.gone_first_seen.get(each, now) for each in sorted(gone)}
 
     def proxies_with_possible_lease(self) -> list[NodeRecord]:
-        """Every proxy that can still hold a lease: the live, and those called gone less than a lease ago."""
+        """Every proxy that may still hold a lease: the live ones, and those seen as gone for less than a lease span."""
         span = self.applied_versions.longest_lease()
         now = self.runtime.now()
         return [
@@ -229,7 +233,7 @@
     # -- calls from the mesh -----------------------------------------------------------------------------------------
 
     async def answer(self, message: tuple) -> tuple | None:
-        """Answers a call of another process; None if it is none for a registry."""
+        """Answers a call of another process; None if registries don't handle this message."""
         self.counters.add(f"calls.{counted_name(message)}")
         match message:
             case PollCall():
@@ -256,28 +260,28 @@
 
     async def _write_for_proxy(self, payloads: tuple[bytes, ...]) -> WriteAnswer:
         for payload in payloads:
-            # Proxies may hold keys and nothing else; all other writes have callers of their own here.
+            # Proxies may only write idempotency keys; the registry makes all other writes itself.
             if not isinstance(unpack_command(payload), ClaimKey | CompleteKey | ReleaseKey):
                 return WriteAnswer(str(ErrorKind.NOT_ALLOWED), UNSET)
         left = KEY_WRITE_TIMEOUT - timedelta(seconds=call_age().age)
         if left <= timedelta():
-            # It lay unread here for so long that its sidecar has given it up: logging it would only delay the others.
+            # The call waited here for so long that its sidecar has timed out: logging it would only delay the others.
             self.counters.add("writes.stale")
             return WriteAnswer(str(ErrorKind.QUEUE_FULL), UNSET)
         results = await self.writer.write_payloads(payloads, within=left)
         outcomes = [result.unwrap() for result in results if isinstance(result, Success)]
         if len(outcomes) < len(results):
             errors = {str(result.failure().kind) for result in results if isinstance(result, Failure)}
-            # Of a batch that the log took in part, all may be in the log: they are asked for again together.
+            # If the log accepted only part of a batch, the rest may be logged too: the proxy retries the whole batch.
             error = str(ErrorKind.UNSURE) if outcomes or len(errors) > 1 else errors.pop()
             return WriteAnswer(error, UNSET)
-        # Who leads goes along: whoever asks there next time saves a hop.
+        # The answer names the leader: a caller that calls its machine directly next time saves a hop.
         return WriteAnswer("", self.writer.leader, tuple(pack_outcome(outcome) for outcome in outcomes))
 
-    # -- duties ------------------------------------------------------------------------------------------------------
+    # -- node monitoring ---------------------------------------------------------------------------------------------
 
     async def _register(self) -> None:
-        """Notes this registry among the mesh's nodes, once there is a mesh."""
+        """Registers this incarnation of the registry as a node of the mesh, once there is a mesh."""
         while True:
             known = self.view.nodes.get(self.node)
             if self.relay.fresh(now=self.runtime.now()) and (known is None or known.incarnation != self.incarnation):
@@ -294,25 +298,25 @@
                     ),
                     within=WRITE_TIMEOUT,
                 )
-            await asyncio.sleep(DUTY_INTERVAL.total_seconds())
+            await asyncio.sleep(MONITOR_INTERVAL.total_seconds())
 
-    async def _do_duties(self) -> None:
-        """Monitors the nodes, if that is this registry's duty, and raises the release level when all support it."""
+    async def _run_node_monitor(self) -> None:
+        """Monitors the nodes while this registry has that role, and raises the release level once all support it."""
         while True:
-            await asyncio.sleep(DUTY_INTERVAL.total_seconds())
+            await asyncio.sleep(MONITOR_INTERVAL.total_seconds())
             now = self.runtime.now()
             live = [member.node for member in self.member.core.alive(kind=REGISTRY_KIND)]
             commands = self.node_monitor.handle(
                 view=self.view, live_registries=live, fresh=self.relay.fresh(now=now), now=now
             )
             for command in commands:
-                await self._write_duty(command)
+                await self._write_monitor_command(command)
             if commands:
-                await self.refresh(within=DUTY_REFRESH_TIMEOUT)
+                await self.refresh(within=MONITOR_REFRESH_TIMEOUT)
             if self.node_monitor.should_raise_level(view=self.view, level=self.level, now=now):
                 await self._raise_level()
 
-    async def _write_duty(self, command: Command) -> None:
+    async def _write_monitor_command(self, command: Command) -> None:
         what = tag_of(command)
         match await self.writer.write(command, within=WRITE_TIMEOUT):
             case Success(outcome) if not outcome.error:
@@ -322,7 +326,7 @@
                 self.counters.record_event("duty refused", what=what, mishap=outcome.error)
 
     async def _raise_level(self) -> None:
-        """Every live proxy supports a higher level; if the other registries do too, the leader asks the voters."""
+        """Asks the leader, which asks the voters, to raise the level if all other registries support it too."""
         answers = await self.other_registries.call_others(AppliedVersionsCall(self.node), within=LEVEL_PEER_TIMEOUT)
         if all(isinstance(answer, AppliedVersionsAnswer) and answer.level >= self.level for answer in answers):
             leader = self.stores[self.writer.leader]
@@ -338,12 +342,12 @@
         return result if isinstance(result, Success) else Failure(NO_LEADER)
 
     async def store_statuses(self, *, after_event: int = NO_EVENTS) -> dict[int, StatusAnswer | None]:
-        """The status of each core machine's store by replica number; None from one that gives none in time.
+        """The status of each core machine's store by replica number; None for a store that doesn't answer in time.
 
         Args:
-            after_event: The stores' events above this number come along.
+            after_event: The statuses include the stores' events above this number.
         """
-        # Copied: replicas may be learnt while the answers are awaited.
+        # Copied because replicas may be added while the calls are in flight.
         stores = dict(self.stores)
         call = StatusCall(self.node, after_event)
         answers = await asyncio.gather(
