--- a/packages/registry/src/hoistsaddle/registry/health_reports.py
+++ b/packages/registry/src/hoistsaddle/registry/health_reports.py
@@ -1,4 +1,4 @@
-"""Heartbeats of proxies: noted by the registry that monitors them, and logged where they say something new."""
+"""Heartbeats of proxies: recorded by the registry that monitors the nodes, and logged when they report a change."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -24,12 +24,12 @@
 PROXY_KIND = "stall"
 
 
-def _not_noted(kind: str) -> HealthAnswer:
+def _refuse(kind: str) -> HealthAnswer:
     return HealthAnswer(kind, "", 0)
 
 
 class HealthReports:
-    """Takes proxies' heartbeats for one registry."""
+    """Handles the heartbeats of proxies for one registry."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         runtime: Runtime,
         counters: Counters,
     ) -> None:
-        """Works on the parts of the registry with this node name; `view` gives its newest view."""
+        """Uses the parts of the registry with this node name; `view` returns its newest view."""
         self.node = node
         self.view = view
         self.relay = relay
@@ -54,35 +54,35 @@
         self.counters = counters
 
     async def answer(self, call: HealthCall) -> HealthAnswer:
-        """Forwards a heartbeat to the registry that monitors the nodes; records it here if that gives no answer."""
-        duty = self.view().singleton_roles.get(NODE_MONITOR_ROLE)
-        if duty is not None and duty.node != self.node:
-            # The monitoring registry must hear every heartbeat; one hop helps a proxy that doesn't know it yet.
-            address = self.peers.address_of(duty.node)
+        """Forwards a heartbeat to the registry that monitors the nodes; records it here if that one doesn't answer."""
+        role = self.view().singleton_roles.get(NODE_MONITOR_ROLE)
+        if role is not None and role.node != self.node:
+            # The monitoring registry must receive every heartbeat; forwarding serves proxies that don't know it yet.
+            address = self.peers.address_of(role.node)
             match await self.runtime.rpc_client.call(address, call, within=FORWARD_TIMEOUT):
                 case Success(HealthAnswer() as answer):
                     return answer
         return await self.record(call)
 
     async def record(self, call: HealthCall) -> HealthAnswer:
-        """Notes a heartbeat here, and logs what it changes; only "noted" once the log has it."""
+        """Records a heartbeat here and logs what it changes; answers without an error only once that is committed."""
         if not self.relay.fresh(now=self.runtime.now()):
-            # What this copy says of the proxy may be out of date: an acknowledgement might be false.
+            # This copy's record of the proxy may be out of date, so an acknowledgement could be wrong.
             self.counters.add("vitals.not_fresh")
-            return _not_noted(ErrorKind.NO_LEADER.value)
+            return _refuse(ErrorKind.NO_LEADER.value)
         self.node_monitor.record_heartbeat(call.node, now=self.runtime.now())
         self.node_monitor.levels[call.node] = (call.incarnation, call.level)
-        # Only changes are logged; a heartbeat that says what the log says already ends here.
+        # Only changes are logged; a heartbeat that matches the log needs no write.
         if (refused := await self._log_node(call)) is not None:
             return refused
         if not call.service_name:
             return HealthAnswer("", "", call.serial)
         if not await self._log_server(call):
-            return _not_noted(ErrorKind.NO_LEADER.value)
+            return _refuse(ErrorKind.NO_LEADER.value)
         return HealthAnswer("", call.state, call.serial)
 
     async def _log_node(self, call: HealthCall) -> HealthAnswer | None:
-        """Logs the proxy as alive if the log says otherwise; the refusal if that didn't succeed."""
+        """Logs the proxy as alive unless the log agrees already; returns the refusal if that fails, else None."""
         node = self.view().nodes.get(call.node)
         reported = (call.address, call.zone, call.incarnation, ALIVE)
         if node is not None and (node.address, node.zone, node.incarnation, node.state) == reported:
@@ -94,16 +94,16 @@
                 self.counters.record_event("stall noted", stall=call.node)
                 return None
             case Success(outcome):
-                # Too old a release, or a report from before something was forgotten: it isn't noted.
+                # The release is too old, or the report is older than a purge of the log: it is not recorded.
                 self.counters.add(f"vitals.{outcome.error or 'old'}")
-                return _not_noted(outcome.error or ErrorKind.UNSURE.value)
+                return _refuse(outcome.error or ErrorKind.UNSURE.value)
             case _:
-                return _not_noted(ErrorKind.NO_LEADER.value)
+                return _refuse(ErrorKind.NO_LEADER.value)
 
     async def _log_server(self, call: HealthCall) -> bool:
-        """Logs the server beside the proxy if the log says otherwise; false if that didn't succeed."""
+        """Logs the server of the proxy unless the log agrees already; returns whether the log is up to date."""
         server = self.view().servers.get(call.node)
-        if server is not None and _says_the_same(server, call):
+        if server is not None and _matches_record(server, call):
             return True
         command = RegisterServer(
             call.node,
@@ -131,6 +131,6 @@
         return False
 
 
-def _says_the_same(server: ServerRecord, call: HealthCall) -> bool:
+def _matches_record(server: ServerRecord, call: HealthCall) -> bool:
     logged = (server.service, server.instance, server.address, server.zone, server.state, server.incarnation)
     return logged == (call.service_name, call.instance, call.server, call.zone, call.state, call.incarnation)
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -1,4 +1,4 @@
-"""Monitoring of the nodes, a singleton role: the first live registry by name has it, under an epoch from the log."""
+"""Monitoring of the nodes: a singleton role, held by the first live registry by name under an epoch from the log."""
 
 from datetime import timedelta
 
@@ -9,38 +9,38 @@
 PURGE_INTERVAL = timedelta(seconds=30)
 RAISE_LEVEL_INTERVAL = timedelta(seconds=1)
 PROXY_KIND = "stall"
-# The first release level whose state machine purges what was gone for long.
+# The first release level whose state machine purges nodes and servers that have been gone for long.
 PURGE_LEVEL = 2
 
 MonitorCommand = AcquireSingletonRole | RegisterServer | RegisterNode | Purge
 
 
 class NodeMonitor:
-    """Notes proxies' heartbeats and logs as gone those without one, while this registry has the role."""
+    """Records proxies' heartbeats and, while this registry has the role, logs proxies without heartbeats as gone."""
 
     def __init__(self, *, node: str, health_span: timedelta) -> None:
-        """Has no role yet.
+        """Starts without the role.
 
         Args:
             node: This registry's name.
-            health_span: How long a proxy may be silent before it counts as gone.
+            health_span: How long after its last heartbeat a proxy counts as gone.
         """
         self.node = node
         self.health_span = health_span
         self.last_heard: dict[str, timedelta] = {}
         self.active_since: timedelta | None = None
         self.last_checked_at: timedelta | None = None
-        # Each proxy's incarnation and the release level it says it supports.
+        # Each proxy's incarnation and the release level that it reports as supported.
         self.levels: dict[str, tuple[str, int]] = {}
         self.last_purge_at: timedelta | None = None
         self.last_raise_at: timedelta | None = None
 
     def record_heartbeat(self, proxy: str, *, now: timedelta) -> None:
-        """Notes that a proxy was heard of."""
+        """Records that a heartbeat of this proxy has arrived."""
         self.last_heard[proxy] = now
 
     def handle(self, *, view: View, live_registries: list[str], fresh: bool, now: timedelta) -> list[MonitorCommand]:
-        """What to log now: the role itself, then whatever is gone.
+        """The commands to log now: taking the role itself, or what is gone while this registry has the role.
 
         Args:
             view: The configuration as this registry knows it.
@@ -50,42 +50,42 @@
         """
         was_paused = self.last_checked_at is not None and now - self.last_checked_at > self.health_span / 2
         self.last_checked_at = now
-        duty = view.singleton_roles.get(NODE_MONITOR_ROLE)
+        role = view.singleton_roles.get(NODE_MONITOR_ROLE)
         is_first = min([*live_registries, self.node]) == self.node
-        # Without a fresh lease this node can't know whose turn it is, and after a freeze it heard nobody.
+        # Without a fresh lease this node can't know who has the role; after a freeze it has missed heartbeats.
         if not fresh or was_paused or not is_first:
             self.active_since = None
             return []
-        if duty is None or duty.node != self.node:
+        if role is None or role.node != self.node:
             self.active_since = None
-            return [AcquireSingletonRole(NODE_MONITOR_ROLE, self.node, (duty.epoch if duty else 0) + 1)]
+            return [AcquireSingletonRole(NODE_MONITOR_ROLE, self.node, (role.epoch if role else 0) + 1)]
         if self.active_since is None:
-            # Proxies get a full span to be heard by their new monitor before any is called gone.
+            # Proxies get a full health span to reach their new monitor before any is logged as gone.
             self.active_since = now
-        commands = self._note_gone(view, duty, since=self.active_since, now=now)
-        commands += self._purge(view, duty, now=now)
+        commands = self._commands_for_gone(view, role, since=self.active_since, now=now)
+        commands += self._purge_commands(view, role, now=now)
         self._forget_unknown_nodes(view, now=now)
         return commands
 
-    def _is_silent(self, proxy: str, *, since: timedelta, now: timedelta) -> bool:
+    def _is_unresponsive(self, proxy: str, *, since: timedelta, now: timedelta) -> bool:
         return now - max(self.last_heard.get(proxy, since), since) > self.health_span
 
-    def _note_gone(
-        self, view: View, duty: SingletonRoleRecord, *, since: timedelta, now: timedelta
+    def _commands_for_gone(
+        self, view: View, role: SingletonRoleRecord, *, since: timedelta, now: timedelta
     ) -> list[MonitorCommand]:
-        """Servers beside silent proxies are gone, then the proxies themselves."""
+        """Commands that log the servers of unresponsive proxies as gone, then the proxies themselves."""
         commands: list[MonitorCommand] = []
         for server in view.servers.values():
-            if server.state != GONE and self._is_silent(server.proxy, since=since, now=now):
-                commands.append(_server_gone(server, duty))
+            if server.state != GONE and self._is_unresponsive(server.proxy, since=since, now=now):
+                commands.append(_server_gone_command(server, role))
         for node in view.nodes.values():
             is_live_proxy = node.kind == PROXY_KIND and node.state != GONE
-            if is_live_proxy and self._is_silent(node.node, since=since, now=now):
-                commands.append(_node_gone(node, duty))
+            if is_live_proxy and self._is_unresponsive(node.node, since=since, now=now):
+                commands.append(_node_gone_command(node, role))
         return commands
 
-    def _purge(self, view: View, duty: SingletonRoleRecord, *, now: timedelta) -> list[MonitorCommand]:
-        """Has the log forget what was gone for long; how long that must be is the log's own rule."""
+    def _purge_commands(self, view: View, role: SingletonRoleRecord, *, now: timedelta) -> list[MonitorCommand]:
+        """Has the state machine purge what has been gone for long; the state machine decides how long that is."""
         if view.level < PURGE_LEVEL:
             return []
         if self.last_purge_at is not None and now - self.last_purge_at < PURGE_INTERVAL:
@@ -94,11 +94,11 @@
         if all(record.state != GONE for record in records):
             return []
         self.last_purge_at = now
-        return [Purge(duty.epoch)]
+        return [Purge(role.epoch)]
 
     def _forget_unknown_nodes(self, view: View, *, now: timedelta) -> None:
-        """What is remembered of proxies nobody knows any more goes, so that a year of them leaves nothing behind."""
-        # One heard just now may not have reached the view yet.
+        """Drops the data of proxies that the view no longer contains, so that memory does not grow over time."""
+        # A proxy with a recent heartbeat may not be in the view yet.
         self.last_heard = {
             name: heard_at
             for name, heard_at in self.last_heard.items()
@@ -107,7 +107,7 @@
         self.levels = {name: known for name, known in self.levels.items() if name in self.last_heard}
 
     def should_raise_level(self, *, view: View, level: int, now: timedelta) -> bool:
-        """Whether to ask for a higher release level now: this node has the role and every live proxy supports it."""
+        """Whether to request a higher release level now: this node has the role and all live proxies support the level."""
         if self.active_since is None or view.level >= level:
             return False
         if self.last_raise_at is not None and now - self.last_raise_at < RAISE_LEVEL_INTERVAL:
@@ -116,12 +116,12 @@
         return all(self._supports(proxy, level) for proxy in view.live_proxies())
 
     def _supports(self, proxy: NodeRecord, level: int) -> bool:
-        """Whether the process that is alive under this name has reported that it supports the level."""
+        """Whether the live incarnation of this proxy has reported that it supports the level."""
         incarnation, supported = self.levels.get(proxy.node, ("", 0))
         return incarnation == proxy.incarnation and supported >= level
 
 
-def _server_gone(server: ServerRecord, duty: SingletonRoleRecord) -> RegisterServer:
+def _server_gone_command(server: ServerRecord, role: SingletonRoleRecord) -> RegisterServer:
     return RegisterServer(
         server.proxy,
         server.service,
@@ -131,9 +131,9 @@
         GONE,
         server.serial,
         server.incarnation,
-        duty.epoch,
+        role.epoch,
     )
 
 
-def _node_gone(node: NodeRecord, duty: SingletonRoleRecord) -> RegisterNode:
-    return RegisterNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, duty.epoch)
+def _node_gone_command(node: NodeRecord, role: SingletonRoleRecord) -> RegisterNode:
+    return RegisterNode(node.node, node.kind, node.address, node.zone, node.incarnation, GONE, role.epoch)
