--- a/packages/registry/src/hoistsaddle/registry/applied_versions.py
+++ b/packages/registry/src/hoistsaddle/registry/applied_versions.py
@@ -12,7 +12,7 @@
 
 PEER_TIMEOUT = milliseconds(150)
 CHECK_INTERVAL = milliseconds(25)
-# A twentieth on top of a lease: two machines' monotonic clocks may run apart a little.
+# Adds a twentieth to a lease, because the monotonic clocks of two machines may drift apart.
 CLOCK_DRIFT_FACTOR = 1.05
 APPLIED = "taken up"
 LEASE_LAPSED = "lapsed"
@@ -20,12 +20,12 @@
 
 
 class AppliedVersions:
-    """Gathers what proxies report through the distribution tree, of which each registry hears its own part."""
+    """Gathers proxies' reports; each registry receives those from its own part of the distribution tree."""
 
     def __init__(
         self, *, node: str, relay: Relay, peers: PeerRegistries, runtime: Runtime, lease_span: timedelta
     ) -> None:
-        """Reads from this registry's relay and asks the other registries for theirs."""
+        """Reads the reports of this registry's relay and requests those of the other registries."""
         self.node = node
         self.relay = relay
         self.peers = peers
@@ -33,7 +33,7 @@
         self.lease_span = lease_span
 
     def longest_lease(self) -> timedelta:
-        """How long a lease may still be used after it was given, on whichever clock."""
+        """The longest time for which a lease may be used after it was granted, by any machine's clock."""
         return self.lease_span * CLOCK_DRIFT_FACTOR
 
     async def gather(self) -> dict[str, AppliedVersion]:
@@ -52,14 +52,14 @@
     async def wait_for_all(
         self, *, revision: int, proxies: Callable[[], list[str]], committed: timedelta
     ) -> dict[str, str]:
-        """Waits until every proxy has applied the revision or its lease must have lapsed.
+        """Waits until every proxy has applied the revision, or its lease on an older one must have expired.
 
         A lease on an older configuration began before the commit, so one lease span after it no such lease is left.
 
         Args:
             revision: The revision of the change.
             proxies: The names of the proxies concerned, as this registry knows them at the time of the call.
-            committed: When the change is known to have been committed, on this node's clock.
+            committed: A time on this node's clock by which the change was committed.
 
         Returns:
             For each proxy "taken up", "refused: " with its reason, or "lapsed".
@@ -73,7 +73,7 @@
                 report = reports.get(proxy)
                 if report is not None and report.revision >= revision:
                     outcomes[proxy] = f"{REFUSED}: {report.refusal}" if report.refusal else APPLIED
-            # A copy older than the commit may not know every proxy concerned: then only the lapse counts.
+            # A copy older than the commit may lack some affected proxies: then only the expiry of leases counts.
             complete = self.relay.copy.revision >= revision and len(outcomes) == len(affected)
             if complete or self.runtime.now() >= end:
                 return {proxy: outcomes.get(proxy, LEASE_LAPSED) for proxy in affected}
--- a/packages/registry/src/hoistsaddle/registry/item_patches.py
+++ b/packages/registry/src/hoistsaddle/registry/item_patches.py
@@ -1,4 +1,4 @@
-"""Patches of items: checked, written to the log, and waited for until the proxies near by have applied them."""
+"""Patches of items: checked, written to the log, and awaited until this registry's proxies have applied them."""
 
 import asyncio
 import math
@@ -19,11 +19,11 @@
 from hoistsaddle.statemachine.commands import PatchItems
 
 CHECK_INTERVAL = milliseconds(15)
-NO_STORE_LEADS = NoLeader("No store leads now.", remedy="Ask again shortly, or another machine.")
+NO_STORE_LEADS = NoLeader("No store currently leads.", remedy="Retry shortly, or call another machine.")
 
 
 class ItemPatches:
-    """Takes and shows items for one controller."""
+    """Accepts patches of items and reports the items in force for one controller."""
 
     def __init__(
         self, *, registry: Registry, settings: Callable[[], ControllerSettings], log_offset: Callable[[], int]
@@ -32,8 +32,8 @@
 
         Args:
             registry: The controller's own registry.
-            settings: Gives the controller's settings in force.
-            log_offset: Gives the offset up to which the replica beside it has applied the log.
+            settings: Returns the controller's current settings.
+            log_offset: Returns the offset up to which the local replica has applied the log.
         """
         self.registry = registry
         self.settings = settings
@@ -41,13 +41,13 @@
         self.requests = 0
 
     async def submit(self, patch: Patch) -> Result[dict, MeshError]:
-        """Puts a patch in force at once under the standing sign-off; its items' revisions make a repeat change nothing.
+        """Puts a patch in force at once under the standing sign-off; repeats are recognised by the items' revisions.
 
         Returns:
-            What the log made of it, with the proxies under "waits_for" that have not applied it in time; or why it is
-            refused, or not known to be taken.
+            The details of the outcome, with the proxies that have not applied the patch in time under "waits_for"; or
+            the error that says why the patch is refused or not known to be accepted.
         """
-        # Checked here before the log is troubled; the log checks again, for what is in force may have moved.
+        # Checked before it is written to the log; the state machine checks again, as the items in force may change.
         if isinstance(checked := check_patch(patch), Failure):
             self._record_refusal(checked.failure())
             return checked
@@ -87,21 +87,21 @@
             settings.standing_sign_off,
             pack_patch(patch),
             resend_seconds=math.ceil(settings.resend_seconds),
-            # What its sender can know of was logged by now.
+            # Everything that the sender can know of has been logged by this offset.
             seen_offset=self.log_offset(),
         )
 
     async def _await_applied(self, revision: int) -> list[str]:
-        """Waits until every live proxy has applied the revision, or time is up; the rest follow with their updates.
+        """Waits until every live proxy of this registry has applied the revision, or the time is up.
 
         Returns:
-            The proxies that have not reported it.
+            The proxies that have not reported it; they apply it with their next updates.
         """
         registry = self.registry
         deadline = registry.runtime.now() + timedelta(seconds=self.settings().applied_version_seconds)
         while True:
             now = registry.runtime.now()
-            # A registry hears of its own part of the tree; the others' parts are theirs to see.
+            # A registry receives reports from its own part of the distribution tree only.
             reports = registry.relay.known_applied_versions(now=now)
             applied = {report.node for report in reports if report.revision >= revision}
             left = sorted({report.node for report in reports} - applied)
@@ -117,7 +117,7 @@
         return Failure(NO_STORE_LEADS)
 
     async def report(self, *, within: timedelta) -> Result[dict, MeshError]:
-        """The items in force and the newest patches as the operators' interface shows them, with who signs."""
+        """The items in force, the newest patches and the signers, as the operators' interface shows them."""
         match await self.registry.writer.read(part="standing", known_revision=UNSET, within=within):
             case Success(ReadAnswer(content=content)):
                 settings = self.settings()
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -107,7 +107,7 @@
         self.levels = {name: known for name, known in self.levels.items() if name in self.last_heard}
 
     def should_raise_level(self, *, view: View, level: int, now: timedelta) -> bool:
-        """Whether to request a higher release level now: this node has the role and all live proxies support the level."""
+        """Whether to request a higher release level now: this node has the role and all live proxies support it."""
         if self.active_since is None or view.level >= level:
             return False
         if self.last_raise_at is not None and now - self.last_raise_at < RAISE_LEVEL_INTERVAL:
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -1,8 +1,8 @@
-"""Writes and confirmed reads at whichever store leads, found by asking and by following hints.
+"""Writes and confirmed reads at the leader's store, which is found by trying stores and following their hints.
 
-Whoever asks here gets an answer within the time-out that it gave, also on a machine that is cut off: a command that is
-still unanswered then is reported as unknown, if the log may have taken it. While nobody leads, one call at a time goes
-out for all that wait, with exponential backoff between calls.
+Every caller gets a result within its timeout, also on a machine that is partitioned from the core: a command without an
+answer by then is reported as unknown if the log may have accepted it. While there is no leader, one call at a time is
+sent for all waiting commands, with exponential backoff between calls.
 """
 
 import asyncio
@@ -22,23 +22,23 @@
 from hoistsaddle.statemachine.encoding import pack_command, unpack_outcome
 
 CALL_TIMEOUT = timedelta(milliseconds=700)
-# How long a store that gave no answer is not tried again, whatever the others believe of it.
+# How long a store that gave no answer is not tried again, even if other stores name it as the leader.
 UNRESPONSIVE_HOLDOFF = timedelta(seconds=1)
 MAX_BATCH_COMMANDS = 128
 MAX_BATCHES_IN_FLIGHT = 6
-# Between two attempts: long enough that following hints isn't busy work, short beside an election's second.
+# Between two attempts: long enough that following hints is not a busy loop, short compared with an election (1 s).
 MIN_BACKOFF = milliseconds(20)
 MAX_BACKOFF = milliseconds(320)
 
 NO_LEADER = NoLeader(
-    "No store leads with a majority at the moment.",
-    remedy="Ask again shortly; if it lasts, docs/operators/replacing-core-machines.md names the ways out.",
+    "No store currently leads with a majority.",
+    remedy="Retry shortly; if the error persists, follow docs/operators/replacing-core-machines.md.",
 )
-UNSURE = OutcomeUnknown("It was handed to the core, which hasn't said yet whether it is taken.")
+UNSURE = OutcomeUnknown("The command was sent to the core, which has not yet confirmed whether it was accepted.")
 
 
 def error_in(outcome: Outcome) -> MeshError:
-    """The error with which the log refused a command."""
+    """The error with which the state machine refused a command."""
     return MeshError(outcome.error, outcome.message, outcome.remedy, outcome.field)
 
 
@@ -46,14 +46,14 @@
     """Batches commands into calls to the leader's store; several batches may be in flight."""
 
     def __init__(self, *, name: str, stores: dict[int, str], home: int, runtime: Runtime, counters: Counters) -> None:
-        """Begins at one store and finds the leader from there.
+        """Takes one store as the leader until an answer names another.
 
         Args:
-            name: The name under which it calls.
-            stores: The stores' addresses by replica number; it may grow.
-            home: The replica to begin with.
+            name: The node name sent as the caller.
+            stores: The stores' addresses by replica number; entries may be added.
+            home: The replica that is called first.
             runtime: Clock and connections.
-            counters: What to count in.
+            counters: Counts calls and retries.
         """
         self.name = name
         self.stores = stores
@@ -69,17 +69,17 @@
             max_in_flight=lambda: MAX_BATCHES_IN_FLIGHT,
             max_batch_commands=MAX_BATCH_COMMANDS,
         )
-        # The leader that the replica in this process follows, if there is one; and what ends a backoff early.
+        # The leader known to the replica in this process, if there is one, and the event that ends a backoff early.
         self.known_leader = UNSET
         self.leader_changed = asyncio.Event()
 
     @property
     def backlog(self) -> Batch:
-        """The commands that wait here to be sent, those that were given up included."""
+        """The commands that wait to be sent, including those whose callers have timed out."""
         return self.queue.waiting
 
     def note_leader(self, leader: int) -> None:
-        """Takes over the leader that the replica in the same process follows; a newly known one ends any backoff."""
+        """Records the leader known to the replica in this process; a change to a known leader ends any backoff."""
         if leader == self.known_leader:
             return
         self.known_leader = leader
@@ -90,7 +90,7 @@
             self.leader_changed = asyncio.Event()
 
     def _follow_hint(self, hint: int, target: int) -> None:
-        """Picks the store for the next attempt, after `target` named `hint` as the leader, or nobody."""
+        """Picks the store for the next attempt, after `target` named `hint` as the leader; `UNSET` if it named none."""
         now = self.runtime.now()
         unresponsive = {
             replica for replica, since in self.unresponsive_since.items() if now - since < UNRESPONSIVE_HOLDOFF
@@ -98,7 +98,7 @@
         if hint in self.stores and hint != target and hint not in unresponsive:
             self.leader = hint
         elif self.leader == target or hint in unresponsive:
-            # Nobody knows, or they still name the one that gave no answer: go round.
+            # No leader is known, or the named one is unresponsive: try the stores in turn.
             order = sorted(self.stores)
             rotation = order[order.index(target) + 1 :] + order[: order.index(target)]
             self.leader = next(
@@ -123,8 +123,8 @@
 
         Args:
             part: Which part, as the store names it.
-            known_revision: The revision the reader has, whose content need not come again; `UNSET` for none.
-            within: How long to try.
+            known_revision: The revision that the reader has, for which no content is sent again; `UNSET` for none.
+            within: How long to retry.
         """
         deadline = self.runtime.now() + within
         while (left := deadline - self.runtime.now()) > timedelta():
@@ -149,21 +149,21 @@
     async def write(self, command: Command, *, within: timedelta) -> Result[Outcome, MeshError]:
         """Has the log commit a command.
 
-        Every command may be sent again: each carries what makes its repetition recognisable in the log.
+        Any command may be sent repeatedly: the state machine recognises a repeated command by its fields.
 
         Returns:
-            What the log made of it, which may be a refusal; or an error if it was not, or perhaps not, taken.
+            The outcome of the command, which may be a refusal; or an error if it was not, or perhaps not, accepted.
         """
         return (await self.write_payloads([pack_command(command)], within=within))[0]
 
     async def write_payloads(self, payloads: Iterable[bytes], *, within: timedelta) -> list[Result[Outcome, MeshError]]:
-        """The same as `write` for several packed commands, which travel together where they can."""
+        """The same as `write` for several packed commands, which are sent in one call where possible."""
         loop = asyncio.get_running_loop()
         pending_writes = [PendingWrite(payload=payload, future=loop.create_future()) for payload in payloads]
         if not pending_writes:
             return []
         self.queue.add(pending_writes)
-        # The caller's own time-out ends the wait, whatever call is still in flight and whatever is queued before it.
+        # The caller's timeout ends the wait, whichever call is in flight and whatever is queued before the command.
         await asyncio.wait([pending_write.future for pending_write in pending_writes], timeout=within.total_seconds())
         return [self._result_of(pending_write) for pending_write in pending_writes]
 
@@ -175,7 +175,7 @@
         return Failure(UNSURE if pending_write.maybe_accepted else NO_LEADER)
 
     async def _attempt(self, batch: Batch) -> bool:
-        """One call with the whole batch; true once all of it is concluded."""
+        """Sends the whole batch in one call; returns whether it was answered with outcomes."""
         target = self.leader
         maybe_accepted_before = note_sent(batch)
         call = WriteCall(self.name, tuple(pending_write.payload for pending_write in batch))
@@ -202,5 +202,5 @@
         return False
 
     def stop(self) -> None:
-        """Cancels what is in flight; commands without an answer are reported when their time-outs end."""
+        """Cancels the calls in flight; commands without an answer are reported when their timeouts expire."""
         self.queue.stop()
