--- a/packages/registry/src/hoistsaddle/registry/controller.py
+++ b/packages/registry/src/hoistsaddle/registry/controller.py
@@ -1,4 +1,4 @@
-"""Both core programs in one process: a store and the registry beside it, in a core that founds itself."""
+"""The controller: a store and a registry in one process, which found their mesh automatically."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,29 +24,30 @@
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.store.service import Store
 
-# Keys are claimed by the hundred a second on small machines: so much latency under load halves the leader's fetches.
+# Small machines claim hundreds of keys per second: under load, this added latency halves the fetches that the leader
+# answers.
 VOTER_BATCH_INTERVAL = milliseconds(10)
-# A core that starts together waits this share of an election's span for its first one.
+# Fraction of the election timeout before the first election of a core whose machines start together.
 STARTUP_ELECTION_FRACTION = 0.4
 
 
 def replacement_timeout(settings: ControllerSettings) -> timedelta:
-    """How long a voter must be silent to be replaced, as the settings ask for it."""
+    """How long a voter must be unresponsive before it is replaced, by the settings."""
     return replacement_timeout_for(settle=timedelta(seconds=settings.settle_seconds), losses=settings.losses)
 
 
 def lag_wait(settings: ControllerSettings) -> timedelta:
-    """How long the log stays long for a live replica that lags: as long as one that is back may take to settle."""
+    """How long the log is kept for a live replica that lags: as long as a restarted one may take to settle."""
     return timedelta(seconds=settings.settle_seconds)
 
 
 def voters_wanted(settings: ControllerSettings) -> int:
-    """How many voters bear the losses that the settings name, with a majority left."""
+    """The number of voters that still has a majority after the losses that the settings allow for."""
     return 2 * settings.losses + 1
 
 
 class Controller:
-    """A core machine: its store, its registry, and what they do without a person."""
+    """A core machine: its store, its registry, and the automatic founding of the mesh."""
 
     def __init__(
         self,
@@ -56,13 +57,13 @@
         disk: Disk | None = None,
         make_worker: Callable[..., DiskWorker] = DiskThread,
     ) -> None:
-        """Makes both programs; nothing is opened before `start`.
+        """Creates the store and the registry; opens no listener before `start`.
 
         Args:
             settings: The settings of this process.
-            runtime: Clock, randomness and connections, shared by both programs.
-            disk: The store's disk; by default the settings' data folder.
-            make_worker: Makes what carries the disk's work out.
+            runtime: Clock, randomness and connections, shared by both.
+            disk: The store's disk; by default in the data folder of the settings.
+            make_worker: Creates the worker that carries out the disk's jobs.
         """
         self.settings = settings
         self.runtime = runtime
@@ -130,20 +131,20 @@
         return 0 if core is None else core.state.offset
 
     async def start(self) -> None:
-        """Starts the store, then the registry, and takes part in founding the mesh while there is none."""
+        """Starts the store, the registry, and the bootstrap that founds the mesh if there is none."""
         await self.store.start()
         await self.registry.start()
         self.bootstrap = asyncio.ensure_future(self._bootstrap())
 
     async def stop(self) -> None:
-        """Hands over what hangs on this replica and stops, within the grace of the settings."""
+        """Hands over this replica's roles and stops, within the grace period of the settings."""
         self.bootstrap.cancel()
-        # First what hangs on this replica goes to the others; changes meanwhile go through its new leader.
+        # The store first hands over this replica's roles; until the registry stops, it writes through the new leader.
         await self.store.stop()
         await self.registry.stop()
 
     def apply_settings(self, settings: ControllerSettings) -> None:
-        """Takes over what may change under a running controller: the seeds, the losses to be borne, some time-outs."""
+        """Applies the settings that may change while the controller runs: the seeds, the losses, and some timeouts."""
         self.counters.record_event("params revised", seeds=settings.seeds, losses=settings.losses)
         self.settings = msgspec.structs.replace(
             self.settings,
@@ -198,5 +199,5 @@
         return await self.patches.submit(patch)
 
     async def read_items(self, *, within: timedelta) -> Result[list[tuple[str, str, int, bytes]], MeshError]:
-        """Every item in force; see `ItemPatches.read`."""
+        """Reads every item in force; see `ItemPatches.read`."""
         return await self.patches.read(within=within)
--- a/packages/registry/src/hoistsaddle/registry/first_start.py
+++ b/packages/registry/src/hoistsaddle/registry/first_start.py
@@ -1,4 +1,4 @@
-"""Notes on the disk that a controller was there at the first start of all, before its program is loaded."""
+"""Records on the disk that a controller was present at the first start, before its program is loaded."""
 
 import sqlite3
 from pathlib import Path
@@ -9,15 +9,15 @@
 
 
 def seed_numbers(settings: ControllerSettings) -> tuple[int, ...]:
-    """The replica numbers of the seeds, in the settings' order."""
+    """The replica numbers of the seeds, in the order of the settings."""
     return tuple(number_of_host(seed) for seed in settings.seeds)
 
 
 def record_first_start(settings: ControllerSettings) -> None:
-    """Notes the first start and its seeds on a blank disk; a disk that refuses is left to the controller's own start.
+    """Records the first start and its seeds on a blank disk; errors of the disk are left to the controller's own start.
 
     Args:
-        settings: Of a process that is told of the first start.
+        settings: The settings of a controller that takes part in the first start.
     """
     folder = Path(settings.data_folder)
     try:
--- a/packages/registry/src/hoistsaddle/registry/local_registry.py
+++ b/packages/registry/src/hoistsaddle/registry/local_registry.py
@@ -1,7 +1,7 @@
-"""A registry that reads the configuration from the replica of the log in its own process, without messages.
+"""A registry that reads the configuration from the replica in its own process, without messages.
 
-How old that state may be is what the replica knows of its leader: children of the distribution tree are told the same
-age as from a registry that stands apart.
+The age of that state follows from the replica's last confirmation by its leader, so children of the distribution tree
+get the same lease age as from a registry in a process of its own.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
         peers: ReplicaAddresses,
         stores: ReplicaAddresses,
     ) -> None:
-        """Reads from `store`, and adds to both address books the voters that its log names."""
+        """Reads from `store`, and adds the voters in its log to the addresses of registries and stores."""
         self.store = store
         self.peer_addresses, self.store_addresses = peers, stores
         super().__init__(
@@ -60,10 +60,10 @@
         return self.store_addresses
 
     def _confirmed_current_at(self) -> timedelta | None:
-        """The newest time at which this replica's state is known to have held all that was committed anywhere.
+        """The latest time as of which this replica's state is known to include every committed record.
 
-        It follows from a contact of the leader with a majority, and a follower's from what its leader said of one: a
-        leader that was cut off, or froze, makes it grow older and never younger.
+        A leader derives it from its contact with a majority, and a follower from the contact that its leader reports.
+        It does not advance while the leader is partitioned or frozen.
         """
         core = self.store.runner.core
         if core is None or not core.complete or core.halted:
@@ -76,7 +76,7 @@
             await asyncio.sleep(LOCAL_READ_INTERVAL.total_seconds())
 
     async def refresh(self, *, within: timedelta) -> bool:
-        """Takes over the state of the replica beside it, without waiting; false if it is not known to be current."""
+        """Reads the local replica's state without waiting; returns whether that is known to be current."""
         core = self.store.runner.core
         if core is None:
             return False
@@ -90,7 +90,7 @@
         if state.data_plane_revision == self.relay.copy.revision:
             await self._renew_lease(confirmed_at, epoch=state.epoch)
             return True
-        return await self._take_over(state, confirmed_at)
+        return await self._accept_state(state, confirmed_at)
 
     async def _renew_lease(self, confirmed_at: timedelta, *, epoch: int) -> None:
         was_fresh = self.relay.fresh(now=self.runtime.now())
@@ -98,7 +98,7 @@
         if not was_fresh and self.relay.fresh(now=self.runtime.now()):
             await self._notify_children()
 
-    async def _take_over(self, state: State, confirmed_at: timedelta) -> bool:
+    async def _accept_state(self, state: State, confirmed_at: timedelta) -> bool:
         for replica in state.voters:
             self.peer_addresses.learn(replica)
             self.store_addresses.learn(replica)
