--- a/tests/test_registry_core_status.py
+++ b/tests/test_registry_core_status.py
@@ -22,31 +22,41 @@
 class Readiness(TestCase):
     def test_each_reason_has_its_kind_message_and_remedy(self) -> None:
         for own, fresh, reason in (
-            (None, True, ("unreachable", "Its store gives no answer.", "Start it, or look at its log.", "")),
+            (None, True, ("unreachable", "The store does not answer.", "Start the store, or check its log.", "")),
             (
                 status(halted="an unknown record"),
                 True,
-                ("other-release", "Its store has stopped: an unknown record.", "Install the mesh's release.", ""),
+                ("other-release", "The store has stopped: an unknown record.", "Install the mesh's release.", ""),
             ),
             (
                 status(role="catching up"),
                 True,
-                ("unsure", "Its store is catching up.", "Wait: it catches up and then votes.", ""),
+                ("unsure", "The store is catching up.", "Wait until it has caught up and votes.", ""),
             ),
             (
                 status(leader=-1),
                 True,
-                ("no-leader", "Its store follows no leader.", "Wait, or see the core machines' page.", ""),
+                (
+                    "no-leader",
+                    "The store does not know of a leader.",
+                    "Wait, or follow docs/operators/replacing-core-machines.md.",
+                    "",
+                ),
             ),
             (
                 status(unsynced=timedelta(seconds=2.5)),
                 True,
-                ("disk", "Its disk has not synced for 2.5 s.", "Free it.", ""),
+                ("disk", "The disk has not synced for 2.5 s.", "Free it.", ""),
             ),
             (
                 status(),
                 False,
-                ("lease-lapsed", "Its registry has no fresh news from a leader.", "Check the way to it.", ""),
+                (
+                    "lease-lapsed",
+                    "The registry has no fresh lease on the configuration.",
+                    "Check the network path to the leader.",
+                    "",
+                ),
             ),
             (status(), True, None),
             (status(role="leader"), True, None),
