--- a/packages/registry/src/hoistsaddle/registry/__init__.py
+++ b/packages/registry/src/hoistsaddle/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: the program that takes operators' and nodes' calls, and the controller that runs it with a store."""
+"""The registry, which answers calls of operators and nodes, and the controller, which runs it with a store."""
--- a/packages/registry/src/hoistsaddle/registry/addresses.py
+++ b/packages/registry/src/hoistsaddle/registry/addresses.py
@@ -1,13 +1,13 @@
-"""Core machines by number: a replica's number is its IP number, so that its addresses follow from it.
+"""Addresses of core machines: a replica's number is its IPv4 address as a number, so its addresses follow from it.
 
-Nobody has to be told where a core machine is once its number stands among the voters.
+A voter's replica number alone is therefore enough to reach it.
 """
 
 import ipaddress
 from collections.abc import Iterable
 from typing import Any
 
-# One more than the largest IPv4 number.
+# The number of IPv4 addresses.
 IPV4_NUMBERS = 2**32
 
 
@@ -22,17 +22,17 @@
 
 
 class ReplicaAddresses(dict[int, str]):
-    """Replica number to address at one port; any IPv4 number has one, iteration goes over the known ones."""
+    """Maps replica numbers to addresses at one port; any IPv4 number has one, iteration covers the known numbers."""
 
     def __init__(self, *, port: int, hosts: Iterable[str]) -> None:
-        """Knows these hosts from the start."""
+        """Starts with the numbers of these hosts."""
         super().__init__()
         self.port = port
         for host in hosts:
             self.learn(number_of_host(host))
 
     def learn(self, number: int) -> None:
-        """Counts this replica among the known ones."""
+        """Adds this replica to the known ones."""
         self.setdefault(number, f"{host_of_number(number)}:{self.port}")
 
     def __missing__(self, number: int) -> str:
@@ -40,5 +40,5 @@
         return self[number]
 
     def get(self, number: int, default: Any = None) -> Any:
-        """The address of this replica, or the default if the number is no IPv4 number."""
+        """The address of this replica, or the default if the number is not an IPv4 address."""
         return self[number] if 0 < number < IPV4_NUMBERS else default
--- a/packages/registry/src/hoistsaddle/registry/controller_api.py
+++ b/packages/registry/src/hoistsaddle/registry/controller_api.py
@@ -1,4 +1,4 @@
-"""The controller's own operators' interface, and the controller as a service of its program."""
+"""The HTTP interface of a controller for operators, and the service that runs a controller."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -20,15 +20,15 @@
 KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 CONNECT_TIMEOUT = milliseconds(350)
 READ_TIMEOUT = timedelta(seconds=3)
-# So that a text of the largest size is refused by its check, which says why.
+# Slightly larger than the largest text, so that the check of the text refuses longer ones, with a reason.
 MAX_BODY_BYTES = MAX_TEXT_BYTES + 1024
 
 
 class ControllerApi:
-    """The calls that mean something where items are in force; the others belong to bundles signed by two."""
+    """HTTP handlers for operators of a mesh whose configuration is a set of items; signed bundles have no calls here."""
 
     def __init__(self, *, controller: Controller) -> None:
-        """Serves this controller's operators' address."""
+        """Serves the operators' address of this controller."""
         self.controller = controller
         self.reports = ReportApi(registry=controller.registry)
         self.listener = HttpListener(routes=self.routes(), max_body_bytes=MAX_BODY_BYTES)
@@ -43,15 +43,15 @@
         await self.listener.start(host=settings.host, port=settings.operators_port)
 
     async def stop(self) -> None:
-        """Closes it."""
+        """Closes the operators' address."""
         await self.listener.stop()
 
     async def put_items(self, request: web.Request) -> web.Response:
-        """Takes a patch, as TOML or, by its content type, as JSON."""
+        """Submits a patch in TOML, or in JSON if its content type says so."""
         try:
             text = (await request.read()).decode()
         except UnicodeDecodeError:
-            return refuse_call(InvalidItem("It is not UTF-8.", field="body", remedy="Save the file as UTF-8."))
+            return refuse_call(InvalidItem("The body is not UTF-8.", field="body", remedy="Save the file as UTF-8."))
         match read_text(text, json=request.content_type == JSON):
             case Failure(error):
                 return refuse_call(error)
@@ -65,20 +65,20 @@
                 return web.json_response({**detail, "author": settings.desk, "signer": settings.standing_sign_off})
 
     async def show_items(self, request: web.Request) -> web.Response:
-        """The items in force, the newest patches and who signs."""
+        """The items in force, the newest patches and the signers."""
         return answer_or_refuse(await self.controller.patches.report(within=READ_TIMEOUT))
 
 
 class ControllerService(Service):
-    """A controller as a service: both core programs and the operators' interface, opened and closed in order."""
+    """Runs a controller and its operators' interface, started and stopped in order."""
 
     def __init__(self, *, settings: ControllerSettings) -> None:
-        """Nothing is opened before `start`."""
+        """Opens no listener before `start`."""
         super().__init__()
         self.controller_settings = settings
 
     async def start(self) -> None:
-        """Makes the data folder if it is missing, then opens the mesh addresses and the operators'."""
+        """Creates the data folder if it is missing, then opens the mesh addresses and the operators' address."""
         Path(self.controller_settings.data_folder).mkdir(parents=True, exist_ok=True)
         runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, local_calls=True)
         self.controller = Controller(settings=self.controller_settings, runtime=runtime)
@@ -88,6 +88,6 @@
         self.start_event.set()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Closes the operators' address, then hands the replica's duties over and stops both programs."""
+        """Closes the operators' address, then hands over the replica's roles and stops the store and the registry."""
         await self.operator_api.stop()
         await self.controller.stop()
--- a/packages/registry/src/hoistsaddle/registry/http_server.py
+++ b/packages/registry/src/hoistsaddle/registry/http_server.py
@@ -1,4 +1,4 @@
-"""What the operators' HTTP interfaces share: a listener, the statuses of refusals, and errors turned into answers."""
+"""Shared parts of the operators' HTTP interfaces: the listener, and the conversion of errors to responses."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -12,14 +12,14 @@
 UNAVAILABLE = 503
 RETRY_AFTER_SECONDS = 1
 SHUTDOWN_TIMEOUT_SECONDS = 2
-# Every other kind is a conflict with what stands.
+# Every other kind is answered as a conflict with the current state.
 HTTP_STATUSES: dict[str, int] = {
     ErrorKind.OPERATOR_UNKNOWN: 401,
     ErrorKind.REQUEST_BROKEN: 400,
     ErrorKind.BUNDLE_BROKEN: 422,
     ErrorKind.ITEM_BROKEN: 422,
     ErrorKind.ITEM_CONFLICT: CONFLICT,
-    # Neither taken nor refused.
+    # Neither accepted nor refused.
     ErrorKind.ORDER_UNSURE: UNAVAILABLE,
     ErrorKind.NO_LEADER: UNAVAILABLE,
     ErrorKind.UNSURE: UNAVAILABLE,
@@ -33,15 +33,15 @@
 
 
 def refuse_call(error: MeshError) -> web.Response:
-    """The answer that refuses a call: the error as JSON under "refused", with the status of its kind."""
+    """The response to a refused call: the error as JSON under "refused", with the HTTP status of its kind."""
     status = HTTP_STATUSES.get(error.kind, CONFLICT)
-    # Whoever is told to come back is told when.
+    # A caller that may retry is told when.
     headers = {"Retry-After": str(RETRY_AFTER_SECONDS)} if status == UNAVAILABLE else {}
     return web.json_response({"refused": error.describe()}, status=status, headers=headers)
 
 
 def answer_or_refuse(result: Result[dict, MeshError]) -> web.Response:
-    """The result as JSON, or the refusal."""
+    """The result as JSON, or the response to a refused call."""
     match result:
         case Success(answer):
             return web.json_response(answer)
@@ -51,7 +51,7 @@
 
 @web.middleware
 async def refuse_unreadable(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Answers what can't be read, is too large or names no call with an error as JSON."""
+    """Answers requests that can't be parsed, are too large or have an unknown path with an error as JSON."""
     try:
         return await handler(request)
     except (msgspec.DecodeError, msgspec.ValidationError, ValueError, RecursionError) as problem:
@@ -72,16 +72,16 @@
 
 
 class HttpListener:
-    """One listening address with its routes."""
+    """An HTTP listener on one address."""
 
     def __init__(self, *, routes: Iterable[web.RouteDef], max_body_bytes: int) -> None:
-        """Makes the application; nothing is opened yet."""
+        """Creates the application; opens no listener yet."""
         application = web.Application(client_max_size=max_body_bytes, middlewares=[refuse_unreadable])
         application.add_routes(routes)
         self.runner = web.AppRunner(application, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS)
 
     async def start(self, *, host: str, port: int) -> None:
-        """Opens it.
+        """Opens the listener.
 
         Raises:
             OSError: The address can't be opened.
@@ -90,5 +90,5 @@
         await web.TCPSite(self.runner, host, port).start()
 
     async def stop(self) -> None:
-        """Closes it; calls under way get a moment to end."""
+        """Closes the listener; requests in flight get up to SHUTDOWN_TIMEOUT_SECONDS to end."""
         await self.runner.cleanup()
--- a/packages/registry/src/hoistsaddle/registry/operator_actions.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_actions.py
@@ -1,4 +1,4 @@
-"""Operators' actions: writes changes and says "accepted" only once nobody can act on the former configuration."""
+"""Operators' actions: changes are reported as accepted once no proxy can act on the previous configuration."""
 
 import hashlib
 import secrets
@@ -34,14 +34,14 @@
 
 
 class OperatorActions:
-    """What an operator may do through one registry. Each action carries the id of its call, so that a repeat is one."""
+    """The actions of operators through one registry; each has the id of its call, which makes repeats idempotent."""
 
     def __init__(self, *, registry: Registry) -> None:
-        """Acts through this registry."""
+        """Writes and reads through this registry."""
         self.registry = registry
 
     async def operator_of(self, token: str) -> Result[str, MeshError]:
-        """The name of the operator with this token, by a read that the leader confirms."""
+        """The name of the operator with this token, from a read that the leader confirms."""
         if not token:
             return Failure(_UNKNOWN_TOKEN)
         digest = hashlib.sha256(token.encode()).hexdigest()
@@ -66,7 +66,7 @@
 
     async def submit(self, *, author: str, text: str, request: str) -> Result[dict, MeshError]:
         """Submits a bundle's text as a draft."""
-        # Checked here before the log is troubled; the log checks again, for what is in force may have moved.
+        # Checked before it is written to the log; the state machine checks again, as the bundle in force may change.
         if isinstance(checked := read_bundle(text), Failure):
             return checked
         match await self._write(SubmitBundle(request, author, text)):
@@ -78,22 +78,22 @@
                 return Failure(error)
 
     async def sign(self, *, operator: str, number: int, digest: str, request: str) -> Result[dict, MeshError]:
-        """Signs a draft off, which puts its first stage in force."""
+        """Signs off a draft, which puts its first stage in force."""
         command = SignBundle(request, operator, number, digest)
         return await self._write_and_await_acceptance(command, operator, "bundle signed")
 
     async def advance(self, *, operator: str, number: int, from_stage: int, request: str) -> Result[dict, MeshError]:
-        """Moves a rolling bundle on from this stage."""
+        """Moves a bundle that is rolling out from this stage to the next."""
         command = AdvanceBundle(request, operator, number, from_stage)
         return await self._write_and_await_acceptance(command, operator, "bundle advanced")
 
     async def abort(self, *, operator: str, number: int, request: str) -> Result[dict, MeshError]:
-        """Takes a draft or a rolling bundle back."""
+        """Withdraws a draft, or a bundle that is rolling out."""
         command = AbortBundle(request, operator, number)
         return await self._write_and_await_acceptance(command, operator, "bundle aborted")
 
     async def drain(self, *, operator: str, proxy: str, drain: bool, request: str) -> Result[dict, MeshError]:
-        """Marks the server beside a proxy as draining, or takes the mark away."""
+        """Marks the server of a proxy as draining, or removes the mark."""
         command = DrainServer(request, operator, proxy, drain)
         event = "server drained" if drain else "server undrained"
         return await self._write_and_await_acceptance(command, operator, event)
@@ -101,20 +101,20 @@
     # -- operators ---------------------------------------------------------------------------------------------------
 
     async def change_operator(self, *, operator: str, name: str, digest: str, request: str) -> Result[dict, MeshError]:
-        """Proposes a change of an operator, with an empty digest to remove it; a second person signs it."""
+        """Proposes a change of an operator, with an empty digest for a removal; a second operator signs it."""
         command = ProposeOperatorChange(request, operator, name, digest)
         return await self._write_and_report(command, operator, "operator change proposed")
 
     async def sign_operator(self, *, operator: str, name: str, change: str, request: str) -> Result[dict, MeshError]:
         """Signs a proposed change.
 
-        Every call's token is looked up by a confirmed read, so what is committed is in force everywhere.
+        Every call looks its token up by a confirmed read, so the change is in force everywhere once it is committed.
         """
         command = SignOperatorChange(request, operator, name, change)
         return await self._write_and_report(command, operator, "operator change signed")
 
     async def drop_operator(self, *, operator: str, name: str, request: str) -> Result[dict, MeshError]:
-        """Takes a proposed change back."""
+        """Withdraws a proposed change."""
         command = WithdrawOperatorChange(request, operator, name)
         return await self._write_and_report(command, operator, "operator change dropped")
 
@@ -124,9 +124,9 @@
                 self.registry.counters.record_event(event, **outcome.detail)
                 return Success(outcome.detail)
             case Failure(error):
-                return self._refused(error, operator, event)
+                return self._record_refusal(error, operator, event)
 
-    def _refused(self, error: MeshError, operator: str, event: str) -> Result[dict, MeshError]:
+    def _record_refusal(self, error: MeshError, operator: str, event: str) -> Result[dict, MeshError]:
         self.registry.counters.record_event("operator refused", wanted=event, mishap=str(error.kind), operator=operator)
         return Failure(error)
 
@@ -136,7 +136,7 @@
         registry = self.registry
         match await self._write(command):
             case Failure(error):
-                return self._refused(error, operator, event)
+                return self._record_refusal(error, operator, event)
             case Success(outcome):
                 committed = registry.runtime.now()
         detail = outcome.detail
@@ -165,7 +165,7 @@
         return Success(answer)
 
     def _affected_proxies(self, detail: dict) -> list[str]:
-        """The proxies that must act on the change: all of them, or those of the stages reached so far."""
+        """The proxies that must apply the change: all of them, or those of the stages reached so far."""
         stages = self._stages_reached(detail)
         return sorted(
             proxy.node
@@ -174,7 +174,7 @@
         )
 
     def _stages_reached(self, detail: dict) -> list[Stage] | None:
-        """The stages of the bundle that is rolling out up to the one reached; None if all proxies are concerned."""
+        """The stages of the bundle that is rolling out, up to the one reached; None if all proxies are affected."""
         if "stage" not in detail:
             return None
         item = self.registry.relay.copy.items.get(f"bundle:{detail['number']}")
--- a/packages/registry/src/hoistsaddle/registry/operator_api.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface for bundles: JSON over HTTP/1.1; every refusal has a kind, a field and a remedy."""
+"""The operators' HTTP interface for bundles: JSON over HTTP/1.1; every error has a kind, a field and a remedy."""
 
 import secrets
 from collections.abc import Awaitable, Callable
@@ -26,37 +26,37 @@
 
 
 class SignBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a sign-off: the digest of the text that was read."""
+    """The body of a sign-off: the digest of the text that the signer has read."""
 
     digest: str
 
 
 class AdvanceBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of an advance: the stage the bundle is in, so that a repeated call advances once."""
+    """The body of an advance: the current stage of the bundle, so that a repeated call advances it only once."""
 
     from_stage: Annotated[int, msgspec.Meta(ge=0, le=MAX_STAGE)]
 
 
 class DrainBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a drain: whether the mark is set or taken away."""
+    """The body of a drain: whether the mark is set or removed."""
 
     drain: bool = True
 
 
 class TokenDigestBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a change of an operator: the SHA-256 digest of the new token, in hex."""
+    """The body of a change of an operator: the hexadecimal SHA-256 digest of the new token."""
 
     digest: Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{64}$")]
 
 
 class SignChangeBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a second person's signature: the change that was read."""
+    """The body of a second operator's signature: the id of the change that the signer has read."""
 
     change: str
 
 
 class FoundBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a founding: the digest of each first operator's token by name."""
+    """The body of a founding: the digest of each initial operator's token by name."""
 
     operators: dict[str, str]
 
@@ -70,7 +70,7 @@
 
 
 def _machine_state(report: AppliedVersion | None, number: int) -> str:
-    """What a proxy makes of a bundle, in the interface's words."""
+    """The state of a bundle at a proxy, in the terms of the HTTP interface."""
     if report is None:
         return "not heard"
     if report.refused_bundle == number:
@@ -79,10 +79,10 @@
 
 
 class OperatorApi:
-    """The calls of operators whose configuration is a signed bundle."""
+    """HTTP handlers for operators of a mesh whose configuration is a signed bundle."""
 
     def __init__(self, *, registry: Registry) -> None:
-        """Serves this registry's operators' address."""
+        """Serves the operators' address of this registry."""
         self.registry = registry
         self.actions = OperatorActions(registry=registry)
         self.reports = ReportApi(registry=registry)
@@ -113,23 +113,23 @@
         await self.listener.start(host=host, port=port)
 
     async def stop(self) -> None:
-        """Closes it."""
+        """Closes the operators' address."""
         await self.listener.stop()
 
     async def _as_operator(
         self, request: web.Request, work: Callable[..., Awaitable[Result[dict, MeshError]]], *read: Result
     ) -> web.Response:
-        """Does an operator's work with what was read of the call, once all of it is valid and the caller is known.
+        """Carries out an operator's call once all its parts are valid and the operator is authenticated.
 
         Args:
-            request: The call.
-            work: Takes the operator's name, the call's id and what was read.
-            read: The parts of the call that the work needs.
+            request: The HTTP request.
+            work: Receives the operator's name, the id of the call and the parsed parts.
+            read: The parsed parts of the call, or their errors.
         """
-        # The caller's own id makes its repetition of a call recognisable; without one each call stands alone.
+        # An id call_id by the caller makes repeats of a call recognisable; without one every call is a new one.
         request_id = request.headers.get(REQUEST_ID_HEADER) or secrets.token_hex(REQUEST_ID_BYTES)
-        given = plain_name(request_id, field=REQUEST_ID_HEADER)
-        for part in (given, *read):
+        call_id = plain_name(request_id, field=REQUEST_ID_HEADER)
+        for part in (call_id, *read):
             if isinstance(part, Failure):
                 return refuse_call(part.failure())
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
@@ -138,7 +138,7 @@
                 return refuse_call(error)
             case Success(operator):
                 pass
-        match await work(operator, given.unwrap(), *(part.unwrap() for part in read)):
+        match await work(operator, call_id.unwrap(), *(part.unwrap() for part in read)):
             case Failure(error):
                 return refuse_call(error)
             case Success(answer):
@@ -147,7 +147,7 @@
     # -- the mesh ----------------------------------------------------------------------------------------------------
 
     async def found(self, request: web.Request) -> web.Response:
-        """Founds the mesh, once."""
+        """Founds the mesh; fails if it is founded already."""
         match read_body(await request.read(), FoundBody):
             case Failure(error):
                 return refuse_call(error)
@@ -168,7 +168,7 @@
         )
 
     async def show(self, request: web.Request) -> web.Response:
-        """A bundle and what each proxy makes of it."""
+        """A bundle and its state at each proxy."""
         if isinstance(read := _read_number(request), Failure):
             return refuse_call(read.failure())
         number = read.unwrap()
@@ -189,7 +189,7 @@
         return web.json_response({**bundle, "machines": machines})
 
     async def sign(self, request: web.Request) -> web.Response:
-        """Signs a draft off, as a second person."""
+        """Signs off a draft, as a second operator."""
         return await self._as_operator(
             request,
             lambda operator, call, number, body: self.actions.sign(
@@ -211,7 +211,7 @@
         )
 
     async def abort(self, request: web.Request) -> web.Response:
-        """Takes back a draft, or a bundle that is rolling out."""
+        """Withdraws a draft, or a bundle that is rolling out."""
         return await self._as_operator(
             request,
             lambda operator, call, number: self.actions.abort(operator=operator, number=number, request=call),
@@ -219,7 +219,7 @@
         )
 
     async def drain(self, request: web.Request) -> web.Response:
-        """Marks the server beside a proxy as draining, or takes the mark away."""
+        """Marks the server of a proxy as draining, or removes the mark."""
         return await self._as_operator(
             request,
             lambda operator, call, proxy, body: self.actions.drain(
@@ -232,11 +232,11 @@
     # -- operators ---------------------------------------------------------------------------------------------------
 
     async def operators(self, request: web.Request) -> web.Response:
-        """The operators and the changes that wait for a second person."""
+        """The operators, and the proposed changes that wait for a second operator."""
         return await self.reports.show("changes")
 
     async def change_operator(self, request: web.Request) -> web.Response:
-        """Proposes a new operator, or another token for one."""
+        """Proposes a new operator, or a new token for an existing one."""
         return await self._as_operator(
             request,
             lambda operator, call, name, body: self.actions.change_operator(
@@ -247,7 +247,7 @@
         )
 
     async def remove_operator(self, request: web.Request) -> web.Response:
-        """Proposes that somebody is an operator no longer."""
+        """Proposes to remove an operator."""
         return await self._as_operator(
             request,
             lambda operator, call, name: self.actions.change_operator(
@@ -257,7 +257,7 @@
         )
 
     async def sign_operator(self, request: web.Request) -> web.Response:
-        """Signs a proposed change, as a second person."""
+        """Signs a proposed change, as a second operator."""
         return await self._as_operator(
             request,
             lambda operator, call, name, body: self.actions.sign_operator(
@@ -268,7 +268,7 @@
         )
 
     async def drop_operator(self, request: web.Request) -> web.Response:
-        """Takes a proposed change back."""
+        """Withdraws a proposed change."""
         return await self._as_operator(
             request,
             lambda operator, call, name: self.actions.drop_operator(operator=operator, name=name, request=call),
--- a/packages/registry/src/hoistsaddle/registry/peers.py
+++ b/packages/registry/src/hoistsaddle/registry/peers.py
@@ -7,10 +7,10 @@
 
 
 class PeerRegistries:
-    """The registries of a mesh by replica number, as one of them calls them."""
+    """The registries of a mesh by replica number, for calls from one of them to the others."""
 
     def __init__(self, *, addresses: dict[int, str], own_address: str, runtime: Runtime) -> None:
-        """Follows `addresses`, which may grow as replicas are learnt."""
+        """Calls the registries in `addresses`; entries may be added as replicas become known."""
         self.addresses = addresses
         self.own_address = own_address
         self.runtime = runtime
@@ -24,6 +24,6 @@
         return [address for address in self.addresses.values() if address != self.own_address]
 
     async def call_others(self, message: tuple, *, within: timedelta) -> list[tuple | None]:
-        """Each other registry's answer, in the order of the addresses; None from one that gave none in time."""
+        """Each other registry's answer, in the order of the addresses; None for one that doesn't answer in time."""
         calls = [self.runtime.rpc_client.call(address, message, within=within) for address in self.others()]
         return [answer.value_or(None) for answer in await asyncio.gather(*calls)]
--- a/packages/registry/src/hoistsaddle/registry/report_api.py
+++ b/packages/registry/src/hoistsaddle/registry/report_api.py
@@ -1,4 +1,4 @@
-"""The reading calls of the operators' interface, which bundles and items share."""
+"""The read-only calls of the operators' interface, the same for bundles and for items."""
 
 import msgspec
 from aiohttp import web
@@ -15,10 +15,10 @@
 
 
 class ReportApi:
-    """Handlers that show what a registry and the core machines know; they change nothing."""
+    """HTTP handlers that report the state of a registry and of the core machines; they change nothing."""
 
     def __init__(self, *, registry: Registry) -> None:
-        """Reports for this registry."""
+        """Reports the state that this registry can read."""
         self.registry = registry
 
     def routes(self) -> list[web.RouteDef]:
@@ -33,7 +33,7 @@
         ]
 
     async def show(self, part: str) -> web.Response:
-        """One part of the state as the leader's state machine writes it."""
+        """One part of the state as the leader's store encodes it."""
         match await self.registry.read_configuration(part=part):
             case Success(answer):
                 return web.Response(body=answer.content, content_type=JSON)
@@ -41,15 +41,15 @@
                 return refuse_call(error)
 
     async def core(self, request: web.Request) -> web.Response:
-        """The core machines and who leads."""
+        """The core machines and their leader."""
         return web.json_response(describe_core(await self.registry.store_statuses()))
 
     async def holds(self, request: web.Request) -> web.Response:
-        """The leases the log keeps: keys with the time left, leaving servers with when they get no more work."""
+        """The leases in the log: keys with their remaining time, and leaving servers with the end of their new work."""
         return await self.show("holds")
 
     async def ready(self, request: web.Request) -> web.Response:
-        """The platform's ready check of this core machine: both its programs do their part, or why not."""
+        """The platform's readiness check of this core machine: whether its store and registry work, or why not."""
         statuses = await self.registry.store_statuses()
         state = describe_readiness(
             own=statuses.get(self.registry.settings.replica),
--- a/packages/registry/src/hoistsaddle/registry/service.py
+++ b/packages/registry/src/hoistsaddle/registry/service.py
@@ -1,4 +1,4 @@
-"""The registry as a service of its program: the node and the operators' interface, opened and closed in order."""
+"""The service that runs a registry: its node and the operators' interface, started and stopped in order."""
 
 from aiomisc import Service
 
@@ -9,15 +9,15 @@
 
 
 class RegistryService(Service):
-    """Runs a registry that stands apart from its store."""
+    """Runs a registry in a process of its own, without a store."""
 
     def __init__(self, *, settings: RegistrySettings) -> None:
-        """Nothing is opened before `start`."""
+        """Opens no listener before `start`."""
         super().__init__()
         self.registry_settings = settings
 
     async def start(self) -> None:
-        """Opens the mesh address, then the operators'."""
+        """Opens the mesh address, then the operators' address."""
         runtime = RealRuntime(line_faults=self.registry_settings.line_faults)
         self.node = Registry(settings=self.registry_settings, runtime=runtime)
         await self.node.start()
