--- a/packages/registry/src/hoistsaddle/registry/controller_api.py
+++ b/packages/registry/src/hoistsaddle/registry/controller_api.py
@@ -25,7 +25,7 @@
 
 
 class ControllerApi:
-    """HTTP handlers for operators of a mesh whose configuration is a set of items; signed bundles have no calls here."""
+    """HTTP handlers for operators of a mesh whose configuration is a set of items; they take no signed bundles."""
 
     def __init__(self, *, controller: Controller) -> None:
         """Serves the operators' address of this controller."""
