--- a/packages/planner/src/hoistsaddle/planner/__init__.py
+++ b/packages/planner/src/hoistsaddle/planner/__init__.py
@@ -1,1 +1,1 @@
-"""Forecasts of what a bundle, or a change of servers and nodes, would move; they change nothing."""
+"""Forecasts of the effects of a bundle, or of a change of servers and nodes; they change nothing."""
--- a/packages/planner/src/hoistsaddle/planner/bundle_forecast.py
+++ b/packages/planner/src/hoistsaddle/planner/bundle_forecast.py
@@ -1,4 +1,4 @@
-"""What a bundle would move, and why the log would refuse it now."""
+"""Forecast of what a bundle would change, and of the errors with which it would be refused now."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -9,22 +9,22 @@
 from hoistsaddle.planner.distribution import available_servers, bundle_in_force, differences, live_proxies
 from hoistsaddle.statemachine.state import DRAFT
 
-NEXT_NUMBER = "Take the next free number."
+NEXT_NUMBER = "Use the next free number."
 
 
 def _number_error(configuration: dict, bundle: Bundle, text: str) -> MeshError | None:
-    """Why the log would refuse the bundle's number."""
+    """The error with which the bundle's number would be refused, if any."""
     known = {each["number"]: each for each in configuration["bundles"]}
     same_number = known.get(bundle.number)
     if same_number is None:
         newest = max([number for number, each in known.items() if each["phase"] != DRAFT], default=0)
         if bundle.number > newest:
             return None
-        return BundleStale(f"Bundle {newest} was signed already.", field="number", remedy=f"Number it above {newest}.")
+        return BundleStale(f"Bundle {newest} is already signed.", field="number", remedy=f"Number it above {newest}.")
     is_draft = same_number["phase"] == DRAFT
     message = f"Bundle {bundle.number} is known and {same_number['phase']}."
     if same_number["digest"] == digest_of(text):
-        # A draft of this very text is not refused when it is signed, only when it is submitted again.
+        # A draft with the same text is refused only if it is submitted again, not when it is signed.
         return None if is_draft else BundleDuplicate(message, field="number", remedy=NEXT_NUMBER)
     if is_draft:
         return BundleConflict(message, field="number", remedy=NEXT_NUMBER)
@@ -32,7 +32,7 @@
 
 
 def _errors(configuration: dict, bundle: Bundle, text: str) -> list[MeshError]:
-    """What the log would refuse now, in the order in which it checks."""
+    """The errors with which the bundle would be refused now, in the order of the state machine's checks."""
     errors: list[MeshError] = []
     if (error := _number_error(configuration, bundle, text)) is not None:
         errors.append(error)
@@ -47,7 +47,7 @@
 
 
 def _route_changes(before: Route | None, after: Route | None) -> dict:
-    """What changes of one route, field by field; its callers by who is gained and lost."""
+    """The changes of one route, field by field, with the callers gained and lost."""
     if before is None or after is None:
         return {"added" if before is None else "removed": msgspec.to_builtins(after or before)}
     old, new = msgspec.to_builtins(before), msgspec.to_builtins(after)
@@ -64,7 +64,7 @@
 
 
 def _changes_of_routes(current: Bundle | None, bundle: Bundle) -> dict[str, dict]:
-    """The changes of each route that changes, the new bundle's routes first."""
+    """The changes of each route that changes, by name; the routes of the new bundle come first."""
     names = [route.name for route in bundle.routes]
     if current is not None:
         names += [route.name for route in current.routes if not bundle.route(route.name)]
@@ -73,17 +73,17 @@
 
 
 def _stages(configuration: dict, bundle: Bundle) -> list[dict]:
-    """The stages of the roll-out, each with the proxies that it reaches first."""
+    """The stages of the rollout, each with the proxies that no earlier stage reaches."""
     stages: list[dict] = []
     reached: set[str] = set()
-    for place, stage in enumerate(bundle.rollout(), start=1):
+    for number, stage in enumerate(bundle.rollout(), start=1):
         proxies = [
             proxy
             for proxy, zone in sorted(live_proxies(configuration).items())
             if stage.includes(proxy=proxy, zone=zone) and proxy not in reached
         ]
         reached.update(proxies)
-        stages.append({"stage": place, "name": stage.name, "takes_up": proxies})
+        stages.append({"stage": number, "name": stage.name, "takes_up": proxies})
     return stages
 
 
@@ -94,20 +94,20 @@
 def _warnings(stages: list[dict], *, declared: set[str], available: set[str]) -> list[str]:
     return [
         *(
-            f"stage {stage['stage']} ({stage['name']}) reaches no proxy that isn't reached before"
+            f"stage {stage['stage']} ({stage['name']}) reaches no proxy that an earlier stage does not reach"
             for stage in stages
             if not stage["takes_up"]
         ),
-        *(f"{service} has no open server" for service in sorted(declared - available)),
-        *(f"{service} has open servers, but would not be declared" for service in sorted(available - declared)),
+        *(f"{service} has no available server" for service in sorted(declared - available)),
+        *(f"{service} has available servers, but would not be declared" for service in sorted(available - declared)),
     ]
 
 
 def forecast_bundle(configuration: dict, text: str) -> Result[dict, MeshError]:
-    """The routes and services that would change, the stages of the roll-out, refusals and warnings.
+    """The routes and services that would change, the stages of the rollout, the errors and the warnings.
 
     Args:
-        configuration: The configuration as the operators' interface shows it.
+        configuration: The configuration as returned by the operators' interface.
         text: The bundle's text.
     """
     match read_bundle(text):
--- a/packages/planner/src/hoistsaddle/planner/change_forecast.py
+++ b/packages/planner/src/hoistsaddle/planner/change_forecast.py
@@ -1,4 +1,4 @@
-"""What a change of servers or nodes would move."""
+"""Forecast of the effects of a change of servers or nodes."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 from hoistsaddle.planner.distribution import bundle_in_force, differences, live_proxies, parents, shares
 from hoistsaddle.statemachine.state import GONE, READY
 
-# Stands for an instance, or an operator, that a forecast assumes.
+# The name of an instance, or of an operator, that exists only in a forecast.
 PLANNED = "planned"
 
 
@@ -18,7 +18,7 @@
     drain: tuple[str, ...] = ()
     undrain: tuple[str, ...] = ()
     gone: tuple[str, ...] = ()
-    # A proxy, and the service whose server would come beside it.
+    # Pairs of a proxy and the service whose server would be added at it.
     server: tuple[tuple[str, str], ...] = ()
 
 
@@ -27,8 +27,8 @@
     known = live_proxies(configuration)
     for proxy in (*change.drain, *change.undrain, *change.gone, *(proxy for proxy, _ in change.server)):
         if proxy not in known:
-            remedy = "Read the configuration back and name one of its proxies."
-            return Failure(NoServer(f"{proxy} is no proxy of this mesh.", field="stall", remedy=remedy))
+            remedy = "Read the configuration and name one of its proxies."
+            return Failure(NoServer(f"{proxy} is not a live proxy of this mesh.", field="stall", remedy=remedy))
     servers = [_changed_server(server, change) for server in configuration["servers"]]
     with_server = {server["stall"] for server in configuration["servers"]}
     servers += [
@@ -44,7 +44,7 @@
     proxy = server["stall"]
     replacement = dict(change.server).get(proxy)
     if replacement is not None:
-        # A mark belongs to the instance that leaves.
+        # The drain mark belongs to the replaced instance.
         return {**server, "service": replacement, "instance": PLANNED, "state": READY, "drained_by": ""}
     if proxy in change.gone:
         return {**server, "state": GONE}
@@ -67,10 +67,10 @@
 
 
 def forecast_change(configuration: dict, change: Change) -> Result[dict, MeshError]:
-    """The shares of work and the parents in the distribution tree that would change, and what is worth a warning.
+    """The changes to the shares of work and to the parents in the distribution tree, and warnings.
 
     Args:
-        configuration: The configuration as the operators' interface shows it.
+        configuration: The configuration as returned by the operators' interface.
         change: The change to forecast.
     """
     match changed_configuration(configuration, change):
@@ -97,7 +97,7 @@
     bundle = bundle_in_force(configuration)
     declared = {service.name for service in bundle.services} if bundle else set()
     return [
-        *(f"{service} would have no open server left" for service in sorted(before - after)),
+        *(f"{service} would have no available server left" for service in sorted(before - after)),
         *(
             f"{service} is not declared in bundle {configuration['in_force']}; its server would get no work"
             for service in sorted(after - declared)
--- a/packages/planner/src/hoistsaddle/planner/distribution.py
+++ b/packages/planner/src/hoistsaddle/planner/distribution.py
@@ -1,4 +1,4 @@
-"""How work and configuration updates spread over a mesh, by its configuration as the operators' interface shows it."""
+"""The distribution of work and configuration updates in a mesh, computed from its configuration."""
 
 from collections import defaultdict
 
@@ -13,7 +13,7 @@
 
 
 def bundle_in_force(configuration: dict) -> Bundle | None:
-    """The bundle in force; None if there is none, or none that this release can read."""
+    """The bundle in force; None if there is none, or if this release can't read it."""
     if not configuration["in_force"]:
         return None
     return read_bundle(configuration["texts"][str(configuration["in_force"])]).value_or(None)
@@ -29,7 +29,7 @@
 
 
 def available_servers(configuration: dict) -> dict[str, tuple[str, str]]:
-    """Service and zone of each server that may get new work, by the name of the proxy beside it."""
+    """The service and zone of each server that may get new work, by the name of its proxy."""
     proxies = live_proxies(configuration)
     return {
         server["stall"]: (server["service"], server["zone"])
@@ -41,7 +41,8 @@
 def shares(configuration: dict) -> dict[str, dict[str, float]]:
     """The fraction of each service's work that each server gets, by service and proxy.
 
-    Requests are taken to enter evenly at all proxies, each of which picks servers in its own zone, or else all.
+    Assumes that requests enter evenly at all proxies, and that each proxy picks among the servers in its own zone, or
+    among all servers if its zone has none.
     """
     proxies = live_proxies(configuration)
     by_service: dict[str, dict[str, str]] = defaultdict(dict)
@@ -54,7 +55,7 @@
     """The shares of one service's servers; both arguments map names to zones."""
     share = dict.fromkeys(servers, 0.0)
     for zone in proxies.values():
-        near = [proxy for proxy, other in servers.items() if other == zone] or list(servers)
+        near = [proxy for proxy, server_zone in servers.items() if server_zone == zone] or list(servers)
         for proxy in near:
             share[proxy] += 1 / len(near) / len(proxies)
     return {proxy: round(value, SHARE_DIGITS) for proxy, value in sorted(share.items())}
@@ -66,14 +67,14 @@
     proxies = [(node["node"], node["address"]) for node in _live_nodes(configuration, PROXY_KIND)]
     roots = [(node["node"], node["address"]) for node in _live_nodes(configuration, REGISTRY_KIND)]
     return {
-        name: names[found[0]]
+        name: names[addresses[0]]
         for name, _ in proxies
-        if (found := select_parents(node=name, proxies=proxies, roots=roots))
+        if (addresses := select_parents(node=name, proxies=proxies, roots=roots))
     }
 
 
 def differences(before: dict, after: dict) -> dict[str, dict]:
-    """What changes between two mappings: the old and the new value of each such key."""
+    """The differences between two mappings: the old and the new value of each key that changes."""
     return {
         name: {"from": before.get(name), "to": after.get(name)}
         for name in sorted({*before, *after})
--- a/packages/usage/src/hoistsaddle/usage/__init__.py
+++ b/packages/usage/src/hoistsaddle/usage/__init__.py
@@ -1,1 +1,1 @@
-"""What the proxies counted, as tables for accounting."""
+"""Export of the proxies' usage counters as tables for accounting."""
--- a/packages/usage/src/hoistsaddle/usage/usage.py
+++ b/packages/usage/src/hoistsaddle/usage/usage.py
@@ -1,4 +1,4 @@
-"""Usage as Parquet or CSV with one schema, written by pyarrow."""
+"""Writes usage as Parquet or CSV files with one schema."""
 
 from datetime import datetime
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 from hoistsaddle.common.errors import InvalidSettings, MeshError
 
-# The columns and the remarks on them are written into every file: they keep their words.
+# Column names and descriptions are written into every file, so they must not change.
 SCHEMA = pyarrow.schema(
     [
         pyarrow.field(
@@ -45,8 +45,8 @@
     """A table with a row for each proxy's process, service, entry, caller and outcome.
 
     Args:
-        reports: What each proxy reports.
-        read_at: When the reports were read, by the wall clock.
+        reports: The usage reports of the proxies.
+        read_at: The wall-clock time when the reports were read.
     """
     rows = [
         {"read_at": read_at, "stall": report["stall"], "life": report["life"], **row}
@@ -58,12 +58,12 @@
 
 def _unknown_format(path: Path) -> MeshError:
     return InvalidSettings(
-        f"{path.name} ends in neither .parquet nor .csv.", field="out", remedy="Name the file by the format wanted."
+        f"{path.name} ends in neither .parquet nor .csv.", field="out", remedy="Use one of these extensions."
     )
 
 
 def write_usage(table: pyarrow.Table, *, path: Path) -> Result[int, MeshError]:
-    """Writes the table as Parquet or CSV, by the file's name, and gives the number of its rows."""
+    """Writes the table as Parquet or CSV, depending on the file extension, and returns the number of rows."""
     try:
         match path.suffix:
             case ".parquet":
@@ -74,5 +74,5 @@
                 return Failure(_unknown_format(path))
     except OSError as problem:
         message = f"{path} can't be written: {problem}."
-        return Failure(InvalidSettings(message, field="out", remedy="Name a file that can be written."))
+        return Failure(InvalidSettings(message, field="out", remedy="Specify a writable file."))
     return Success(table.num_rows)
