--- a/packages/registry/src/hoistsaddle/registry/item_patches.py
+++ b/packages/registry/src/hoistsaddle/registry/item_patches.py
@@ -38,7 +38,7 @@
         self.registry = registry
         self.settings = settings
         self.log_offset = log_offset
-        self.requests = 0
+        self.request_count = 0
 
     async def submit(self, patch: Patch) -> Result[dict, MeshError]:
         """Puts a patch in force at once under the standing sign-off; repeats are recognised by the items' revisions.
@@ -80,9 +80,9 @@
 
     def _command_of(self, patch: Patch) -> PatchItems:
         settings = self.settings()
-        self.requests += 1
+        self.request_count += 1
         return PatchItems(
-            f"{self.registry.node}.{self.registry.incarnation}.{self.requests}",
+            f"{self.registry.node}.{self.registry.incarnation}.{self.request_count}",
             settings.desk,
             settings.standing_sign_off,
             pack_patch(patch),
@@ -104,9 +104,9 @@
             # A registry receives reports from its own part of the distribution tree only.
             reports = registry.relay.known_applied_versions(now=now)
             applied = {report.node for report in reports if report.revision >= revision}
-            left = sorted({report.node for report in reports} - applied)
-            if now >= deadline or not left:
-                return left
+            missing = sorted({report.node for report in reports} - applied)
+            if now >= deadline or not missing:
+                return missing
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
 
     async def read(self, *, within: timedelta) -> Result[list[tuple[str, str, int, bytes]], MeshError]:
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -263,12 +263,12 @@
             # Proxies may only write idempotency keys; the registry makes all other writes itself.
             if not isinstance(unpack_command(payload), ClaimKey | CompleteKey | ReleaseKey):
                 return WriteAnswer(str(ErrorKind.NOT_ALLOWED), UNSET)
-        left = KEY_WRITE_TIMEOUT - timedelta(seconds=call_age().age)
-        if left <= timedelta():
+        remaining = KEY_WRITE_TIMEOUT - timedelta(seconds=call_age().age)
+        if remaining <= timedelta():
             # The call waited here for so long that its sidecar has timed out: logging it would only delay the others.
             self.counters.add("writes.stale")
             return WriteAnswer(str(ErrorKind.QUEUE_FULL), UNSET)
-        results = await self.writer.write_payloads(payloads, within=left)
+        results = await self.writer.write_payloads(payloads, within=remaining)
         outcomes = [result.unwrap() for result in results if isinstance(result, Success)]
         if len(outcomes) < len(results):
             errors = {str(result.failure().kind) for result in results if isinstance(result, Failure)}
--- a/packages/registry/src/hoistsaddle/registry/operator_api.py
+++ b/packages/registry/src/hoistsaddle/registry/operator_api.py
@@ -117,19 +117,19 @@
         await self.listener.stop()
 
     async def _as_operator(
-        self, request: web.Request, work: Callable[..., Awaitable[Result[dict, MeshError]]], *read: Result
+        self, request: web.Request, action: Callable[..., Awaitable[Result[dict, MeshError]]], *parsed: Result
     ) -> web.Response:
         """Carries out an operator's call once all its parts are valid and the operator is authenticated.
 
         Args:
             request: The HTTP request.
-            work: Receives the operator's name, the id of the call and the parsed parts.
-            read: The parsed parts of the call, or their errors.
+            action: Receives the operator's name, the id of the call and the parsed parts.
+            parsed: The parsed parts of the call, or their errors.
         """
         # An id call_id by the caller makes repeats of a call recognisable; without one every call is a new one.
         request_id = request.headers.get(REQUEST_ID_HEADER) or secrets.token_hex(REQUEST_ID_BYTES)
         call_id = plain_name(request_id, field=REQUEST_ID_HEADER)
-        for part in (call_id, *read):
+        for part in (call_id, *parsed):
             if isinstance(part, Failure):
                 return refuse_call(part.failure())
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
@@ -138,7 +138,7 @@
                 return refuse_call(error)
             case Success(operator):
                 pass
-        match await work(operator, call_id.unwrap(), *(part.unwrap() for part in read)):
+        match await action(operator, call_id.unwrap(), *(part.unwrap() for part in parsed)):
             case Failure(error):
                 return refuse_call(error)
             case Success(answer):
@@ -164,7 +164,7 @@
         """Submits a bundle as a draft."""
         text = (await request.read()).decode()
         return await self._as_operator(
-            request, lambda operator, call: self.actions.submit(author=operator, text=text, request=call)
+            request, lambda operator, call_id: self.actions.submit(author=operator, text=text, request=call_id)
         )
 
     async def show(self, request: web.Request) -> web.Response:
@@ -192,8 +192,8 @@
         """Signs off a draft, as a second operator."""
         return await self._as_operator(
             request,
-            lambda operator, call, number, body: self.actions.sign(
-                operator=operator, number=number, digest=body.digest, request=call
+            lambda operator, call_id, number, body: self.actions.sign(
+                operator=operator, number=number, digest=body.digest, request=call_id
             ),
             _read_number(request),
             read_body(await request.read(), SignBody),
@@ -203,8 +203,8 @@
         """Moves a bundle that is rolling out to its next stage."""
         return await self._as_operator(
             request,
-            lambda operator, call, number, body: self.actions.advance(
-                operator=operator, number=number, from_stage=body.from_stage, request=call
+            lambda operator, call_id, number, body: self.actions.advance(
+                operator=operator, number=number, from_stage=body.from_stage, request=call_id
             ),
             _read_number(request),
             read_body(await request.read(), AdvanceBody),
@@ -214,7 +214,7 @@
         """Withdraws a draft, or a bundle that is rolling out."""
         return await self._as_operator(
             request,
-            lambda operator, call, number: self.actions.abort(operator=operator, number=number, request=call),
+            lambda operator, call_id, number: self.actions.abort(operator=operator, number=number, request=call_id),
             _read_number(request),
         )
 
@@ -222,8 +222,8 @@
         """Marks the server of a proxy as draining, or removes the mark."""
         return await self._as_operator(
             request,
-            lambda operator, call, proxy, body: self.actions.drain(
-                operator=operator, proxy=proxy, drain=body.drain, request=call
+            lambda operator, call_id, proxy, body: self.actions.drain(
+                operator=operator, proxy=proxy, drain=body.drain, request=call_id
             ),
             _read_name(request, "stall"),
             read_body(await request.read(), DrainBody),
@@ -239,8 +239,8 @@
         """Proposes a new operator, or a new token for an existing one."""
         return await self._as_operator(
             request,
-            lambda operator, call, name, body: self.actions.change_operator(
-                operator=operator, name=name, digest=body.digest, request=call
+            lambda operator, call_id, name, body: self.actions.change_operator(
+                operator=operator, name=name, digest=body.digest, request=call_id
             ),
             _read_name(request, "name"),
             read_body(await request.read(), TokenDigestBody),
@@ -250,8 +250,8 @@
         """Proposes to remove an operator."""
         return await self._as_operator(
             request,
-            lambda operator, call, name: self.actions.change_operator(
-                operator=operator, name=name, digest="", request=call
+            lambda operator, call_id, name: self.actions.change_operator(
+                operator=operator, name=name, digest="", request=call_id
             ),
             _read_name(request, "name"),
         )
@@ -260,8 +260,8 @@
         """Signs a proposed change, as a second operator."""
         return await self._as_operator(
             request,
-            lambda operator, call, name, body: self.actions.sign_operator(
-                operator=operator, name=name, change=body.change, request=call
+            lambda operator, call_id, name, body: self.actions.sign_operator(
+                operator=operator, name=name, change=body.change, request=call_id
             ),
             _read_name(request, "name"),
             read_body(await request.read(), SignChangeBody),
@@ -271,6 +271,6 @@
         """Withdraws a proposed change."""
         return await self._as_operator(
             request,
-            lambda operator, call, name: self.actions.drop_operator(operator=operator, name=name, request=call),
+            lambda operator, call_id, name: self.actions.drop_operator(operator=operator, name=name, request=call_id),
             _read_name(request, "name"),
         )
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -127,10 +127,10 @@
             within: How long to retry.
         """
         deadline = self.runtime.now() + within
-        while (left := deadline - self.runtime.now()) > timedelta():
+        while (remaining := deadline - self.runtime.now()) > timedelta():
             target = self.leader
             match await self.runtime.rpc_client.call(
-                self.stores[target], ReadCall(self.name, part, known_revision), within=min(left, CALL_TIMEOUT)
+                self.stores[target], ReadCall(self.name, part, known_revision), within=min(remaining, CALL_TIMEOUT)
             ):
                 case Success(ReadAnswer(error="") as answer):
                     self.backoff.reset()
