--- a/packages/registry/src/hoistsaddle/registry/bootstrap.py
+++ b/packages/registry/src/hoistsaddle/registry/bootstrap.py
@@ -124,7 +124,7 @@
         self._proposal: Proposal | None = None
         self._allowed_since: timedelta | None = None
         # Whether this node founded the mesh, rather than having recorded another node's founding.
-        self._told = False
+        self._is_founder = False
         # When the local replica was first seen with its recorded founding, and when a majority last acknowledged that.
         self._held_since: timedelta | None = None
         self._majority_at = now
@@ -195,7 +195,7 @@
             # Makes the confirming round due at once.
             self.last_round_at = None
         elif self._is_own_turn(now):
-            self._told = True
+            self._is_founder = True
             call = proposal.call()
             return [FoundReplicas(tuple(call.voters), call)]
         return [InspectReplicas(self._inspection_targets())]
@@ -269,12 +269,12 @@
         never_committed = (len(call.voters) - len(self._elsewhere)) * 2 <= len(call.voters)
         self._acknowledged.clear()
         self._elsewhere.clear()
-        if not self._told and now - self._held_since < MAX_WAIT_FOR_FOUNDER:
+        if not self._is_founder and now - self._held_since < MAX_WAIT_FOR_FOUNDER:
             self._majority_at = now
             return []
         if now - self._majority_at > MAX_WAIT_FOR_MAJORITY and (never_committed or not has_records):
             # The other voters have accepted another founding, or their disks are lost.
             self._held_since = None
-            self._told = False
+            self._is_founder = False
             return [LeaveFounding(never_committed)]
         return [FoundReplicas(tuple(call.voters), call)]
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
@@ -390,7 +390,12 @@
         ages = tuple(None if (at := getattr(bootstrap, name)) is None else self.now - at for name in times)
         heard = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._heard_at.items()))
         seen = (tuple(sorted(bootstrap._blank.items())), bootstrap._mesh_seen, bootstrap._proposal, bootstrap.known)
-        told = (bootstrap._told, frozenset(bootstrap._acknowledged), frozenset(bootstrap._elsewhere), machine.waiting)
+        told = (
+            bootstrap._is_founder,
+            frozenset(bootstrap._acknowledged),
+            frozenset(bootstrap._elsewhere),
+            machine.waiting,
+        )
         return (disk_key, ages, heard, seen, told)
 
     # -- steps -------------------------------------------------------------------------------------------------------
