--- a/packages/registry/src/hoistsaddle/registry/bootstrap.py
+++ b/packages/registry/src/hoistsaddle/registry/bootstrap.py
@@ -130,7 +130,7 @@
         self._majority_at = now
         self._acknowledged: set[int] = set()
         # Voters whose disk is the one that the founding names, but belongs to another mesh.
-        self._elsewhere: set[int] = set()
+        self._in_other_mesh: set[int] = set()
 
     # -- answers -----------------------------------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
         if not answer.error:
             self._acknowledged.add(replica)
         elif answer.mesh and answer.incarnation == call.voters.get(replica):
-            self._elsewhere.add(replica)
+            self._in_other_mesh.add(replica)
 
     # -- rounds ------------------------------------------------------------------------------------------------------
 
@@ -266,9 +266,9 @@
         elif len(self._acknowledged) * 2 > len(call.voters):
             self._majority_at = now
         # A disk that acknowledged a record never leaves its mesh: those in other meshes acknowledged none of this one.
-        never_committed = (len(call.voters) - len(self._elsewhere)) * 2 <= len(call.voters)
+        never_committed = (len(call.voters) - len(self._in_other_mesh)) * 2 <= len(call.voters)
         self._acknowledged.clear()
-        self._elsewhere.clear()
+        self._in_other_mesh.clear()
         if not self._is_founder and now - self._held_since < MAX_WAIT_FOR_FOUNDER:
             self._majority_at = now
             return []
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
@@ -393,7 +393,7 @@
         told = (
             bootstrap._is_founder,
             frozenset(bootstrap._acknowledged),
-            frozenset(bootstrap._elsewhere),
+            frozenset(bootstrap._in_other_mesh),
             machine.waiting,
         )
         return (disk_key, ages, heard, seen, told)
