--- a/packages/registry/src/hoistsaddle/registry/bootstrap.py
+++ b/packages/registry/src/hoistsaddle/registry/bootstrap.py
@@ -116,7 +116,7 @@
         self.active = True
         self.started_at = now
         self.last_round_at: timedelta | None = None
-        self._heard_at: dict[int, timedelta] = {}
+        self._answered_at: dict[int, timedelta] = {}
         # The answers received in the current round.
         self._blank: dict[int, BlankDisk] = {}
         self._mesh_seen = False
@@ -136,7 +136,7 @@
 
     def inspected(self, answer: FoundingStatusAnswer, *, now: timedelta) -> None:
         """Records a replica's report on its disk."""
-        self._heard_at[answer.replica] = now
+        self._answered_at[answer.replica] = now
         if answer.mesh:
             self._mesh_seen = True
             return
@@ -230,7 +230,7 @@
         if all(seed in self._blank for seed in seeds):
             return seeds
         unresponsive = [seed for seed in seeds if seed not in self._blank]
-        if any(now - self._heard_at.get(seed, self.started_at) < MAX_WAIT_FOR_SEEDS for seed in unresponsive):
+        if any(now - self._answered_at.get(seed, self.started_at) < MAX_WAIT_FOR_SEEDS for seed in unresponsive):
             return ()
         witnesses = tuple(seed for seed in seeds if self._is_witness(seed))
         if not may_leave_out(seeds=len(seeds), witnesses=len(witnesses), losses=self.losses):
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
@@ -388,7 +388,7 @@
             return disk_key
         times = ("started_at", "last_round_at", "_allowed_since", "_held_since", "_majority_at")
         ages = tuple(None if (at := getattr(bootstrap, name)) is None else self.now - at for name in times)
-        heard = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._heard_at.items()))
+        heard = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._answered_at.items()))
         seen = (tuple(sorted(bootstrap._blank.items())), bootstrap._mesh_seen, bootstrap._proposal, bootstrap.known)
         told = (
             bootstrap._is_founder,
