--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -92,7 +92,7 @@
         self.peers = self._peers()
         self.stores = self._stores()
         self.writer = Writer(
-            name=self.node, stores=self.stores, home=settings.replica, runtime=runtime, counters=self.counters
+            name=self.node, stores=self.stores, initial_store=settings.replica, runtime=runtime, counters=self.counters
         )
         lease_span = timedelta(seconds=settings.lease_seconds)
         self.relay = Relay(node=self.node, incarnation=self.incarnation, lease_span=lease_span)
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -45,19 +45,21 @@
 class Writer:
     """Batches commands into calls to the leader's store; several batches may be in flight."""
 
-    def __init__(self, *, name: str, stores: dict[int, str], home: int, runtime: Runtime, counters: Counters) -> None:
+    def __init__(
+        self, *, name: str, stores: dict[int, str], initial_store: int, runtime: Runtime, counters: Counters
+    ) -> None:
         """Takes one store as the leader until an answer names another.
 
         Args:
             name: The node name sent as the caller.
             stores: The stores' addresses by replica number; entries may be added.
-            home: The replica that is called first.
+            initial_store: The replica that is called first.
             runtime: Clock and connections.
             counters: Counts calls and retries.
         """
         self.name = name
         self.stores = stores
-        self.leader = home
+        self.leader = initial_store
         self.runtime = runtime
         self.counters = counters
         self.unresponsive_since: dict[int, timedelta] = {}
--- a/packages/testbed/src/hoistsaddle/testbed/measure.py
+++ b/packages/testbed/src/hoistsaddle/testbed/measure.py
@@ -41,7 +41,11 @@
         self.runtime = RealRuntime()
         self.stores = {replica: machine["warehouse"] for replica, machine in self.fleet.core.items()}
         self.writer = Writer(
-            name="measure", stores=self.stores, home=1, runtime=self.runtime, counters=Counters(owner="measure")
+            name="measure",
+            stores=self.stores,
+            initial_store=1,
+            runtime=self.runtime,
+            counters=Counters(owner="measure"),
         )
 
     async def status(self, replica: int) -> StatusAnswer | None:
--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -64,7 +64,7 @@
     async def scenario() -> Any:
         runtime = SimpleNamespace(now=loop.now, rpc_client=rpc_client)
         writer = Writer(
-            name="w", stores={1: "a", 2: "b", 3: "c"}, home=1, runtime=runtime, counters=Counters(owner="w")
+            name="w", stores={1: "a", 2: "b", 3: "c"}, initial_store=1, runtime=runtime, counters=Counters(owner="w")
         )
         try:
             return await work(writer, rpc_client)
@@ -146,7 +146,7 @@
             runtime = SimpleNamespace(
                 now=loop.now, rpc_client=ScriptedRpcClient(loop=loop, rule=lambda address, now: NOT_LEADER)
             )
-            writer = Writer(name="w", stores={1: "a"}, home=1, runtime=runtime, counters=Counters(owner="w"))
+            writer = Writer(name="w", stores={1: "a"}, initial_store=1, runtime=runtime, counters=Counters(owner="w"))
             # Held by its own task alone: the order still waits when its process is gone.
             asyncio.ensure_future(writer.write(Tick(1), within=timedelta(seconds=60)))
             await asyncio.sleep(1)
