--- a/tests/test_registry_bootstrap.py
+++ b/tests/test_registry_bootstrap.py
@@ -1,4 +1,7 @@
-"""Founding without a person: who may, when, with whom, and what becomes of foundings that nobody else took."""
+"""Automatic founding: when a controller founds, with which voters, and when it abandons a recorded founding.
+
+Guards against two meshes founded from one set of controllers, and against a set of controllers that never founds one.
+"""
 
 from datetime import timedelta
 
@@ -39,7 +42,7 @@
 
 
 class Bench:
-    """A bootstrap against modelled replicas, driven by repeated calls."""
+    """Drives a bootstrap, by repeated calls, against modelled replicas."""
 
     def __init__(
         self,
@@ -57,19 +60,19 @@
         self.disks = blanks(*SEEDS) if disks is None else disks
         self.own = OwnReplica()
         self.commands: list[BootstrapCommand] = []
-        # What each replica answers to a founding; silent ones are missing.
+        # Each replica's answer to a founding; unresponsive ones are missing.
         self.answers = {replica: BootstrapAnswer("", "mesh", f"disk-{replica}") for replica in self.disks}
 
-    def go_on(self, *, seconds: float) -> "Bench":
+    def advance(self, *, seconds: float) -> "Bench":
         until = self.timestamp + timedelta(seconds=seconds)
         while self.timestamp < until:
             self.timestamp += STEP
             for command in self.bootstrap.handle(self.own, now=self.timestamp):
                 self.commands.append(command)
-                self._carry_out(command)
+                self._execute(command)
         return self
 
-    def _carry_out(self, command: BootstrapCommand) -> None:
+    def _execute(self, command: BootstrapCommand) -> None:
         match command:
             case InspectReplicas(replicas=replicas):
                 for replica in replicas:
@@ -89,7 +92,7 @@
         foundings = self.foundings()
         return foundings[0].call.voters if foundings else None
 
-    def leaves(self) -> list[LeaveFounding]:
+    def abandoned(self) -> list[LeaveFounding]:
         return [command for command in self.commands if isinstance(command, LeaveFounding)]
 
 
@@ -98,29 +101,29 @@
 
 class AtTheFirstStart(TestCase):
     def test_the_first_seed_founds_with_all_once_all_are_blank(self) -> None:
-        bench = Bench().go_on(seconds=0.2)
+        bench = Bench().advance(seconds=0.2)
         self.assertThat(bench.voters(), Equals(ALL_VOTERS))
         self.assertThat(bench.foundings()[0].call.level, Equals(LEVEL))
 
-    def test_each_other_one_does_in_its_turn_and_founds_the_same(self) -> None:
-        call = Bench().go_on(seconds=0.2).foundings()[0].call
+    def test_each_other_seed_founds_the_same_mesh_in_its_turn(self) -> None:
+        call = Bench().advance(seconds=0.2).foundings()[0].call
         for place, replica in enumerate((11, 12, 13, 99)):
             bench = Bench(replica=replica)
             turn = (TURN_INTERVAL * place).total_seconds()
             if place:
-                bench.go_on(seconds=turn - 0.1)
+                bench.advance(seconds=turn - 0.1)
                 self.assertThat(bench.foundings(), Equals([]), str(replica))
-            bench.go_on(seconds=0.6)
+            bench.advance(seconds=0.6)
             self.assertThat(bench.foundings()[0].call, Equals(call), str(replica))
 
-    def test_what_is_seen_once_is_not_enough(self) -> None:
+    def test_one_inspection_round_is_not_enough(self) -> None:
         bench = Bench()
         bench.bootstrap.handle(OwnReplica(), now=bench.timestamp)
         for seed in SEEDS:
             bench.bootstrap.inspected(blank(seed), now=bench.timestamp)
         commands = bench.bootstrap.handle(OwnReplica(), now=bench.timestamp)
         self.assertThat(commands, Equals([InspectReplicas(SEEDS)]))
-        # At the second look a disk is another one.
+        # In the confirming round one disk has another incarnation.
         for seed in SEEDS:
             changed = blank(seed)._replace(incarnation="new") if seed == 13 else blank(seed)
             bench.bootstrap.inspected(changed, now=bench.timestamp)
@@ -130,36 +133,36 @@
     def test_nothing_is_founded_beside_a_mesh(self) -> None:
         for replica in (*SEEDS, 99):
             for where in SEEDS:
-                bench = Bench(replica=replica, disks={**blanks(*SEEDS), where: founded(where)}).go_on(seconds=20)
+                bench = Bench(replica=replica, disks={**blanks(*SEEDS), where: founded(where)}).advance(seconds=20)
                 self.assertThat(bench.foundings(), Equals([]), f"{replica} {where}")
-                # It may be a founding that is given up.
+                # The other mesh may be a founding that is abandoned later.
                 self.assertThat(bench.bootstrap.active, Is(True))
 
-    def test_a_mesh_with_something_committed_ends_the_duty(self) -> None:
+    def test_a_mesh_with_a_committed_record_ends_the_bootstrap(self) -> None:
         bench = Bench()
         self.assertThat(bench.bootstrap.handle(OwnReplica("mesh"), now=bench.timestamp), Equals([]))
         self.assertThat(bench.bootstrap.active, Is(False))
 
-    def test_as_many_voters_as_the_losses_ask_for_of_the_seeds_there_are(self) -> None:
+    def test_the_number_of_voters_follows_from_the_losses_and_the_seeds(self) -> None:
         for losses, voters in ((0, {11}), (1, {11, 12, 13}), (2, {11, 12, 13})):
-            bench = Bench(losses=losses).go_on(seconds=2)
+            bench = Bench(losses=losses).advance(seconds=2)
             self.assertThat(set(bench.voters() or ()), Equals(voters))
-        bench = Bench(first_seeds=(11,), seeds=(11,), disks=blanks(11, seeds=(11,))).go_on(seconds=2)
+        bench = Bench(first_seeds=(11,), seeds=(11,), disks=blanks(11, seeds=(11,))).advance(seconds=2)
         self.assertThat(set(bench.voters() or ()), Equals({11}))
 
     def test_a_seed_that_is_down_is_waited_for_and_then_left_out(self) -> None:
         bench = Bench(disks=blanks(11, 13))
-        bench.go_on(seconds=MAX_WAIT_FOR_SEEDS.total_seconds() - 0.1)
+        bench.advance(seconds=MAX_WAIT_FOR_SEEDS.total_seconds() - 0.1)
         self.assertThat(bench.foundings(), Equals([]))
-        bench.go_on(seconds=1)
+        bench.advance(seconds=1)
         self.assertThat(bench.voters(), Equals({11: "disk-11", 13: "disk-13"}))
 
-    def test_a_disk_that_came_later_is_no_witness_of_what_the_silent_one_holds(self) -> None:
-        # The silent one may have founded with the former disk.
+    def test_a_replaced_disk_is_no_witness_for_an_unresponsive_seed(self) -> None:
+        # The unresponsive seed may have founded a mesh with the replaced disk.
         disks = {11: blank(11), 13: blank(13, first_start=False)}
-        self.assertThat(Bench(disks=disks).go_on(seconds=30).foundings(), Equals([]))
-        # Once all answer, none of them holds anything.
-        bench = Bench(disks={**disks, 12: blank(12)}).go_on(seconds=1)
+        self.assertThat(Bench(disks=disks).advance(seconds=30).foundings(), Equals([]))
+        # Once all answer, none of them belongs to a mesh.
+        bench = Bench(disks={**disks, 12: blank(12)}).advance(seconds=1)
         self.assertThat(bench.voters(), Equals(ALL_VOTERS))
 
     def test_seeds_are_left_out_only_where_each_majority_of_voters_has_a_witness(self) -> None:
@@ -174,55 +177,55 @@
         self.assertThat(allowed, Equals({*complete, (3, 2, 1), (3, 2, 2)}))
 
     def test_nothing_is_founded_before_its_own_disk_is_known(self) -> None:
-        self.assertThat(Bench(disks=blanks(12)).go_on(seconds=20).foundings(), Equals([]))
+        self.assertThat(Bench(disks=blanks(12)).advance(seconds=20).foundings(), Equals([]))
 
-    def test_others_are_asked_no_more_often_than_that(self) -> None:
-        bench = Bench(disks={}).go_on(seconds=3)
+    def test_inspections_are_limited_in_rate(self) -> None:
+        bench = Bench(disks={}).advance(seconds=3)
         self.assertThat(len(bench.commands) <= timedelta(seconds=3) / INSPECT_INTERVAL + 1, Equals(True))
-        bench.go_on(seconds=FAST_INSPECT_DURATION.total_seconds())
+        bench.advance(seconds=FAST_INSPECT_DURATION.total_seconds())
         before = len(bench.commands)
-        bench.go_on(seconds=10)
+        bench.advance(seconds=10)
         self.assertThat(len(bench.commands) - before <= 10, Equals(True))
 
 
 class WithoutARecordOfTheFirstStart(TestCase):
-    """Processes that a signal ended before they had noted anything, and disks that came later."""
+    """Processes killed before they had recorded the first start, and disks that were replaced later."""
 
     def test_a_blank_disk_alone_never_founds(self) -> None:
-        # A seed whose disk was lost, and nobody else in sight, or one.
+        # A seed that lost its disk and reaches no other controller, or only one.
         for disks in (blanks(11, first_start=False), blanks(11, 12, first_start=False)):
-            bench = Bench(first_seeds=(), disks=disks).go_on(seconds=30)
+            bench = Bench(first_seeds=(), disks=disks).advance(seconds=30)
             self.assertThat(bench.foundings(), Equals([]))
 
-    def test_it_leaves_the_founding_to_one_that_has_the_record(self) -> None:
+    def test_it_leaves_the_founding_to_a_controller_with_the_record(self) -> None:
         disks = {**blanks(11, 12, first_start=False), 13: blank(13)}
-        self.assertThat(Bench(first_seeds=(), disks=disks).go_on(seconds=30).foundings(), Equals([]))
+        self.assertThat(Bench(first_seeds=(), disks=disks).advance(seconds=30).foundings(), Equals([]))
 
-    def test_all_found_that_know_the_same_ones_and_are_blank_for_long_enough(self) -> None:
+    def test_all_found_if_they_know_the_same_ones_and_stay_blank_for_long_enough(self) -> None:
         bench = Bench(first_seeds=(), disks=blanks(*SEEDS, first_start=False))
-        bench.go_on(seconds=MAX_WAIT_FOR_SEEDS.total_seconds() - 0.1)
+        bench.advance(seconds=MAX_WAIT_FOR_SEEDS.total_seconds() - 0.1)
         self.assertThat(bench.foundings(), Equals([]))
-        bench.go_on(seconds=1)
+        bench.advance(seconds=1)
         self.assertThat(bench.voters(), Equals(ALL_VOTERS))
 
-    def test_seeds_of_other_settings_are_asked_too(self) -> None:
+    def test_seeds_in_other_controllers_settings_are_inspected_too(self) -> None:
         everyone = (*SEEDS, 14)
         disks = blanks(*everyone, first_start=False, seeds=everyone)
-        bench = Bench(first_seeds=(), disks=disks).go_on(seconds=5)
+        bench = Bench(first_seeds=(), disks=disks).advance(seconds=5)
         self.assertThat(bench.bootstrap.known, Equals(everyone))
         self.assertThat(bench.voters(), Equals(ALL_VOTERS))
-        # One of them knows others, which nobody has asked.
+        # One of them knows a controller that the others don't know.
         disks[13] = blank(13, first_start=False, seeds=(13, 15))
-        self.assertThat(Bench(first_seeds=(), disks=disks).go_on(seconds=30).foundings(), Equals([]))
+        self.assertThat(Bench(first_seeds=(), disks=disks).advance(seconds=30).foundings(), Equals([]))
 
     def test_not_where_all_of_their_disks_may_have_been_lost_at_once(self) -> None:
         for losses, expected in ((3, None), (2, ALL_VOTERS)):
-            bench = Bench(first_seeds=(), losses=losses, disks=blanks(*SEEDS, first_start=False)).go_on(seconds=30)
+            bench = Bench(first_seeds=(), losses=losses, disks=blanks(*SEEDS, first_start=False)).advance(seconds=30)
             self.assertThat(bench.voters(), Equals(expected))
 
 
 class HeldFoundings(TestCase):
-    """A disk that holds a founding under which nothing was committed yet."""
+    """The local disk has recorded a founding under which nothing is committed yet."""
 
     call = BootstrapCall("mesh", ALL_VOTERS, {}, LEVEL)
 
@@ -231,31 +234,31 @@
         bench.own = OwnReplica("mesh", self.call, has_records)
         return bench
 
-    def test_it_is_told_again_and_the_same(self) -> None:
-        # Whatever the seeds are by now; else the others, blank, would never vote.
-        bench = self.bench().go_on(seconds=3)
+    def test_the_same_founding_is_sent_again(self) -> None:
+        # Even if the seeds have changed: otherwise the other voters would stay blank and never vote.
+        bench = self.bench().advance(seconds=3)
         self.assertThat(len(bench.foundings()) > 1, Equals(True))
         for founding in bench.foundings():
             self.assertThat(founding, Equals(FoundReplicas(SEEDS, self.call)))
 
-    def test_it_is_kept_while_a_majority_has_it(self) -> None:
+    def test_it_is_kept_while_a_majority_acknowledges_it(self) -> None:
         bench = self.bench()
         del bench.answers[13]
-        self.assertThat(bench.go_on(seconds=30).leaves(), Equals([]))
+        self.assertThat(bench.advance(seconds=30).abandoned(), Equals([]))
 
-    def test_it_is_given_up_once_no_majority_takes_it(self) -> None:
+    def test_it_is_abandoned_once_no_majority_acknowledges_it(self) -> None:
         bench = self.bench()
         del bench.answers[13]
         bench.answers[12] = BootstrapAnswer("ALREADY_FOUNDED", "other", "disk-12")
-        bench.go_on(seconds=MAX_WAIT_FOR_MAJORITY.total_seconds())
-        self.assertThat(bench.leaves(), Equals([]))
-        bench.go_on(seconds=2)
-        self.assertThat(bench.leaves()[0], Equals(LeaveFounding(False)))
+        bench.advance(seconds=MAX_WAIT_FOR_MAJORITY.total_seconds())
+        self.assertThat(bench.abandoned(), Equals([]))
+        bench.advance(seconds=2)
+        self.assertThat(bench.abandoned()[0], Equals(LeaveFounding(False)))
 
-    def test_with_records_only_if_the_others_can_have_acknowledged_none(self) -> None:
+    def test_with_records_it_is_abandoned_only_if_the_others_acknowledged_none(self) -> None:
         for others, expected in (
             ({12: ("other", "disk-12"), 13: ("other", "disk-13")}, [LeaveFounding(True)]),
-            # Another disk in its place: the one that the founding names may have acknowledged them.
+            # The disk was replaced: the one that the founding names may have acknowledged the records.
             ({12: ("other", "disk-12"), 13: ("other", "new")}, []),
             ({12: ("other", "disk-12"), 13: ("", "new")}, []),
             ({}, []),
@@ -266,12 +269,12 @@
                 for replica, (mesh, incarnation) in others.items()
             }
             bench.answers[11] = BootstrapAnswer("", "mesh", "disk-11")
-            bench.go_on(seconds=5)
-            self.assertThat(bench.leaves()[:1], Equals(expected), str(others))
+            bench.advance(seconds=5)
+            self.assertThat(bench.abandoned()[:1], Equals(expected), str(others))
 
-    def test_its_founder_tells_it_at_once(self) -> None:
+    def test_its_founder_sends_it_again_at_once(self) -> None:
         bench = Bench()
         del bench.answers[12]
-        bench.go_on(seconds=0.9)
+        bench.advance(seconds=0.9)
         self.assertThat(len(bench.foundings()) > 1, Equals(True))
         self.assertThat(len({each.call.mesh for each in bench.foundings()}), Equals(1))
