--- a/tests/test_registry_writer.py
+++ b/tests/test_registry_writer.py
@@ -1,4 +1,4 @@
-"""The writer at a machine that reaches no leader: it answers truly within the caller's timeout and sends little."""
+"""The writer on a machine that reaches no leader: it reports the outcome correctly and in time, and sends few calls."""
 
 import asyncio
 import gc
@@ -37,7 +37,7 @@
 
 
 class ScriptedRpcClient:
-    """Answers by a rule of address and time; None is no answer."""
+    """Answers by a rule of address and time; None means that no answer comes."""
 
     def __init__(self, *, loop: SimulatedTimeLoop, rule: Answer) -> None:
         self.loop = loop
@@ -88,11 +88,11 @@
 
 
 class CallerTimeouts(TestCase):
-    def test_an_order_at_silent_machines_is_told_within_its_span(self) -> None:
+    def test_a_command_to_unresponsive_stores_fails_within_its_timeout(self) -> None:
         kind, spent = run(lambda address, now: None, lambda writer, rpc_client: timed(writer, within=0.5))
         self.assertThat((kind, round(spent, 3)), Equals((ErrorKind.UNSURE, 0.5)))
 
-    def test_an_order_behind_others_that_are_stuck_is_told_within_its_span(self) -> None:
+    def test_a_command_behind_stalled_ones_fails_within_its_timeout(self) -> None:
         async def work(writer: Writer, rpc_client: ScriptedRpcClient) -> tuple[str, float]:
             for _ in range(MAX_BATCHES_IN_FLIGHT):
                 asyncio.ensure_future(timed(writer, within=3.0))
@@ -100,22 +100,22 @@
             return await timed(writer, within=0.5)
 
         kind, spent = run(lambda address, now: None, work)
-        # It never left this machine.
+        # The command was never sent.
         self.assertThat((kind, round(spent, 3)), Equals((ErrorKind.NO_LEADER, 0.5)))
 
-    def test_it_says_whether_the_core_may_hold_the_order(self) -> None:
+    def test_the_error_says_whether_the_core_may_have_accepted_the_command(self) -> None:
         unsure = Success(WriteAnswer(str(ErrorKind.UNSURE), UNSET))
-        for rule, said in (
+        for rule, expected in (
             (lambda address, now: NOT_LEADER, ErrorKind.NO_LEADER),
             (lambda address, now: UNREACHABLE, ErrorKind.NO_LEADER),
             (lambda address, now: None, ErrorKind.UNSURE),
-            # One that was cut off while it led took it; the others never did.
+            # A partitioned old leader accepted the command, the others did not.
             (lambda address, now: unsure if address == "a" else NOT_LEADER, ErrorKind.UNSURE),
         ):
             kind, _ = run(rule, lambda writer, rpc_client: timed(writer, within=0.5))
-            self.assertThat(kind, Equals(said))
+            self.assertThat(kind, Equals(expected))
 
-    def test_what_is_concluded_is_told_as_it_was(self) -> None:
+    def test_an_outcome_is_returned_as_it_is(self) -> None:
         kind, spent = run(
             lambda address, now: Success(WriteAnswer("", 1)), lambda writer, rpc_client: timed(writer, within=1)
         )
@@ -123,9 +123,9 @@
 
 
 class WithoutALeader(TestCase):
-    """Finding 14: each batch was resent every 20 ms, six at a time, for as long as there was no leader."""
+    """Guards against finding 14: without a leader, each batch was resent every 20 ms, with six batches in flight."""
 
-    def test_few_calls_go_out_whatever_waits(self) -> None:
+    def test_few_calls_are_sent_however_many_commands_wait(self) -> None:
         span = 20.0
 
         async def work(writer: Writer, rpc_client: ScriptedRpcClient) -> tuple[int, int, int]:
@@ -137,17 +137,17 @@
         calls, payloads, left = run(lambda address, now: NOT_LEADER, work)
         most = span / MAX_BACKOFF.total_seconds() + MAX_BATCHES_IN_FLIGHT + 10
         self.assertThat(calls, LessThan(most))
-        # Those that were answered meanwhile are sent no more: each goes along in two or three calls.
+        # Commands that have timed out are no longer sent: each is part of two or three calls.
         self.assertThat(payloads, LessThan(span * 100 * 3))
         self.assertThat(left, LessThan(100))
 
-    def test_a_retry_that_is_collected_with_its_loop_starts_nothing_on_the_next_one(self) -> None:
-        async def left_behind(loop: SimulatedTimeLoop) -> None:
+    def test_a_retry_collected_with_its_loop_starts_nothing_on_the_next_one(self) -> None:
+        async def abandon_write(loop: SimulatedTimeLoop) -> None:
             runtime = SimpleNamespace(
                 now=loop.now, rpc_client=ScriptedRpcClient(loop=loop, rule=lambda address, now: NOT_LEADER)
             )
             writer = Writer(name="w", stores={1: "a"}, initial_store=1, runtime=runtime, counters=Counters(owner="w"))
-            # Held by its own task alone: the order still waits when its process is gone.
+            # Referenced only by its own task: the command still waits when the loop of its process is gone.
             asyncio.ensure_future(writer.write(Tick(1), within=timedelta(seconds=60)))
             await asyncio.sleep(1)
 
@@ -155,19 +155,19 @@
             gc.collect()
             return len(asyncio.all_tasks())
 
-        former, later = SimulatedTimeLoop(), SimulatedTimeLoop()
-        asyncio.set_event_loop(former)
-        former.run_until_complete(left_behind(former))
-        former.close()
-        asyncio.set_event_loop(later)
-        del former
+        first_loop, second_loop = SimulatedTimeLoop(), SimulatedTimeLoop()
+        asyncio.set_event_loop(first_loop)
+        first_loop.run_until_complete(abandon_write(first_loop))
+        first_loop.close()
+        asyncio.set_event_loop(second_loop)
+        del first_loop
         try:
-            self.assertThat(later.run_until_complete(tasks_after_collection()), Equals(1))
+            self.assertThat(second_loop.run_until_complete(tasks_after_collection()), Equals(1))
         finally:
-            later.close()
+            second_loop.close()
             asyncio.set_event_loop(None)
 
-    def test_a_leader_newly_known_ends_the_pause(self) -> None:
+    def test_a_newly_known_leader_ends_the_backoff(self) -> None:
         async def work(writer: Writer, rpc_client: ScriptedRpcClient) -> tuple[str, float]:
             asyncio.ensure_future(timed(writer, within=9.0))
             await asyncio.sleep(5.0)
@@ -182,8 +182,8 @@
         self.assertThat(kind, Equals(""))
         self.assertThat(spent, LessThan(0.25))
 
-    def test_a_leader_that_comes_is_found_under_any_load(self) -> None:
-        """Entries that are given up one after the other must not keep the rest from being tried."""
+    def test_a_new_leader_is_found_under_load(self) -> None:
+        """Commands that time out one after the other must not keep the rest from being sent."""
 
         async def work(writer: Writer, rpc_client: ScriptedRpcClient) -> list[str]:
             result: list[tuple[float, str]] = []
@@ -199,10 +199,10 @@
             return [kind for at, kind in result if at >= 10.0 + MAX_BACKOFF.total_seconds() + 0.1]
 
         found = run(lambda address, now: Success(WriteAnswer("", 2)) if address == "b" and now >= 10 else None, work)
-        # A silent one takes a full call timeout, and two are silent before the right one's turn comes.
+        # An unresponsive store costs a full call timeout, and two of them precede the leader.
         self.assertThat([kind for kind in found[200:] if kind], Equals([]))
 
-    def test_after_a_success_nothing_pauses(self) -> None:
+    def test_after_a_success_there_is_no_backoff(self) -> None:
         async def work(writer: Writer, rpc_client: ScriptedRpcClient) -> list[tuple[str, float]]:
             await timed(writer, within=1.0)
             await asyncio.sleep(2.5)
@@ -215,7 +215,7 @@
 
 
 class Claims(TestCase):
-    """A sidecar's claims of keys while no registry reaches a leader: few go out, and none keeps the rest waiting."""
+    """A sidecar's key claims while no registry reaches a leader: few calls are sent, and none delays the rest."""
 
     def claims(self, rule: Answer, *, seconds: float) -> tuple[ScriptedRpcClient, list[tuple[float, bool]]]:
         loop = SimulatedTimeLoop()
@@ -248,14 +248,17 @@
             asyncio.set_event_loop(None)
         return rpc_client, result
 
-    def test_few_calls_go_out_while_nobody_answers(self) -> None:
+    def test_few_calls_are_sent_while_no_registry_answers(self) -> None:
         for rule in (lambda address, now: None, lambda address, now: NOT_LEADER, lambda address, now: UNREACHABLE):
             rpc_client, result = self.claims(rule, seconds=20.0)
             self.assertThat(len(rpc_client.calls), LessThan(120))
             self.assertThat(len(result), Equals(1000))
 
     def test_a_registry_that_answers_again_serves_all(self) -> None:
-        """Probed by whichever claim was oldest, with what little time it had left, it was never found again."""
+        """Guards against probes with too short a timeout.
+
+        Registries were probed with the oldest claim and only its remaining time, so none was found again.
+        """
         good = Success(WriteAnswer("", 2))
         for bad in (None, NOT_LEADER, UNREACHABLE):
             _, result = self.claims(lambda address, now, bad=bad: good if now >= 10.0 else bad, seconds=15.0)
@@ -263,7 +266,7 @@
 
 
 class StaleClaims(TestCase):
-    """A registry that is behind logs no claim that its sidecar has given up by now."""
+    """An overloaded registry does not log claims whose sidecars have timed out."""
 
     def written_at_age(self, age: float) -> tuple[WriteAnswer, list[timedelta]]:
         spans: list[timedelta] = []
@@ -283,11 +286,11 @@
 
         return asyncio.run(scenario()), spans
 
-    def test_what_lay_unread_for_too_long_is_refused_and_not_logged(self) -> None:
+    def test_a_claim_queued_for_too_long_is_refused_and_not_logged(self) -> None:
         answer, spans = self.written_at_age(KEY_WRITE_TIMEOUT.total_seconds())
         self.assertThat((answer.error, answer.outcomes, spans), Equals((ErrorKind.QUEUE_FULL, (), [])))
 
-    def test_a_younger_one_is_logged_within_what_is_left(self) -> None:
+    def test_a_younger_claim_is_logged_within_the_remaining_time(self) -> None:
         answer, spans = self.written_at_age(0.2)
         self.assertThat((answer.error, len(answer.outcomes)), Equals(("", 1)))
         self.assertThat(spans, Equals([KEY_WRITE_TIMEOUT - timedelta(seconds=0.2)]))
