--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's forecast compared with the traffic that moves, in simulated time."""
+"""The planner's forecasts compared with the traffic and the tree that result from the changes, in simulated time."""
 
 import asyncio
 from collections import Counter
@@ -30,9 +30,9 @@
 
 
 def seen_shares(simulation: SimulatedDeployment, *, since: float) -> dict[str, dict[str, float]]:
-    beside = {server.instance: server.proxy for server in simulation.servers.all()}
+    proxy_of = {server.instance: server.proxy for server in simulation.servers.all()}
     runs = Counter(
-        (ran.service, beside[ran.instance])
+        (ran.service, proxy_of[ran.instance])
         for ran in simulation.history.of(RunStarted)
         if ran.timestamp > since and ran.caller == "visitors"
     )
@@ -81,7 +81,7 @@
                 (moved["from"], moved["to"]),
                 Equals((results["before"]["ledger"].get(proxy), results["after"]["ledger"].get(proxy))),
             )
-        # Who gets work at all must be exact; how much is chance, so it must be near.
+        # Which servers get work must match exactly; their shares are random, so they must be close.
         for forecast, seen in (("before", "seen before"), ("after", "seen after")):
             for service, expected in results[forecast].items():
                 self.assertThat(
@@ -103,13 +103,13 @@
                     == len(simulation.processes.proxies) + len(simulation.processes.core)
                 ),
                 seconds=10,
-                description="every node noted",
+                description="every node registered",
             )
             configuration = await read_configuration(simulation)
             await simulation.wait_until(
                 lambda: first_parents(simulation) == parents(configuration),
                 seconds=10,
-                description="everyone at its place",
+                description="every proxy below its parent",
             )
             forecast = forecast_change(configuration, Change(gone=("stall-01",))).unwrap()
             simulation.processes.kill("stall-01")
@@ -127,7 +127,7 @@
         self.assertThat(results["moved"]["stall-01"]["to"], Equals(None))
         self.assertThat(len(results["moved"]) > 1, Equals(True))
 
-    def test_bundles_change_what_the_plan_says_and_are_refused_as_it_says(self) -> None:
+    def test_bundles_change_what_is_forecast_and_are_refused_as_forecast(self) -> None:
         results: dict = {}
 
         async def scenario(simulation: SimulatedDeployment) -> None:
@@ -144,7 +144,7 @@
                 configuration, next_bundle(simulation, number=3, based_on=2)
             ).unwrap()["refused"]
             results["broken"] = forecast_bundle(configuration, text.replace("everyone = true", "everyone = false"))
-            # Another person's: its own author's call would be one that was sent again, and is confirmed.
+            # Submitted by another operator: a call of the bundle's author would count as a repeat and succeed.
             results["really"] = [
                 (await simulation.operators.submit(simulation.deployment.first_bundle(), author="ben")).failure().kind,
                 (await simulation.operators.submit(next_bundle(simulation, number=3, based_on=2))).failure().kind,
--- a/tests/test_registry_controller.py
+++ b/tests/test_registry_controller.py
@@ -1,4 +1,4 @@
-"""Items through the product's own interface: patch texts, settings, commands, and real processes that bootstrap."""
+"""Items through the operators' interfaces: patch texts, settings, commands, and real processes that found a mesh."""
 
 import asyncio
 import json
@@ -80,14 +80,14 @@
         )
         self.assertThat(patch.drops, Equals([ItemDeletion(ENTRY, 2, "read")]))
 
-    def test_json_says_the_same_with_the_same_tables(self) -> None:
+    def test_json_has_the_same_tables_as_toml(self) -> None:
         result = {"service": {"ledger": {"revision": 1, "connections": 50}}, "drop": []}
         self.assertThat(
             read_text(json.dumps(result), json=True).unwrap(),
             Equals(read_text("[service.ledger]\nrevision = 1\nconnections = 50\n").unwrap()),
         )
 
-    def test_each_refusal_names_its_table_and_field(self) -> None:
+    def test_each_error_names_its_table_and_field(self) -> None:
         for text, field in (
             (FIRST.replace("revision = 1\nconnections", "connections"), "service.ledger"),
             (FIRST.replace("revision = 1\nconnections", "revision = true\nconnections"), "service.ledger"),
@@ -139,7 +139,7 @@
         self.assertThat(result.failure().remedy != "", Equals(True))
         return result.failure().field
 
-    def test_whole_ones_are_taken(self) -> None:
+    def test_complete_settings_are_accepted(self) -> None:
         self.assertThat(read_settings_file(kind=ControllerSettings, path=None, flags=CONTROLLER), IsInstance(Success))
         self.assertThat(read_settings_file(kind=SidecarSettings, path=None, flags=SIDECAR), IsInstance(Success))
 
@@ -192,7 +192,7 @@
             path.write_text('host = "127.0.0.1"\nzone = "a"\nseeds = ["127.0.0.1"]\ncold_start = false\nlosses = 99\n')
             result = CliRunner().invoke(main, ["market", str(path), "--data-folder", folder])
             self.assertThat((result.exit_code, "field losses" in result.output), Equals((2, True)), result.output)
-            # A flag wins over the file.
+            # A flag overrides the file.
             result = CliRunner().invoke(main, ["market", str(path), "--data-folder", folder, "--losses", "98"])
             self.assertThat(result.output, Contains("98 is out of range"))
             result = CliRunner().invoke(main, ["broker", str(path)])
@@ -200,7 +200,7 @@
 
 
 class Commands(TestCase):
-    def test_check_says_what_a_file_would_change_or_why_not(self) -> None:
+    def test_check_reports_the_changes_of_a_file_or_its_errors(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "patch.toml"
             path.write_text(SECOND)
@@ -215,13 +215,13 @@
             self.assertThat(CliRunner().invoke(main, ["items", "check", str(path)]).output, Contains("UTF-8"))
 
 
-class Taking(TestCase):
-    def test_what_is_wrong_in_itself_never_reaches_the_log(self) -> None:
+class Submission(TestCase):
+    def test_an_invalid_patch_never_reaches_the_log(self) -> None:
         for changes, field in (({"rank": 10**30}, "rank"), ({"hold_seconds": 0}, "hold_seconds")):
             item = {**read_text(SECOND).unwrap().sets[0].item, **changes}
             counters = Counters(owner="market")
             registry: Any = SimpleNamespace(counters=counters)
-            # Neither settings nor the log may be asked.
+            # Neither the settings nor the log may be read.
             patches = ItemPatches(registry=registry, settings=cast(Any, None), log_offset=cast(Any, None))
             result = asyncio.run(patches.submit(Patch([ItemUpsert(ENTRY, 1, item)])))
             self.assertThat(result, IsInstance(Failure))
@@ -230,7 +230,7 @@
 
 
 class EventLines(TestCase):
-    def test_the_new_happenings_are_told_in_words(self) -> None:
+    def test_events_are_shown_as_sentences(self) -> None:
         for kind, detail, words in (
             ("bundle patched", {"number": 4, "items": 2, "author": "desk", "signer": "ben"}, "signed by ben"),
             ("patch refused", {"mishap": "item-broken", "field": "sets[0].parts"}, "is refused: item-broken"),
@@ -246,32 +246,32 @@
 class Processes(TestCase):
     def test_a_core_founds_itself_takes_patches_and_serves_them(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(self.walk(Path(folder)))
+            asyncio.run(self.run_core_and_sidecars(Path(folder)))
 
-    async def walk(self, folder: Path) -> None:
-        fleet = Deployment(folder)
+    async def run_core_and_sidecars(self, folder: Path) -> None:
+        deployment = Deployment(folder)
         runners = []
         try:
             for place in range(3):
-                await fleet.start_controller(place, cold=True)
+                await deployment.start_controller(place, cold=True)
 
             async def ready() -> bool:
-                return (await fleet.command("ready"))[0] == 0
+                return (await deployment.command("ready"))[0] == 0
 
             await until(ready)
             (folder / "first.toml").write_text(FIRST)
             (folder / "second.toml").write_text(SECOND)
-            code, output = await fleet.command("items", "submit", str(folder / "first.toml"))
+            code, output = await deployment.command("items", "submit", str(folder / "first.toml"))
             self.assertThat(
                 (code, json.loads(output)["number"], json.loads(output)["signer"]), Equals((0, 1, "ben")), output
             )
-            # The same again changes nothing.
-            code, output = await fleet.command("items", "submit", str(folder / "first.toml"))
+            # Submitting the same patch again changes nothing.
+            code, output = await deployment.command("items", "submit", str(folder / "first.toml"))
             self.assertThat((code, json.loads(output)["changed"]), Equals((0, [])), output)
-            proxies = [await fleet.start_sidecar(number) for number in (1, 2)]
+            proxies = [await deployment.start_sidecar(number) for number in (1, 2)]
             async with aiohttp.ClientSession() as session:
 
-                async def heard() -> bool:
+                async def report_health() -> bool:
                     try:
                         for number, (_, side, server) in enumerate(proxies, start=1):
                             health = {
@@ -291,67 +291,72 @@
                         return False
                     return True
 
-                async def ask(door: str, path: str, *, key: str = "") -> tuple[int, str]:
+                async def ask(ingress_address: str, path: str, *, key: str = "") -> tuple[int, str]:
                     headers = {"Host": "shop.example", "X-Hoistsaddle-Send": "try"}
                     if key:
                         headers["Idempotency-Key"] = key
-                    # As a client would: 503 says that nothing ran, and when to come back.
+                    # Retries as a client would: 503 means that nothing ran, and Retry-After says when to retry.
                     for _ in range(20):
-                        async with session.post(f"http://{door}{path}", headers=headers, data=b"body") as response:
+                        async with session.post(
+                            f"http://{ingress_address}{path}", headers=headers, data=b"body"
+                        ) as response:
                             if response.status != 503:
                                 return response.status, await response.text()
                             await asyncio.sleep(float(response.headers["Retry-After"]))
-                        # As a server would: on a busy machine its health reports may have grown old.
-                        await heard()
+                        # Reports health as a server would: on a busy machine the last reports may have expired.
+                        await report_health()
                     return response.status, ""
 
                 for _, _, server in proxies:
-                    runners.append(await fleet.serve(server))
-                await until(heard)
+                    runners.append(await deployment.serve(server))
+                await until(report_health)
 
                 async def served() -> bool:
                     return (await ask(proxies[0][0], "/read/x"))[0] == 200
 
                 await until(served)
                 first = await ask(proxies[0][0], "/pay/x", key="k1")
-                count = len(fleet.runs)
+                count = len(deployment.runs)
                 self.assertThat(first[0], Equals(200), str(first))
-                self.assertThat([await ask(door, "/pay/x", key="k1") for door, _, _ in proxies], Equals([first] * 2))
-                self.assertThat(len(fleet.runs), Equals(count))
+                self.assertThat(
+                    [await ask(ingress_address, "/pay/x", key="k1") for ingress_address, _, _ in proxies],
+                    Equals([first] * 2),
+                )
+                self.assertThat(len(deployment.runs), Equals(count))
                 self.assertThat((await ask(proxies[0][0], "/nothing/"))[0], Equals(404))
-                # One core machine dies at once, with the founder's disk; the other two go on.
-                fleet.processes["market-0"].kill()
-                await fleet.processes["market-0"].wait()
+                # One core machine is killed, the one with the founder's disk; the other two continue.
+                deployment.processes["market-0"].kill()
+                await deployment.processes["market-0"].wait()
 
                 async def second() -> bool:
-                    return (await fleet.command("items", "submit", str(folder / "second.toml")))[0] == 0
+                    return (await deployment.command("items", "submit", str(folder / "second.toml")))[0] == 0
 
                 await until(second)
 
-                async def moved() -> bool:
-                    await heard()
+                async def second_in_force() -> bool:
+                    await report_health()
                     return [(await ask(proxies[1][0], path))[0] for path in ("/read/x", "/more/x")] == [404, 200]
 
-                await until(moved)
-                code, output = await fleet.command("items", "list")
+                await until(second_in_force)
+                code, output = await deployment.command("items", "list")
                 names = [f"{each['kind']}.{each['item']['name']}" for each in json.loads(output)["items"]]
                 self.assertThat(
                     (code, names), Equals((0, ["entry.more", "entry.pay", "limits.limits", "service.ledger"])), output
                 )
                 self.assertThat(json.loads(output)["dropped"], Equals({"entry:read": 2}))
-                code, output = await fleet.command("items", "status")
+                code, output = await deployment.command("items", "status")
                 result = json.loads(output)
                 self.assertThat(
                     (code, result["standing_sign_off"], [each["number"] for each in result["patches"]]),
                     Equals((0, "ben", [2, 1])),
                 )
                 (folder / "broken.toml").write_text(SECOND.replace('"ledger"', '"nobody"').replace("= 2", "= 3"))
-                code, output = await fleet.command("items", "submit", str(folder / "broken.toml"))
+                code, output = await deployment.command("items", "submit", str(folder / "broken.toml"))
                 self.assertThat((code, "item-broken" in output), Equals((1, True)), output)
-                code, output = await fleet.command("core")
+                code, output = await deployment.command("core")
                 self.assertThat((code, "leader" in output), Equals((0, True)), output)
-                # Its disk is kept, and it comes back: nobody founds beside the mesh.
-                await fleet.start_controller(0, cold=False)
+                # The machine restarts with its disk: no second mesh is founded.
+                await deployment.start_controller(0, cold=False)
                 await until(ready)
                 for place in ("holds", "counters", "happenings?after=0"):
                     async with session.get(f"http://{proxies[0][1]}/hoistsaddle/{place}") as answer:
@@ -359,47 +364,47 @@
                 async with session.post(f"http://{proxies[0][1]}/hoistsaddle/vitals", json={"service": "x"}) as answer:
                     self.assertThat(answer.status, Equals(400))
         finally:
-            codes = await fleet.stop()
+            codes = await deployment.stop()
             for runner in runners:
                 await runner.cleanup()
         self.assertThat(set(codes.values()), Equals({0}), str(codes))
 
     def test_a_late_seed_joins_and_a_wiped_one_comes_back(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(self.growth(Path(folder)))
+            asyncio.run(self.run_joining_core(Path(folder)))
 
-    async def growth(self, folder: Path) -> None:
-        fleet = Deployment(folder)
+    async def run_joining_core(self, folder: Path) -> None:
+        deployment = Deployment(folder)
 
         async def roles() -> dict[str, str]:
-            code, output = await fleet.command("core")
+            code, output = await deployment.command("core")
             machines = json.loads(output)["machines"] if code == 0 else {}
             return {host_of_number(int(number)): each["standing"] for number, each in machines.items()}
 
         async def all_vote() -> bool:
             result = await roles()
-            return sorted(result) == sorted(fleet.hosts) and set(result.values()) == {"leader", "follower"}
+            return sorted(result) == sorted(deployment.hosts) and set(result.values()) == {"leader", "follower"}
 
         try:
             for place in (0, 1):
-                await fleet.start_controller(place, cold=True)
+                await deployment.start_controller(place, cold=True)
 
             async def led() -> bool:
                 return "leader" in (await roles()).values()
 
             await until(led)
-            self.assertThat((await roles()).get(fleet.hosts[2], "unreachable"), Equals("unreachable"))
-            # It is told of a cold start as well, but the mesh is there: it joins.
-            await fleet.start_controller(2, cold=True)
+            self.assertThat((await roles()).get(deployment.hosts[2], "unreachable"), Equals("unreachable"))
+            # It is started with a cold start as well, but joins the mesh that exists.
+            await deployment.start_controller(2, cold=True)
             await until(all_vote)
-            fleet.processes["market-2"].kill()
-            await fleet.processes["market-2"].wait()
+            deployment.processes["market-2"].kill()
+            await deployment.processes["market-2"].wait()
             shutil.rmtree(folder / "data-2")
-            await fleet.start_controller(2, cold=False)
+            await deployment.start_controller(2, cold=False)
             await until(all_vote)
             log = (folder / "market-0.log").read_text() + (folder / "market-1.log").read_text()
             for words in ("voter added", "voter swapped"):
                 self.assertThat(log, Contains(words))
         finally:
-            codes = await fleet.stop()
+            codes = await deployment.stop()
         self.assertThat(set(codes.values()), Equals({0}), str(codes))
--- a/tests/test_registry_core_status.py
+++ b/tests/test_registry_core_status.py
@@ -1,4 +1,4 @@
-"""Ready checks and the report on the core machines: what each status of a store means."""
+"""Readiness checks and the report on the core machines, evaluated from the stores' statuses."""
 
 import asyncio
 from datetime import timedelta
@@ -73,7 +73,7 @@
 
 
 class Core(TestCase):
-    def test_machines_are_shown_by_the_interface_s_names(self) -> None:
+    def test_machines_are_reported_under_the_names_of_the_interface(self) -> None:
         self.assertThat(
             describe_core({1: status(role="leader"), 2: None})["machines"],
             Equals(
@@ -93,7 +93,7 @@
             ),
         )
 
-    def test_a_lost_majority_is_named_with_the_way_out(self) -> None:
+    def test_a_lost_majority_is_reported_with_its_remedy(self) -> None:
         for roles, lost in (
             (("leader", None, None), None),
             (("follower", "blank", None), "[2, 3]"),
@@ -107,7 +107,7 @@
             message = None if lost is None else f"Replicas {lost} hold no voter's disk, so no majority is left."
             self.assertThat(refused and (refused["kind"], refused["message"]), Equals(lost and ("no-leader", message)))
 
-    def test_a_replica_learnt_while_the_answers_come_is_left_for_the_next_time(self) -> None:
+    def test_a_replica_added_while_calls_are_in_flight_is_left_out(self) -> None:
         stores = {1: "10.0.0.1:1"}
 
         async def call(address: str, message: tuple, *, within: timedelta) -> Success:
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -17,7 +17,7 @@
 
 
 class Usage(TestCase):
-    def test_files_add_up_to_what_was_asked(self) -> None:
+    def test_files_add_up_to_the_requests(self) -> None:
         reports: list[dict] = []
 
         async def scenario(simulation: SimulatedDeployment) -> None:
@@ -54,12 +54,12 @@
                 self.assertThat(write_usage(table, path=path).unwrap(), Equals(table.num_rows))
                 again = read(path)
                 self.assertThat(again.column_names, Equals(SCHEMA.names))
-                asked = Counter()
+                requested = Counter()
                 for row in again.to_pylist():
                     if row["caller"] == "visitors":
-                        asked[row["outcome"]] += row["requests"]
+                        requested[row["outcome"]] += row["requests"]
                 self.assertThat(
-                    asked,
+                    requested,
                     Equals(Counter(got.outcome for got in simulation.history.of(RequestResult) if not got.caller)),
                 )
             self.assertThat(
