--- a/packages/registry/src/hoistsaddle/registry/bootstrap.py
+++ b/packages/registry/src/hoistsaddle/registry/bootstrap.py
@@ -125,7 +125,7 @@
         self._allowed_since: timedelta | None = None
         # Whether this node founded the mesh, rather than having recorded another node's founding.
         self._is_founder = False
-        # When the local replica was first seen with its recorded founding, and when a majority last acknowledged that.
+        # When the local replica's recorded founding was first seen, and when a majority last acknowledged it.
         self._held_since: timedelta | None = None
         self._majority_at = now
         self._acknowledged: set[int] = set()
@@ -244,8 +244,8 @@
     def _members_without_record(self, *, now: timedelta) -> tuple[int, ...]:
         """All known controllers, if each is blank, knows the same ones, and none has a record of the first start.
 
-        This happens if every process of a first start ended before it had recorded that start. It is no mesh whose
-        disks were all replaced: a mesh loses at most `losses` disks at once, so one of these would still belong to it.
+        This happens if every process of a first start ended before it had recorded that start. These can't be the
+        replaced disks of an existing mesh: it loses at most `losses` disks at once, so one of them would belong to it.
         """
         if now - self.started_at < MAX_WAIT_FOR_SEEDS or len(self.known) <= self.losses:
             return ()
--- a/packages/registry/src/hoistsaddle/registry/controller.py
+++ b/packages/registry/src/hoistsaddle/registry/controller.py
@@ -27,7 +27,7 @@
 # Small machines claim hundreds of keys per second: under load, this added latency halves the fetches that the leader
 # answers.
 VOTER_BATCH_INTERVAL = milliseconds(10)
-# Fraction of the election timeout before the first election of a core whose machines start together.
+# Fraction of an election timeout before the first election after a start: the machines of a core may start together.
 STARTUP_ELECTION_FRACTION = 0.4
 
 
--- a/packages/registry/src/hoistsaddle/registry/http_server.py
+++ b/packages/registry/src/hoistsaddle/registry/http_server.py
@@ -35,7 +35,7 @@
 def refuse_call(error: MeshError) -> web.Response:
     """The response to a refused call: the error as JSON under "refused", with the HTTP status of its kind."""
     status = HTTP_STATUSES.get(error.kind, CONFLICT)
-    # A caller that may retry is told when.
+    # Clients that may retry are given the delay.
     headers = {"Retry-After": str(RETRY_AFTER_SECONDS)} if status == UNAVAILABLE else {}
     return web.json_response({"refused": error.describe()}, status=status, headers=headers)
 
--- a/packages/registry/src/hoistsaddle/registry/node.py
+++ b/packages/registry/src/hoistsaddle/registry/node.py
@@ -275,7 +275,7 @@
             # If the log accepted only part of a batch, the rest may be logged too: the proxy retries the whole batch.
             error = str(ErrorKind.UNSURE) if outcomes or len(errors) > 1 else errors.pop()
             return WriteAnswer(error, UNSET)
-        # The answer names the leader: a caller that calls its machine directly next time saves a hop.
+        # The answer names the leader: a caller that sends its next call to the leader's machine saves a hop.
         return WriteAnswer("", self.writer.leader, tuple(pack_outcome(outcome) for outcome in outcomes))
 
     # -- node monitoring ---------------------------------------------------------------------------------------------
--- a/packages/registry/src/hoistsaddle/registry/node_monitor.py
+++ b/packages/registry/src/hoistsaddle/registry/node_monitor.py
@@ -40,7 +40,7 @@
         self.last_heard[proxy] = now
 
     def handle(self, *, view: View, live_registries: list[str], fresh: bool, now: timedelta) -> list[MonitorCommand]:
-        """The commands to log now: taking the role itself, or what is gone while this registry has the role.
+        """The commands to log now: acquiring the role, or, with the role, recording and purging what is gone.
 
         Args:
             view: The configuration as this registry knows it.
@@ -85,7 +85,7 @@
         return commands
 
     def _purge_commands(self, view: View, role: SingletonRoleRecord, *, now: timedelta) -> list[MonitorCommand]:
-        """Has the state machine purge what has been gone for long; the state machine decides how long that is."""
+        """Commands that purge nodes and servers gone for long; the state machine decides how long that is."""
         if view.level < PURGE_LEVEL:
             return []
         if self.last_purge_at is not None and now - self.last_purge_at < PURGE_INTERVAL:
--- a/packages/registry/src/hoistsaddle/registry/writer.py
+++ b/packages/registry/src/hoistsaddle/registry/writer.py
@@ -149,7 +149,7 @@
         return Failure(NO_LEADER)
 
     async def write(self, command: Command, *, within: timedelta) -> Result[Outcome, MeshError]:
-        """Has the log commit a command.
+        """Writes a command to the log and waits for its outcome.
 
         Any command may be sent repeatedly: the state machine recognises a repeated command by its fields.
 
