--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
@@ -388,9 +388,14 @@
             return disk_key
         times = ("started_at", "last_round_at", "_allowed_since", "_held_since", "_majority_at")
         ages = tuple(None if (at := getattr(bootstrap, name)) is None else self.now - at for name in times)
-        heard = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._heard_at.items()))
+        heard = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._answered_at.items()))
         seen = (tuple(sorted(bootstrap._blank.items())), bootstrap._mesh_seen, bootstrap._proposal, bootstrap.known)
-        told = (bootstrap._told, frozenset(bootstrap._acknowledged), frozenset(bootstrap._elsewhere), machine.waiting)
+        told = (
+            bootstrap._is_founder,
+            frozenset(bootstrap._acknowledged),
+            frozenset(bootstrap._in_other_mesh),
+            machine.waiting,
+        )
         return (disk_key, ages, heard, seen, told)
 
     # -- steps -------------------------------------------------------------------------------------------------------
--- a/tests/test_registry_core_status.py
+++ b/tests/test_registry_core_status.py
@@ -1,4 +1,4 @@
-"""Ready checks and the report on the core machines: what each status of a store means."""
+"""Readiness checks and the report on the core machines, evaluated from the stores' statuses."""
 
 import asyncio
 from datetime import timedelta
@@ -22,31 +22,41 @@
 class Readiness(TestCase):
     def test_each_reason_has_its_kind_message_and_remedy(self) -> None:
         for own, fresh, reason in (
-            (None, True, ("unreachable", "Its store gives no answer.", "Start it, or look at its log.", "")),
+            (None, True, ("unreachable", "The store does not answer.", "Start the store, or check its log.", "")),
             (
                 status(halted="an unknown record"),
                 True,
-                ("other-release", "Its store has stopped: an unknown record.", "Install the mesh's release.", ""),
+                ("other-release", "The store has stopped: an unknown record.", "Install the mesh's release.", ""),
             ),
             (
                 status(role="catching up"),
                 True,
-                ("unsure", "Its store is catching up.", "Wait: it catches up and then votes.", ""),
+                ("unsure", "The store is catching up.", "Wait until it has caught up and votes.", ""),
             ),
             (
                 status(leader=-1),
                 True,
-                ("no-leader", "Its store follows no leader.", "Wait, or see the core machines' page.", ""),
+                (
+                    "no-leader",
+                    "The store does not know of a leader.",
+                    "Wait, or follow docs/operators/replacing-core-machines.md.",
+                    "",
+                ),
             ),
             (
                 status(unsynced=timedelta(seconds=2.5)),
                 True,
-                ("disk", "Its disk has not synced for 2.5 s.", "Free it.", ""),
+                ("disk", "The disk has not synced for 2.5 s.", "Free it.", ""),
             ),
             (
                 status(),
                 False,
-                ("lease-lapsed", "Its registry has no fresh news from a leader.", "Check the way to it.", ""),
+                (
+                    "lease-lapsed",
+                    "The registry has no fresh lease on the configuration.",
+                    "Check the network path to the leader.",
+                    "",
+                ),
             ),
             (status(), True, None),
             (status(role="leader"), True, None),
@@ -63,7 +73,7 @@
 
 
 class Core(TestCase):
-    def test_machines_are_shown_by_the_interface_s_names(self) -> None:
+    def test_machines_are_reported_under_the_names_of_the_interface(self) -> None:
         self.assertThat(
             describe_core({1: status(role="leader"), 2: None})["machines"],
             Equals(
@@ -83,7 +93,7 @@
             ),
         )
 
-    def test_a_lost_majority_is_named_with_the_way_out(self) -> None:
+    def test_a_lost_majority_is_reported_with_its_remedy(self) -> None:
         for roles, lost in (
             (("leader", None, None), None),
             (("follower", "blank", None), "[2, 3]"),
@@ -97,7 +107,7 @@
             message = None if lost is None else f"Replicas {lost} hold no voter's disk, so no majority is left."
             self.assertThat(refused and (refused["kind"], refused["message"]), Equals(lost and ("no-leader", message)))
 
-    def test_a_replica_learnt_while_the_answers_come_is_left_for_the_next_time(self) -> None:
+    def test_a_replica_added_while_calls_are_in_flight_is_left_out(self) -> None:
         stores = {1: "10.0.0.1:1"}
 
         async def call(address: str, message: tuple, *, within: timedelta) -> Success:
