--- a/packages/proxy/src/hoistsaddle/proxy/bundle_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/bundle_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the core under bundles share beyond hoistsaddle.proxy.core_state: whether they may act now."""
+"""State that only cores under bundles share, beyond hoistsaddle.proxy.core_state: whether the proxy may act now."""
 
 import hashlib
 import random
@@ -9,10 +9,10 @@
 from hoistsaddle.proxy.core_state import CoreSettings, CoreState
 from hoistsaddle.statemachine.state import GONE, READY, WINDING_DOWN
 
-# Between two submissions of a settlement or a release that the log gave no answer to.
+# The interval between submissions of a settlement or a release that the log has not answered.
 SETTLE_RETRY_INTERVAL = timedelta(milliseconds=250)
-# How long an outage of the core may last and still be waited out: twice the slowest takeover measured (0.72 s). It
-# counts from when the cause is seen, so a takeover that outlasts the lease by this much still costs no request.
+# The longest outage of the core that requests wait out: about twice the slowest takeover measured (0.72 s). It is
+# counted from the time at which the cause is seen, so a takeover that outlasts the lease by this much fails no request.
 MAX_CORE_OUTAGE = timedelta(milliseconds=1500)
 
 
@@ -22,46 +22,49 @@
 
 
 def digest_of_body(body: bytes) -> str:
-    """Return the hex digest by which an altered body is told."""
+    """Return the hex digest of a body, which detects that it was altered."""
     return hashlib.sha256(body).hexdigest()
 
 
 class BundleState(CoreState):
-    """State of a core that acts only with a fresh lease, a registered incarnation and a bundle in force."""
+    """State of a core that acts only with a valid lease, a registered incarnation and a bundle in force."""
 
     def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
-        """Begin without configuration, lease and server."""
+        """Start without configuration, lease and server."""
         super().__init__(settings=settings, seed=seed, now=now)
-        # Since when this proxy can't act.
+        # The time since which this proxy can't act; None while it can.
         self.unready_since: timedelta | None = None
 
     def is_registered(self) -> bool:
-        """Whether the log knows this incarnation: before that no acceptance would wait for it."""
+        """Whether the log knows this incarnation: until then the acceptance of a bundle doesn't wait for this proxy."""
         node = self.view.nodes.get(self.settings.name)
         return node is not None and node.incarnation == self.settings.incarnation and node.state != GONE
 
     def server_state(self) -> str:
-        """Return the server's state; a proxy that stops drains its server with it."""
+        """Return the server's state; while the proxy stops, a ready server counts as winding down."""
         state = super().server_state()
         return WINDING_DOWN if self.stopping and state == READY else state
 
     def ready(self) -> MeshError | None:
-        """Return why the platform should send nothing here, if so."""
+        """Return why the platform should send no requests to this proxy; None if it is ready."""
         if self.stopping:
             return ShuttingDown("This proxy is stopping.", remedy="Send new work elsewhere.")
         if not self.has_lease():
-            return LeaseExpired("No fresh news from the core.", remedy="Check the core machines and the way to them.")
+            return LeaseExpired(
+                "This proxy has no valid lease from the core.",
+                remedy="Check the core machines and the network path to them.",
+            )
         if not self.is_registered():
-            return LeaseExpired("The core has not noted this proxy yet.", remedy="Wait; it registers by itself.")
+            return LeaseExpired("The core has not registered this proxy yet.", remedy="Wait; it registers by itself.")
         if self.view.bundle is None:
             return _no_bundle()
         return None
 
-    def unready(self) -> MeshError | None:
-        """Return why no request can be moved on now, if so, and note since when."""
+    def processing_error(self) -> MeshError | None:
+        """Return why no request can be processed now, if so, and record since when."""
         error = self.ready()
         if self.stopping and self.has_lease() and self.is_registered() and self.view.bundle is not None:
-            # What was taken before the stop is still finished.
+            # Requests accepted before the stop are still finished.
             error = None
         if error is None:
             self.unready_since = None
@@ -70,12 +73,12 @@
         return error
 
     def acting_bundle(self) -> Bundle | MeshError:
-        """Return the bundle to act under, or why no request can be moved on now."""
-        error, bundle = self.unready(), self.view.bundle
+        """Return the bundle to act under, or why no request can be processed now."""
+        error, bundle = self.processing_error(), self.view.bundle
         if error is not None:
             return error
         return bundle if bundle is not None else _no_bundle()
 
 
 def _no_bundle() -> MeshError:
-    return BundleUnknown("No bundle is in force.", remedy="Submit one and have it signed off.")
+    return BundleUnknown("No bundle is in force.", remedy="Submit a bundle and have it signed.")
--- a/packages/proxy/src/hoistsaddle/proxy/core.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core.py
@@ -1,9 +1,9 @@
-"""The core of a proxy under bundles, which owns every request in it. Events come in, commands go out, nothing else.
+"""The core of a proxy under bundles: a state machine without I/O that turns events into commands.
 
-A request goes from the client to the ingress side of one proxy, the upstream side of another, and its server. Both
-proxies admit by their own bundle and lease. An answer is one of four: the server's complete answer, "not run" (only if
-nothing can have run, now or later), "still working", or "unknown". Every proxy is both sides: ingress.py and
-upstream.py.
+A request goes from the client to the ingress side of one proxy, the upstream side of another, and its server. Each of
+the two proxies admits it by its own bundle and lease. There are four outcomes: the server's complete answer, "not run"
+(only if the request has not run and cannot run later), "still working", and "unknown". Every proxy has both sides:
+ingress.py and upstream.py.
 """
 
 import random
@@ -33,22 +33,22 @@
 
 
 class ProxyCore(BundleState):
-    """Passes each event to the side that it concerns, and collects the commands that answer it."""
+    """Dispatches each event to the ingress or the upstream side, and collects the commands to carry out."""
 
     def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
-        """Begin without a configuration.
+        """Start without a configuration.
 
         Args:
             settings: the proxy's name, zone and limits.
-            seed: for all that chance decides.
-            now: the monotonic clock's time.
+            seed: random generator for all random choices.
+            now: the current monotonic time.
         """
         super().__init__(settings=settings, seed=seed, now=now)
         self.ingress = IngressCore(state=self)
         self.upstream = UpstreamCore(state=self)
 
     def handle(self, event: tuple, *, now: timedelta) -> list[tuple]:
-        """Take one event of proxy.messages at a time of the monotonic clock; return the commands to carry out."""
+        """Handle one event of proxy.messages at this monotonic time; return the commands to carry out."""
         self.now = max(now, self.now)
         self.out = []
         match event:
@@ -85,7 +85,7 @@
 
     def _hold_answered(self, event: HoldAnswered) -> None:
         self.ingress.keys.note_answer(event.outcome)
-        # Answers are settled by the upstream side; claims and releases are the ingress side's.
+        # The upstream side submits settlements, the ingress side claims and releases.
         if self.upstream.is_settlement(event.number):
             self.upstream.settlement_answered(event.number, event.outcome)
         else:
@@ -115,7 +115,7 @@
         self.ingress.retry_waiting()
 
     def _tick(self) -> None:
-        self.unready()
+        self.processing_error()
         self.ingress.tick()
         self.upstream.retry_parked()
         self.upstream.tick()
@@ -123,5 +123,5 @@
         self.expire_server()
 
     def idle(self) -> bool:
-        """Whether nothing is under way: a stopping proxy may end."""
+        """Whether no request, run or release is pending, so that a stopping proxy may exit."""
         return not (self.ingress.requests or self.upstream.runs or self.ingress.keys.releases or self.upstream.parked)
