--- a/packages/proxy/src/hoistsaddle/proxy/client_request.py
+++ b/packages/proxy/src/hoistsaddle/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""One request that came in at a proxy under bundles, until its final answer."""
+"""The state of one request at the ingress side of a proxy under bundles, until its final answer."""
 
 from datetime import timedelta
 from enum import Enum, auto
@@ -9,25 +9,25 @@
 from hoistsaddle.proxy.messages import RequestArrived
 from hoistsaddle.statemachine.commands import ClaimKey
 
-# The time of a request until its route is known.
+# The time limit of a request until its route, which sets the budget, is known.
 DEFAULT_BUDGET = timedelta(seconds=5)
-# Of a request without a call so far; numbers of calls begin at 1.
+# The call number of a request that has made no call yet; call numbers begin at 1.
 NO_CALL = 0
 
 
 class Phase(Enum):
     """What a request waits for."""
 
-    # For something to change here: a lease, a bundle, a server.
+    # A change at this proxy: a lease, a bundle, a server.
     WAITING = auto()
-    # For the log to grant its key.
+    # The log's answer to the claim of its key.
     CLAIMING = auto()
-    # For the answer to an attempt.
+    # The answer to an attempt.
     FORWARDED = auto()
 
 
 class ClientRequest:
-    """A request and how far it has come."""
+    """A request and its progress."""
 
     def __init__(self, *, event: RequestArrived, arrived: timedelta) -> None:
         self.event = event
@@ -35,31 +35,34 @@
         self.arrived = arrived
         self.deadline = arrived + DEFAULT_BUDGET
         self.phase = Phase.WAITING
-        # The route that it was admitted by last.
+        # The route by which it was last admitted.
         self.route: Route | None = None
-        # The newest call about it, to the log or to a target.
+        # Number of its newest call, to the log or to a target.
         self.call_number = NO_CALL
-        # The key's claim in the log, by whom, whether it was granted, and when the log first gave no answer to it.
+        # The key's scope and claim in the log, the client's identity, whether the key was granted, and when the log
+        # first left the claim unanswered.
         self.scope = ""
         self.claim = ""
         self.identity: ClientIdentity | None = None
         self.claimed = False
-        self.claim_missed_at: timedelta | None = None
-        # The claim, if a call with it got no answer though the log may have taken it.
-        self.unsure_claim: ClaimKey | None = None
-        # The newest attempt: its id, the proxy and service it went to, and what paid for it if it is a retry.
+        self.claim_unanswered_since: timedelta | None = None
+        # The claim, if a call with it got no answer and the log may have accepted it.
+        self.unconfirmed_claim: ClaimKey | None = None
+        # The newest attempt: its id, the proxy and service it went to, and, of a retry, which part of the retry budget
+        # was charged.
         self.attempt_id = ""
         self.target = ""
         self.target_service = ""
-        self.paid_by = ""
-        # Attempts that were sent, and the proxies that refused one.
+        self.charged_to = ""
+        # The number of attempts sent, and the proxies that refused one.
         self.attempts = 0
         self.refused_by: set[str] = set()
-        # Set once an attempt may have run and nobody can say.
+        # Set once an attempt may have run without a known outcome.
         self.uncertain = False
         self.last_error: MeshError | None = None
-        # Whether its first attempt has earned its share of a retry.
-        self.counted = False
-        # The revision here, and when, as a target whose bundle is newer judged it otherwise; None while none did.
-        self.judged_under: int | None = None
-        self.judged_at: timedelta | None = None
+        # Whether its first attempt has been credited to the retry budget.
+        self.credited = False
+        # The local revision when a target with another bundle last refused it, and the time of the first such refusal;
+        # None without one.
+        self.mismatch_revision: int | None = None
+        self.mismatch_since: timedelta | None = None
--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -44,96 +44,103 @@
 from hoistsaddle.statemachine.state import SETTLED, ServerRecord
 from hoistsaddle.statemachine.view import View
 
-# When a client that is turned away shall come back.
+# The Retry-After of answers to clients that may send the request again.
 RETRY_AFTER = timedelta(seconds=1)
-# What a target says whose bundle doesn't let the request to its server, though the one here does.
-JUDGED_OTHERWISE = (ErrorKind.NO_ENTRY, ErrorKind.NOT_ALLOWED)
-# The longest that a request waits for its key, from its arrival on: one claim that finds the core silent, and the
-# outage that is waited out after it. A claim that is still under way then is overtaken by the final answer.
+# Refusals of a target whose bundle does not route the request to its server, although the local bundle does.
+BUNDLE_MISMATCH_KINDS = (ErrorKind.NO_ENTRY, ErrorKind.NOT_ALLOWED)
+# The longest wait of a request for its key, counted from its arrival: one claim that the core doesn't answer, and the
+# outage that is waited out after it. A request whose claim is still in flight then gets its final answer without it.
 MAX_KEY_WAIT = 2 * MAX_CORE_OUTAGE
-# By how much a lease may outlast its span elsewhere, as clocks run apart.
+# The factor by which a lease may outlast its span on another machine, since clocks run at different rates.
 CLOCK_TOLERANCE = 1.05
-# Once the waiting room is filled to a half, one client may hold an eighth of it at the most.
-CROWDED_PART = 2
-CLIENT_PART = 8
-# How much of a key's scope operators are shown.
-SHOWN_SCOPE_LENGTH = 12
-# Statuses of the log's refusals of a claim.
+# Once the queue is half full, one client may occupy at most an eighth of it.
+CROWDED_QUEUE_DIVISOR = 2
+CLIENT_QUEUE_DIVISOR = 8
+# How many characters of a key's scope go into the events for operators.
+LOGGED_SCOPE_LENGTH = 12
+# HTTP statuses for claims that the log refuses; others get 503.
 CLAIM_STATUSES: dict[str, int] = {ErrorKind.KEY_OTHER_BODY: 422, ErrorKind.KEY_CLIENT_UNSURE: 409}
 ASK_BEFORE_RETRY = "Ask what became of the request before sending it again."
 REPEAT_HEADER = {"X-Hoistsaddle-Repeat": "true"}
 
-# Service, route, caller and outcome to requests, retries, bytes in and bytes out.
+# Maps service, route, caller and outcome to the numbers of requests, retries, request bytes and answer bytes.
 Usage = dict[tuple[str, str, str, str], list[int]]
 
 
 class IngressCore:
-    """Owns every request that came in at this proxy, from its arrival to its final answer."""
+    """Owns every request that clients or the local server sent to this proxy, from its arrival to its final answer."""
 
     def __init__(self, *, state: BundleState) -> None:
         self._state = state
         self.requests: dict[int, ClientRequest] = {}
         self._waiting: deque[int] = deque()
-        # Calls under way, to the log and to targets, to their request's ticket.
+        # Maps each call in flight, to the log or to a target, to the ticket of its request.
         self._tickets: dict[int, int] = {}
         self._servers = ServerSelection(state=state)
         self.keys = KeyClaims(state=state)
         self.retry_budget = RetryBudget(wait=state.settings.lease_span * CLOCK_TOLERANCE)
-        # Services whose retry budget ran out here, and since when others have no available server.
+        # Services whose retry budget is exhausted here, and since when services have had no available server.
         self._exhausted: set[str] = set()
-        self._closed_since: dict[str, timedelta] = {}
+        self._unavailable_since: dict[str, timedelta] = {}
         self.usage: Usage = {}
 
     # -- admission ---------------------------------------------------------------------------------------------------
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Take up a request."""
+        """Start handling a request."""
         state = self._state
         request = ClientRequest(event=event, arrived=state.now)
         self.requests[event.ticket] = request
-        # Shutting down: what is under way is finished, new clients go elsewhere.
+        # During shutdown requests in progress are finished, and new clients are sent to other proxies.
         if state.stopping and not event.caller:
             return self._not_run(request, ShuttingDown("This proxy is stopping."))
         if event.caller and (state.server is None or event.instance != state.server.instance):
-            # An old process may outlive its replacement's first report; unnamed, it would pass for the new service.
+            # A replaced server process may still send calls after its successor's first health report. Without this
+            # check of the instance they would count as calls of the new service.
             return self._refuse(request, 403, _caller_unnamed(event))
         if len(self._waiting) >= state.settings.backlog:
-            return self._not_run(request, QueueFull("Too many requests wait here."))
+            return self._not_run(request, QueueFull("Too many requests are queued at this proxy."))
         return self._advance(request)
 
     def _wait(self, request: ClientRequest, error: MeshError, *, since: timedelta | None = None) -> None:
-        """Keep the request until something changes; since when the cause lasts, unless it is only want of capacity."""
+        """Queue the request until something changes.
+
+        Args:
+            request: the request to queue.
+            error: why it has to wait.
+            since: when the cause began; None if only capacity is lacking.
+        """
         state = self._state
         if since is not None and state.now - since >= MAX_CORE_OUTAGE:
-            # No short outage explains it: the final answer goes at once, and so do those of later requests.
+            # This is longer than a short outage: this request and later ones get their final answer immediately.
             return self._not_run(request, error)
         request.phase = Phase.WAITING
         request.last_error = error
         if request.ticket in self._waiting:
             return None
-        waiting, most = len(self._waiting), state.settings.backlog
+        waiting, limit = len(self._waiting), state.settings.backlog
         client = request.event.client
         same_client = sum(
             self.requests[other].event.client == client for other in self._waiting if other in self.requests
         )
-        # One crowd doesn't shut out the rest.
-        crowded = waiting * CROWDED_PART >= most and same_client * CLIENT_PART >= most
-        if crowded or waiting >= most:
-            return self._not_run(request, QueueFull("Too many requests wait here."))
+        # One client with many requests must not fill the queue for all others.
+        over_share = waiting * CROWDED_QUEUE_DIVISOR >= limit and same_client * CLIENT_QUEUE_DIVISOR >= limit
+        if over_share or waiting >= limit:
+            return self._not_run(request, QueueFull("Too many requests are queued at this proxy."))
         self._waiting.append(request.ticket)
         return None
 
     def retry_waiting(self) -> None:
-        """Move on whatever can be, as something has changed."""
+        """Try every queued request again, as something has changed."""
         tickets, self._waiting = self._waiting, deque()
         for ticket in tickets:
             if (request := self.requests.get(ticket)) is not None:
                 self._advance(request)
 
     def _advance(self, request: ClientRequest) -> None:
-        """Admit the request under the present configuration and move it one step on."""
+        """Admit the request under the current configuration and take its next step."""
         state, event = self._state, request.event
-        # After a freeze it is late: deadline and lease are looked at again before every step.
+        # The process may have been frozen, so deadline and lease are checked again before every step.
         if state.now >= request.deadline:
             return self._expire(request)
         bundle = state.acting_bundle()
@@ -149,7 +156,8 @@
             if state.now >= request.deadline:
                 return self._expire(request)
         request.route = route
-        # While stages differ, what either bundle runs once is run once wherever it enters.
+        # While rollout stages run different bundles, a request with a key that any active bundle runs once per key is
+        # claimed at every proxy.
         once = route.once or (event.key and any(runs_once(each, event) for each in state.view.active_bundles))
         if once and not request.claimed:
             return self._claim(request, bundle, route)
@@ -160,16 +168,16 @@
     def _claim(self, request: ClientRequest, bundle: Bundle, route: Route) -> None:
         event = request.event
         if self.keys.is_blocked(after=MAX_CORE_OUTAGE):
-            # One claim at a time finds out whether the core answers again; the others are told at once.
+            # One claim at a time tests whether the core answers again; the other requests are rejected immediately.
             return self._not_run(request, _log_unavailable())
         identity = request.identity
         if not request.claim or identity is None:
-            found = identify_client(
+            identified = identify_client(
                 caller=event.caller, declared=bundle.client, headers=event.headers, twice=event.twice
             )
-            if isinstance(found, MeshError):
-                return self._refuse(request, 400, found)
-            identity = found
+            if isinstance(identified, MeshError):
+                return self._refuse(request, 400, identified)
+            identity = identified
             self.keys.prepare(request, identity, route)
         request.phase = Phase.CLAIMING
         request.call_number = self.keys.submit(request, identity, route)
@@ -177,42 +185,42 @@
         return None
 
     def hold_answered(self, event: HoldAnswered) -> None:
-        """Take the log's answer to a claim or a release, or that there is none."""
+        """Handle the log's answer to a claim or a release, or that no answer came."""
         number, outcome = event.number, event.outcome
         if self.keys.releases.answered(number, outcome):
             return None
         command = self.keys.answered(number)
         request = self.requests.get(self._tickets.pop(number, -1))
         if request is None or request.claim != command.claim:
-            return self._answered_in_vain(command, event)
+            return self._abandoned_claim_answered(command, event)
         if outcome is None and event.maybe_accepted:
-            request.unsure_claim = command
+            request.unconfirmed_claim = command
         if request.phase is not Phase.CLAIMING or request.call_number != number:
             return None
         if outcome is None:
-            # Claiming again under the same claim is one claim: the log knows it.
-            # Others may have got theirs meanwhile: this one's wait counts from its own first miss.
-            request.claim_missed_at = request.claim_missed_at or self._state.now
-            return self._wait(request, _log_unavailable(), since=request.claim_missed_at)
+            # A retry submits the same claim, which the log recognises. The wait is counted from the first unanswered
+            # claim of this request, as the log may have answered other claims meanwhile.
+            request.claim_unanswered_since = request.claim_unanswered_since or self._state.now
+            return self._wait(request, _log_unavailable(), since=request.claim_unanswered_since)
         if outcome.error:
-            # Nothing is held under this claim, so there is nothing to give back.
+            # The log holds no key for this claim, so nothing has to be released.
             request.claim = ""
             error = MeshError(outcome.error, outcome.message, outcome.remedy, outcome.field)
             return self._refuse(request, CLAIM_STATUSES.get(outcome.error, 503), error)
         request.scope = outcome.detail.get("scope", command.scope)
         return self._claim_decided(request, outcome.detail)
 
-    def _answered_in_vain(self, command: ClaimKey, event: HoldAnswered) -> None:
-        """Give back the key of a claim whose request was given up: nothing was sent under it."""
+    def _abandoned_claim_answered(self, command: ClaimKey, event: HoldAnswered) -> None:
+        """Release the key of a claim whose request has ended: no attempt was sent under it."""
         if event.outcome is None:
             if event.maybe_accepted:
-                self._release_unsure(command)
+                self._release_unconfirmed(command)
         elif event.outcome.detail.get("phase") == "granted":
             scope = event.outcome.detail.get("scope", command.scope)
             self.keys.releases.submit(ReleaseKey(scope, command.claim))
 
-    def _release_unsure(self, command: ClaimKey) -> None:
-        """Release a claim that got no answer, under each name by which the log may hold it."""
+    def _release_unconfirmed(self, command: ClaimKey) -> None:
+        """Release a claim that got no answer, under every name that the log may hold it by."""
         for scope in dict.fromkeys((hold_handle(command), command.scope)):
             self.keys.releases.schedule(ReleaseKey(scope, command.claim))
 
@@ -221,20 +229,20 @@
             case "granted":
                 request.claimed = True
                 name = request.route.name if request.route is not None else ""
-                self._state.announce("key held", scope=request.scope[:SHOWN_SCOPE_LENGTH], entry=name)
+                self._state.announce("key held", scope=request.scope[:LOGGED_SCOPE_LENGTH], entry=name)
                 self._advance(request)
             case phase if phase == SETTLED and detail["kept"]:
                 headers = {**detail["headers"], **REPEAT_HEADER}
                 self._answer(request, ANSWERED, detail["status"], headers, detail["body"])
             case phase if phase == SETTLED:
-                # The answer went over its cap and was passed on once; what remains is that it ran.
+                # The answer was too large to keep and was passed on only once; the log knows only that the request ran.
                 self._answer(request, ANSWERED, detail["status"], dict(REPEAT_HEADER), b"")
             case _:
                 error = KeyInUse("The first request with this key is still working.", field="Idempotency-Key")
                 self._answer(request, STILL_WORKING, 409, {}, b"", error, RETRY_AFTER)
 
-    def _give_up_late_claims(self) -> None:
-        """Answer requests whose claim goes on past their patience; a grant that comes later is given back."""
+    def _fail_late_claims(self) -> None:
+        """Answer requests whose claim is unanswered after MAX_KEY_WAIT; a key granted later is released."""
         late = [
             request
             for request in self.requests.values()
@@ -246,7 +254,7 @@
     # -- forwarding --------------------------------------------------------------------------------------------------
 
     def update_quota(self, name: str) -> Service | None:
-        """Bring this proxy's part of a service's retry budget up to the present configuration."""
+        """Update this proxy's quota of a service's retry budget to the current configuration."""
         state = self._state
         service = state.view.service(name)
         if service is None:
@@ -257,58 +265,60 @@
         return service
 
     def configuration_changed(self, view: View) -> None:
-        """Take that another configuration is in force."""
+        """Handle that another configuration is in force."""
         available = {server.service for server in view.available_servers()}
-        self._closed_since = {name: since for name, since in self._closed_since.items() if name not in available}
+        self._unavailable_since = {
+            name: since for name, since in self._unavailable_since.items() if name not in available
+        }
         for bundle in view.active_bundles:
             for service in bundle.services:
                 self.update_quota(service.name)
 
     def _send(self, request: ClientRequest, route: Route) -> None:
         state = self._state
-        if request.judged_under is not None and request.judged_under < state.view.revision:
-            # The configuration that the target had is here by now, and says who takes it.
-            request.judged_under = None
+        if request.mismatch_revision is not None and request.mismatch_revision < state.view.revision:
+            # A newer configuration has arrived since the target refused; it decides which servers admit the request.
+            request.mismatch_revision = None
             request.refused_by.clear()
         servers = self._servers.admitting(request, route)
         target = self._servers.select(request, servers)
         if target is None:
-            return self._without_server(request, route, any_open=bool(servers))
-        if not self._pay_for_attempt(request, target.service):
-            error = RetryBudgetExhausted(f"{route.service} has no room for further sends.")
+            return self._without_server(request, route, any_admitting=bool(servers))
+        if not self._charge_attempt(request, target.service):
+            error = RetryBudgetExhausted(f"The retry budget of {route.service} is exhausted at this proxy.")
             return self._unknown(request, error) if request.uncertain else self._not_run(request, error)
         return self._forward(request, route, target)
 
-    def _without_server(self, request: ClientRequest, route: Route, *, any_open: bool) -> None:
-        none = NoServer(f"No server of {route.service} takes work.")
-        if request.judged_under is not None:
-            # A bundle that isn't here yet decides: it is on its way.
-            return self._wait(request, request.last_error or none, since=request.judged_at)
+    def _without_server(self, request: ClientRequest, route: Route, *, any_admitting: bool) -> None:
+        no_server = NoServer(f"No server of {route.service} is available.")
+        if request.mismatch_revision is not None:
+            # The target refused by a newer bundle, which has not reached this proxy yet.
+            return self._wait(request, request.last_error or no_server, since=request.mismatch_since)
         if request.refused_by:
-            # Everyone open has refused it: give the final answer now, not near the deadline.
-            return self._not_run(request, request.last_error or none)
-        since = None if any_open else self._closed_since.setdefault(route.service, self._state.now)
-        return self._wait(request, none, since=since)
+            # Every available server has refused it: give the final answer now, not near the deadline.
+            return self._not_run(request, request.last_error or no_server)
+        since = None if any_admitting else self._unavailable_since.setdefault(route.service, self._state.now)
+        return self._wait(request, no_server, since=since)
 
-    def _pay_for_attempt(self, request: ClientRequest, name: str) -> bool:
-        """Whether the next attempt may go to this service: a first one always, a retry if the budget pays for it."""
+    def _charge_attempt(self, request: ClientRequest, name: str) -> bool:
+        """Whether the next attempt may go to this service: a first attempt always, a retry if the budget allows it."""
         state = self._state
         service = self.update_quota(name)
         if request.attempts == 0:
-            if not request.counted:
-                request.counted = True
+            if not request.credited:
+                request.credited = True
                 self.retry_budget.earn(name, percent=service.further_percent if service is not None else 0)
                 if name in self._exhausted and self.retry_budget.available(name, now=state.now) >= 1:
                     self._exhausted.discard(name)
                     state.announce("room again", service=name)
             return True
-        paid_by = self.retry_budget.try_spend(name, now=state.now)
-        if paid_by:
-            request.paid_by = paid_by
+        charged_to = self.retry_budget.try_spend(name, now=state.now)
+        if charged_to:
+            request.charged_to = charged_to
         elif name not in self._exhausted:
             self._exhausted.add(name)
             state.announce("room spent", service=name)
-        return bool(paid_by)
+        return bool(charged_to)
 
     def _forward(self, request: ClientRequest, route: Route, target: ServerRecord) -> None:
         state, event = self._state, request.event
@@ -344,7 +354,7 @@
     # -- answers -----------------------------------------------------------------------------------------------------
 
     def _attempt_ended(self, number: int) -> ClientRequest | None:
-        """Close an attempt and return its request, if that still waits for this attempt."""
+        """Close an attempt and return its request, if the request still waits for this attempt."""
         request = self.requests.get(self._tickets.pop(number, -1))
         if request is None or request.call_number != number:
             return None
@@ -352,58 +362,60 @@
         return request
 
     def forward_answered(self, number: int, answer: BundleForwardAnswer) -> None:
-        """Take what the target's proxy answered to an attempt."""
+        """Handle the target proxy's answer to an attempt."""
         request = self._attempt_ended(number)
         if request is None:
             return None
-        # An answer that isn't to this very attempt, or that changed on its way, is nobody's answer.
+        # An answer to another attempt, or one that was altered in transit, is not used.
         altered = answer.outcome == ANSWERED and digest_of_body(answer.body) != answer.digest
         if answer.attempt_id != request.attempt_id or altered:
-            return self._attempt_uncertain(request, InvalidAnswer("The answer came back altered."))
+            return self._attempt_uncertain(
+                request, InvalidAnswer("The answer was altered in transit or belongs to another attempt.")
+            )
         if answer.outcome == ANSWERED:
             return self._answer(request, ANSWERED, answer.status, answer.headers, answer.body)
         if answer.outcome == NOT_RUN:
             return self._attempt_refused(
-                request, MeshError(answer.error, answer.detail, "Come back after the time given.")
+                request, MeshError(answer.error, answer.detail, "Retry after the time in Retry-After.")
             )
         return self._attempt_uncertain(request, MeshError(answer.error, answer.detail, ASK_BEFORE_RETRY))
 
     def forward_failed(self, number: int, *, unsent: bool) -> None:
-        """Take that an attempt got no answer; `unsent` if nothing was ever written to the target."""
+        """Handle that an attempt got no answer; `unsent` if nothing was ever written to the target."""
         request = self._attempt_ended(number)
         if request is None:
             return None
         if unsent:
-            # No connection was made, so nothing can arrive later either.
+            # No connection was made, so the attempt can't arrive later either.
             return self._attempt_refused(
                 request,
-                Unreachable(f"{request.target} takes no connection.", remedy="Come back after the time given."),
+                Unreachable(f"{request.target} accepts no connection.", remedy="Retry after the time in Retry-After."),
             )
         return self._attempt_uncertain(
             request, NoResponse(f"{request.target} gave no answer.", remedy=ASK_BEFORE_RETRY)
         )
 
     def forward_withheld(self, number: int) -> None:
-        """Take that an attempt never left this proxy: it was none, and costs none."""
+        """Handle that an attempt was never sent: it doesn't count, and its retry is refunded."""
         request = self._attempt_ended(number)
         if request is None:
             return
         request.attempts -= 1
         if request.attempts:
-            self.retry_budget.refund(request.target_service, request.paid_by)
-        self._wait(request, LeaseExpired("No fresh news from the core."))
+            self.retry_budget.refund(request.target_service, request.charged_to)
+        self._wait(request, LeaseExpired("This proxy has no valid lease from the core."))
 
     def _attempt_refused(self, request: ClientRequest, error: MeshError) -> None:
-        """Nothing ran: another server may take it."""
+        """Handle that an attempt did not run: another server may run it."""
         request.refused_by.add(request.target)
         request.last_error = error
-        if error.kind in JUDGED_OTHERWISE:
-            request.judged_under = self._state.view.revision
-            request.judged_at = request.judged_at or self._state.now
+        if error.kind in BUNDLE_MISMATCH_KINDS:
+            request.mismatch_revision = self._state.view.revision
+            request.mismatch_since = request.mismatch_since or self._state.now
         self._advance(request)
 
     def _attempt_uncertain(self, request: ClientRequest, error: MeshError) -> None:
-        """It may have run: only a safe method may be sent again."""
+        """Handle that an attempt may have run: only a request with a safe method may be sent again."""
         request.uncertain = True
         request.last_error = error
         if request.event.method in SAFE_METHODS and self._state.now < request.deadline:
@@ -417,7 +429,7 @@
 
     def _expire(self, request: ClientRequest) -> None:
         if request.phase is Phase.FORWARDED or request.uncertain:
-            late = DeadlineExceeded("No answer within the entry's budget.", remedy=ASK_BEFORE_RETRY)
+            late = DeadlineExceeded("No answer came within the entry's budget.", remedy=ASK_BEFORE_RETRY)
             return self._unknown(request, request.last_error or late)
         unsent = DeadlineExceeded("The entry's budget ran out before it was sent.")
         return self._not_run(request, request.last_error or unsent)
@@ -428,14 +440,14 @@
 
     def _not_run(self, request: ClientRequest, error: MeshError) -> None:
         if request.uncertain:
-            # An earlier attempt of it may have run, whatever the last one says.
+            # An earlier attempt may have run, even if the last one did not.
             return self._unknown(request, error)
         self._release_unused(request)
-        # The final answer goes at once, with the time to come back; nothing is held to keep the caller busy.
+        # The final answer goes out immediately with Retry-After; the request isn't held to slow the client down.
         return self._answer(request, NOT_RUN, 503, {}, b"", error, RETRY_AFTER)
 
     def _unknown(self, request: ClientRequest, error: MeshError) -> None:
-        # Under a key the same request may be sent again at any time: it runs no second time.
+        # With a key the same request may be sent again at any time without running twice.
         self._answer(request, UNKNOWN, 504, {}, b"", error, RETRY_AFTER if request.claim else None)
 
     def _answer(
@@ -451,9 +463,9 @@
         self._forget(request)
         if request.route is not None:
             key = (request.route.service, request.route.name, caller_of(request.event), outcome)
-            used = self.usage.setdefault(key, [0, 0, 0, 0])
-            for place, amount in enumerate((1, max(0, request.attempts - 1), len(request.event.body), len(body))):
-                used[place] += amount
+            totals = self.usage.setdefault(key, [0, 0, 0, 0])
+            for index, amount in enumerate((1, max(0, request.attempts - 1), len(request.event.body), len(body))):
+                totals[index] += amount
         self._state.out.append(AnswerClient(request.ticket, outcome, status, headers, body, error, retry_after))
 
     def _forget(self, request: ClientRequest) -> None:
@@ -463,30 +475,30 @@
             self._servers.attempt_ended(request.target)
 
     def _release_unused(self, request: ClientRequest) -> None:
-        """Release the request's key, if it claimed one and nothing ran under it."""
+        """Release the request's key, if it claimed one and no attempt can have run under it."""
         if not request.claim or request.uncertain:
             return
         if request.claimed:
             name = request.route.name if request.route is not None else ""
-            self._state.announce("key given back", scope=request.scope[:SHOWN_SCOPE_LENGTH], entry=name)
+            self._state.announce("key given back", scope=request.scope[:LOGGED_SCOPE_LENGTH], entry=name)
             self.keys.releases.submit(ReleaseKey(request.scope, request.claim))
-        elif request.unsure_claim is not None:
-            self._release_unsure(request.unsure_claim)
+        elif request.unconfirmed_claim is not None:
+            self._release_unconfirmed(request.unconfirmed_claim)
 
     # -- other events ------------------------------------------------------------------------------------------------
 
     def client_disconnected(self, ticket: int) -> None:
-        """Drop what was not sent; what was is followed to its end, so that its key settles."""
+        """Drop the request, unless an attempt is in flight: that is followed to its end, so that its key is settled."""
         request = self.requests.get(ticket)
         if request is not None and request.phase is not Phase.FORWARDED:
             self._release_unused(request)
             self._forget(request)
 
     def tick(self) -> None:
-        """Give the final answers that are due, and move on what can be."""
+        """Give the final answers that are due, and try the queued requests again."""
         for request in [each for each in self.requests.values() if self._state.now >= each.deadline]:
             self._expire(request)
-        self._give_up_late_claims()
+        self._fail_late_claims()
         self._waiting = deque(ticket for ticket in self._waiting if ticket in self.requests)
         self.retry_waiting()
 
@@ -494,9 +506,9 @@
 def _caller_unnamed(event: RequestArrived) -> MeshError:
     named = f"names {event.instance}" if event.instance else "names no instance"
     return CallerUnnamed(
-        f"The call {named}, and that isn't the server whose health reports came last.", field="X-Hoistsaddle-Instance"
+        f"The call {named}, which is not the server that reported its health last.", field="X-Hoistsaddle-Instance"
     )
 
 
 def _log_unavailable() -> MeshError:
-    return NoLeader("No core machine could hold the key.")
+    return NoLeader("No core machine is available to store the key.")
