--- a/packages/proxy/src/hoistsaddle/proxy/admission.py
+++ b/packages/proxy/src/hoistsaddle/proxy/admission.py
@@ -1,4 +1,4 @@
-"""Whether a bundle lets a client's request in, and by which route."""
+"""Decides whether a bundle admits a client's request, and by which route."""
 
 from typing import NamedTuple
 
@@ -9,19 +9,19 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request is not let in, with the HTTP status that says so."""
+    """Why a request is not admitted, with the HTTP status of the answer."""
 
     status: int
     error: MeshError
 
 
 def caller_of(event: RequestArrived) -> str:
-    """Return the name by which bundles know who calls: a service, or all clients."""
+    """Return the caller's name in bundles: its service, or the common name of all clients."""
     return event.caller or CLIENTS
 
 
 def admit(bundle: Bundle, event: RequestArrived) -> Route | Refusal:
-    """Return the route by which the bundle lets the request in, or why it doesn't."""
+    """Return the route by which the bundle admits the request, or the refusal."""
     route = bundle.match_route(method=event.method, path=event.path)
     caller = caller_of(event)
     if route is None:
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -25,15 +25,15 @@
 from hoistsaddle.statemachine.commands import CompleteKey, Outcome
 from hoistsaddle.statemachine.state import GONE
 
-# How long the ids of attempts that were refused or run are remembered: longer than any request's budget can be.
+# How long the ids of attempts that were refused or run are kept: longer than any request's budget can be.
 SEEN_RETENTION = timedelta(seconds=120)
-# What a short outage of the core explains: such an attempt is kept for a while, and admitted anew.
+# Errors that a short outage of the core can cause: such an attempt is parked for a while, and then admitted again.
 PARKED_KINDS = (ErrorKind.LEASE_LAPSED, ErrorKind.BUNDLE_UNKNOWN)
-SHOWN_SCOPE_LENGTH = 12
+LOGGED_SCOPE_LENGTH = 12
 
 
 class _Run:
-    """An attempt that runs here, until its answer is given and its key is settled."""
+    """An attempt on the local server, until its answer is sent and its key is settled."""
 
     def __init__(self, *, ticket: int, call: BundleForwardCall, arrived: timedelta) -> None:
         self.ticket = ticket
@@ -46,22 +46,22 @@
 
 
 class UpstreamCore:
-    """Owns what other proxies forwarded to the local server."""
+    """Owns the attempts that other proxies forward to the local server."""
 
     def __init__(self, *, state: BundleState) -> None:
         self._state = state
         self.runs: dict[int, _Run] = {}
-        # Settlements that the log hasn't answered, to their runs.
+        # Maps the calls of settlements that the log hasn't answered to the numbers of their runs.
         self._settlements: dict[int, int] = {}
-        # By ticket, attempts that wait out an outage of the core: the event, when it came, and until when it waits.
+        # Attempts that wait out an outage of the core, by ticket: the event, its arrival, and until when it is parked.
         self.parked: dict[int, tuple[ForwardArrived, timedelta, timedelta]] = {}
-        # Ids of attempts that were here, the oldest first.
+        # Ids of attempts that were run or refused here, the oldest first.
         self._seen: OrderedDict[str, timedelta] = OrderedDict()
 
     # -- admission ---------------------------------------------------------------------------------------------------
 
     def health_reported(self, event: HealthReported) -> None:
-        """Take what the server says of itself, unless its instance has ended since it said so."""
+        """Handle the server's health report, unless its instance has ended since."""
         state = self._state
         if not state.takes_report(event.instance, state=event.state):
             return
@@ -73,11 +73,11 @@
             state.report_health()
 
     def forward_arrived(self, event: ForwardArrived) -> None:
-        """Run, park or refuse an attempt of another proxy."""
+        """Run, park or refuse an attempt from another proxy."""
         error = self._admission_error(event)
         parkable = error is not None and error.kind in PARKED_KINDS
         if parkable and len(self.parked) < self._state.settings.backlog:
-            # An outage of the core's is short: wait it out for half the budget before troubling another proxy.
+            # Outages of the core are short: wait for up to half the budget before the sender has to try another proxy.
             now = self._state.now
             self.parked[event.ticket] = (event, now, now + min(event.call.budget / 2, MAX_CORE_OUTAGE))
             return
@@ -86,16 +86,16 @@
     def _run_or_refuse(self, event: ForwardArrived, error: MeshError | None) -> None:
         call, server = event.call, self._state.server
         if error is None and server is not None:
-            self._remember(call.attempt_id)
+            self._record_attempt(call.attempt_id)
             number = self._state.next_number()
             self.runs[number] = _Run(ticket=event.ticket, call=call, arrived=self._state.now)
             self._state.out.append(RunOnServer(number, server.address, call, call.budget))
         elif error is not None and error.kind == ErrorKind.ALREADY_SEEN:
-            # It ran or was refused under this very id: nothing certain can be said to the second copy.
+            # An attempt with this id was run or refused before, so the outcome of this second copy is unknown.
             self._refuse(event, UNKNOWN, error)
         elif error is not None:
-            # Refused for good: should a copy of this attempt turn up later, it won't run either.
-            self._remember(call.attempt_id)
+            # The refusal is final: a copy of this attempt that arrives later must not run either.
+            self._record_attempt(call.attempt_id)
             self._refuse(event, NOT_RUN, error)
 
     def _refuse(self, event: ForwardArrived, outcome: str, error: MeshError) -> None:
@@ -103,37 +103,37 @@
         self._state.out.append(AnswerForward(event.ticket, answer))
 
     def retry_parked(self) -> None:
-        """Admit anew what waits, as something has changed; what has waited long enough is refused."""
+        """Admit parked attempts again after a change, and refuse those that have waited long enough."""
         state = self._state
-        for ticket, (event, came, until) in list(self.parked.items()):
+        for ticket, (event, arrived, until) in list(self.parked.items()):
             newest = max((each.number for each in state.view.active_bundles), default=0)
             if (state.has_lease() and event.call.bundle <= newest) or state.now >= until:
-                # With what of its budget is left; past its time the refusal stands.
+                # It continues with the rest of its budget; once its time is over, a refusal is final.
                 del self.parked[ticket]
-                left = event.call.budget - (state.now - came)
+                left = event.call.budget - (state.now - arrived)
                 event = event._replace(call=event.call._replace(budget=left))
                 self._run_or_refuse(event, self._admission_error(event))
 
-    def _remember(self, attempt_id: str) -> None:
+    def _record_attempt(self, attempt_id: str) -> None:
         now = self._state.now
         self._seen[attempt_id] = now
         while self._seen and now - next(iter(self._seen.values())) > SEEN_RETENTION:
             self._seen.popitem(last=False)
 
     def _admission_error(self, event: ForwardArrived) -> MeshError | None:
-        """Return why the attempt may not run now, if so."""
+        """Return why the attempt may not run now; None if it may."""
         call = event.call
-        parked_twin = any(
+        parked_duplicate = any(
             parked.ticket != event.ticket and parked.call.attempt_id == call.attempt_id
             for parked, _, _ in self.parked.values()
         )
-        if call.attempt_id in self._seen or parked_twin:
-            return AlreadySeen("This send was here before.")
+        if call.attempt_id in self._seen or parked_duplicate:
+            return AlreadySeen("An attempt with this id arrived before.")
         route = admit(self._state, event)
         if isinstance(route, MeshError):
             return route
         if len(self.runs) >= self._state.settings.backlog:
-            return QueueFull("Too many runs are under way on this server.", remedy="Send it elsewhere.")
+            return QueueFull("Too many requests are running on this server.", remedy="Send it elsewhere.")
         if route.once and not call.hold:
             return KeyMissing(f"{route.name} runs once per key.", remedy="Claim its key first.")
         return None
@@ -141,7 +141,7 @@
     # -- runs --------------------------------------------------------------------------------------------------------
 
     def server_answered(self, event: ServerAnswered) -> None:
-        """Pass the server's answer on, or settle its key first."""
+        """Pass the server's answer on, after settling its key if it has one."""
         run = self.runs.get(event.number)
         if run is None:
             return None
@@ -165,20 +165,20 @@
         self._state.out.append(SubmitHold(call_number, settlement))
 
     def is_settlement(self, number: int) -> bool:
-        """Whether this call to the log settles a key."""
+        """Whether this call to the log is a settlement."""
         return number in self._settlements
 
     def settlement_answered(self, number: int, outcome: Outcome | None) -> None:
-        """Take the log's answer to a settlement; None is no answer."""
+        """Handle the log's answer to a settlement; None is no answer."""
         run_number = self._settlements.pop(number)
         run = self.runs.get(run_number)
         if run is None or run.settlement is None or run.answer is None:
             return
         if outcome is None:
-            # Settling goes on past the answer: a repeat must find what the first one got.
+            # The settlement is retried even after the answer was sent: a repeated request must get the same answer.
             run.settle_at = self._state.now + SETTLE_RETRY_INTERVAL
             return
-        scope = run.settlement.scope[:SHOWN_SCOPE_LENGTH]
+        scope = run.settlement.scope[:LOGGED_SCOPE_LENGTH]
         self._state.announce("key settled", scope=scope, entry=run.call.route)
         run.settlement = None
         self._answer_run(run_number, run, run.answer)
@@ -191,25 +191,25 @@
             self.runs.pop(number, None)
 
     def server_failed(self, event: ServerFailed) -> None:
-        """Pass on that the server gave no answer."""
+        """Report to the sender that the server gave no answer."""
         run = self.runs.pop(event.number, None)
         if run is None:
             return
         state, server = self._state, self._state.server
         same_instance = server is not None and server.instance == run.call.instance
         if event.unsent and same_instance and state.server_state() != GONE:
-            # Nobody listens there any more: no need to wait until its health report expires.
+            # The server's address accepts no connections any more: don't wait until its health report expires.
             state.mark_server_gone()
         outcome = NOT_RUN if event.unsent else UNKNOWN
         answer = BundleForwardAnswer(run.call.attempt_id, outcome, str(event.error.kind), event.error.message)
         state.out.append(AnswerForward(run.ticket, answer))
 
     def tick(self) -> None:
-        """Give the answers that are due, and settle again what got no answer."""
+        """Send the answers that are due, and submit unanswered settlements again."""
         now = self._state.now
         for number, run in list(self.runs.items()):
             if run.answer is not None and not run.answered and now >= run.deadline:
-                # The run is done and its answer true, even if its key can't be settled yet.
+                # The run is complete and its answer valid, even if its key can't be settled yet.
                 self._answer_run(number, run, run.answer)
             if run.settlement is not None and run.settle_at is not None and now >= run.settle_at:
                 self._settle(number, run, run.settlement)
--- a/packages/proxy/src/hoistsaddle/proxy/upstream_admission.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream_admission.py
@@ -1,4 +1,4 @@
-"""Whether a proxy under bundles lets an attempt of another proxy run on its local server."""
+"""Decides whether a proxy under bundles runs an attempt of another proxy on its local server."""
 
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.common.errors import (
@@ -18,40 +18,40 @@
 from hoistsaddle.rpc.messages import BundleForwardCall
 from hoistsaddle.statemachine.state import READY
 
-SEND_ELSEWHERE = "Send it elsewhere."
+SEND_ELSEWHERE = "Send it to another proxy."
 
 
 def admit(state: BundleState, event: ForwardArrived) -> Route | MeshError:
-    """Return the route of an attempt that may run here, or why it may not: process, server and bundle must allow it."""
+    """Return the route of an attempt that may run here, or an error if process, server or bundle doesn't allow it."""
     error = _process_error(state, event) or _server_error(state, event.call)
     return error or _admit_by_bundle(state, event.call)
 
 
 def _process_error(state: BundleState, event: ForwardArrived) -> MeshError | None:
     if event.frozen:
-        # After standing still nobody can tell how old the call is.
-        return ProcessFrozen("This proxy stood still while the request waited.")
+        # After a freeze of this process the age of the call is unknown.
+        return ProcessFrozen("This proxy was frozen while the request waited.")
     if event.call.budget <= ZERO:
-        return DeadlineExceeded("The budget is spent.", remedy="Send sooner.")
+        return DeadlineExceeded("The time budget of the request is spent.", remedy="Send it with more time left.")
     if not state.has_lease() or not state.is_registered():
-        return LeaseExpired("No fresh news from the core.", remedy=SEND_ELSEWHERE)
+        return LeaseExpired("This proxy has no valid lease from the core.", remedy=SEND_ELSEWHERE)
     return None
 
 
 def _server_error(state: BundleState, call: BundleForwardCall) -> MeshError | None:
     name, server = state.settings.name, state.server
     if state.stopping or state.server_state() != READY or server is None:
-        return ShuttingDown(f"The server beside {name} is {state.server_state()}.", remedy=SEND_ELSEWHERE)
+        return ShuttingDown(f"The local server of {name} is {state.server_state()}.", remedy=SEND_ELSEWHERE)
     if (call.target, call.service_name, call.instance) != (name, server.service, server.instance):
-        return WrongInstance("The server it was meant for is not the one here.")
+        return WrongInstance("The request was sent to another server instance than the local one.")
     recorded = state.view.servers.get(name)
-    # An address passed to another service takes work only once the log knows whose it is.
+    # An address that was handed over to another service gets requests only once the log records the new server there.
     if (
         recorded is None
         or (recorded.service, recorded.instance) != (server.service, server.instance)
         or recorded.drained_by
     ):
-        return ShuttingDown("The log doesn't name this server as open.", remedy=SEND_ELSEWHERE)
+        return ShuttingDown("The log doesn't record this server as available.", remedy=SEND_ELSEWHERE)
     return None
 
 
@@ -60,22 +60,22 @@
     if isinstance(bundle, MeshError):
         return bundle
     path = call.path.partition("?")[0]
-    # Names play no part: a route may be called otherwise where the request came in.
+    # Route names are not compared: the same route may have another name in the bundle of the sending proxy.
     route = bundle.match_route(method=call.method, path=path) if bundle is not None else None
     if route is None or route.service != call.service_name:
         return NoRoute(
-            f"{call.method} {path} is not this service's here.",
-            remedy="Wait until the bundle reached both machines.",
+            f"No entry of {call.service_name} for {call.method} {path} at this proxy.",
+            remedy="Wait until the bundle has reached both machines.",
         )
     return _route_error(call, route) or route
 
 
 def _deciding_bundle(state: BundleState, call: BundleForwardCall) -> Bundle | MeshError | None:
-    """Return the newer of the two proxies' bundles: it is signed, and in force where the request came in."""
+    """Return the newer of the two proxies' bundles: it is signed, and in force at one of them."""
     bundle, active = state.view.bundle, state.view.active_bundles
     newest = max(active, key=number_of) if active else bundle
     if newest is not None and call.bundle > newest.number:
-        return BundleUnknown(f"News of bundle {call.bundle} isn't here yet.", remedy="Send it again shortly.")
+        return BundleUnknown(f"Bundle {call.bundle} has not reached this proxy yet.", remedy="Send it again shortly.")
     if bundle is not None and call.bundle > bundle.number:
         return next((each for each in active if each.number == call.bundle), bundle)
     return bundle
