--- a/packages/proxy/src/hoistsaddle/proxy/core_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core_state.py
@@ -1,4 +1,4 @@
-"""What all parts of a core share: configuration view, lease, local server, clock, and the commands to carry out."""
+"""State shared by all parts of a core: configuration view, lease, local server, clock, and commands to carry out."""
 
 import random
 from datetime import timedelta
@@ -11,53 +11,53 @@
 
 
 class CoreSettings(NamedTuple):
-    """What a core needs of its process's settings."""
+    """The settings of the process that its core uses."""
 
     name: str
     zone: str
     incarnation: str
-    # For how long a renewed lease lets this proxy act, and a health report counts.
+    # How long a lease is valid after its renewal, and a health report after its arrival.
     lease_span: timedelta
     health_span: timedelta
-    # The most requests that wait here, and the most runs at once on the local server.
+    # The maximum number of queued requests, and of concurrent runs on the local server.
     backlog: int
-    # The most attempts of this proxy under way to one target.
+    # The maximum number of attempts in flight from this proxy to one target.
     outstanding: int
 
 
 class LocalServer(NamedTuple):
-    """The server beside this proxy, as it reported itself last."""
+    """The newest health report of the local server."""
 
     service: str
     instance: str
     address: str
     state: str
-    # When the report came.
+    # When the report arrived.
     heard: timedelta
 
     def same_as(self, other: "LocalServer") -> bool:
-        """Whether both reports say the same, whenever they came."""
+        """Whether both reports have the same content, regardless of their arrival."""
         return self[:4] == other[:4]
 
 
 class CoreState:
-    """Base of the cores: owner of the state that their parts share, which are given it and read and write it by name.
+    """Base class of the cores. It owns the state that the parts of a core share and read and write as attributes.
 
     Attributes:
         settings: the proxy's name, zone and limits.
-        random: the source of all that chance decides.
-        now: the monotonic time of the event that is handled.
-        view: the configuration in force here.
-        server: the local server's last report.
-        reports: the order of the reports of the local servers.
-        serial: number of the newest health report; the log takes none that is older.
+        random: the random generator for all random choices.
+        now: the monotonic time of the event being handled.
+        view: the configuration in force at this proxy.
+        server: the local server's newest health report.
+        reports: decides which reports of local servers are outdated.
+        serial: number of the newest health report; the log accepts no older one.
         stopping: whether the process was told to stop.
-        closing: whether it is about to end: its server goes on, but nothing new comes through here.
-        out: the commands that answer the event which is handled, in order.
+        closing: whether the process is about to exit while its server keeps running, and accepts nothing new.
+        out: the commands that result from the event being handled, in order.
     """
 
     def __init__(self, *, settings: CoreSettings, seed: random.Random, now: timedelta) -> None:
-        """Begin without configuration, lease and server."""
+        """Start without configuration, lease and server."""
         self.settings = settings
         self.random = seed
         self.now = now
@@ -69,7 +69,7 @@
         self.serial = 0
         self.stopping = False
         self.closing = False
-        self.numbers = 0
+        self.last_number = 0
         self.out: list[Any] = []
 
     def has_lease(self) -> bool:
@@ -77,26 +77,26 @@
         return self.lease_start is not None and self.now - self.lease_start < self.settings.lease_span
 
     def renew_lease(self, start: timedelta) -> None:
-        """Take that the configuration was in force at this time."""
+        """Record that the configuration was confirmed to be in force at this time."""
         self.lease_start = start if self.lease_start is None else max(start, self.lease_start)
 
     def server_state(self) -> str:
-        """Return the server's own word while that is young; it is gone if it has fallen silent."""
+        """Return the state that the server reported; gone if the report is missing or older than the health span."""
         if self.server is None or self.now - self.server.heard > self.settings.health_span:
             return GONE
         return self.server.state
 
     def takes_report(self, instance: str, *, state: str, sequence: int = 0) -> bool:
-        """Put a report of a local server in its order; return whether it still says something new.
+        """Record a report of a local server, and return whether it is current.
 
         Args:
-            instance: whose report it is.
-            state: what it says; an instance that calls itself gone has signed off.
-            sequence: its number at its sender; 0 where reports carry none.
+            instance: the server instance that sent the report.
+            state: the reported state; an instance that reports itself gone has signed off.
+            sequence: the sender's number of the report; 0 where reports carry none.
         """
         if not self.reports.accept(instance, sequence=sequence):
             if instance != self._ignored_instance:
-                # Once each: a server that has signed off may go on reporting.
+                # Announced once per instance: a server that has signed off may keep reporting.
                 self._ignored_instance = instance
                 self.announce("late report ignored", instance=instance, sequence=sequence)
             return False
@@ -105,16 +105,16 @@
         return True
 
     def next_number(self) -> int:
-        """Return a number that no call of this core had before."""
-        self.numbers += 1
-        return self.numbers
+        """Return a new number, unique among the calls of this core."""
+        self.last_number += 1
+        return self.last_number
 
     def announce(self, kind: str, **detail: Any) -> None:
-        """Tell operators of an event; the detail's names are its JSON keys."""
+        """Record an event for operators; the names of the details are its JSON keys."""
         self.out.append(Announce(kind, {"stall": self.settings.name, **detail}))
 
     def count(self, name: str) -> None:
-        """Add one to a counter of the process."""
+        """Increment a counter of the process."""
         self.out.append(Count(name))
 
     def report_health(self) -> None:
@@ -123,7 +123,7 @@
         self.out.append(ReportHealth())
 
     def mark_server_gone(self) -> None:
-        """Take the server for gone until it reports again."""
+        """Mark the server as gone until it reports again."""
         if self.server is None:
             return
         self.server = self.server._replace(state=GONE)
@@ -131,12 +131,12 @@
         self.report_health()
 
     def expire_server(self) -> None:
-        """Mark the server gone once its last report is too old."""
+        """Mark the server as gone once its last report is too old."""
         if self.server is not None and self.server.state != GONE and self.server_state() == GONE:
             self.mark_server_gone()
 
     def contradict_record(self) -> None:
-        """Report again at once if the log calls the server gone while it lives, as after a freeze or a cut."""
+        """Report health immediately if the log records a live server as gone, as after a freeze or a network cut."""
         recorded = self.view.servers.get(self.settings.name)
         if recorded is None or recorded.state != GONE:
             return
--- a/packages/proxy/src/hoistsaddle/proxy/hold_releases.py
+++ b/packages/proxy/src/hoistsaddle/proxy/hold_releases.py
@@ -1,4 +1,4 @@
-"""Releases of claimed keys: each is submitted to the log until it is confirmed or no longer worth the effort."""
+"""Releases of claimed keys: each is submitted to the log until it is confirmed or times out."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -18,12 +18,12 @@
     """The releases that the log has not confirmed yet."""
 
     def __init__(self, *, state: CoreState, retry_interval: timedelta, timeout: timedelta) -> None:
-        """Begin with none.
+        """Start without releases.
 
         Args:
-            state: of the core that the commands go out from.
-            retry_interval: the wait after a release that got no answer.
-            timeout: how long after its first submission a release is retried at all.
+            state: state of the core that submits the commands.
+            retry_interval: the wait before an unanswered release is submitted again.
+            timeout: how long after its first submission a release is retried.
         """
         self._state = state
         self._retry_interval = retry_interval
@@ -32,7 +32,7 @@
         self._retries: list[_Retry] = []
 
     def __bool__(self) -> bool:
-        """Whether any submitted release waits for its answer."""
+        """Whether any submitted release is unanswered."""
         return bool(self._submitted)
 
     def submit(self, command: ReleaseKey) -> None:
@@ -40,12 +40,12 @@
         self._submit(command, self._state.now + self._timeout)
 
     def schedule(self, command: ReleaseKey) -> None:
-        """Submit a release after the retry interval, as the log is slow or out of reach now."""
+        """Submit a release after the retry interval, because the log is slow or unreachable now."""
         now = self._state.now
         self._retries.append(_Retry(now + self._retry_interval, command, now + self._timeout))
 
     def answered(self, number: int, outcome: Outcome | None) -> bool:
-        """Take the log's answer; None is no answer.
+        """Handle the log's answer to a call; None is no answer.
 
         Returns:
             Whether the answered call was a release.
@@ -59,7 +59,7 @@
         return True
 
     def retry_due(self) -> None:
-        """Submit again what is due."""
+        """Submit the releases that are due again."""
         retries, self._retries = self._retries, []
         for retry in retries:
             if self._state.now >= retry.due:
--- a/packages/proxy/src/hoistsaddle/proxy/key_claims.py
+++ b/packages/proxy/src/hoistsaddle/proxy/key_claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of requests under bundles: claimed in the log, and released if nothing ran under them."""
+"""Idempotency keys of requests under bundles: claims them in the log, and releases those that no attempt used."""
 
 from datetime import timedelta
 
@@ -10,44 +10,44 @@
 from hoistsaddle.proxy.messages import SubmitHold
 from hoistsaddle.statemachine.commands import ClaimKey, Outcome
 
-# For how long the release of a key is submitted to the log again and again.
+# How long the release of a key is retried.
 RELEASE_TIMEOUT = timedelta(seconds=60)
 
 
 class KeyClaims:
-    """The claims that the log hasn't answered, and whether it answers at all."""
+    """Tracks the claims that the log hasn't answered, and since when it has answered none."""
 
     def __init__(self, *, state: BundleState) -> None:
         self._state = state
         self._submitted: dict[int, ClaimKey] = {}
         self.releases = HoldReleases(state=state, retry_interval=SETTLE_RETRY_INTERVAL, timeout=RELEASE_TIMEOUT)
-        # Since when the log gives no answer about keys.
+        # The time since which the log has answered no command about keys; None while it answers.
         self._silent_since: timedelta | None = None
 
     def note_answer(self, outcome: Outcome | None) -> None:
-        """Note whether the log answered a command about a key; None is no answer."""
+        """Record whether the log answered a command about a key; None is no answer."""
         if outcome is not None:
             self._silent_since = None
         elif self._silent_since is None:
             self._silent_since = self._state.now
 
     def is_blocked(self, *, after: timedelta) -> bool:
-        """Whether the log has been silent for so long, and a claim is under way that finds out when it answers."""
+        """Whether the log has been silent for this long, and a claim in flight will show when it answers again."""
         silent = self._silent_since is not None and self._state.now - self._silent_since >= after
         return silent and bool(self._submitted)
 
     def prepare(self, request: ClientRequest, identity: ClientIdentity, route: Route) -> None:
-        """Give the request the claim that all its submissions share."""
+        """Set the request's claim, which all its submissions share."""
         event, settings = request.event, self._state.settings
         request.identity = identity
-        # Where level 1 keeps the key; from level 2 on the log finds it by the bucket.
+        # At release level 1 the log stores the key under this scope; from level 2 on it looks the key up by its bucket.
         request.scope = digest_of_parts(event.caller, event.client, route.name, event.key)
         request.claim = f"{settings.name}.{settings.incarnation}.{self._state.next_number()}"
 
     def submit(self, request: ClientRequest, identity: ClientIdentity, route: Route) -> int:
         """Submit the request's claim to the log, and return the call's number."""
         event, number = request.event, self._state.next_number()
-        # The body's digest covers method, path and query too: another request under the same key is refused.
+        # The digest also covers method, path and query, so that a different request with the same key is refused.
         digest = digest_of_body("\0".join((event.method, event.path, event.query, "")).encode() + event.body)
         command = self._submitted[number] = ClaimKey(
             request.scope,
@@ -63,5 +63,5 @@
         return number
 
     def answered(self, number: int) -> ClaimKey:
-        """Return the claim that the log answered under this number."""
+        """Remove and return the claim that was submitted under this number."""
         return self._submitted.pop(number)
