--- a/packages/proxy/src/hoistsaddle/proxy/hold_client.py
+++ b/packages/proxy/src/hoistsaddle/proxy/hold_client.py
@@ -1,4 +1,4 @@
-"""Commands about keys on their way to the log: they wait here, and go in batches to one registry after the other."""
+"""Client for commands about keys: queues them and submits them in batches to the log through one of the registries."""
 
 import asyncio
 from datetime import timedelta
@@ -20,8 +20,8 @@
 from hoistsaddle.statemachine.commands import Outcome
 from hoistsaddle.statemachine.encoding import pack_command, tag_of, unpack_outcome
 
-# How long a command without a deadline is tried, and how long one registry gets for a batch: the next may not be
-# frozen.
+# The timeout of a command without a deadline, and of one batch at one registry. The latter is shorter, so that another
+# registry is tried if the first one is frozen.
 SUBMIT_TIMEOUT = milliseconds(1500)
 ATTEMPT_TIMEOUT = milliseconds(500)
 MAX_BATCHES_IN_FLIGHT = 8
@@ -29,14 +29,14 @@
 
 
 class SubmitResult(NamedTuple):
-    """What came of a command: its outcome, or None and whether the log may still take it."""
+    """The result of a command: its outcome, or None and whether the log may have accepted it or may still do so."""
 
     outcome: Outcome | None
     maybe_accepted: bool
 
 
 class _PendingCommand(PendingWrite):
-    """A command that is waited for until a deadline; its future gets the outcome, and is cancelled without one."""
+    """A command with a deadline; its future gets the outcome, or is cancelled if there is none."""
 
     def __init__(self, *, payload: bytes, future: asyncio.Future, deadline: timedelta) -> None:
         super().__init__(payload=payload, future=future)
@@ -46,8 +46,8 @@
 class HoldClient:
     """Submits commands about keys.
 
-    Whoever waits for one waits here and not at the core: a command whose deadline passes before it was sent costs the
-    core nothing, and certainly isn't in the log. How many batches are in flight follows from how the core keeps up.
+    Commands are queued here and not at the core: a command whose deadline passes before it was sent costs the core
+    nothing, and is certainly not in the log. The number of batches in flight adapts to how fast the core answers.
     """
 
     def __init__(
@@ -59,21 +59,21 @@
         registries: RegistryAddresses,
         backoff: ExponentialBackoff,
     ) -> None:
-        """Begin as if the registries answered.
+        """Start without backoff.
 
         Args:
             runtime: clock and connections.
-            counters: what operators read.
-            core: whose view says which registry is beside the log's leader.
-            registries: which are tried, in their order.
-            backoff: between two attempts that failed.
+            counters: counters of the process, which operators read.
+            core: its view gives the address of the registry on the log leader's machine.
+            registries: the registries to try, in order.
+            backoff: wait after a failed attempt.
         """
         self._runtime = runtime
         self._counters = counters
         self._core = core
         self._registries = registries
         self._backoff = backoff
-        self._limit = ConcurrencyLimit(most=MAX_BATCHES_IN_FLIGHT)
+        self._limit = ConcurrencyLimit(max_limit=MAX_BATCHES_IN_FLIGHT)
         self._queue = WriteQueue(
             attempt=self._attempt,
             wait_for_backoff=self._wait_for_backoff,
@@ -87,23 +87,23 @@
 
         Args:
             command: a claim, a settlement or a release.
-            deadline: until when the answer is of use, on the process's monotonic clock; by default a span from now.
+            deadline: monotonic time until which the answer is useful; SUBMIT_TIMEOUT from now by default.
 
         Returns:
-            What the log made of it. One that is on its way at its deadline is waited for until that call ends.
+            The log's outcome, if any. A command in flight at its deadline is waited for until that call ends.
         """
         self._counters.add(f"holds.{tag_of(command)}")
-        began = self._runtime.now()
+        started = self._runtime.now()
         future = asyncio.get_running_loop().create_future()
         if deadline is None:
-            deadline = began + SUBMIT_TIMEOUT
+            deadline = started + SUBMIT_TIMEOUT
         write = _PendingCommand(payload=pack_command(command), future=future, deadline=deadline)
         self._queue.add([write])
-        await asyncio.wait([future], timeout=max(0.0, (deadline - began).total_seconds()))
+        await asyncio.wait([future], timeout=max(0.0, (deadline - started).total_seconds()))
         if write.in_flight:
-            # It ends with the call that it is in, at the latest.
+            # Its future is done by the end of the call that carries it.
             await asyncio.wait([future], timeout=ATTEMPT_TIMEOUT.total_seconds())
-        return self._result_of(write, waited=self._runtime.now() - began)
+        return self._result_of(write, waited=self._runtime.now() - started)
 
     def _result_of(self, write: _PendingCommand, *, waited: timedelta) -> SubmitResult:
         if write.future.done() and not write.future.cancelled():
@@ -121,7 +121,7 @@
         await asyncio.sleep(self._backoff.left(now=self._runtime.now()).total_seconds())
 
     async def _attempt(self, batch: Batch) -> bool:
-        """One call with the whole batch; true once all of it is concluded."""
+        """Send the whole batch in one call; return true once every command in it has its outcome."""
         address = self._registries.first
         maybe_accepted_before = note_sent(batch)
         sent_at = self._runtime.now()
@@ -133,12 +133,10 @@
                 await asyncio.sleep(pause.total_seconds())
                 return True
             case Success(WriteAnswer(error=error)):
-                certainly_not_accepted = error not in ("", ErrorKind.UNSURE)
+                not_accepted = error not in ("", ErrorKind.UNSURE)
             case result:
-                certainly_not_accepted = (
-                    not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
-                )
-        if certainly_not_accepted:
+                not_accepted = not isinstance(result, Success) and result.failure().kind == ErrorKind.UNREACHABLE
+        if not_accepted:
             note_not_accepted(batch, maybe_accepted_before=maybe_accepted_before)
         self._failed(batch, address)
         return False
@@ -155,7 +153,7 @@
                 write.future.set_result(unpack_outcome(outcome))
 
     def _failed(self, batch: Batch, address: str) -> None:
-        # The next registry may reach the leader; the commands are the same commands there.
+        # The next registry may reach the leader. Commands are idempotent, so they may be submitted again there.
         self._registries.demote(address)
         self._backoff.failed(now=self._runtime.now())
         self._limit.decrease()
@@ -163,12 +161,12 @@
             write.future.cancel()
 
     def _expired(self, batch: Batch) -> Batch:
-        """Return the commands whose deadlines have passed while they were in flight."""
+        """Return the commands whose deadlines passed while they were in flight."""
         now = self._runtime.now()
         return [write for write in batch if isinstance(write, _PendingCommand) and now >= write.deadline]
 
     def _prefer_leader(self, leader: int) -> None:
-        """Try the registry beside the leader first from now on."""
+        """Try the registry on the leader's machine first from now on."""
         node = self._core.view.nodes.get(f"bourse-{leader}")
         if node is not None:
             self._registries.promote(node.address)
--- a/tests/test_hold_client.py
+++ b/tests/test_hold_client.py
@@ -14,7 +14,7 @@
 from hoistsaddle.common.clock import milliseconds
 from hoistsaddle.common.counters import Counters
 from hoistsaddle.common.errors import ErrorKind, MeshError
-from hoistsaddle.proxy.concurrency_limit import LEAST, ConcurrencyLimit
+from hoistsaddle.proxy.concurrency_limit import MIN_LIMIT, ConcurrencyLimit
 from hoistsaddle.proxy.hold_client import MAX_BATCHES_IN_FLIGHT, HoldClient, SubmitResult
 from hoistsaddle.proxy.registry_addresses import RegistryAddresses
 from hoistsaddle.rpc.errors import no_response
@@ -159,7 +159,7 @@
         self.assertThat([result for result in results if result.outcome != GRANTED], Equals([]))
 
     def test_the_limit_stays_between_its_bounds(self) -> None:
-        limit = ConcurrencyLimit(most=MAX_BATCHES_IN_FLIGHT)
+        limit = ConcurrencyLimit(max_limit=MAX_BATCHES_IN_FLIGHT)
         for _ in range(1000):
             limit.increase()
         self.assertThat(
@@ -168,5 +168,5 @@
         for _ in range(1000):
             limit.decrease()
         self.assertThat(
-            (limit.value, limit.pause_after(milliseconds(100))), Equals((1, milliseconds(100) * (1 / LEAST - 1)))
+            (limit.value, limit.pause_after(milliseconds(100))), Equals((1, milliseconds(100) * (1 / MIN_LIMIT - 1)))
         )
