--- a/packages/proxy/src/hoistsaddle/proxy/server_selection.py
+++ b/packages/proxy/src/hoistsaddle/proxy/server_selection.py
@@ -58,8 +58,8 @@
         ]
         same_zone = [each for each in available if each.zone == settings.zone]
         if same_zone and len(same_zone) < len(available):
-            # A zone with few servers must not be overloaded: its servers are preferred only while their load is close to
-            # that of the rest.
+            # A zone with few servers must not be overloaded: its servers are preferred only while their load is close
+            # to that of the rest.
             least_same_zone = min(self._load(each) for each in same_zone)
             if least_same_zone > min(self._load(each) for each in available) + MAX_ZONE_SURPLUS:
                 same_zone = []
