--- a/packages/proxy/src/hoistsaddle/proxy/configuration_poller.py
+++ b/packages/proxy/src/hoistsaddle/proxy/configuration_poller.py
@@ -1,4 +1,4 @@
-"""Keeps a proxy's copy of the configuration and its lease up to date by long polls up the distribution tree."""
+"""Keeps a proxy's copy of the configuration and its lease up to date by long polls to its distribution-tree parents."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,17 +14,17 @@
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.view import View, read_view
 
-# A poll that was given up is waited for this many timeouts in all, and so many of them at once.
+# A late poll, which has exceeded its timeout, may take this many timeouts in all; and the maximum number of late polls.
 LATE_POLL_TIMEOUTS = 4
 MAX_LATE_POLLS = 2
-# What a poll came to: the lease was renewed, nothing is newer there, or no answer came.
+# Outcomes of a poll: it renewed the lease, the parent has nothing newer, or no usable answer came.
 RENEWED = "renewed"
 SAME = "same"
 MISSED = "missed"
 
 
 class ConfigurationPoller:
-    """Polls the tree's parent, and the others above it while that gives nothing new."""
+    """Polls the parent in the distribution tree, and nodes above it while the parent has nothing new."""
 
     def __init__(
         self,
@@ -42,21 +42,21 @@
         timeout: timedelta,
         max_same_answers: int,
     ) -> None:
-        """Begin with the first parent.
+        """Start with the given parent.
 
         Args:
             runtime: clock and connections.
-            counters: what operators read.
-            core: whose view is the configuration in force here.
-            relay: the copy of the configuration, which children poll in turn.
+            counters: counters of the process, which operators read.
+            core: its view is the configuration in force at this proxy.
+            relay: the local copy of the configuration, which children in the tree poll.
             parent: the address to poll before the parents are known.
-            parents: gives the addresses to poll, the tree's parent first.
-            on_configuration: takes each newer configuration.
-            on_lease: takes the time at which a configuration was confirmed.
-            on_refusal: takes a parent's address, its answer without a configuration, and when it was asked.
-            backoff: between two rounds over all parents that gave nothing.
-            timeout: of one poll.
-            max_same_answers: how many answers in a row that renew nothing a parent may give before it is left.
+            parents: returns the addresses to poll, the parent in the tree first.
+            on_configuration: called with each newer configuration.
+            on_lease: called with the time at which a configuration was confirmed.
+            on_refusal: called with a parent's address, its refusal, and the time of the poll.
+            backoff: wait after a round in which no parent had anything new.
+            timeout: timeout of one poll.
+            max_same_answers: how many successive answers of one parent may renew nothing before the next one is polled.
         """
         self._runtime = runtime
         self._counters = counters
@@ -72,41 +72,42 @@
         self.parent = parent
         # Notified after each poll that was answered.
         self.polled = asyncio.Condition()
-        # Polls whose timeout is over and whose answers may still come.
+        # Polls that exceeded their timeout and may still be answered.
         self.late_polls: set[asyncio.Task] = set()
-        # The parent whose configuration was taken last, and the one whose was refused as older.
-        self._fed_by = ""
-        self._older_from = ""
-        self._older_reported = False
+        # The parent whose configuration was applied last, and the one whose configuration was last rejected as older.
+        self._source_parent = ""
+        self._stale_parent = ""
+        self._stale_reported = False
 
     async def run(self) -> None:
-        """Poll for as long as the process runs."""
-        turn, same = 0, 0
+        """Poll until the process ends."""
+        position, same = 0, 0
         while True:
             parents = self._parents()
-            # The tree's parent first; each failure, or a second answer that renews nothing, moves on towards the roots.
-            self.parent = parents[turn % len(parents)]
+            # Start with the parent in the tree. A failed poll, or too many answers that renew nothing, moves on towards
+            # the roots.
+            self.parent = parents[position % len(parents)]
             outcome = await self.poll(self.parent)
             if outcome == RENEWED:
-                turn, same = 0, 0
+                position, same = 0, 0
                 self._backoff.reset()
                 continue
             if outcome == SAME and same < self._max_same_answers:
-                # Once is the rhythm of two held polls, the parent's and this one. Moving on then brought half of all
-                # polls of a deep tree to its roots.
+                # A single answer that renews nothing is normal where the long polls of the parent and of this node
+                # overlap. Moving on after it sent half of all polls of a deep tree to its roots.
                 same += 1
                 continue
-            turn, same = turn + 1, 0
-            if turn % len(parents) == 0:
-                # All were polled, and nobody knows anything newer.
+            position, same = position + 1, 0
+            if position % len(parents) == 0:
+                # All parents were polled, and none has anything newer.
                 self._backoff.failed(now=self._runtime.now())
             self._counters.add("news.polls_paused")
             await asyncio.sleep(self._backoff.delay.total_seconds())
 
     async def poll(self, address: str) -> str:
-        """Poll one parent, as missed once its timeout is over. Its answer still counts if it comes later.
+        """Poll one parent, and return MISSED once the timeout is over. A later answer is still applied.
 
-        On a link where packets wait longer than a timeout no answer would ever count otherwise.
+        Otherwise no answer would ever be applied on a link whose queueing delay exceeds the timeout.
         """
         if len(self.late_polls) >= MAX_LATE_POLLS:
             return await self.poll_once(address, within=self.timeout)
@@ -122,7 +123,7 @@
         """Poll one parent.
 
         Returns:
-            Whether that renewed the lease, brought nothing newer, or failed.
+            RENEWED, SAME or MISSED.
         """
         sent = self._runtime.now()
         call = self._relay.poll(own=self._applied_version(), now=sent)
@@ -137,11 +138,11 @@
                 self._counters.add("news.polls_missed")
                 return MISSED
         if self._relay.is_older(revision=answer.revision, epoch=answer.epoch):
-            self._refuse_older(address, answer)
+            self._reject_older(address, answer)
             return SAME
         before = self._relay.lease_start
         if self._relay.accept_answer(answer, sent=sent):
-            self._take_configuration(address, answer)
+            self._apply_configuration(address, answer)
         lease_start = self._relay.lease_start
         if lease_start is not None:
             self._on_lease(lease_start)
@@ -157,7 +158,7 @@
             settings.name, view.revision, view.bundle_number, view.refusal, settings.incarnation, view.refused_bundle
         )
 
-    def _take_configuration(self, address: str, answer: PollAnswer) -> None:
+    def _apply_configuration(self, address: str, answer: PollAnswer) -> None:
         settings = self._core.settings
         view = read_view(
             revision=self._relay.copy.revision,
@@ -167,9 +168,9 @@
             before=self._core.view,
         )
         self._counters.add("news.taken")
-        self._older_from = ""
-        if self._fed_by != address:
-            self._fed_by = address
+        self._stale_parent = ""
+        if self._source_parent != address:
+            self._source_parent = address
             self._counters.record_event(
                 "fed by",
                 parent=address,
@@ -179,14 +180,14 @@
             )
         self._on_configuration(view)
 
-    def _refuse_older(self, address: str, answer: PollAnswer) -> None:
-        """Take nothing of a parent whose configuration was overtaken here; report it at its second time in a row."""
+    def _reject_older(self, address: str, answer: PollAnswer) -> None:
+        """Reject an older configuration than the local one; report a parent that sends it twice in succession."""
         self._counters.add("news.older_refused")
-        if self._older_from != address:
-            # Once is a parent that hears of a change a moment later.
-            self._older_from, self._older_reported = address, False
-        elif not self._older_reported:
-            self._older_reported = True
+        if self._stale_parent != address:
+            # A single older answer is normal: the parent may receive a change slightly later than this node.
+            self._stale_parent, self._stale_reported = address, False
+        elif not self._stale_reported:
+            self._stale_reported = True
             self._counters.record_event(
                 "older news refused",
                 parent=address,
--- a/packages/proxy/src/hoistsaddle/proxy/health_reporter.py
+++ b/packages/proxy/src/hoistsaddle/proxy/health_reporter.py
@@ -1,4 +1,4 @@
-"""Reports of the local server's state to the registries: a heartbeat, and at once what changed."""
+"""Reports the local server's state to the registries, as a heartbeat and immediately after a change."""
 
 import asyncio
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 class HealthReporter:
-    """Reports to the node that watches the fleet first, and to the registries while that one doesn't answer."""
+    """Reports to the node monitor, and to the other registries while the monitor doesn't answer."""
 
     def __init__(
         self,
@@ -34,18 +34,18 @@
         interval: timedelta,
         backoff: ExponentialBackoff,
     ) -> None:
-        """Begin with nothing reported.
+        """Start without any report.
 
         Args:
             runtime: clock and connections.
-            counters: what operators read.
-            core: whose server is reported.
-            relay: whose copy's revision goes with the report.
-            registries: which are tried, in their order.
-            address: where other proxies reach this one.
+            counters: counters of the process, which operators read.
+            core: its local server's state is reported.
+            relay: its configuration revision is sent with each report.
+            registries: the registries to try, in order.
+            address: address at which other proxies reach this one.
             level: the highest release level that this process supports.
-            interval: between two reports while nothing changes.
-            backoff: between two rounds over all addresses without an answer.
+            interval: interval between reports while nothing changes.
+            backoff: wait after a round over all addresses without an answer.
         """
         self._runtime = runtime
         self._counters = counters
@@ -57,24 +57,24 @@
         self._interval = interval
         self._backoff = backoff
         self.due = asyncio.Event()
-        # The newest acknowledged report's serial number, and the state that the log has for the server.
+        # The serial number of the newest acknowledged report, and the state that the log records for the server.
         self.acknowledged = (0, "")
         self._recorded = asyncio.Condition()
 
     def stop_acknowledged(self) -> bool:
-        """Whether the log knows that the server leaves, or there is none."""
+        """Whether the log has recorded that the server is leaving, or there is no server."""
         serial, state = self.acknowledged
         return self._core.server is None or (serial >= self._core.serial and state != READY)
 
     async def wait_recorded(self, serial: int, *, within: timedelta) -> bool:
-        """Wait until the log has the report of this serial number or a later one.
+        """Wait until the log has recorded the report with this serial number or a later one.
 
         Args:
-            serial: of the report.
-            within: how long to wait at most.
+            serial: serial number of the report.
+            within: the longest wait.
 
         Returns:
-            Whether the log has it.
+            Whether the log has recorded it.
         """
         try:
             async with asyncio.timeout(within.total_seconds()), self._recorded:
@@ -84,24 +84,24 @@
         return True
 
     async def run(self) -> None:
-        """Report for as long as the process runs."""
-        turn = 0
+        """Report until the process ends."""
+        attempt = 0
         while True:
             call = self._call()
             addresses = self._addresses()
             self.due.clear()
-            address = addresses[turn % len(addresses)]
+            address = addresses[attempt % len(addresses)]
             match await self._runtime.rpc_client.call(address, call, within=REPORT_TIMEOUT):
                 case Success(HealthAnswer(error="") as answer):
                     self.acknowledged = (call.serial, answer.state)
                     async with self._recorded:
                         self._recorded.notify_all()
                     self._backoff.reset()
-                    turn = 0
+                    attempt = 0
                 case _:
                     self._counters.add("vitals.missed")
-                    turn += 1
-                    if turn % len(addresses) == 0:
+                    attempt += 1
+                    if attempt % len(addresses) == 0:
                         self._backoff.failed(now=self._runtime.now())
                     await asyncio.sleep(self._backoff.delay.total_seconds())
                     continue
@@ -128,11 +128,11 @@
         )
 
     def _addresses(self) -> list[str]:
-        """Return whom to report to, in this order and each once: asking a silent one twice takes a whole span."""
-        return list(dict.fromkeys(self._watcher() + self._registries.addresses))
+        """Return the addresses to try in order, each once: trying a silent one twice would take a whole health span."""
+        return list(dict.fromkeys(self._node_monitor_addresses() + self._registries.addresses))
 
-    def _watcher(self) -> list[str]:
-        """Return the address of the node that watches the fleet, if that is known."""
+    def _node_monitor_addresses(self) -> list[str]:
+        """Return the address of the node monitor, if it is known."""
         role = self._core.view.singleton_roles.get(NODE_MONITOR_ROLE)
         node = self._core.view.nodes.get(role.node) if role is not None else None
         return [node.address] if node is not None else []
