--- a/packages/proxy/src/hoistsaddle/proxy/client_identity.py
+++ b/packages/proxy/src/hoistsaddle/proxy/client_identity.py
@@ -1,4 +1,4 @@
-"""What identifies a client, for keys that must run once."""
+"""Identifies clients, so that an idempotency key is valid only for the client that sent it first."""
 
 import hashlib
 from collections.abc import Mapping
@@ -12,14 +12,14 @@
 
 
 class ClientIdentity(NamedTuple):
-    """What kind of identification it is, and its digest: no credential leaves the proxy in another form."""
+    """The kind of identification and its digest. Credentials leave the proxy only as this digest."""
 
     by: str
     who: str
 
 
 def digest_of_parts(*parts: str) -> str:
-    """Return the hex digest of several texts, none of which can run over into the next."""
+    """Return the hex digest of several texts, joined by NUL so that text moved between them changes the digest."""
     return hashlib.sha256("\0".join(parts).encode()).hexdigest()
 
 
@@ -30,31 +30,32 @@
 def _cookie(headers: Mapping[str, str], name: str) -> str:
     pairs = [pair.strip().partition("=") for pair in _header(headers, "Cookie").split(";")]
     values = {value for each, _, value in pairs if each == name}
-    # Two values under one name: nobody can say which of them the back end would go by.
+    # With two values under one name it is unknown which of them the server would use.
     return values.pop() if len(values) == 1 else ""
 
 
 def identify_client(
     *, caller: str, declared: str, headers: Mapping[str, str], twice: tuple[str, ...] = ()
 ) -> ClientIdentity | MeshError:
-    """Return what identifies the caller: a service its listener, a client what the bundle declares or its credentials.
+    """Return the identity of the caller: a service is identified by its listener, a client by its credentials.
 
-    An address identifies nobody: a phone changes it, and a whole school may share one. Nor is a cookie nobody named.
+    A bundle may declare a header or cookie to use instead of the Authorization header. Addresses are not used: a phone
+    changes its address, and a whole school may share one. Cookies are used only if the bundle declares them.
     """
     if caller:
         return ClientIdentity(BY_SERVICE, digest_of_parts(BY_SERVICE, caller))
     kind, _, name = declared.partition(":")
     match kind:
         case "header":
-            by, shown, carrier = declared.lower(), _header(headers, name), name
+            by, credential, header = declared.lower(), _header(headers, name), name
         case "cookie":
-            by, shown, carrier = declared, _cookie(headers, name), "Cookie"
+            by, credential, header = declared, _cookie(headers, name), "Cookie"
         case _:
-            by, shown, carrier = BY_CREDENTIALS, _header(headers, "Authorization"), "Authorization"
-    if carrier.lower() in twice:
-        message = f"{carrier} came twice, so the client can't be told."
-        return InvalidRequest(message, field=carrier, remedy="Send it once.")
-    if not shown:
-        message = f"Nothing shows whose key this is: no {declared or 'Authorization'} came."
-        return ClientUnidentified(message, field=carrier, remedy=f"Send it: {declared}." if declared else None)
-    return ClientIdentity(by, digest_of_parts(by, shown))
+            by, credential, header = BY_CREDENTIALS, _header(headers, "Authorization"), "Authorization"
+    if header.lower() in twice:
+        message = f"{header} was sent twice, so the client can't be identified."
+        return InvalidRequest(message, field=header, remedy="Send it once.")
+    if not credential:
+        message = f"The client of this key can't be identified: {declared or 'Authorization'} is missing."
+        return ClientUnidentified(message, field=header, remedy=f"Send it: {declared}." if declared else None)
+    return ClientIdentity(by, digest_of_parts(by, credential))
