--- a/packages/proxy/src/hoistsaddle/proxy/errors.py
+++ b/packages/proxy/src/hoistsaddle/proxy/errors.py
@@ -1,52 +1,52 @@
-"""Errors that only a proxy under bundles answers with; those of several packages are in hoistsaddle.common.errors."""
+"""Errors that only a proxy under bundles returns; errors shared by packages are in hoistsaddle.common.errors."""
 
 from hoistsaddle.common.errors import ErrorKind, TypedError
 
 
 class CallerUnnamed(TypedError):
-    """A call came to the local server's listener from another process than the one that reported its health last."""
+    """A call at the local server's listener came from another process than the one that reported its health last."""
 
     KIND = ErrorKind.CALLER_UNNAMED
-    REMEDY = "Send X-Hoistsaddle-Instance with the instance told in the health reports, and the health reports first."
+    REMEDY = "Send health reports first, and X-Hoistsaddle-Instance with the instance that they name."
 
 
 class KeyMissing(TypedError):
-    """The route runs once per key, and no key came."""
+    """The route runs once per key, but the request has no key."""
 
     KIND = ErrorKind.KEY_MISSING
     REMEDY = "Send an Idempotency-Key header."
 
 
 class RetryBudgetExhausted(TypedError):
-    """This proxy's part of the service's retry budget is spent."""
+    """This proxy's quota of the service's retry budget is exhausted."""
 
     KIND = ErrorKind.FURTHER_SENDS_SPENT
-    REMEDY = "Come back after the time given."
+    REMEDY = "Retry after the time in Retry-After."
 
 
 class ClientUnidentified(TypedError):
-    """Nothing shows whose key it is."""
+    """The request with a key lacks what identifies its client."""
 
     KIND = ErrorKind.CLIENT_MISSING
     REMEDY = "Send Authorization, or have a bundle declare visitor."
 
 
 class AlreadySeen(TypedError):
-    """An attempt under this id was here before."""
+    """An attempt with this id arrived before."""
 
     KIND = ErrorKind.ALREADY_SEEN
-    REMEDY = "Never send one id twice."
+    REMEDY = "Never send the same attempt id twice."
 
 
 class ProcessFrozen(TypedError):
-    """This process stood still while the request waited, so nobody can tell how old it is."""
+    """This process was frozen while the request waited, so the age of the request is unknown."""
 
     KIND = ErrorKind.FROZEN
-    REMEDY = "Send it elsewhere."
+    REMEDY = "Send it to another proxy."
 
 
 class WrongInstance(TypedError):
-    """The server that the attempt was meant for is not the one here."""
+    """The attempt was sent to another server instance than the local one."""
 
     KIND = ErrorKind.WRONG_INSTANCE
-    REMEDY = "Send it to a server the news names."
+    REMEDY = "Send it to a server that the configuration names."
--- a/packages/proxy/src/hoistsaddle/proxy/messages.py
+++ b/packages/proxy/src/hoistsaddle/proxy/messages.py
@@ -1,4 +1,4 @@
-"""Events that reach the core of a proxy under bundles, and the commands it answers with; some are the sidecar's too."""
+"""Events and commands of the core of a proxy under bundles; the sidecar uses some of them too."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 UNKNOWN = "unknown"
 REFUSED = "refused"
 
-# What is submitted to the log about a key: a claim, a settlement or a release.
+# The commands about keys that are submitted to the log: a claim, a settlement or a release.
 HoldCommand = ClaimKey | CompleteKey | ReleaseKey
 
 
@@ -22,7 +22,7 @@
     """A request of a client or of the local server, read completely."""
 
     ticket: int
-    # The service whose server calls through its own door; empty for a client.
+    # The service of the local server that sent the request; empty for a client.
     caller: str
     client: str
     method: str
@@ -31,7 +31,7 @@
     headers: dict[str, str]
     body: bytes
     key: str
-    # The server's own name for itself on an inner call, and the names of headers that came more than once.
+    # The instance that the local server names in its call, and the names of headers that occurred more than once.
     instance: str = ""
     twice: tuple[str, ...] = ()
 
@@ -43,11 +43,11 @@
 
 
 class HoldAnswered(NamedTuple):
-    """What came of a claim, a settlement or a release; outcome is None when no core machine answered."""
+    """The result of a claim, a settlement or a release; outcome is None if no core machine answered."""
 
     number: int
     outcome: Outcome | None
-    # Without an outcome: whether the log may have taken it, or may still take it.
+    # Without an outcome: whether the log may have accepted the command or may still do so.
     maybe_accepted: bool = True
 
 
@@ -59,20 +59,20 @@
 
 
 class ForwardFailed(NamedTuple):
-    """An attempt got no answer; unsent means that nothing was ever written to the target."""
+    """An attempt got no answer; `unsent` means that nothing was ever written to the target."""
 
     number: int
     unsent: bool
 
 
 class ForwardWithheld(NamedTuple):
-    """This proxy withheld an attempt itself, before its first byte, as its lease had lapsed or it had frozen."""
+    """This proxy withheld an attempt before its first byte, because its lease had expired or it had been frozen."""
 
     number: int
 
 
 class ForwardArrived(NamedTuple):
-    """Another proxy forwards an attempt for the local server; `frozen` if this process stood still meanwhile."""
+    """Another proxy forwards an attempt for the local server; `frozen` if this process was frozen meanwhile."""
 
     ticket: int
     call: BundleForwardCall
@@ -80,7 +80,7 @@
 
 
 class ServerAnswered(NamedTuple):
-    """The local server answered a run."""
+    """The local server answered a request that it ran."""
 
     number: int
     status: int
@@ -89,7 +89,7 @@
 
 
 class ServerFailed(NamedTuple):
-    """The local server gave no answer to a run; unsent means that nothing was written to it."""
+    """The local server gave no answer to a request; `unsent` means that nothing was written to it."""
 
     number: int
     unsent: bool
@@ -97,7 +97,7 @@
 
 
 class HealthReported(NamedTuple):
-    """What the local server reports of itself."""
+    """The local server reported its health."""
 
     service: str
     instance: str
@@ -118,11 +118,11 @@
 
 
 class StopRequested(NamedTuple):
-    """The process was told to stop."""
+    """The process was asked to stop."""
 
 
 class Ticked(NamedTuple):
-    """A moment has passed."""
+    """A tick of the node's timer."""
 
 
 class AnswerClient(NamedTuple):
@@ -142,7 +142,7 @@
 
     number: int
     command: HoldCommand
-    # Until when an answer is of use; None for the usual span.
+    # The time until which an answer is useful; None for the default timeout.
     deadline: timedelta | None = None
 
 
@@ -172,17 +172,17 @@
 
 
 class ReportHealth(NamedTuple):
-    """Reports the local server's state at once, not with the next heartbeat."""
+    """Reports the local server's state immediately instead of with the next heartbeat."""
 
 
 class Announce(NamedTuple):
-    """Tells operators of an event."""
+    """Records an event for operators."""
 
     kind: str
     detail: dict
 
 
 class Count(NamedTuple):
-    """Adds one to a counter."""
+    """Increments a counter."""
 
     name: str
