--- a/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/mesh_node.py
@@ -1,6 +1,6 @@
-"""What the nodes of both programs have in common: connections to the mesh, configuration, health reports, and timers.
+"""Base class of the nodes of both programs: connections to the mesh, configuration, health reports, and timers.
 
-A node carries out what its core decides. It owns no decision itself, and no HTTP listener.
+A node carries out what its core decides. It makes no decisions itself, and has no HTTP listener.
 """
 
 import asyncio
@@ -36,39 +36,40 @@
 from hoistsaddle.statemachine.state import GONE
 from hoistsaddle.statemachine.view import View
 
-# Between two parents, or two registries, that gave nothing: the first round goes fast, and then each slower.
+# Backoff between parents, or registries, without a useful answer: the first round is fast, and each later one slower.
 MIN_BACKOFF = milliseconds(30)
-# At most this part of a lease: once somebody has a newer configuration again, hearing of it costs no more than that.
-MAX_BACKOFF_LEASE_PART = 3
+# The longest backoff is the lease span divided by this. It bounds the delay until a newer configuration is received
+# once a parent has it.
+MAX_BACKOFF_LEASE_DIVISOR = 3
 HEALTH_MIN_BACKOFF = milliseconds(50)
 HEALTH_MAX_BACKOFF = milliseconds(800)
-# Bytes of a random incarnation.
+# The number of random bytes of an incarnation.
 INCARNATION_BYTES = 6
 
 
 class NodeTimings(NamedTuple):
-    """Intervals and timeouts of a node; a deployment with thin links sets them wider."""
+    """Intervals and timeouts of a node; a deployment with slow links uses longer ones."""
 
     long_poll: timedelta = LONG_POLL_TIMEOUT
     poll_timeout: timedelta = milliseconds(600)
     health_interval: timedelta = milliseconds(400)
     tick: timedelta = milliseconds(50)
-    # How many answers in a row that renew nothing a parent may give before it is left.
+    # How many successive answers of one parent may renew nothing before the next one is polled.
     max_same_answers: int = 0
     member: MemberTimings = MemberTimings()
 
 
 class MeshNode:
-    """Base of the nodes: subclasses make the core, carry out its commands, and answer its calls."""
+    """Base class of the nodes: subclasses create the core, carry out its commands, and answer mesh calls."""
 
     timings = NodeTimings()
 
     def __init__(self, *, settings: ProxySettings | SidecarSettings, runtime: Runtime) -> None:
-        """Begin with a new incarnation.
+        """Start with a new incarnation.
 
         Args:
-            settings: of the process.
-            runtime: clock, chance and connections.
+            settings: settings of the process.
+            runtime: clock, random generator and connections.
         """
         self.settings = settings
         self.runtime = runtime
@@ -88,13 +89,13 @@
         )
         self.relay = Relay(node=settings.name, incarnation=self.incarnation, lease_span=lease_span)
         self.freezes = FreezeDetector(runtime=runtime, counters=self.counters)
-        # Of the calls and requests that wait for the core's answer, by ticket.
+        # Futures of the calls and requests that wait for the core's answer, by ticket.
         self.answers: dict[int, asyncio.Future] = {}
         self._tickets = 0
         self.work: set[asyncio.Task] = set()
         self.tasks: list[asyncio.Future] = []
         self.registries = RegistryAddresses(seeds=settings.seeds)
-        max_backoff = lease_span / MAX_BACKOFF_LEASE_PART
+        max_backoff = lease_span / MAX_BACKOFF_LEASE_DIVISOR
         self.holds = self._make_hold_client(max_backoff)
         self.poller = self._make_poller(max_backoff)
         self.health = self._make_health_reporter()
@@ -145,18 +146,18 @@
         raise NotImplementedError
 
     def _poll_refused(self, address: str, refusal: PollAnswer, sent: timedelta) -> None:
-        """Take that the parent at this address gave no configuration when it was asked; of no account here."""
+        """Handle a poll that the parent at this address refused; does nothing by default."""
 
     def _parents(self) -> list[str]:
-        """Return the addresses to poll for the configuration, the tree's parent first."""
+        """Return the addresses to poll for the configuration, the parent in the distribution tree first."""
         raise NotImplementedError
 
     def feed(self, event: tuple) -> None:
-        """Give the core an event, and carry out its commands."""
+        """Pass an event to the core, and carry out the resulting commands."""
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Listen for calls of the mesh, and begin to poll, tick and report."""
+        """Listen for mesh calls, and start polling, ticking and reporting."""
         self.server = await self.runtime.serve(self.settings.listen, self.answer)
         self.tasks = [
             asyncio.ensure_future(work)
@@ -165,7 +166,7 @@
         self.counters.record_event("stall up", incarnation=self.incarnation)
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop immediately."""
         for task in self.tasks:
             task.cancel()
         self.member.stop()
@@ -173,11 +174,12 @@
         self.runtime.rpc_client.close()
 
     async def answer(self, message: tuple) -> tuple | None:
-        """Answer a call of the mesh; None if it isn't known."""
+        """Answer a mesh call; None for an unknown message."""
         match message:
             case PollCall():
                 if self.relay.record_applied_versions(message.applied_versions, now=self.runtime.now()):
-                    # Something below applied a version: the own poll may be held just now, so a second one reports it.
+                    # A node below in the tree has applied a version. This node's own long poll may be pending, so a
+                    # second one reports it.
                     self.spawn(self.poller.poll_once(self.poller.parent, within=self.timings.poll_timeout))
                 return await answer_long_poll(
                     runtime=self.runtime,
@@ -191,36 +193,36 @@
         return None
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
-        """Run something beside what runs now."""
+        """Run a coroutine as a background task."""
         task = asyncio.ensure_future(work)
         self.work.add(task)
         task.add_done_callback(self.work.discard)
         return task
 
     def open_ticket(self) -> tuple[int, asyncio.Future]:
-        """Return a new ticket and the future of what answers it."""
+        """Return a new ticket and the future of its answer."""
         self._tickets += 1
         future = self.answers[self._tickets] = asyncio.get_running_loop().create_future()
         return self._tickets, future
 
     async def final_answer(self, ticket: int, future: asyncio.Future) -> Any:
-        """Wait for the core's final answer to a client's request; a client that leaves is told to the core."""
+        """Wait for the core's final answer to a client's request; report to the core if the client disconnects."""
         try:
             return await future
         except asyncio.CancelledError:
             self.feed(ClientDisconnected(ticket))
-            # A request that the core gives up gets no answer, and nobody waits for one that it doesn't.
+            # The core does not answer a request that it drops, and nothing awaits an answer that it gives later.
             self.answers.pop(ticket, None)
             raise
 
     def close_ticket(self, ticket: int, answer: tuple) -> None:
-        """Give a ticket its answer, unless whoever waited for it has gone."""
+        """Set the answer of a ticket, unless it is no longer awaited."""
         future = self.answers.pop(ticket, None)
         if future is not None and not future.done():
             future.set_result(answer)
 
     async def submit_hold(self, command: SubmitHold) -> None:
-        """Submit a command about a key to the log, and give the core the answer."""
+        """Submit a command about a key to the log, and pass the answer to the core."""
         result = await self.holds.submit(command.command, deadline=command.deadline)
         self.feed(HoldAnswered(command.number, result.outcome, result.maybe_accepted))
 
--- a/packages/proxy/src/hoistsaddle/proxy/node.py
+++ b/packages/proxy/src/hoistsaddle/proxy/node.py
@@ -1,4 +1,4 @@
-"""The node of a proxy under bundles: carries out its core's commands, without the HTTP listeners."""
+"""The node of a proxy under bundles: carries out the commands of its core, without the HTTP listeners."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,27 +32,27 @@
 from hoistsaddle.rpc.messages import BundleForwardAnswer, BundleForwardCall
 from hoistsaddle.rpc.runtime import Runtime
 
-# How long a planned stop waits until nothing is under way and the log knows of it.
+# How long a planned stop waits for pending requests, and for the log to record it.
 STOP_TIMEOUT = timedelta(seconds=20)
-# For how long others may still send requests here after that, as their configuration may be old.
+# How long other proxies may still send requests here after that, as their configuration may be old.
 LATE_REQUEST_WAIT = milliseconds(300)
 
-# Runs a request on the server beside the proxy and returns the event that says what came of it.
+# Runs a request on the local server, and returns the event with the result.
 Runner = Callable[[RunOnServer], Awaitable[tuple]]
 
 
 class ProxyNode(MeshNode):
-    """A proxy under bundles, as far as the mesh sees it."""
+    """The part of a proxy under bundles that communicates with the mesh."""
 
     core: ProxyCore
 
     def __init__(self, *, settings: ProxySettings, runtime: Runtime, run_server: Runner) -> None:
-        """Begin without a configuration.
+        """Start without a configuration.
 
         Args:
-            settings: of the process.
-            runtime: clock, chance and connections.
-            run_server: runs a request on the server beside the proxy.
+            settings: settings of the process.
+            runtime: clock, random generator and connections.
+            run_server: runs a request on the local server.
         """
         self.run_server = run_server
         super().__init__(settings=settings, runtime=runtime)
@@ -68,13 +68,13 @@
         return parents + [seed for seed in self.settings.seeds if seed not in parents]
 
     async def finish(self) -> None:
-        """Stop as planned: refuse new work at once, have the log mark the server, finish what is under way."""
+        """Stop gracefully: refuse new requests, have the log record it, and finish the pending requests."""
         self.feed(StopRequested())
         await self.settle()
         await asyncio.sleep(LATE_REQUEST_WAIT.total_seconds())
 
     async def settle(self) -> None:
-        """Wait until nothing is under way here and the log knows that the server leaves."""
+        """Wait until nothing is pending here and the log has recorded that the server is leaving."""
         deadline = self.runtime.now() + STOP_TIMEOUT
         while self.runtime.now() < deadline and not (self.core.idle() and self.health.stop_acknowledged()):
             await asyncio.sleep(self.timings.tick.total_seconds())
@@ -83,14 +83,14 @@
         """Pass a client's request to the core, and return its final answer.
 
         Args:
-            make: gives the request's event under a ticket.
+            make: returns the request's event for a ticket.
         """
         ticket, future = self.open_ticket()
         self.feed(make(ticket))
         return await self.final_answer(ticket, future)
 
     def feed(self, event: tuple) -> None:
-        """Give the core an event, and carry out its commands."""
+        """Pass an event to the core, and carry out the resulting commands."""
         for command in self.core.handle(event, now=self.runtime.now()):
             match command:
                 case AnswerClient(ticket=ticket) | AnswerForward(ticket=ticket):
@@ -107,7 +107,7 @@
                     self.counters.record_event(kind, **detail)
 
     async def answer(self, message: tuple) -> tuple | None:
-        """Answer a call of the mesh; None if it isn't known."""
+        """Answer a mesh call; None for an unknown message."""
         if isinstance(message, BundleForwardCall):
             ticket, future = self.open_ticket()
             self.feed(ForwardArrived(ticket, message, self.freezes.frozen()))
@@ -116,14 +116,14 @@
 
     async def _forward(self, command: ForwardRequest) -> None:
         self.counters.add(f"sends.{command.call.service_name}")
-        decided = self.runtime.now()
+        decided_at = self.runtime.now()
         withheld = False
 
         def still() -> bool:
-            # A freeze between deciding and sending makes both lease and budget old.
+            # After a freeze between the decision and the sending, lease and budget may be outdated.
             nonlocal withheld
             now = self.runtime.now()
-            withheld = now - decided >= FROZEN_GAP or self.freezes.frozen() or not self.relay.fresh(now=now)
+            withheld = now - decided_at >= FROZEN_GAP or self.freezes.frozen() or not self.relay.fresh(now=now)
             return not withheld
 
         match await self.runtime.rpc_client.call(command.address, command.call, within=command.within, still=still):
--- a/packages/proxy/src/hoistsaddle/proxy/service.py
+++ b/packages/proxy/src/hoistsaddle/proxy/service.py
@@ -1,4 +1,4 @@
-"""The proxy under bundles as a service: node, calls to the local server and listeners, opened and closed in order."""
+"""The proxy under bundles as a service: opens and closes node, local-server client and listeners in order."""
 
 import asyncio
 from datetime import timedelta
@@ -12,20 +12,20 @@
 from hoistsaddle.proxy.server_client import ServerClient
 from hoistsaddle.rpc.runtime import RealRuntime
 
-# How long a request that stood unread in a connection still gets its "not run", in place of a cut.
+# How long requests that are still unread in a connection get "not run" as their answer, before connections are closed.
 UNREAD_WAIT = timedelta(milliseconds=700)
 
 
 class ProxyService(Service):
-    """One proxy process."""
+    """The service of one proxy process."""
 
     def __init__(self, *, settings: ProxySettings) -> None:
-        """Make the service."""
+        """Create the service."""
         super().__init__()
         self.proxy_settings = settings
 
     async def start(self) -> None:
-        """Open everything: the node first, so that a request that comes can be forwarded."""
+        """Open the node first, so that requests at the listeners can be forwarded, and then the listeners."""
         settings = self.proxy_settings
         runtime = RealRuntime(line_faults=settings.line_faults)
         self.node = ProxyNode(settings=settings, runtime=runtime, run_server=self._run_server)
