--- a/packages/proxy/src/hoistsaddle/proxy/admin_api.py
+++ b/packages/proxy/src/hoistsaddle/proxy/admin_api.py
@@ -1,4 +1,4 @@
-"""What the HTTP APIs for operators and servers have in common in both programs: counters, events, budget, health."""
+"""Parts of the HTTP APIs for operators and servers that both programs share: counters, events, budgets, health."""
 
 from datetime import timedelta
 from typing import Any, Literal, TypeVar
@@ -21,7 +21,7 @@
 
 
 class HealthReport(msgspec.Struct, frozen=True):
-    """What a server reports of itself about once a second; what else it says is passed over."""
+    """A server's health report, sent about once a second; unknown fields are ignored."""
 
     service: str
     instance: str
@@ -33,18 +33,18 @@
 
 
 def refuse(error: MeshError) -> web.Response:
-    """Answer a call that can't be read."""
+    """Return the response to an invalid call."""
     return web.json_response({"refused": error.describe()}, status=400)
 
 
 class CountersApi:
-    """Answers operators' reads of counters and events."""
+    """Serves counters and events to operators."""
 
     def __init__(self, *, counters: Counters) -> None:
         self._counters = counters
 
     def add_routes(self, application: web.Application) -> None:
-        """Serve the reads from this application."""
+        """Add the routes to this application."""
         application.router.add_get(COUNTERS_PATH, self._read_counters)
         application.router.add_get(EVENTS_PATH, self._read_events)
 
@@ -60,7 +60,7 @@
 
 
 def retry_budgets(budget: RetryBudget, *, now: timedelta) -> dict[str, dict[str, Any]]:
-    """Return this proxy's quota of retries to each service, and what is available of it now."""
+    """Return this proxy's retry quota of each service, and how much of it is available now."""
     return {
         name: {
             "part": account.cap.value + account.slots.value,
@@ -71,20 +71,20 @@
 
 
 def read_health_report(body: bytes, kind: type[Report]) -> Result[Report, MeshError]:
-    """Read what a server reports of itself."""
+    """Decode and check a server's health report."""
     match read_body(body, kind):
         case Failure(error):
             return Failure(error)
         case Success(report):
             pass
-    wrong = check_address(field="address", address=report.address)
+    invalid = check_address(field="address", address=report.address)
     for field in ("service", "instance"):
-        wrong = wrong or plain_name(getattr(report, field), field=field).swap().value_or(None)
-    return Success(report) if wrong is None else Failure(wrong)
+        invalid = invalid or plain_name(getattr(report, field), field=field).swap().value_or(None)
+    return Success(report) if invalid is None else Failure(invalid)
 
 
 async def open_application(application: web.Application, *, address: str, shutdown_timeout: timedelta) -> web.AppRunner:
-    """Listen at this address; the runner closes it, and waits this long for handlers then."""
+    """Listen at this address; when the runner is cleaned up it waits this long for handlers."""
     runner = web.AppRunner(application, access_log=None, shutdown_timeout=shutdown_timeout.total_seconds())
     await runner.setup()
     host, port = split_address(address)
--- a/packages/proxy/src/hoistsaddle/proxy/listener.py
+++ b/packages/proxy/src/hoistsaddle/proxy/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of a proxy under bundles: one for clients, one for calls of the local server and its reports."""
+"""The HTTP listeners of a proxy under bundles: one for clients, one for the local server's calls and health reports."""
 
 import hashlib
 from datetime import timedelta
@@ -26,15 +26,15 @@
 
 USAGE_PATH = "/hoistsaddle/usage"
 USAGE_FIELDS = ("service", "entry", "caller", "outcome", "requests", "further_sends", "body_bytes", "answer_bytes")
-# A little above the largest body, so that one just over it is refused with a reason.
+# Slightly more than the largest body, so that a body just over the limit is refused with a reason.
 MAX_REQUEST_BYTES = MAX_BODY_BYTES + 1024
 SHUTDOWN_TIMEOUT = timedelta(seconds=5)
-# Hex digits of the digest by which servers know a client.
+# The number of hex digits of the digest that identifies a client to servers.
 CLIENT_DIGEST_LENGTH = 32
 
 
 class ProxyListener:
-    """Turns HTTP requests into events of the proxy's core, and its answers into responses."""
+    """Converts HTTP requests into events for the proxy's core, and the core's answers into responses."""
 
     def __init__(self, *, node: ProxyNode) -> None:
         self.node = node
@@ -48,8 +48,10 @@
         application.router.add_get(USAGE_PATH, self._usage)
         application.router.add_get(HOLDS_PATH, self._holds)
         if inner:
-            application.router.add_post(HEALTH_PATH, self._take_health)
-        application.router.add_route("*", "/{tail:.*}", self._inner if inner else self._client)
+            application.router.add_post(HEALTH_PATH, self._receive_health_report)
+        application.router.add_route(
+            "*", "/{tail:.*}", self._handle_server_call if inner else self._handle_client_request
+        )
         return await open_application(application, address=address, shutdown_timeout=SHUTDOWN_TIMEOUT)
 
     async def _ready(self, request: web.Request) -> web.Response:
@@ -67,7 +69,7 @@
         return web.json_response(state, status=200 if error is None else 503)
 
     async def _holds(self, request: web.Request) -> web.Response:
-        """Return what this proxy may retry, by service."""
+        """Return this proxy's retry budgets by service."""
         budgets = retry_budgets(self.node.core.ingress.retry_budget, now=self.node.runtime.now())
         return web.json_response({"stall": self.node.settings.name, "room": budgets})
 
@@ -78,7 +80,7 @@
         ]
         return web.json_response({"stall": self.node.settings.name, "life": self.node.incarnation, "usage": usage})
 
-    async def _take_health(self, request: web.Request) -> web.Response:
+    async def _receive_health_report(self, request: web.Request) -> web.Response:
         match read_health_report(await request.read(), HealthReport):
             case Failure(error):
                 return refuse(error)
@@ -87,24 +89,24 @@
         self.node.feed(HealthReported(report.service, report.instance, report.address, report.state))
         return web.json_response({"heard": True})
 
-    async def _client(self, request: web.Request) -> web.Response:
-        # What servers are told of a client: a digest of its credentials, or else of where it calls from.
-        shown = request.headers.get("Authorization") or request.headers.get("Cookie") or f"from {request.remote}"
-        client = hashlib.sha256(shown.encode(errors="surrogateescape")).hexdigest()[:CLIENT_DIGEST_LENGTH]
-        return await self._request(request, caller="", client=client)
+    async def _handle_client_request(self, request: web.Request) -> web.Response:
+        # Servers receive a digest of the client's credentials or, without any, of its address.
+        credentials = request.headers.get("Authorization") or request.headers.get("Cookie") or f"from {request.remote}"
+        client = hashlib.sha256(credentials.encode(errors="surrogateescape")).hexdigest()[:CLIENT_DIGEST_LENGTH]
+        return await self._handle_request(request, caller="", client=client)
 
-    async def _inner(self, request: web.Request) -> web.Response:
+    async def _handle_server_call(self, request: web.Request) -> web.Response:
         server = self.node.core.server
         if server is None or self.node.core.server_state() == GONE:
             error = MeshError(
                 ErrorKind.NO_SERVER,
-                "No server has reported its health here.",
+                "No server has reported its health to this proxy.",
                 "Post health reports to /hoistsaddle/vitals first.",
             )
             return self._respond(AnswerClient(0, REFUSED, 403, {}, b"", error, None))
-        return await self._request(request, caller=server.service, client=f"service {server.service}")
+        return await self._handle_request(request, caller=server.service, client=f"service {server.service}")
 
-    async def _request(self, request: web.Request, *, caller: str, client: str) -> web.Response:
+    async def _handle_request(self, request: web.Request, *, caller: str, client: str) -> web.Response:
         raw_path, _, query = request.raw_path.partition("?")
         if (error := path_error(request.raw_path) or header_error(request.headers)) is not None:
             return self._respond(AnswerClient(0, REFUSED, 400, {}, b"", error, None))
@@ -117,16 +119,21 @@
             return self._respond(AnswerClient(0, REFUSED, 413, {}, b"", error, None))
         self.node.counters.add("requests.inner" if caller else "requests.visitors")
         headers, key = clean_headers(request.headers), request.headers.get("Idempotency-Key", "")
-        came = [name.lower() for name in request.headers]
-        twice = tuple(sorted({name for name in came if came.count(name) > 1}))
-        if "idempotency-key" in twice:
-            error = MeshError(ErrorKind.REQUEST_BROKEN, "Two keys came.", "Send one.", "Idempotency-Key")
+        header_names = [name.lower() for name in request.headers]
+        repeated_headers = tuple(sorted({name for name in header_names if header_names.count(name) > 1}))
+        if "idempotency-key" in repeated_headers:
+            error = MeshError(
+                ErrorKind.REQUEST_BROKEN,
+                "The request has several Idempotency-Key headers.",
+                "Send one.",
+                "Idempotency-Key",
+            )
             return self._respond(AnswerClient(0, REFUSED, 400, {}, b"", error, None))
-        # Stripped from the headers that go on: it is the server's word to its own proxy.
+        # This header is not forwarded: it is meant only for the server's own proxy.
         instance = request.headers.get("X-Hoistsaddle-Instance", "") if caller else ""
         answer = await self.node.request(
             lambda ticket: RequestArrived(
-                ticket, caller, client, request.method, raw_path, query, headers, body, key, instance, twice
+                ticket, caller, client, request.method, raw_path, query, headers, body, key, instance, repeated_headers
             )
         )
         return self._respond(answer)
@@ -135,14 +142,14 @@
         self.node.counters.add(f"outcomes.{answer.outcome}")
         headers = {"X-Hoistsaddle-Outcome": answer.outcome}
         if self.node.core.stopping:
-            # A kept connection would bring the next request to a listener that closes.
+            # A persistent connection would bring the next request to a closing listener.
             headers["Connection"] = "close"
         if answer.retry_after is not None:
             headers["Retry-After"] = str(max(1, round(answer.retry_after.total_seconds())))
         if answer.outcome == ANSWERED or answer.error is None:
             return web.Response(status=answer.status, headers={**answer.headers, **headers}, body=answer.body)
         self.node.counters.add(f"mishaps.{answer.error.kind}")
-        # A kept connection would carry the rest of a body nobody read.
+        # A persistent connection would carry the rest of an unread body.
         return web.json_response(
             {"outcome": answer.outcome, "mishap": answer.error.describe()}, status=answer.status, headers=headers
         )
--- a/packages/proxy/src/hoistsaddle/proxy/server_client.py
+++ b/packages/proxy/src/hoistsaddle/proxy/server_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the server beside a proxy under bundles: one connection for each run, and only complete answers."""
+"""HTTP client for the local server of a proxy under bundles: one connection per request, and only complete answers."""
 
 import aiohttp
 import msgspec
@@ -19,9 +19,9 @@
     """Runs requests on the local server."""
 
     def __init__(self, *, counters: Counters) -> None:
-        """Open no connection yet; to be made inside the running event loop."""
+        """Create the session without a connection; the event loop must be running."""
         self._counters = counters
-        # A kept connection may die under a request and tempt the library to repeat it.
+        # A persistent connection may break during a request, and the library may then repeat the request.
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True, limit=0),
             auto_decompress=False,
@@ -29,18 +29,18 @@
         )
 
     async def close(self) -> None:
-        """Close what is still open."""
+        """Close the session."""
         await self._session.close()
 
     async def run(self, command: RunOnServer) -> tuple:
         """Run a request on the server.
 
         Returns:
-            ServerAnswered, or ServerFailed with whether anything was sent.
+            ServerAnswered, or ServerFailed, which tells whether anything was sent.
         """
         call = command.call
         try:
-            # The path goes on byte for byte as it was admitted.
+            # The path is forwarded byte for byte as it was admitted.
             async with self._session.request(
                 call.method,
                 yarl.URL(f"http://{command.address}{call.path}", encoded=True),
@@ -56,12 +56,16 @@
                 if error is None:
                     return ServerAnswered(command.number, answer.status, clean_headers(answer.headers), body)
         except aiohttp.ClientConnectorError:
-            unreachable = MeshError(ErrorKind.UNREACHABLE, "The server takes no connection.", "Send it elsewhere.")
+            unreachable = MeshError(
+                ErrorKind.UNREACHABLE, "The server accepts no connection.", "Send it to another proxy."
+            )
             return ServerFailed(command.number, True, unreachable)
         except (aiohttp.ClientPayloadError, aiohttp.ClientResponseError):
-            error = MeshError(ErrorKind.ANSWER_BROKEN, "The server's answer is not whole JSON.", ASK_BEFORE_RETRY)
+            error = MeshError(
+                ErrorKind.ANSWER_BROKEN, "The server's answer is not a complete HTTP response.", ASK_BEFORE_RETRY
+            )
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
-            error = MeshError(ErrorKind.SILENT, "The server gave no whole answer.", ASK_BEFORE_RETRY)
+            error = MeshError(ErrorKind.SILENT, "The server gave no complete answer.", ASK_BEFORE_RETRY)
         self._counters.add(f"runs.{error.kind}")
         return ServerFailed(command.number, False, error)
 
@@ -79,12 +83,12 @@
 
 
 def _answer_error(call: BundleForwardCall, answer: aiohttp.ClientResponse, body: bytes) -> MeshError | None:
-    """Return why an answer is not passed on, if so: it must be complete and readable."""
+    """Return why an answer is not passed on; None if it is complete and valid."""
     if len(body) > MAX_BODY_BYTES or (not call.hold and len(body) > call.answer_bytes):
         return MeshError(
             ErrorKind.ANSWER_TOO_LARGE,
-            "The answer is over its limit.",
-            "Raise answer_bytes in a bundle, or have the server say less.",
+            "The answer is larger than its limit.",
+            "Raise answer_bytes in a bundle, or have the server send less.",
             "answer_bytes",
         )
     length = answer.headers.get("Content-Length")
@@ -95,7 +99,7 @@
     if framing is AnswerFraming.CONNECTION_END or short or "Content-Encoding" in answer.headers:
         return MeshError(
             ErrorKind.ANSWER_BROKEN,
-            "Nothing shows that the answer is whole.",
+            "The answer may be incomplete, or its body is encoded.",
             "Have the server send Content-Length and plain JSON.",
         )
     if body:
