--- a/packages/proxy/src/hoistsaddle/proxy/__init__.py
+++ b/packages/proxy/src/hoistsaddle/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy under bundles, and what both proxies have in common."""
+"""The proxy under bundles, and the code that it shares with the sidecar."""
--- a/packages/proxy/src/hoistsaddle/proxy/answer_framing.py
+++ b/packages/proxy/src/hoistsaddle/proxy/answer_framing.py
@@ -1,18 +1,18 @@
-"""How a server's answer says where its body ends, as RFC 9112 section 6.3 has it."""
+"""How the end of a server's answer body is determined, according to RFC 9112 section 6.3."""
 
 from enum import StrEnum
 
-# Statuses of answers that have no body, whatever their headers say.
+# Statuses of answers that have no body, regardless of their headers.
 BODILESS_STATUSES = frozenset({204, 304})
 
 
 class AnswerFraming(StrEnum):
-    """What tells where an answer's body ends."""
+    """What determines where an answer's body ends."""
 
     BODILESS = "bodiless"
     CHUNKED = "chunked"
     LENGTH = "length"
-    # Wherever the connection ends: a server that broke off looks the same, also before its body began.
+    # The end of the connection. A server that aborts looks the same, even before the body begins.
     CONNECTION_END = "connection_end"
 
 
@@ -20,10 +20,10 @@
     """Return how an answer's body is framed.
 
     Args:
-        status: of the answer.
-        chunked: whether it comes in chunks.
+        status: status of the answer.
+        chunked: whether its transfer coding is chunked.
         length: its Content-Length, if it has one.
-        with_body: False where its request allows no body.
+        with_body: False if its request allows no body in the answer.
     """
     if not with_body or status in BODILESS_STATUSES:
         return AnswerFraming.BODILESS
--- a/packages/proxy/src/hoistsaddle/proxy/upstream_admission.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream_admission.py
@@ -34,7 +34,7 @@
     if event.call.budget <= ZERO:
         return DeadlineExceeded("The time budget of the request is spent.", remedy="Send it with more time left.")
     if not state.has_lease() or not state.is_registered():
-        return LeaseExpired("This proxy has no valid lease from the core.", remedy=SEND_ELSEWHERE)
+        return LeaseExpired("This proxy has no valid lease or is not registered at the core.", remedy=SEND_ELSEWHERE)
     return None
 
 
