--- a/packages/proxy/src/hoistsaddle/proxy/core_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core_state.py
@@ -33,7 +33,7 @@
     address: str
     state: str
     # When the report arrived.
-    heard: timedelta
+    reported_at: timedelta
 
     def same_as(self, other: "LocalServer") -> bool:
         """Whether both reports have the same content, regardless of their arrival."""
@@ -82,7 +82,7 @@
 
     def server_state(self) -> str:
         """Return the state that the server reported; gone if the report is missing or older than the health span."""
-        if self.server is None or self.now - self.server.heard > self.settings.health_span:
+        if self.server is None or self.now - self.server.reported_at > self.settings.health_span:
             return GONE
         return self.server.state
 
--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -133,7 +133,7 @@
         state.reports.sign_off(instance)
         if state.server is None or state.server.instance != instance or state.server.state == GONE:
             return
-        state.server = state.server._replace(state=GONE, heard=state.now)
+        state.server = state.server._replace(state=GONE, reported_at=state.now)
         state.announce("server signed off", service=state.server.service, instance=instance)
         state.report_health()
         self._review_queue()
--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -157,7 +157,7 @@
             self.timestamp += timedelta(seconds=step)
             for name, core in self.cores.items():
                 if heartbeats and core.server is not None and core.server.state == READY:
-                    core.server = core.server._replace(heard=self.timestamp)
+                    core.server = core.server._replace(reported_at=self.timestamp)
                 self.feed(name, Ticked())
 
     # -- requests -----------------------------------------------------------------------------------------------
