--- a/packages/proxy/src/hoistsaddle/proxy/freeze_detector.py
+++ b/packages/proxy/src/hoistsaddle/proxy/freeze_detector.py
@@ -18,7 +18,7 @@
         self._counters = counters
         self.ticked_at = self.thawed_at = runtime.now()
         # The duration of the last freeze.
-        self.stood = ZERO
+        self.last_freeze = ZERO
 
     def tick(self) -> None:
         """Record that the process is running now."""
@@ -28,7 +28,7 @@
             self._counters.record_event("stood still", seconds=round(gap.total_seconds(), 3))
             # Data received during the freeze is read in pieces over the next moments, and all of it may be old.
             self.thawed_at = now + FROZEN_GAP
-            self.stood = gap
+            self.last_freeze = gap
         self.ticked_at = now
 
     def frozen(self) -> bool:
@@ -41,4 +41,4 @@
         now = self._runtime.now()
         if (gap := now - self.ticked_at) > FROZEN_GAP:
             return gap
-        return self.stood + now - (self.thawed_at - FROZEN_GAP) if now < self.thawed_at else ZERO
+        return self.last_freeze + now - (self.thawed_at - FROZEN_GAP) if now < self.thawed_at else ZERO
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -142,17 +142,21 @@
         def now(self) -> timedelta:
             return self.timestamp
 
-    def unread(self, *, ticked: float, thawed: float, stood: float, now: float) -> float:
+    def unread(self, *, ticked: float, thawed: float, last_freeze: float, now: float) -> float:
         clock: Any = self.Clock()
         clock.timestamp = seconds(now)
         freezes = FreezeDetector(runtime=clock, counters=Counters(owner="s-1"))
-        freezes.ticked_at, freezes.thawed_at, freezes.stood = seconds(ticked), seconds(thawed), seconds(stood)
+        freezes.ticked_at, freezes.thawed_at, freezes.last_freeze = (
+            seconds(ticked),
+            seconds(thawed),
+            seconds(last_freeze),
+        )
         return freezes.unread().total_seconds()
 
     def test_it_is_told_before_and_after_the_tick_that_sees_it(self) -> None:
         gap = FROZEN_GAP.total_seconds()
-        self.assertThat(self.unread(ticked=100, thawed=0, stood=0, now=100.02), Equals(0.0))
-        self.assertThat(self.unread(ticked=100, thawed=0, stood=0, now=103), Equals(3.0))
+        self.assertThat(self.unread(ticked=100, thawed=0, last_freeze=0, now=100.02), Equals(0.0))
+        self.assertThat(self.unread(ticked=100, thawed=0, last_freeze=0, now=103), Equals(3.0))
         # The tick has come; what came in meanwhile is still being read.
-        self.assertThat(round(self.unread(ticked=103, thawed=103 + gap, stood=3, now=103.1), 6), Equals(3.1))
-        self.assertThat(self.unread(ticked=103.5, thawed=103 + gap, stood=3, now=103.5), Equals(0.0))
+        self.assertThat(round(self.unread(ticked=103, thawed=103 + gap, last_freeze=3, now=103.1), 6), Equals(3.1))
+        self.assertThat(self.unread(ticked=103.5, thawed=103 + gap, last_freeze=3, now=103.5), Equals(0.0))
