--- a/packages/proxy/src/hoistsaddle/proxy/core_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core_state.py
@@ -86,7 +86,7 @@
             return GONE
         return self.server.state
 
-    def takes_report(self, instance: str, *, state: str, sequence: int = 0) -> bool:
+    def accept_report(self, instance: str, *, state: str, sequence: int = 0) -> bool:
         """Record a report of a local server, and return whether it is current.
 
         Args:
--- a/packages/proxy/src/hoistsaddle/proxy/upstream.py
+++ b/packages/proxy/src/hoistsaddle/proxy/upstream.py
@@ -63,7 +63,7 @@
     def health_reported(self, event: HealthReported) -> None:
         """Handle the server's health report, unless its instance has ended since."""
         state = self._state
-        if not state.takes_report(event.instance, state=event.state):
+        if not state.accept_report(event.instance, state=event.state):
             return
         before, state_before = state.server, state.server_state()
         server = LocalServer(event.service, event.instance, event.address, event.state, state.now)
--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -104,7 +104,7 @@
     def health_reported(self, event: HealthReported) -> None:
         """Take what the server says of itself, unless a later word of it was heard already."""
         state = self._state
-        if not state.takes_report(event.instance, state=event.state, sequence=event.sequence):
+        if not state.accept_report(event.instance, state=event.state, sequence=event.sequence):
             return
         before = state.server
         state_before = state.server_state()
