--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy's core without I/O: what it answers, and when."""
+"""Tests of the proxy's core without I/O: which answers and commands follow from which events, and when."""
 
 import random
 from datetime import timedelta
@@ -77,7 +77,7 @@
         )
         self.out: list[tuple] = []
         self.feed(ConfigurationChanged(view_of_fleet()))
-        # Room for further sends is its own only after a lease span.
+        # The proxy may use its retry quota only after a lease span.
         self.feed(ConfigurationChanged(view_of_fleet()), later=1.6)
         place = int(name[-1])
         self.feed(HealthReported(SERVICES[place - 1], f"i-{place}", "address", "ready"))
@@ -98,8 +98,10 @@
         self, method: str = "GET", path: str = "/readings", *, key: str = "", body: bytes = b"", client: str = ""
     ) -> int:
         self.tickets += 1
-        named = client or f"visitor-{self.tickets}"
-        self.feed(RequestArrived(self.tickets, "", named, method, path, "", {"Authorization": named}, body, key))
+        credentials = client or f"visitor-{self.tickets}"
+        self.feed(
+            RequestArrived(self.tickets, "", credentials, method, path, "", {"Authorization": credentials}, body, key)
+        )
         return self.tickets
 
     def newest(self, kind: type) -> tuple:
@@ -113,7 +115,7 @@
             (command for command in self.out if isinstance(command, AnswerClient) and command.ticket == ticket), None
         )
 
-    def refuse_pass(self) -> None:
+    def refuse_newest_attempt(self) -> None:
         sent = self.newest(ForwardRequest)
         self.feed(
             ForwardAnswered(
@@ -122,7 +124,7 @@
         )
 
     def call(self, send: str = "s1", *, budget: float = 4.0, **changes) -> BundleForwardCall:
-        complete = BundleForwardCall(
+        base = BundleForwardCall(
             send,
             "visitors",
             "visitor",
@@ -139,13 +141,13 @@
             "",
             1024,
         )
-        return complete._replace(**changes)
+        return base._replace(**changes)
 
 
 class Ingress(TestCase):
-    """The side that takes a client's request."""
+    """Tests of the ingress side, which admits requests of clients."""
 
-    def test_the_queue_is_bounded_and_overflow_is_told_at_once(self) -> None:
+    def test_the_queue_is_bounded_and_overflow_is_refused_immediately(self) -> None:
         bench = Bench(fresh=False, backlog=5)
         tickets = [bench.ask() for _ in range(8)]
         answers = [bench.answer(ticket) for ticket in tickets]
@@ -157,17 +159,17 @@
         bench.renew()
         self.assertThat(bench.count(ForwardRequest), Equals(5))
 
-    def test_one_crowd_does_not_shut_out_the_rest(self) -> None:
+    def test_one_client_does_not_fill_the_queue_for_others(self) -> None:
         bench = Bench(fresh=False, backlog=40)
         crowd = [bench.ask(client="crowd") for _ in range(60)]
         others = [bench.ask(client=f"other-{number}") for number in range(20)]
         self.assertThat(sum(bench.answer(ticket) is None for ticket in crowd), Equals(20))
         self.assertThat([bench.answer(ticket) for ticket in others], Equals([None] * 20))
 
-    def test_a_slow_server_holds_only_so_many(self) -> None:
+    def test_attempts_in_flight_to_a_slow_server_are_limited(self) -> None:
         bench = Bench(backlog=30, outstanding=4)
         tickets = [bench.ask() for _ in range(20)]
-        # Two meters, four sends to each; the rest waits for room.
+        # There are two meter servers with four attempts each; the other requests are queued.
         self.assertThat(
             (bench.count(ForwardRequest), [bench.answer(ticket) for ticket in tickets]), Equals((8, [None] * 20))
         )
@@ -181,10 +183,10 @@
         bench.feed(Ticked())
         self.assertThat(bench.count(ForwardRequest), Equals(9))
 
-    def test_given_up_means_answered_at_once(self) -> None:
+    def test_a_request_refused_by_all_servers_is_answered_immediately(self) -> None:
         bench = Bench()
         ticket = bench.ask()
-        # Tokens for a further send are earned by first ones.
+        # First attempts earn the tokens for a retry.
         for _ in range(10):
             bench.ask()
         first = next(command for command in bench.out if isinstance(command, ForwardRequest))
@@ -194,15 +196,15 @@
             )
         )
         self.assertThat(bench.answer(ticket), Equals(None))
-        bench.refuse_pass()
+        bench.refuse_newest_attempt()
         answer = bench.answer(ticket)
         self.assertThat((answer.outcome, answer.status, answer.retry_after is not None), Equals(("not-run", 503, True)))
 
-    def judged(self, bench: Bench) -> int:
-        """A request that every open server's proxy refused, as a newer bundle is in force there."""
+    def refused_by_newer_bundle(self, bench: Bench) -> int:
+        """Send a request that the proxies of all available servers refuse, because a newer bundle is in force there."""
         ticket = bench.ask()
         sent = bench.newest(ForwardRequest)
-        # Tokens for further sends are earned by first ones.
+        # First attempts earn the tokens for retries.
         for _ in range(20):
             bench.ask()
         for _ in range(2):
@@ -214,10 +216,13 @@
             sent = bench.newest(ForwardRequest)
         return ticket
 
-    def test_a_bundle_that_is_on_its_way_is_waited_for(self) -> None:
-        """Thimble, rules_change, seed 1: a target that had the next bundle refused, and the client was told so."""
+    def test_a_request_waits_for_a_bundle_that_only_the_target_has(self) -> None:
+        """Guards against passing a target's refusal to the client while only the target has the newer bundle.
+
+        Seen in scenario rules_change of deployment thimble with seed 1.
+        """
         bench = Bench(backlog=50)
-        ticket = self.judged(bench)
+        ticket = self.refused_by_newer_bundle(bench)
         before = bench.count(ForwardRequest)
         bench.feed(Ticked(), later=0.1)
         self.assertThat((bench.answer(ticket), bench.count(ForwardRequest)), Equals((None, before)))
@@ -227,9 +232,9 @@
         bench.feed(ConfigurationChanged(view_of_fleet()._replace(revision=6)))
         self.assertThat((bench.answer(ticket), bench.count(ForwardRequest)), Equals((None, before + 1)))
 
-    def test_a_bundle_that_does_not_come_is_not_waited_for_any_longer_than_a_gap(self) -> None:
+    def test_a_request_waits_for_a_bundle_no_longer_than_an_outage(self) -> None:
         bench = Bench(backlog=50)
-        ticket = self.judged(bench)
+        ticket = self.refused_by_newer_bundle(bench)
         for _ in range(2):
             self.assertThat(bench.answer(ticket), Equals(None))
             bench.renew()
@@ -245,7 +250,7 @@
         bench.renew()
         self.assertThat(bench.count(ForwardRequest), Equals(0))
 
-    def test_silence_is_unknown_and_only_safe_methods_go_further(self) -> None:
+    def test_no_answer_is_unknown_and_only_safe_methods_are_retried(self) -> None:
         bench = Bench()
         for _ in range(10):
             bench.ask()
@@ -257,7 +262,7 @@
         bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})))
         bench.feed(ForwardFailed(bench.newest(ForwardRequest).number, False))
         self.assertThat((bench.answer(ticket).outcome, bench.answer(ticket).status), Equals(("unknown", 504)))
-        # It may have run, so its key stays held.
+        # The request may have run, so its key is not released.
         self.assertThat(isinstance(bench.newest(SubmitHold).command, ClaimKey), Equals(True))
 
     def test_nothing_is_sent_before_the_claim_is_committed(self) -> None:
@@ -267,13 +272,13 @@
         bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})))
         self.assertThat(bench.count(ForwardRequest), Equals(1))
 
-    def test_a_claim_that_is_missed_again_and_again_is_given_up(self) -> None:
+    def test_a_claim_that_is_unanswered_repeatedly_is_abandoned(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
         for turn in range(3):
             bench.renew()
             bench.feed(HoldAnswered(bench.newest(SubmitHold).number, None), later=0.8)
-            # Others get their answers all the while, so the core isn't silent.
+            # Claims of other requests are answered meanwhile, so the core is not silent.
             other = bench.ask("POST", "/payments", key=f"other-{turn}")
             bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})))
             self.assertThat(bench.answer(other), Equals(None))
@@ -284,7 +289,7 @@
             (answer.outcome, answer.error.kind, answer.retry_after is not None), Equals(("not-run", "no-leader", True))
         )
 
-    def test_a_claim_that_is_still_under_way_after_its_patience_is_given_up(self) -> None:
+    def test_a_claim_that_is_in_flight_after_the_longest_wait_is_abandoned(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
         claim = bench.newest(SubmitHold)
@@ -297,12 +302,12 @@
         self.assertThat(
             (answer.outcome, answer.error.kind, answer.retry_after is not None), Equals(("not-run", "no-leader", True))
         )
-        # A grant that comes after the answer is given back, and nothing is sent under it.
+        # A key granted after the answer is released, and no attempt is sent under it.
         bench.feed(HoldAnswered(claim.number, Outcome(detail={"phase": "granted"})))
         self.assertThat((type(bench.newest(SubmitHold).command), bench.count(ForwardRequest)), Equals((ReleaseKey, 0)))
 
-    def test_a_refused_claim_is_given_back_where_the_log_may_hold_it_and_nowhere_else(self) -> None:
-        """Each refused request had a release submitted for a minute, whether or not its claim was ever sent."""
+    def test_an_abandoned_claim_is_released_only_if_the_log_may_hold_it(self) -> None:
+        """Guards against retrying a release for a minute for every refused request, even if no claim was sent."""
         for maybe_accepted in (False, True):
             bench = Bench()
             ticket = bench.ask("POST", "/payments", key="k")
@@ -318,7 +323,7 @@
             released = {command.claim for command in submitted if isinstance(command, ReleaseKey)}
             self.assertThat(released, Equals({claim.command.claim} if maybe_accepted else set()))
 
-    def test_a_claim_granted_too_late_is_given_back(self) -> None:
+    def test_a_claim_granted_too_late_is_released(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
         claim = bench.newest(SubmitHold)
@@ -334,8 +339,8 @@
         )
         self.assertThat(bench.count(ForwardRequest), Equals(0))
 
-    def test_an_answer_altered_or_not_to_this_send_is_nobodys(self) -> None:
-        for spoil in (
+    def test_an_altered_answer_or_one_to_another_attempt_is_not_used(self) -> None:
+        for alter in (
             lambda answer: answer._replace(body=b"{}x"),
             lambda answer: answer._replace(attempt_id="another"),
         ):
@@ -345,7 +350,7 @@
             bench.feed(
                 ForwardAnswered(
                     sent.number,
-                    spoil(
+                    alter(
                         BundleForwardAnswer(
                             sent.call.attempt_id, "answered", "", "", 200, {}, b"{}", digest_of_body(b"{}")
                         )
@@ -354,7 +359,7 @@
             )
             self.assertThat((bench.answer(ticket).outcome, bench.answer(ticket).body), Equals(("unknown", b"")))
 
-    def test_a_send_held_back_here_costs_nothing_and_goes_out_when_fresh(self) -> None:
+    def test_a_withheld_attempt_is_not_counted_and_is_sent_with_a_valid_lease(self) -> None:
         bench = Bench()
         ticket = bench.ask()
         bench.feed(ForwardWithheld(bench.newest(ForwardRequest).number))
@@ -362,7 +367,7 @@
         bench.feed(Ticked(), later=0.05)
         self.assertThat((bench.count(ForwardRequest), bench.newest(ForwardRequest).call.ordinal), Equals((2, 1)))
 
-    def test_after_a_freeze_nothing_goes_out_on_the_old_lease(self) -> None:
+    def test_after_a_freeze_nothing_is_sent_under_the_old_lease(self) -> None:
         bench = Bench()
         ticket = bench.ask("POST", "/payments", key="k")
         bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "granted"})), later=2.0)
@@ -370,9 +375,9 @@
 
 
 class Target(TestCase):
-    """The side that works on a forwarded request."""
+    """Tests of the upstream side, which runs forwarded attempts."""
 
-    def test_a_send_runs_once_however_often_it_comes(self) -> None:
+    def test_an_attempt_that_arrives_twice_runs_once(self) -> None:
         bench = Bench(name="stall-3")
         for ticket in (1, 2):
             bench.feed(ForwardArrived(ticket, bench.call(), False))
@@ -385,7 +390,7 @@
         bench.feed(ForwardArrived(2, bench.call(), False))
         self.assertThat((bench.count(RunOnServer), bench.newest(AnswerForward).answer.outcome), Equals((0, "unknown")))
 
-    def test_each_gate_refuses(self) -> None:
+    def test_each_admission_check_refuses(self) -> None:
         cases = {
             "frozen": ({}, True),
             "wrong-instance": ({"service_name": "ledger"}, False),
@@ -401,7 +406,7 @@
             answer = bench.newest(AnswerForward).answer
             self.assertThat((answer.outcome, answer.error, bench.count(RunOnServer)), Equals(("not-run", kind, 0)))
 
-    def test_leaving_is_known_here_before_any_update_says_so(self) -> None:
+    def test_a_leaving_server_gets_no_attempts_before_the_configuration_says_so(self) -> None:
         leave = {
             "reported": lambda bench: bench.feed(HealthReported("meter", "i-3", "address", "winding down")),
             "stopping": lambda bench: bench.feed(StopRequested()),
@@ -409,15 +414,15 @@
             "drained": lambda bench: bench.feed(ConfigurationChanged(view_of_fleet(proxy_3="ada"))),
             "replaced": lambda bench: bench.feed(HealthReported("ledger", "i-9", "address", "ready")),
         }
-        for way, do in leave.items():
+        for cause, do in leave.items():
             bench = Bench(name="stall-3")
             do(bench)
             bench.feed(ForwardArrived(1, bench.call(), False))
             self.assertThat(
-                (bench.newest(AnswerForward).answer.outcome, bench.count(RunOnServer)), Equals(("not-run", 0)), way
+                (bench.newest(AnswerForward).answer.outcome, bench.count(RunOnServer)), Equals(("not-run", 0)), cause
             )
 
-    def test_a_short_gap_is_waited_out_for_half_the_budget(self) -> None:
+    def test_a_short_outage_is_waited_out_for_half_the_budget(self) -> None:
         bench = Bench(name="stall-3", fresh=False)
         bench.feed(ForwardArrived(1, bench.call(), False))
         self.assertThat((bench.count(RunOnServer), bench.count(AnswerForward)), Equals((0, 0)))
@@ -433,7 +438,7 @@
         never.renew()
         self.assertThat(never.count(RunOnServer), Equals(0))
 
-    def test_the_answer_is_settled_before_it_is_given(self) -> None:
+    def test_a_key_is_settled_before_its_answer_is_sent(self) -> None:
         bench = Bench(name="stall-3")
         bench.feed(
             ForwardArrived(1, bench.call(route="uploads", path="/uploads", method="POST", hold="scope claim"), False)
@@ -446,7 +451,7 @@
         bench.feed(HoldAnswered(bench.newest(SubmitHold).number, Outcome(detail={"phase": "settled"})))
         self.assertThat(bench.newest(AnswerForward).answer.outcome, Equals("answered"))
 
-    def test_a_server_that_took_no_connection_did_not_run_it_and_counts_as_gone(self) -> None:
+    def test_a_server_that_accepts_no_connection_did_not_run_it_and_counts_as_gone(self) -> None:
         bench = Bench(name="stall-3")
         bench.feed(ForwardArrived(1, bench.call(), False))
         bench.feed(
--- a/tests/test_proxy_server_client.py
+++ b/tests/test_proxy_server_client.py
@@ -1,4 +1,4 @@
-"""What a proxy under bundles takes for a complete answer of its server."""
+"""Tests of which answers of the local server a proxy under bundles accepts as complete."""
 
 import asyncio
 from datetime import timedelta
@@ -23,17 +23,17 @@
     return RunOnServer(1, f"127.0.0.1:{port}", forward, timedelta(seconds=5))
 
 
-class Completeness(TestCase):
-    def answered(self, said: bytes, *, method: str = "GET") -> bytes | ErrorKind:
-        """What one answer that ends with its connection came to: its body, or why it is none."""
+class AnswerCompleteness(TestCase):
+    def body_or_error(self, response: bytes, *, method: str = "GET") -> bytes | ErrorKind:
+        """Return the body of an answer after which the server closes the connection, or the kind of its error."""
 
-        async def behave(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(said)
+            writer.write(response)
             writer.close()
 
         async def run() -> bytes | ErrorKind:
-            server = await asyncio.start_server(behave, "127.0.0.1", 0)
+            server = await asyncio.start_server(respond, "127.0.0.1", 0)
             client = ServerClient(counters=Counters(owner="test"))
             try:
                 result = await client.run(call(server.sockets[0].getsockname()[1], method))
@@ -44,15 +44,15 @@
 
         return asyncio.run(run())
 
-    def test_an_answer_that_says_where_it_ends_counts(self) -> None:
-        self.assertThat(self.answered(HEAD + b"Content-Length: 2\r\n\r\n{}"), Equals(b"{}"))
-        self.assertThat(self.answered(HEAD + b"Content-Length: 0\r\n\r\n"), Equals(b""))
+    def test_an_answer_with_a_length_is_complete(self) -> None:
+        self.assertThat(self.body_or_error(HEAD + b"Content-Length: 2\r\n\r\n{}"), Equals(b"{}"))
+        self.assertThat(self.body_or_error(HEAD + b"Content-Length: 0\r\n\r\n"), Equals(b""))
 
-    def test_one_that_ends_where_its_connection_ends_does_not(self) -> None:
+    def test_an_answer_that_ends_with_its_connection_is_broken(self) -> None:
         for body in (b"{}", b""):
-            found = self.answered(HEAD + b"Connection: close\r\n\r\n" + body)
+            found = self.body_or_error(HEAD + b"Connection: close\r\n\r\n" + body)
             self.assertThat(found, Equals(ErrorKind.ANSWER_BROKEN), repr(body))
 
     def test_answers_that_have_no_body_need_no_length(self) -> None:
-        self.assertThat(self.answered(HEAD + b"Connection: close\r\n\r\n", method="HEAD"), Equals(b""))
-        self.assertThat(self.answered(HEAD.replace(b"200 OK", b"204 None") + b"\r\n"), Equals(b""))
+        self.assertThat(self.body_or_error(HEAD + b"Connection: close\r\n\r\n", method="HEAD"), Equals(b""))
+        self.assertThat(self.body_or_error(HEAD.replace(b"200 OK", b"204 None") + b"\r\n"), Equals(b""))
