--- a/tests/test_health_reporter.py
+++ b/tests/test_health_reporter.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a proxy while the node that watches the fleet is silent: another registry hears it within its span."""
+"""Heartbeats of a proxy while the node monitor is silent: another registry must get one within the health span."""
 
 import asyncio
 from datetime import timedelta
@@ -20,20 +20,20 @@
 from hoistsaddle.statemachine.state import NODE_MONITOR_ROLE
 from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
-WATCHER, OTHER = "10.0.0.1:1", "10.0.0.2:1"
+NODE_MONITOR, OTHER = "10.0.0.1:1", "10.0.0.2:1"
 SETTINGS = ProxySettings(
-    name="stall-1", zone="a", listen="10.0.1.1:1", clients="10.0.1.1:2", inner="10.0.1.1:3", seeds=[WATCHER, OTHER]
+    name="stall-1", zone="a", listen="10.0.1.1:1", clients="10.0.1.1:2", inner="10.0.1.1:3", seeds=[NODE_MONITOR, OTHER]
 )
 SECONDS = 20.0
 
 
 class Registries:
-    """One of them gives no answer from a time on; the others note each heartbeat."""
+    """Registries of which one gives no answer, and the others record the time of each heartbeat."""
 
     def __init__(self, *, loop: SimulatedTimeLoop, silent: str) -> None:
         self.loop = loop
         self.silent = silent
-        self.noted_at: list[float] = []
+        self.received_at: list[float] = []
         self.called: list[str] = []
 
     async def call(self, address: str, message: HealthCall, *, within: timedelta) -> Result[tuple, MeshError]:
@@ -41,17 +41,17 @@
         if address == self.silent:
             await asyncio.sleep(within.total_seconds())
             return Failure(no_response(address))
-        self.noted_at.append(self.loop.time())
+        self.received_at.append(self.loop.time())
         return Success(HealthAnswer("", "", message.serial))
 
 
 def heartbeats(registries: list[str]) -> Registries:
-    """What the registries hear of a proxy whose watcher is silent, with the registries in this order."""
+    """Run a proxy whose node monitor is silent with the registries in this order, and return what they received."""
     loop = SimulatedTimeLoop()
-    answering = Registries(loop=loop, silent=WATCHER)
+    answering = Registries(loop=loop, silent=NODE_MONITOR)
     view = SimpleNamespace(
         singleton_roles={NODE_MONITOR_ROLE: SimpleNamespace(node="bourse-1")},
-        nodes={"bourse-1": SimpleNamespace(address=WATCHER)},
+        nodes={"bourse-1": SimpleNamespace(address=NODE_MONITOR)},
     )
     settings = SimpleNamespace(name=SETTINGS.name, incarnation="life", zone=SETTINGS.zone)
     reporter = HealthReporter(
@@ -80,15 +80,17 @@
     return answering
 
 
-class SilentWatcher(TestCase):
-    """Guards against a proxy that is called gone because it asked a silent registry twice before it asked another."""
+class SilentNodeMonitor(TestCase):
+    """Guards against a proxy that is recorded as gone because it tries a silent registry twice before another one."""
 
-    def test_another_registry_hears_the_proxy_before_its_span_is_over(self) -> None:
+    def test_another_registry_gets_a_heartbeat_within_the_health_span(self) -> None:
         span = SETTINGS.health_seconds
-        for order in ([WATCHER, OTHER], [OTHER, WATCHER]):
-            noted = [0.0, *(at - 1000.0 for at in heartbeats(order).noted_at)]
-            longest = max(later - earlier for earlier, later in zip(noted, noted[1:], strict=False))
+        for order in ([NODE_MONITOR, OTHER], [OTHER, NODE_MONITOR]):
+            received = [0.0, *(at - 1000.0 for at in heartbeats(order).received_at)]
+            longest = max(later - earlier for earlier, later in zip(received, received[1:], strict=False))
             self.assertThat(longest, LessThan(span), str(order))
 
-    def test_each_registry_is_asked_once_a_round(self) -> None:
-        self.assertThat(heartbeats([WATCHER, OTHER]).called[:4], Equals([WATCHER, OTHER, WATCHER, OTHER]))
+    def test_each_registry_is_tried_once_a_round(self) -> None:
+        self.assertThat(
+            heartbeats([NODE_MONITOR, OTHER]).called[:4], Equals([NODE_MONITOR, OTHER, NODE_MONITOR, OTHER])
+        )
--- a/tests/test_hold_client.py
+++ b/tests/test_hold_client.py
@@ -1,4 +1,4 @@
-"""A sidecar's commands about keys: they wait at the sidecar, and the core gets as many as it answers in time."""
+"""Tests of the client for key commands: it queues them at the sidecar and sends as many as the core answers in time."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -27,30 +27,30 @@
 GRANTED = Outcome(detail={"phase": "granted"})
 MAX_PAUSE_SECONDS = 1.0
 CLAIM = ClaimKey("scope", "claim", "side", "digest")
-# An answer to a call and after how many seconds it comes; None is none at all.
+# The error of an answer, empty without one, and its delay in seconds; None for no answer.
 Answer = tuple[str, float] | None
 
 
 class SlowRegistry:
-    """Answers each call after a while that a rule gives by the number of the calls under way."""
+    """Answers each call by a rule, which returns the answer and its delay for the number of calls in flight."""
 
     def __init__(self, *, loop: SimulatedTimeLoop, rule: Callable[[int], Answer]) -> None:
         self.loop = loop
         self.rule = rule
-        self.under_way = 0
-        # When each call came, and with how many commands.
+        self.in_flight = 0
+        # The time of each call, and its number of commands.
         self.calls: list[tuple[float, int]] = []
 
     async def call(self, address: str, message: WriteCall, *, within: timedelta) -> Result[tuple, MeshError]:
         self.calls.append((self.loop.time(), len(message.payloads)))
-        self.under_way += 1
+        self.in_flight += 1
         try:
             return await self._answer(address, message, within)
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
     async def _answer(self, address: str, message: WriteCall, within: timedelta) -> Result[tuple, MeshError]:
-        answer = self.rule(self.under_way)
+        answer = self.rule(self.in_flight)
         if answer is None or answer[1] >= within.total_seconds():
             await asyncio.sleep(within.total_seconds())
             return Failure(no_response(address))
@@ -62,7 +62,7 @@
 
 
 def run(rule: Callable[[int], Answer], scenario: Callable[[HoldClient, SlowRegistry], Coroutine]) -> Any:
-    """What the scenario returns, in simulated time."""
+    """Run the scenario in simulated time, and return its result."""
     loop = SimulatedTimeLoop()
     registry = SlowRegistry(loop=loop, rule=rule)
     asyncio.set_event_loop(loop)
@@ -86,14 +86,14 @@
 
 
 class Waiting(TestCase):
-    def test_what_waits_goes_together_once_a_call_may_follow(self) -> None:
+    def test_queued_commands_are_sent_together_in_the_next_call(self) -> None:
         async def scenario(client: HoldClient, registry: SlowRegistry) -> list[int]:
             await asyncio.gather(*(submit(client, seconds=1.0) for _ in range(20)))
             return [commands for _, commands in registry.calls]
 
-        self.assertThat(run(lambda under_way: ("", 0.1), scenario), Equals([1, 19]))
+        self.assertThat(run(lambda in_flight: ("", 0.1), scenario), Equals([1, 19]))
 
-    def test_a_command_whose_deadline_passes_here_is_never_sent_and_certainly_not_in_the_log(self) -> None:
+    def test_a_command_whose_deadline_passes_in_the_queue_is_never_sent(self) -> None:
         async def scenario(client: HoldClient, registry: SlowRegistry) -> tuple[SubmitResult, int]:
             first = asyncio.ensure_future(submit(client, seconds=1.0))
             await asyncio.sleep(0.01)
@@ -102,34 +102,34 @@
             await asyncio.sleep(1.0)
             return result, sum(commands for _, commands in registry.calls)
 
-        result, commands = run(lambda under_way: ("", 0.4), scenario)
+        result, commands = run(lambda in_flight: ("", 0.4), scenario)
         self.assertThat((result, commands), Equals((SubmitResult(None, False), 1)))
 
-    def test_a_command_that_is_under_way_at_its_deadline_is_waited_for(self) -> None:
-        """Whoever gave the key up must give it back if it was granted after all, and needs no guess."""
+    def test_a_command_that_is_in_flight_at_its_deadline_is_waited_for(self) -> None:
+        """Guards against a key granted after its request was dropped, which could be released only on a guess."""
 
         async def scenario(client: HoldClient, registry: SlowRegistry) -> SubmitResult:
             return await submit(client, seconds=0.1)
 
-        self.assertThat(run(lambda under_way: ("", 0.4), scenario), Equals(SubmitResult(GRANTED, True)))
-        self.assertThat(run(lambda under_way: None, scenario), Equals(SubmitResult(None, True)))
+        self.assertThat(run(lambda in_flight: ("", 0.4), scenario), Equals(SubmitResult(GRANTED, True)))
+        self.assertThat(run(lambda in_flight: None, scenario), Equals(SubmitResult(None, True)))
         for refusal in (ErrorKind.NO_LEADER, ErrorKind.QUEUE_FULL):
-            refused = run(lambda under_way, refusal=refusal: (str(refusal), 0.05), scenario)
+            refused = run(lambda in_flight, refusal=refusal: (str(refusal), 0.05), scenario)
             self.assertThat(refused, Equals(SubmitResult(None, False)))
-        unsure = run(lambda under_way: (str(ErrorKind.UNSURE), 0.05), scenario)
+        unsure = run(lambda in_flight: (str(ErrorKind.UNSURE), 0.05), scenario)
         self.assertThat(unsure, Equals(SubmitResult(None, True)))
 
-    def test_what_one_registry_may_have_taken_stays_unsure_when_the_next_one_refuses_it(self) -> None:
+    def test_a_command_that_one_registry_may_have_accepted_stays_unsure_when_the_next_one_refuses_it(self) -> None:
         async def scenario(client: HoldClient, registry: SlowRegistry) -> SubmitResult:
             answers = iter([(str(ErrorKind.UNSURE), 0.01)])
-            registry.rule = lambda under_way: next(answers, (str(ErrorKind.NO_LEADER), 0.01))
+            registry.rule = lambda in_flight: next(answers, (str(ErrorKind.NO_LEADER), 0.01))
             return await submit(client, seconds=0.5)
 
-        self.assertThat(run(lambda under_way: None, scenario), Equals(SubmitResult(None, True)))
+        self.assertThat(run(lambda in_flight: None, scenario), Equals(SubmitResult(None, True)))
 
 
 class CongestionControl(TestCase):
-    """Guards against calls that go on at their rate to a core that answers each of them too late."""
+    """Guards against an unreduced rate of calls to a core that answers each of them too late."""
 
     async def load(self, client: HoldClient, *, seconds: float) -> list[SubmitResult]:
         submitted = []
@@ -138,24 +138,24 @@
             await asyncio.sleep(0.02)
         return await asyncio.gather(*submitted)
 
-    def test_answers_that_come_too_late_make_pauses(self) -> None:
+    def test_late_answers_cause_pauses(self) -> None:
         async def scenario(client: HoldClient, registry: SlowRegistry) -> list[float]:
             await self.load(client, seconds=20.0)
-            began = registry.calls[0][0]
-            return [at - began for at, _ in registry.calls]
+            started_at = registry.calls[0][0]
+            return [at - started_at for at, _ in registry.calls]
 
-        calls = run(lambda under_way: ("", 0.2), scenario)
-        # Without pauses one call follows the other: 100 of them. The longest pause is a second.
+        calls = run(lambda in_flight: ("", 0.2), scenario)
+        # Without pauses the calls follow each other directly, which makes 100 of them. The longest pause is a second.
         self.assertThat(len(calls), LessThan(25))
 
     def test_answers_in_time_end_the_pauses(self) -> None:
         async def scenario(client: HoldClient, registry: SlowRegistry) -> list[SubmitResult]:
             await self.load(client, seconds=5.0)
-            registry.rule = lambda under_way: ("", 0.01)
+            registry.rule = lambda in_flight: ("", 0.01)
             await self.load(client, seconds=MAX_PAUSE_SECONDS + 1.0)
             return await self.load(client, seconds=5.0)
 
-        results = run(lambda under_way: ("", 0.2), scenario)
+        results = run(lambda in_flight: ("", 0.2), scenario)
         self.assertThat([result for result in results if result.outcome != GRANTED], Equals([]))
 
     def test_the_limit_stays_between_its_bounds(self) -> None:
