--- a/packages/proxy/src/hoistsaddle/proxy/configuration_poller.py
+++ b/packages/proxy/src/hoistsaddle/proxy/configuration_poller.py
@@ -14,7 +14,7 @@
 from hoistsaddle.rpc.runtime import Runtime
 from hoistsaddle.statemachine.view import View, read_view
 
-# A late poll, which has exceeded its timeout, may take this many timeouts in all; and the maximum number of late polls.
+# A poll that exceeds its timeout is awaited for this many timeouts in all, and at most this many such polls at a time.
 LATE_POLL_TIMEOUTS = 4
 MAX_LATE_POLLS = 2
 # Outcomes of a poll: it renewed the lease, the parent has nothing newer, or no usable answer came.
--- a/packages/proxy/src/hoistsaddle/proxy/ingress.py
+++ b/packages/proxy/src/hoistsaddle/proxy/ingress.py
@@ -292,7 +292,7 @@
     def _without_server(self, request: ClientRequest, route: Route, *, any_admitting: bool) -> None:
         no_server = NoServer(f"No server of {route.service} is available.")
         if request.mismatch_revision is not None:
-            # The target refused by a newer bundle, which has not reached this proxy yet.
+            # The target refused under a newer bundle, which has not reached this proxy yet.
             return self._wait(request, request.last_error or no_server, since=request.mismatch_since)
         if request.refused_by:
             # Every available server has refused it: give the final answer now, not near the deadline.
--- a/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
+++ b/packages/proxy/src/hoistsaddle/proxy/retry_budget.py
@@ -4,8 +4,9 @@
 spent. A proxy uses its quota in two ways. Half of it caps the tokens that first attempts earn: each earns a share of
 one token, each retry spends one. In a window of any length these retries are at most the tokens that the proxies held
 at its start, plus the share of the first attempts inside it. The other half are slots, each good for one retry in any
-ten seconds, even without traffic. Together they never exceed the margin. (Counting first attempts and retries over the
-last ten seconds is not enough: when traffic falls, old retries stay in a window that their first attempts have left.)
+ten seconds, even without traffic. Caps and slots together are exactly the margin. (Counting first attempts and retries
+over the last ten seconds is not enough: when traffic falls, old retries stay in a window that their first attempts have
+left.)
 
 Quotas change when proxies join or leave, or when a bundle changes the margin. A lower quota takes effect immediately. A
 higher cap takes effect only after a lease span: by then the former owner has learned of the change, or its lease has
