--- a/packages/proxy/src/hoistsaddle/proxy/client_identity.py
+++ b/packages/proxy/src/hoistsaddle/proxy/client_identity.py
@@ -14,7 +14,7 @@
 class ClientIdentity(NamedTuple):
     """The kind of identification and its digest. Credentials leave the proxy only as this digest."""
 
-    by: str
+    identified_by: str
     who: str
 
 
@@ -47,15 +47,15 @@
     kind, _, name = declared.partition(":")
     match kind:
         case "header":
-            by, credential, header = declared.lower(), _header(headers, name), name
+            identified_by, credential, header = declared.lower(), _header(headers, name), name
         case "cookie":
-            by, credential, header = declared, _cookie(headers, name), "Cookie"
+            identified_by, credential, header = declared, _cookie(headers, name), "Cookie"
         case _:
-            by, credential, header = BY_CREDENTIALS, _header(headers, "Authorization"), "Authorization"
+            identified_by, credential, header = BY_CREDENTIALS, _header(headers, "Authorization"), "Authorization"
     if header.lower() in twice:
         message = f"{header} was sent twice, so the client can't be identified."
         return InvalidRequest(message, field=header, remedy="Send it once.")
     if not credential:
         message = f"The client of this key can't be identified: {declared or 'Authorization'} is missing."
         return ClientUnidentified(message, field=header, remedy=f"Send it: {declared}." if declared else None)
-    return ClientIdentity(by, digest_of_parts(by, credential))
+    return ClientIdentity(identified_by, digest_of_parts(identified_by, credential))
--- a/packages/proxy/src/hoistsaddle/proxy/key_claims.py
+++ b/packages/proxy/src/hoistsaddle/proxy/key_claims.py
@@ -55,7 +55,7 @@
             self._state.settings.name,
             digest,
             digest_of_parts("bucket", event.caller, event.method, event.path, event.key),
-            identity.by,
+            identity.identified_by,
             identity.who,
             route.name,
         )
--- a/tests/test_statemachine_releases.py
+++ b/tests/test_statemachine_releases.py
@@ -231,7 +231,7 @@
         def of(declared: str = "", twice: tuple[str, ...] = (), **headers: str) -> str:
             sent = {name.replace("_", "-"): value for name, value in headers.items()}
             known = identify_client(caller="", declared=declared, headers=sent, twice=twice)
-            return known.by if isinstance(known, ClientIdentity) else str(known.kind)
+            return known.identified_by if isinstance(known, ClientIdentity) else str(known.kind)
 
         self.assertThat(of(Authorization="Bearer x"), Equals("credentials"))
         self.assertThat(of(Cookie="lang=en"), Equals("visitor-missing"))
