--- a/packages/proxy/src/hoistsaddle/proxy/client_identity.py
+++ b/packages/proxy/src/hoistsaddle/proxy/client_identity.py
@@ -15,7 +15,7 @@
     """The kind of identification and its digest. Credentials leave the proxy only as this digest."""
 
     identified_by: str
-    who: str
+    client_digest: str
 
 
 def digest_of_parts(*parts: str) -> str:
--- a/packages/proxy/src/hoistsaddle/proxy/key_claims.py
+++ b/packages/proxy/src/hoistsaddle/proxy/key_claims.py
@@ -56,7 +56,7 @@
             digest,
             digest_of_parts("bucket", event.caller, event.method, event.path, event.key),
             identity.identified_by,
-            identity.who,
+            identity.client_digest,
             route.name,
         )
         self._state.out.append(SubmitHold(number, command))
