--- a/packages/proxy/src/hoistsaddle/proxy/core_state.py
+++ b/packages/proxy/src/hoistsaddle/proxy/core_state.py
@@ -51,7 +51,7 @@
         server: the local server's newest health report.
         reports: decides which reports of local servers are outdated.
         serial: number of the newest health report; the log accepts no older one.
-        stopping: whether the process was told to stop.
+        stopping: whether the process was asked to stop.
         closing: whether the process is about to exit while its server keeps running, and accepts nothing new.
         out: the commands that result from the event being handled, in order.
     """
@@ -118,7 +118,7 @@
         self.out.append(Count(name))
 
     def report_health(self) -> None:
-        """Have the server's state sent to the registry at once, not with the next heartbeat."""
+        """Have the server's state sent to the registry immediately instead of with the next heartbeat."""
         self.serial += 1
         self.out.append(ReportHealth())
 
