--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -104,7 +104,7 @@
     def health_reported(self, event: HealthReported) -> None:
         """Take what the server says of itself, unless a later word of it was heard already."""
         state = self._state
-        if not state.takes_report(event.instance, state=event.state, sequence=event.sequence):
+        if not state.accept_report(event.instance, state=event.state, sequence=event.sequence):
             return
         before = state.server
         state_before = state.server_state()
@@ -133,7 +133,7 @@
         state.reports.sign_off(instance)
         if state.server is None or state.server.instance != instance or state.server.state == GONE:
             return
-        state.server = state.server._replace(state=GONE, heard=state.now)
+        state.server = state.server._replace(state=GONE, reported_at=state.now)
         state.announce("server signed off", service=state.server.service, instance=instance)
         state.report_health()
         self._review_queue()
