--- a/packages/sidecar/src/hoistsaddle/sidecar/core.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/core.py
@@ -1,7 +1,7 @@
-"""The core of a sidecar, which owns every request in it. Events come in, commands go out, nothing else happens.
+"""The deterministic core of a sidecar: it owns all requests, takes events and returns commands, and does no I/O.
 
-The ingress side (ingress.py) takes the requests of clients; the upstream side (upstream.py) what other sidecars
-forward to the local server. Every sidecar is both.
+The ingress side (ingress.py) handles requests from clients; the upstream side (upstream.py) handles requests that other
+sidecars forward to the local server. Every sidecar has both roles.
 """
 
 import random
@@ -45,7 +45,7 @@
 
 
 class SidecarCore(CoreState):
-    """Passes each event to the side that it concerns, and collects the commands that answer it."""
+    """Dispatches each event to the ingress or upstream side, and collects the resulting commands."""
 
     def __init__(
         self,
@@ -62,20 +62,20 @@
         max_configuration_age: timedelta,
         link_bytes_per_second: float = 0.0,
     ) -> None:
-        """Begin without a configuration.
+        """Start without a configuration.
 
         Args:
             settings: the sidecar's name, zone and limits.
-            seed: for all that chance decides.
-            now: the monotonic clock's time.
-            service: the service of the local server, as the machine's settings name it.
+            seed: the random number generator for all random choices.
+            now: the time of the monotonic clock.
+            service: the service of the local server, from the machine's settings.
             server_address: its address, from the same settings.
-            drain_timeout: how long a server that leaves still gets queued work.
+            drain_timeout: how long queued requests are still started on a server that is shutting down.
             retry_percent: retries per hundred first attempts, over the whole fleet.
             retry_margin: retries beyond that share in ten seconds, over the whole fleet.
             key_lifetime: how long a claimed key stays claimed.
-            max_configuration_age: how long a change of the configuration may take to be in force here.
-            link_bytes_per_second: what this machine's link carries each way; 0 if that isn't known.
+            max_configuration_age: how long a configuration change may take to come into force here.
+            link_bytes_per_second: the capacity of this machine's link in each direction; 0 if unknown.
         """
         super().__init__(settings=settings, seed=seed, now=now)
         self._service = service
@@ -94,14 +94,14 @@
         self._lease_reported = False
 
     def handle(self, event: tuple, *, now: timedelta) -> list[tuple]:
-        """Take one event.
+        """Handle one event.
 
         Args:
-            event: one of sidecar.messages or proxy.messages.
-            now: the monotonic clock's time.
+            event: an event class of sidecar.messages or proxy.messages.
+            now: the time of the monotonic clock.
 
         Returns:
-            The commands to carry out, in order.
+            The commands to execute, in order.
         """
         self.now = max(now, self.now)
         self.out = []
@@ -175,7 +175,7 @@
         self.ingress.servers.forget_removed(view)
 
     def _report_lease(self) -> None:
-        """Record that the lease came or lapsed: from then on the configuration here may have been overtaken."""
+        """Record that the lease became valid or expired; without it the configuration here may be outdated."""
         fresh = self.has_lease()
         if fresh == self._lease_reported or self.lease_start is None:
             return
@@ -184,20 +184,20 @@
         self.announce("lease fresh" if fresh else "lease lapsed", revision=self.view.revision, age_milliseconds=age)
 
     def ready(self) -> MeshError | None:
-        """Return why the platform should send nothing here, if so. A configuration stays in force without a core."""
+        """Return why this sidecar isn't ready for requests, or None. Its configuration stays valid without a core."""
         if self.stopping:
             return ShuttingDown("This proxy is stopping.", remedy="Send new work elsewhere.")
         if self.view.items is None:
-            return NoConfiguration("No configuration is in force here yet.", remedy="Wait for the core's news.")
+            return NoConfiguration("No configuration is in force here yet.", remedy="Wait until the core sends one.")
         if not self.freshness.usable():
-            return LeaseExpired("The configuration here may have been overtaken.", remedy="Wait for the core's news.")
+            return LeaseExpired("The configuration here may be outdated.", remedy="Wait until the core confirms it.")
         return None
 
     def pending_count(self) -> int:
-        """Return how many clients' requests have no final answer yet."""
+        """Return how many client requests have no final response yet."""
         return len(self.ingress.requests.requests)
 
     def idle(self) -> bool:
-        """Whether nothing is under way: a stopping sidecar may end."""
+        """Whether nothing is in flight, so that a sidecar that is shutting down may exit."""
         upstream = self.upstream
         return not (self.pending_count() or upstream.runs or self.ingress.keys.releases) and upstream.bodies.idle()
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -1,7 +1,7 @@
-"""The ingress side: requests of clients and of the local server are checked, forwarded to a server, and answered.
+"""The ingress side: validates requests from clients and the local server, forwards them to a server, and responds.
 
-Nothing waits here. A request is with a server's sidecar, with the log for its key, or answered: one that nobody can
-take gets its final answer at once, with when to come back.
+Requests are never queued here. Each is forwarded to a server's sidecar, waits for the log to grant its key, or has its
+response: a request that no server can take is rejected at once, with a Retry-After.
 """
 
 from datetime import timedelta
@@ -60,29 +60,28 @@
 from hoistsaddle.sidecar.unanswered_keys import UnansweredKeys
 from hoistsaddle.statemachine.state import ServerRecord
 
-# The time that a request gets whose client names none.
+# The budget of a request whose client sends none.
 DEFAULT_BUDGET = timedelta(seconds=30)
-# Sidecars that reject an attempt cost a hop each: so many are tried, then the client is told to come back.
+# Each sidecar that rejects an attempt costs a hop, so after this many the client is told to retry later.
 MAX_SIDECARS_TRIED = 4
-# A large body crosses the links twice at the most.
+# A large body is sent over a link at most twice.
 MAX_LARGE_BODIES_SENT = 2
-# Refusals for a full queue or link say nothing against the next request: its server isn't left alone for them.
+# Refusals for a full queue or link don't predict the outcome of the next request, so the server isn't avoided for them.
 LOAD_REFUSALS = (ErrorKind.QUEUE_FULL, ErrorKind.LINK_FULL)
-# A sidecar that couldn't be reached is left alone for so long, while there are others; one that rejects, for less.
+# How long a sidecar is avoided, while others are available, after it was unreachable or rejected an attempt.
 UNREACHABLE_AVOIDANCE = timedelta(seconds=1)
 REJECTION_AVOIDANCE = UNREACHABLE_AVOIDANCE / 4
-# Nobody is told to come back sooner.
+# The bounds of Retry-After. A leader change of the core or a full queue takes about a second to clear.
 MIN_RETRY_AFTER = milliseconds(50)
-# Nor later: a second is what a takeover of the core or a queue takes to be over.
 MAX_RETRY_AFTER = timedelta(seconds=1)
-# How much of its bound a retry-after varies, so that clients rejected together don't come back together.
+# Retry-After is a fixed plus a random share of its bound, so that clients rejected together don't retry together.
 FIXED_RETRY_AFTER_SHARE, RANDOM_RETRY_AFTER_SHARE = 0.4, 0.6
-# Statuses from this one on say that a server ran a request and failed.
+# From this status on, the server ran the request and failed.
 SERVER_ERROR_STATUS = 500
 
 
 class IngressCore:
-    """Owns every request that came in at this sidecar, from its arrival to its final answer."""
+    """Owns every request that clients sent to this sidecar, from its arrival to its final response."""
 
     def __init__(
         self,
@@ -94,12 +93,12 @@
         retry_percent: int,
         retry_margin: int,
     ) -> None:
-        """Begin without requests.
+        """Start without requests.
 
         Args:
-            state: of the core that the commands go out from.
-            freshness: whether the configuration may be acted on.
-            service: the service of the local server, as the settings name it.
+            state: the state of the core, which collects the commands.
+            freshness: says whether the configuration may still be used.
+            service: the service of the local server, from the settings.
             key_lifetime: how long a claimed key stays claimed.
             retry_percent: retries per hundred first attempts, over the whole fleet.
             retry_margin: retries beyond that share in ten seconds, over the whole fleet.
@@ -118,27 +117,27 @@
     # -- admission ---------------------------------------------------------------------------------------------------
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Check a request, and forward it or claim its key."""
+        """Validate a request, and forward it or claim its key."""
         now = self._state.now
-        # What lay unread while this process stood still has less left than it says.
+        # The budget counts from when the request was sent; it may have waited unread while this process was frozen.
         deadline = now + (DEFAULT_BUDGET if event.budget is None else event.budget) - event.unread
         if self._state.closing:
-            return self._reject_arrival(event, deadline, ShuttingDown("This proxy is about to end."))
+            return self._reject_arrival(event, deadline, ShuttingDown("This proxy is shutting down."))
         items = self._state.view.items
         if items is None:
             return self._reject_arrival(event, deadline, NoConfiguration("No configuration is in force here yet."))
         if not self._freshness.usable():
-            # A change may be in force everywhere else: nothing is handled as only an older configuration allows.
-            message = "The configuration here has not been confirmed for too long."
-            return self._reject_arrival(event, deadline, LeaseExpired(message, remedy="Come back."))
+            # A newer configuration may be in force elsewhere, and it may not allow what this one does.
+            message = "The configuration here has not been confirmed recently enough."
+            return self._reject_arrival(event, deadline, LeaseExpired(message, remedy="Retry later."))
         path = event.path.partition("?")[0]
         route = items.match_route(host=event.host, path=path)
         if route is None and not self._state.has_lease():
-            # It may have been added since: "not declared" is true of now alone, and this configuration is older.
-            message = "No such entry in a configuration that may have been overtaken."
-            return self._reject_arrival(event, deadline, LeaseExpired(message, remedy="Come back."))
+            # The route may have been added since: a 404 must hold for the current configuration, not for an older one.
+            message = "No matching route in a configuration that may be outdated."
+            return self._reject_arrival(event, deadline, LeaseExpired(message, remedy="Retry later."))
         if route is None:
-            return self._refuse_arrival(event, 404, NoRoute(f"No entry for {event.host} {path[:80]}."))
+            return self._refuse_arrival(event, 404, NoRoute(f"No route for {event.host} {path[:80]}."))
         if event.header_bytes > items.limits.header_bytes:
             return self._refuse_arrival(event, 431, HeadersTooLarge("The headers are over their limit."))
         if len(event.body) > items.limits.body_bytes:
@@ -162,17 +161,17 @@
         return self._state.random.choices([part.service for part in route.parts], weights=weights)[0]
 
     def _reject_arrival(self, event: RequestArrived, deadline: timedelta, error: MeshError) -> None:
-        """Answer a request that was never admitted: it may come back."""
+        """Reject a request that wasn't admitted but may be retried."""
         self._state.out.append(Reply(event.ticket, 503, b"", b"", error, self._retry_after(deadline)))
 
     def _refuse_arrival(self, event: RequestArrived, status: int, error: MeshError) -> None:
-        """Answer a request that can't be admitted however often it comes."""
+        """Reject a request for which a retry is pointless."""
         self._state.out.append(Reply(event.ticket, status, b"", b"", error, None))
 
     # -- forwarding --------------------------------------------------------------------------------------------------
 
     def _place(self, request: PendingRequest) -> None:
-        """Forward the request to the best server's sidecar, or give its final answer."""
+        """Forward the request to the best server's sidecar, or send its final response."""
         if self._state.now >= request.deadline:
             return self._expire(request)
         tried_enough = (
@@ -186,7 +185,7 @@
         return self._forward(request, server)
 
     def _forward(self, request: PendingRequest, server: ServerRecord) -> None:
-        """Forward the request to a server's sidecar; a large body is announced there first."""
+        """Forward the request to a server's sidecar; a large body is announced to it first."""
         state, event, route = self._state, request.event, request.route
         node = state.view.nodes[server.proxy]
         self.servers.attempt_sent(server.proxy)
@@ -221,7 +220,7 @@
         return self._send(request, call)
 
     def body_announcement_answered(self, event: BodyAnnouncementAnswered) -> None:
-        """Send the body that may come now, or take that its attempt is over: nothing of it was sent."""
+        """Send a body that was granted, or end its attempt, of which nothing was sent."""
         decision = self._bodies.answered(event)
         if decision is None:
             return None
@@ -241,7 +240,9 @@
             case BodyUnanswered():
                 self.servers.avoid(request.target, duration=UNREACHABLE_AVOIDANCE)
                 request.excluded.add(request.target)
-                request.last_error = Unreachable(f"{request.target} says nothing.", remedy="Come back.")
+                request.last_error = Unreachable(
+                    f"{request.target} did not answer the announcement.", remedy="Retry later."
+                )
                 return self._place(request)
 
     def _send(self, request: PendingRequest, call: ForwardCall, *, rate: int = 0) -> None:
@@ -254,7 +255,7 @@
     # -- answers -----------------------------------------------------------------------------------------------------
 
     def _attempt_ended(self, number: int) -> PendingRequest | None:
-        """Close an attempt and return its request, if that still waits for this attempt."""
+        """End an attempt and return its request, if the request still waits for this attempt."""
         request = self.requests.end_call(number)
         if request is None or request.call_number != number:
             return None
@@ -263,7 +264,7 @@
         return request
 
     def forward_answered(self, event: ForwardAnswered) -> None:
-        """Take what the target's sidecar answered to an attempt."""
+        """Handle the target sidecar's answer to an attempt."""
         answer = event.answer
         request = self._attempt_ended(event.number)
         if request is None:
@@ -273,40 +274,40 @@
             return self._attempt_rejected(request, ErrorKind(answer.error))
         request.attempts += 1
         if answer.outcome != ANSWERED or answer.attempt_id != request.attempt_id:
-            return self._attempt_uncertain(request, NoResponse("The server gave no whole answer."))
+            return self._attempt_uncertain(request, NoResponse("The server gave no complete answer."))
         if answer.status < SERVER_ERROR_STATUS:
             self.servers.answer_received(request.target, request.route.name, answer)
         elif request.route.kind == IDEMPOTENT:
-            # The server ran it and failed: another may do better, if one more attempt is allowed.
+            # The server ran the request and failed: another server may succeed, if one more attempt is allowed.
             request.server_failure = answer
             request.excluded.add(request.target)
             return self._place(request)
         return self._answer(request, answer)
 
     def forward_failed(self, event: ForwardFailed) -> None:
-        """Take that the connection to the target's sidecar broke."""
+        """Handle a failed connection to the target's sidecar."""
         request = self._attempt_ended(event.number)
         if request is None:
             return self.keys.records.late_failure(event.number)
         self.servers.avoid(request.target, duration=UNREACHABLE_AVOIDANCE)
         if event.unsent:
-            # No connection was made, so nothing can arrive later either.
+            # No connection was made, so nothing can arrive later.
             request.excluded.add(request.target)
-            request.last_error = Unreachable(f"{request.target} takes no connection.", remedy="Come back.")
+            request.last_error = Unreachable(f"{request.target} accepts no connections.", remedy="Retry later.")
             return self._place(request)
         follows = request.route.kind != IDEMPOTENT and request.target_incarnation
         if follows and self._state.now < request.deadline:
-            # It may be running there, or never have arrived: nothing is sent again before its sidecar has said.
+            # The attempt may be running there, or may never have arrived: it isn't retried before its sidecar has said.
             return self._follower.follow(request)
         return self._attempt_unanswered(request)
 
     def followed(self, event: Followed) -> None:
-        """Take what the target's sidecar says became of an attempt whose connection broke."""
+        """Handle the target sidecar's answer about an attempt whose connection broke."""
         answer = event.answer
         request = self.requests.end_call(event.number)
         if request is None or request.call_number != event.number:
             if answer is None or answer.outcome == NOT_RUN:
-                # What the target still knows of it is sure only within the request's time.
+                # The target's "not run" is reliable only until the request's deadline.
                 return self.keys.records.late_failure(event.number)
             return self.keys.records.late_answer(event.number, answer)
         outcome = self._follower.followed(request, event)
@@ -320,11 +321,11 @@
         return self._answer(request, answer)
 
     def _attempt_rejected(self, request: PendingRequest, kind: ErrorKind) -> None:
-        """Nothing ran: another server's sidecar may take it."""
+        """Try another server's sidecar after an attempt that did not run."""
         request.excluded.add(request.target)
         request.last_error = attempt_rejected(kind, proxy=request.target)
         if kind == ErrorKind.SERVER_FULL:
-            # It did arrive at a server, which counts as an attempt though nothing ran.
+            # The attempt reached a server, so it counts although nothing ran.
             request.attempts += 1
         elif kind not in LOAD_REFUSALS:
             self.servers.avoid(request.target, duration=REJECTION_AVOIDANCE)
@@ -336,7 +337,7 @@
         self._attempt_uncertain(request, NoResponse(f"{request.target} gave no answer."))
 
     def _attempt_uncertain(self, request: PendingRequest, error: MeshError) -> None:
-        """It may have run: only an idempotent request is sent again."""
+        """Handle an attempt that may have run: only an idempotent request is retried."""
         request.uncertain = True
         request.last_error = error
         request.excluded.add(request.target)
@@ -345,7 +346,7 @@
         return self._answer_unknown(request)
 
     def key_decided(self, decision: KeyDecision | None) -> None:
-        """Act on what came of a request's key."""
+        """Carry out the decision about a request's key."""
         match decision:
             case KeyGranted(request):
                 self._place(request)
@@ -354,14 +355,14 @@
             case KeyAnswered(request, answer):
                 self._reply(request, answer.status, headers=answer.headers, body=answer.body)
             case KeyBusy(request):
-                busy = KeyInUse("The first request with this key is still working.", remedy="Ask again shortly.")
+                busy = KeyInUse("The first request with this key is still running.", remedy="Retry shortly.")
                 self._reply(request, 409, error=busy, retry_after=self._retry_after(request.deadline))
             case KeyLost(request):
-                # This repeat ran nowhere and never will, which is all that 503 says; of the first it says nothing.
-                lost = KeyOutcomeUnknown("What became of this key's first request is not known; this one did not run.")
-                self._reply(request, 503, error=lost, retry_after=self._retry_after(request.deadline))
+                # 503 says only that this repeat did not and will not run; the first request's outcome stays unknown.
+                unknown = KeyOutcomeUnknown("The outcome of this key's first request is unknown; this one did not run.")
+                self._reply(request, 503, error=unknown, retry_after=self._retry_after(request.deadline))
 
-    # -- final answers -----------------------------------------------------------------------------------------------
+    # -- final responses ---------------------------------------------------------------------------------------------
 
     def _answer(self, request: PendingRequest, answer: ForwardAnswer) -> None:
         if request.claimed:
@@ -373,42 +374,42 @@
             return self._answer(request, request.server_failure)
         if request.uncertain:
             return self._answer_unknown(request)
-        error = request.last_error or NoServer(f"No server of {request.service} takes work.")
+        error = request.last_error or NoServer(f"No server of {request.service} accepts requests.")
         return self._reject(request, error)
 
     def _reject(self, request: PendingRequest, error: MeshError) -> None:
-        """Nothing ran and nothing will: answered at once, with when to come back."""
+        """Respond with a Retry-After to a request that has not run and will not run."""
         if request.uncertain:
             return self._answer_unknown(request)
-        # An attempt that a full server turned away has not run either.
+        # An attempt that a full server rejected counted as sent, but has not run either.
         request.attempts = 0
         self.keys.release_unused(request)
         return self._reply(request, 503, error=error, retry_after=self._retry_after(request.deadline))
 
     def _retry_after(self, deadline: timedelta) -> timedelta:
-        """Return when to come back: within a third of the time left, spread by chance."""
+        """Return a random Retry-After within a third of the remaining time."""
         left = max(ZERO, deadline - self._state.now)
         spread = FIXED_RETRY_AFTER_SHARE + RANDOM_RETRY_AFTER_SHARE * self._state.random.random()
         return max(MIN_RETRY_AFTER, min(left / 3, MAX_RETRY_AFTER) * spread)
 
     def _answer_unknown(self, request: PendingRequest) -> None:
         if request.claimed:
-            under_way = request.call_number if self.requests.has_call(request) else None
+            pending_call = request.call_number if self.requests.has_call(request) else None
             self._unanswered.ended(request)
-            self.keys.records.ended_unanswered(request.claim, call_number=under_way)
+            self.keys.records.ended_unanswered(request.claim, call_number=pending_call)
         status = 504 if self._state.now >= request.deadline else 502
-        self._reply(request, status, error=request.last_error or NoResponse("No answer came within its time."))
+        self._reply(request, status, error=request.last_error or NoResponse("No answer arrived before the deadline."))
 
     def _expire(self, request: PendingRequest) -> None:
-        self._end(request, DeadlineExceeded("Its time ran out before it was sent.", remedy="Give it more time."))
+        self._end(request, DeadlineExceeded("The deadline passed before it was sent.", remedy="Use a larger budget."))
 
     def end_all(self) -> None:
-        """Answer every request, as the process ends: a closed connection would tell its clients nothing."""
+        """Respond to every request before the process exits: a closed connection would tell its client nothing."""
         for request in list(self.requests.requests.values()):
-            self._end(request, ShuttingDown("This sidecar ends now."))
+            self._end(request, ShuttingDown("This sidecar is exiting."))
 
     def _end(self, request: PendingRequest, unsent: MeshError) -> None:
-        """Give the final answer now, whatever is still under way; `unsent` is why if nothing was sent."""
+        """Send the final response now, whatever is still in flight; `unsent` is its error if nothing was sent."""
         if request.attempt_state.may_have_run():
             request.uncertain = True
         if request.uncertain or request.server_failure is not None:
@@ -439,7 +440,7 @@
     # -- other events ------------------------------------------------------------------------------------------------
 
     def client_disconnected(self, ticket: int) -> None:
-        """Give up what nobody waits for, except work under a key and what may not be repeated."""
+        """Abandon the client's request, unless it has a key or a non-idempotent attempt may already have run."""
         request = self.requests.get(ticket)
         if request is None or request.claim:
             return
@@ -450,7 +451,7 @@
         self._forget(request)
 
     def tick(self) -> None:
-        """Give the final answers that are due, and retry what got no answer."""
+        """Respond to requests that are past a deadline, and retry calls that got no answer."""
         for request in self.requests.expired(self._state.now):
             self._expire(request)
         for refused in self.keys.overdue():
