--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -1,7 +1,7 @@
-"""Idempotency keys of a sidecar's requests: each is claimed in the log, and the claim's outcome stays with its sidecar.
+"""Idempotency keys of a sidecar's requests: each key is claimed in the log, the sidecar keeps the claim's outcome.
 
-The log knows which sidecar claimed a key; only that sidecar knows what came of it (claim_records.py). A repeat that
-meets a claimed key asks there.
+The log records which sidecar claimed a key; only that sidecar knows the outcome (claim_records.py). A repeated request
+whose key is already claimed queries that sidecar.
 """
 
 from datetime import timedelta
@@ -22,17 +22,17 @@
 from hoistsaddle.statemachine.idempotency import hold_handle
 from hoistsaddle.statemachine.state import GONE
 
-# How much of its latency target a request waits for its key.
+# The share of its latency target for which a request waits for its key.
 KEY_WAIT_SHARE = 0.22
-# Hex digits of a key's digest: 96 bits tell keys apart, and the log holds hundreds of them a second.
+# Hex digits of a key's digest: 96 bits are enough to distinguish keys, and the log takes hundreds of them a second.
 SCOPE_LENGTH = 24
-# For how long the release of a key is submitted to the log again and again.
+# For how long the release of a key is retried.
 RELEASE_TIMEOUT = timedelta(seconds=10)
-# Not urgent: until the release is in the log, a repeat that meets the key is told here that it is free.
+# Not urgent: until the release is in the log, this sidecar answers queries about the key that it is free.
 RELEASE_RETRY_INTERVAL = timedelta(seconds=1)
-# A claim that got no answer is submitted again this soon, for as long as waiting costs the client little.
+# How soon an unanswered claim is retried, until the key deadline of the request.
 CLAIM_RETRY_INTERVAL = milliseconds(40)
-# The log's answer to a claim that holds the key from now on.
+# The phase in the log's answer when it grants the claim.
 GRANTED_PHASE = "granted"
 
 
@@ -43,14 +43,14 @@
 
 
 class KeyRefused(NamedTuple):
-    """The key can't be claimed: nothing ran under it."""
+    """The key can't be claimed; this request has not run."""
 
     request: PendingRequest
     error: MeshError
 
 
 class KeyAnswered(NamedTuple):
-    """The first request with this key has its answer, and the repeat gets the same one."""
+    """The first request with this key has an answer, and the repeat gets the same one."""
 
     request: PendingRequest
     answer: ClaimQueryAnswer
@@ -63,7 +63,7 @@
 
 
 class KeyLost(NamedTuple):
-    """Nobody knows what became of the first request with this key."""
+    """The outcome of the first request with this key is unknown."""
 
     request: PendingRequest
 
@@ -72,24 +72,24 @@
 
 
 class KeyClaims:
-    """Claims keys for pending requests, keeps the claims' outcomes, and gives back what nothing ran under."""
+    """Claims keys for pending requests, keeps the claims' outcomes, and releases keys under which nothing ran."""
 
     def __init__(self, *, state: CoreState, requests: RequestTable, key_lifetime: timedelta) -> None:
-        """Begin without claims.
+        """Start without claims.
 
         Args:
-            state: of the core that the commands go out from.
+            state: the state of the core, which collects the commands.
             requests: the pending requests, shared with the ingress core.
-            key_lifetime: how long a claimed key stays claimed, and its outcome known here.
+            key_lifetime: how long a claimed key stays claimed and its outcome is kept here.
         """
         self._state = state
         self._requests = requests
         self.key_lifetime = key_lifetime
-        # Claims submitted to the log by the call's number, and queries to the claim's sidecar to the request's ticket.
+        # Claims submitted to the log, by call number, and the request tickets of queries to claim holders, likewise.
         self.submitted: dict[int, ClaimKey] = {}
         self._queries: dict[int, int] = {}
         self._claim_retries: list[tuple[timedelta, int]] = []
-        # Claims of pending requests that got no answer, though the log may have taken them.
+        # Unanswered claims of pending requests that the log may have accepted.
         self._maybe_accepted: set[str] = set()
         self.releases = HoldReleases(state=state, retry_interval=RELEASE_RETRY_INTERVAL, timeout=RELEASE_TIMEOUT)
         self.records = ClaimRecords(state=state)
@@ -97,16 +97,16 @@
     # -- claiming ----------------------------------------------------------------------------------------------------
 
     def claim(self, request: PendingRequest) -> None:
-        """Submit a claim of the request's key to the log. Submitted again under the same claim, it is still one."""
+        """Submit a claim of the request's key to the log; submitting the same claim again is idempotent."""
         if not request.claim:
-            # One operation is known by its key alone, whichever sidecar it reaches and whatever else it carries.
+            # The key alone identifies the operation, whichever sidecar receives it and whatever else it carries.
             request.scope = digest_of_parts("operation", request.event.key)[:SCOPE_LENGTH]
             settings = self._state.settings
             request.claim = f"{settings.name}.{settings.incarnation}.{self._state.next_number()}"
         number = self._state.next_number()
         self._requests.begin_call(request, number)
         command = self.submitted[number] = self._claim_command(request)
-        # A claim that replaces another's is at the end of a way that took longer than a key is waited for.
+        # Replacing another claim takes several calls, which may take longer than the wait for a key.
         deadline = None if request.queried_claim else _key_deadline(request)
         self._state.out.append(SubmitHold(number, command, deadline))
 
@@ -125,14 +125,14 @@
         )
 
     def is_claim(self, number: int) -> bool:
-        """Whether this call is a claim that the log hasn't answered."""
+        """Whether this call is a claim that the log hasn't answered yet."""
         return number in self.submitted
 
     def hold_answered(self, event: HoldAnswered) -> KeyDecision | None:
-        """Take the log's answer to a claim or a release, or that there is none.
+        """Handle the log's answer to a claim or a release, or the lack of one.
 
         Returns:
-            What is decided about a request now, if anything.
+            The decision about a request, if any.
         """
         number, outcome = event.number, event.outcome
         if self.releases.answered(number, outcome):
@@ -142,10 +142,10 @@
             return None
         request = self._requests.end_call(number)
         if request is None or request.claim != command.claim:
-            self._answered_in_vain(command, event)
+            self._give_back_unused(command, event)
             return None
         if outcome is not None:
-            # Whatever an earlier call of this claim came to, the log has answered it now.
+            # Whatever the outcome of an earlier call of this claim, the log has answered the claim now.
             self._maybe_accepted.discard(request.claim)
         elif event.maybe_accepted:
             self._maybe_accepted.add(request.claim)
@@ -162,15 +162,15 @@
             return KeyGranted(request)
         return self._query_holder(request, proxy=outcome.detail["stall"], claim=outcome.detail["claim"])
 
-    def _answered_in_vain(self, command: ClaimKey, event: HoldAnswered) -> None:
-        """Give back the key of a claim whose request was given up: nothing was sent under it."""
+    def _give_back_unused(self, command: ClaimKey, event: HoldAnswered) -> None:
+        """Release the key of a claim whose request has ended with nothing sent under it."""
         was_unsure = command.claim in self._maybe_accepted
         self._maybe_accepted.discard(command.claim)
         if event.outcome is not None:
             if event.outcome.detail.get("phase") == GRANTED_PHASE:
                 self._release(command)
         elif event.maybe_accepted or was_unsure:
-            # The log didn't answer in time, so it is busy or away: nothing that isn't urgent is submitted now.
+            # The log didn't answer in time, so it is overloaded or unavailable: the release, not urgent, is delayed.
             self.releases.schedule(_release_of(command))
 
     def _claim_unanswered(self, request: PendingRequest) -> KeyDecision | None:
@@ -180,9 +180,9 @@
         return _unavailable(request)
 
     def overdue(self) -> list[KeyRefused]:
-        """Return the requests that have waited for their key as long as they may: their clients had better come back.
+        """Return the requests whose key deadline has passed without an answer; their clients should retry later.
 
-        Such a claim may be in the log for all we know: should it turn up as granted later, it is released then.
+        Such a claim may be in the log; if the log answers later that it was granted, it is released then.
         """
         now = self._state.now
         return [
@@ -192,7 +192,7 @@
         ]
 
     def retry_due(self) -> None:
-        """Submit again the claims and releases that got no answer."""
+        """Retry unanswered claims and releases that are due."""
         retries, self._claim_retries = self._claim_retries, []
         for due, ticket in retries:
             if self._state.now < due:
@@ -201,10 +201,10 @@
                 self.claim(request)
         self.releases.retry_due()
 
-    # -- what became of others' claims -------------------------------------------------------------------------------
+    # -- outcomes of other claims ------------------------------------------------------------------------------------
 
     def _query_holder(self, request: PendingRequest, *, proxy: str, claim: str) -> KeyDecision | None:
-        """Ask the sidecar that claimed the key: only that one knows what became of it."""
+        """Query the sidecar that claimed the key, as only that sidecar knows the claim's outcome."""
         request.queried_claim = claim
         number = self._state.next_number()
         self._queries[number] = request.ticket
@@ -217,10 +217,10 @@
         return None
 
     def query_answered(self, event: ClaimQueryAnswered) -> KeyDecision | None:
-        """Take what the sidecar that claimed the key says of it.
+        """Handle the answer of the sidecar that claimed the key; a key that is free again is claimed.
 
         Returns:
-            What is decided about the request, if anything: a key that is free is claimed in turn.
+            The decision about the request, if any.
         """
         request = self._requests.get(self._queries.pop(event.number, -1))
         if request is None:
@@ -239,23 +239,23 @@
         return KeyLost(request)
 
     def query_arrived(self, event: ClaimQueryArrived) -> None:
-        """Answer another sidecar's question about a claim."""
+        """Answer another sidecar's query about a claim."""
         self._state.out.append(AnswerClaimQuery(event.ticket, self.records.state_of(event.call.claim)))
 
-    # -- the end of a claimed request -------------------------------------------------------------------------------
+    # -- release ----------------------------------------------------------------------------------------------------
 
     def release_unused(self, request: PendingRequest) -> None:
         """Release the request's key, if it claimed one and nothing ran under it."""
         if not request.claim or request.uncertain or request.attempts:
             return
-        # Also a claim that was never answered: should it be in the log, a repeat that meets it may replace it.
+        # This includes a claim that was never answered: if it is in the log, a repeated request may replace it.
         self.records.released(request.claim, lifetime=self.key_lifetime)
         command = self._claim_command(request)
         if request.claimed:
             self._release(command)
         elif not self.is_claim(request.call_number):
-            # Every call about it has ended.
-            self._answered_in_vain(command, HoldAnswered(request.call_number, None, maybe_accepted=False))
+            # No call about the claim is in flight.
+            self._give_back_unused(command, HoldAnswered(request.call_number, None, maybe_accepted=False))
 
     def _release(self, command: ClaimKey) -> None:
         self.releases.submit(_release_of(command))
@@ -266,7 +266,7 @@
 
 
 def _key_deadline(request: PendingRequest) -> timedelta:
-    """Until when a key is waited for: a client told by then loses little by coming back."""
+    """Return until when a request waits for its key: a client that is rejected by then loses little by retrying."""
     return request.arrived + (request.latency_deadline - request.arrived) * KEY_WAIT_SHARE
 
 
--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -1,7 +1,7 @@
-"""The upstream side: what runs on the server beside this sidecar, what is queued for it, and what is rejected at once.
+"""The upstream side: admits, queues and runs requests on the local server, and rejects those it can't finish in time.
 
-Nobody else reaches this server, so this side alone decides how much it works on at a time. Queued work is ordered by
-rank and then by when it is due. Work that can't be done in its time is rejected the moment that is known.
+The local server is reached only through this sidecar, so this side alone limits its concurrency. The queue is ordered
+by rank and then by due time. A request is rejected as soon as it is known that it can't finish before its deadline.
 """
 
 import heapq
@@ -32,17 +32,17 @@
 from hoistsaddle.sidecar.received_attempts import ReceivedAttempts
 from hoistsaddle.statemachine.state import GONE, READY
 
-# What a run over its usual time is taken to need still, as a share of that time.
+# The remaining time assumed for a run that exceeds its expected time, as a share of that time.
 OVERTIME_SHARE = 0.15
-# A queued run is given up this long before its deadline: the answer that it didn't run must reach its client's sidecar
-# before that one has to call it unknown. Two ticks, and a way between two regions.
+# A queued run is rejected this long before its deadline: the answer that it didn't run must reach the client's sidecar
+# before that sidecar has to report an unknown outcome. Two ticks, and a one-way trip between two regions.
 REJECTION_LEAD_TIME = milliseconds(80)
-# A call this old lay somewhere, and is due that much sooner. What a call gains or loses on an ordinary way says little
-# of when it is due: judged by that, many would be rejected on a quiet day that are in time after all.
+# From this age on, a call's age is subtracted from its latency target: it was held up on its way. Below it the age is
+# ordinary network latency; subtracting that would reject many calls on a quiet day that are in time after all.
 OLD_CALL_AGE = milliseconds(400)
-# Share of the drain time after which nothing queued is started on a server that leaves.
+# Share of the drain timeout after which queued runs are no longer started on a server that is shutting down.
 DRAIN_START_SHARE = 0.7
-# Answers with a status from this one on say that the server failed, and nothing of how long its runs take.
+# From this status on, the server failed, and its run time isn't used for the latency estimates.
 SERVER_ERROR_STATUS = 500
 
 
@@ -51,14 +51,14 @@
 
     def __init__(self, *, number: int, ticket: int, call: ForwardCall, now: timedelta) -> None:
         self.number = number
-        # Who is to be answered: the call, and senders that asked what became of it.
+        # The tickets to answer: the call's own, and those of follow calls about this attempt.
         self.tickets = [ticket]
         self.call = call
         self.deadline = now + call.budget
 
 
 class _Queued(NamedTuple):
-    """A run's place in the queue: the least is started first."""
+    """A run's entry in the queue; the smallest entry is started first."""
 
     rank: int
     due: timedelta
@@ -67,30 +67,30 @@
 
 
 class UpstreamCore:
-    """Owns what was forwarded to the local server: admission, queue, runs, and what became of each attempt."""
+    """Owns the attempts forwarded to the local server: admission, queue, runs, and the outcome of each."""
 
     def __init__(self, *, state: CoreState, drain_timeout: timedelta, link: LinkSchedule) -> None:
-        """Begin without work.
+        """Start with no runs.
 
         Args:
-            state: of the core that the commands go out from.
-            drain_timeout: how long a server that leaves still gets work that was queued before.
-            link: of this machine.
+            state: the state of the core, which collects the commands.
+            drain_timeout: how long queued runs are still started on a server that is shutting down.
+            link: the schedule of this machine's link.
         """
         self._state = state
         self.drain_timeout = drain_timeout
-        # How many requests the server works on at a time, and since when it takes no new ones.
+        # How many requests the server runs concurrently, and since when it accepts no new ones.
         self._capacity = 1
         self._draining_since: timedelta | None = None
-        # Every run by its number, those on the server with when they were started, and those queued.
+        # All runs by number, the start times of those on the server, and the queue of the others.
         self.runs: dict[int, _Run] = {}
         self._running: dict[int, timedelta] = {}
         self._queue: list[_Queued] = []
         self._by_attempt: dict[str, _Run] = {}
         self.latencies = LatencyEstimates()
-        # Attempts that may not be repeated.
+        # Attempts that must not run twice.
         self._received = ReceivedAttempts()
-        # Large bodies that wait for this machine's link.
+        # Large bodies that wait for a slot on this machine's link.
         self.bodies = BodyAdmission(
             state=state,
             link=link,
@@ -102,7 +102,7 @@
     # -- the local server --------------------------------------------------------------------------------------------
 
     def health_reported(self, event: HealthReported) -> None:
-        """Take what the server says of itself, unless a later word of it was heard already."""
+        """Handle a health report of the local server, unless a newer one has been handled already."""
         state = self._state
         if not state.takes_report(event.instance, state=event.state, sequence=event.sequence):
             return
@@ -124,11 +124,11 @@
                 sequence=event.sequence,
             )
             state.report_health()
-        # There may be more capacity now, or what is queued may wait for a server that has ended.
+        # The capacity may have grown, or queued runs may belong to an instance that has ended.
         self._review_queue()
 
     def signed_off(self, instance: str) -> None:
-        """Take that an instance of the server ends: nothing new is started on it."""
+        """Handle the shutdown of a server instance: no new runs are started on it."""
         state = self._state
         state.reports.sign_off(instance)
         if state.server is None or state.server.instance != instance or state.server.state == GONE:
@@ -139,9 +139,10 @@
         self._review_queue()
 
     def assume_server(self, server: LocalServer) -> None:
-        """After a restart, take the server that the log names here until its next report. A wrong one runs nothing.
+        """After a restart, use the server that the log records here until its next health report.
 
-        One that has signed off since is told to the log as gone.
+        If that record is outdated, no run reaches a wrong server. An instance that has signed off since is reported to
+        the log as gone.
         """
         state = self._state
         if state.server is not None:
@@ -156,16 +157,16 @@
     # -- admission ---------------------------------------------------------------------------------------------------
 
     def forward_arrived(self, event: ForwardArrived) -> None:
-        """Start, queue or reject a call of another sidecar."""
+        """Start, queue or reject an attempt that another sidecar forwards."""
         state = self._state
         call = self.without_age(event)
-        # Its sender may ask for it until its own deadline, however old the call is taken to be here.
+        # The sender may ask about the attempt until its own deadline, which the age of the call doesn't shorten.
         deadline = state.now + event.call.budget
         if not call.repeatable and not self._received.receive(call.attempt_id, deadline=deadline, now=state.now):
-            # It arrived before, or its sender was told that it never did: it doesn't run again, and is only asked for.
+            # It arrived before, or its sender was told that it never arrived: it doesn't run, only its outcome is sent.
             follow = FollowCall(call.attempt_id, state.settings.incarnation, call.budget)
             return self.follow_arrived(FollowArrived(event.ticket, follow))
-        # What was granted the link was admitted before it was sent.
+        # A body that was granted the link was admitted before it was sent.
         granted = self.bodies.arrived(call.attempt_id)
         admission = self._check_server(call) if granted else self._admit(call)
         own = call.attempt_id.startswith(f"{state.settings.name}.")
@@ -182,7 +183,7 @@
         return None
 
     def without_age(self, event: ForwardArrived) -> ForwardCall:
-        """Return the call with what is really left of its time: its bytes may have waited in a socket."""
+        """Return the call with its remaining budget: its bytes may have waited in a socket buffer."""
         call, age = event.call, event.age
         if not age:
             return call
@@ -190,7 +191,7 @@
         return call._replace(budget=call.budget - age, latency_target=target)
 
     def _check_server(self, call: ForwardCall | AnnounceBodyCall) -> LocalServer | ErrorKind:
-        """Return the server that the call is for, or why it takes none."""
+        """Return the server that the call is for, or why the server can't accept it."""
         state = self._state
         if call.budget <= ZERO:
             return ErrorKind.BUDGET_SPENT
@@ -206,31 +207,31 @@
         return server if len(self._queue) < state.settings.backlog else ErrorKind.QUEUE_FULL
 
     def _admit(self, call: ForwardCall) -> LocalServer | ErrorKind:
-        """Return the server that takes the call, or why none does."""
+        """Return the server that the call is admitted to, or why it is rejected."""
         state = self._state
         server = self._check_server(call)
         if isinstance(server, ErrorKind):
             return server
-        # A slow server whose queue is always empty stands idle between two arrivals, so short waits refuse nobody.
+        # Short waits are always admitted: a slow server whose queue is kept empty would be idle between arrivals.
         wait = self.wait_for(rank=call.rank, due=state.now + call.latency_target)
-        # Whoever comes back later finds the queue shorter; whoever waits past the target keeps others from theirs.
+        # A client that retries later finds a shorter queue; a request queued past its target delays others past theirs.
         long_wait = wait > self.latencies.expected(call) * SHORT_WAIT_SHARE
         if long_wait and wait + self.latencies.safe(call) > self.latencies.admission_limit(call):
             return ErrorKind.QUEUE_FULL
         return server
 
     def wait_for(self, *, rank: int, due: timedelta) -> timedelta:
-        """Return how long until a request of this rank and due time would start, if it came now."""
+        """Return how long a request of this rank and due time would wait for its start if it arrived now."""
         slots = [ZERO] * max(0, self._capacity - len(self._running))
         for number, started in self._running.items():
             expected = self.latencies.expected(self.runs[number].call)
-            # A run over its usual time is taken to need some more of it.
+            # A run that exceeds its expected time is assumed to need a little more.
             slots.append(max(expected - (self._state.now - started), expected * OVERTIME_SHARE))
         heapq.heapify(slots)
         for queued in sorted(self._queue):
             if (queued.rank, queued.due) > (rank, due):
                 break
-            # What stands before it takes the slots as they come free.
+            # Runs queued before it take the slots as they become free.
             heapq.heapreplace(slots, slots[0] + self.latencies.expected(self.runs[queued.number].call))
         return slots[0]
 
@@ -241,14 +242,14 @@
     # -- answers to other sidecars -----------------------------------------------------------------------------------
 
     def follow_arrived(self, event: FollowArrived) -> None:
-        """Answer what became of an attempt, as soon as that is known."""
+        """Answer a follow call with the outcome of its attempt, as soon as that is known."""
         call = event.call
         if (run := self._by_attempt.get(call.attempt_id)) is not None:
             run.tickets.append(event.ticket)
             return
         answer = self._received.answer_of(call.attempt_id)
         if answer is None:
-            # Another incarnation of this sidecar can't know what the one it was sent to did.
+            # An attempt that was sent to an earlier incarnation of this sidecar has an unknown outcome here.
             same_incarnation = call.incarnation == self._state.settings.incarnation
             if same_incarnation and self._received.bar(call.attempt_id, now=self._state.now):
                 answer = self._without_run(call.attempt_id, NOT_RUN, ErrorKind.UNREACHABLE)
@@ -257,7 +258,7 @@
         self._state.out.append(AnswerForward(event.ticket, answer))
 
     def abandon_arrived(self, event: AbandonArrived) -> None:
-        """Drop what waits for a client that has left, cancel what runs for it, and start the next."""
+        """Drop an attempt whose client has disconnected: dequeue or cancel its run, and start the next one."""
         if self.bodies.abandon(event.call.attempt_id):
             self._state.out.append(AnswerAbandon(event.ticket, AbandonAnswer(True)))
             return None
@@ -276,14 +277,14 @@
         return self._start_next()
 
     def _without_run(self, attempt_id: str, outcome: str, kind: str) -> ForwardAnswer:
-        """Return an answer that holds no server's answer."""
+        """Return an answer to an attempt for which there is no response of the server."""
         return ForwardAnswer(attempt_id, outcome, str(kind), load=self.load(), capacity=self._capacity)
 
     def _reject(self, tickets: Sequence[int], call: ForwardCall, kind: ErrorKind) -> None:
         self._answer(tickets, call, self._without_run(call.attempt_id, NOT_RUN, kind))
 
     def _answer(self, tickets: Sequence[int], call: ForwardCall, answer: ForwardAnswer) -> None:
-        """Answer all who wait for the attempt, and keep the answer for a sender whose connection breaks just now."""
+        """Answer all calls that wait for the attempt, and keep the answer in case the sender's connection breaks."""
         self._by_attempt.pop(call.attempt_id, None)
         if not call.repeatable:
             self._received.answered(answer, now=self._state.now)
@@ -297,10 +298,10 @@
         self._state.out.append(RunOnServer(run.number, server.address, run.call, run.deadline - now))
 
     def _startable(self, run: _Run) -> LocalServer | ErrorKind:
-        """Return the server for a queued run, or why it won't be started any more."""
+        """Return the server for a queued run, or why the run must be rejected."""
         state = self._state
         server = state.server
-        # What was queued for a server that leaves ends before its last moment; what can't be in time, now.
+        # Runs queued for a server that is shutting down are rejected before its drain timeout ends.
         late = (
             self._draining_since is not None
             and state.now - self._draining_since > self.drain_timeout * DRAIN_START_SHARE
@@ -321,7 +322,7 @@
                 self._start(run, server)
 
     def _review_queue(self) -> None:
-        """Reject what can no longer be done now, not when a slot comes free; then start what can be."""
+        """Reject queued runs that can't finish in time without waiting for a free slot; then start what can run."""
         for queued, server in [(queued, self._startable(self.runs[queued.number])) for queued in self._queue]:
             if isinstance(server, ErrorKind):
                 self._queue.remove(queued)
@@ -338,7 +339,7 @@
         run_time = self._state.now - self._running.pop(event.number)
         attempt_id = run.call.attempt_id
         if event.not_run:
-            # A full server's word for "not run" says nothing of how long its runs take.
+            # A "not run" response of a full server says nothing about how long runs take.
             answer = self._without_run(attempt_id, NOT_RUN, ErrorKind.SERVER_FULL)
         else:
             if event.status < SERVER_ERROR_STATUS:
@@ -358,7 +359,7 @@
         self._start_next()
 
     def server_failed(self, event: ServerFailed) -> None:
-        """Pass on that the server gave no answer, and start the next run."""
+        """Report to the sender that the server gave no answer, and start the next run."""
         run = self.runs.pop(event.number, None)
         if run is None:
             return
@@ -372,15 +373,15 @@
             and server.instance == run.call.instance
             and state.server_state() != GONE
         ):
-            # Nobody listens there any more: no need to wait until its health report expires.
+            # The server no longer listens: there is no need to wait until its health report expires.
             state.mark_server_gone()
         outcome = NOT_RUN if event.unsent else UNKNOWN
-        told_kind = ErrorKind.NO_SERVER if kind == ErrorKind.UNREACHABLE else kind
-        self._answer(run.tickets, run.call, self._without_run(run.call.attempt_id, outcome, told_kind))
+        reported_kind = ErrorKind.NO_SERVER if kind == ErrorKind.UNREACHABLE else kind
+        self._answer(run.tickets, run.call, self._without_run(run.call.attempt_id, outcome, reported_kind))
         self._start_next()
 
     def tick(self) -> None:
-        """Notice that the server has fallen silent, and reject what can't be done in time any more."""
+        """Expire the server's health report, and reject queued runs that can't finish in time."""
         self._state.expire_server()
         if self._queue:
             self._review_queue()
