--- a/packages/sidecar/src/hoistsaddle/sidecar/claim_records.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/claim_records.py
@@ -1,4 +1,4 @@
-"""What became of a sidecar's own claims: kept for repeats of their keys, which may come to any sidecar."""
+"""The outcomes of a sidecar's own claims, kept for repeated requests with the same key at any sidecar."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -7,7 +7,7 @@
 from hoistsaddle.proxy.messages import ANSWERED, NOT_RUN
 from hoistsaddle.rpc.messages import ClaimQueryAnswer, ForwardAnswer
 
-# What became of a claim, as sidecars tell each other.
+# The states of a claim in answers to claim queries.
 WORKING = "working"
 KEPT = "kept"
 FREE = "free"
@@ -15,7 +15,7 @@
 
 
 class ClaimRecord:
-    """What became of one claim."""
+    """The outcome of one claim."""
 
     def __init__(self, *, expires: timedelta) -> None:
         self.state = WORKING
@@ -23,19 +23,19 @@
         self.answer: ForwardAnswer | None = None
 
     def current_state(self) -> str:
-        """Return the state that is told: an answer, once there, is the claim's outcome."""
+        """Return the state to report: once there is an answer, it is the claim's outcome."""
         return self.state if self.answer is None else KEPT
 
 
 class ClaimRecords:
-    """The claims that the log granted to this process, or may have granted, from then until their keys expire."""
+    """The claims that the log granted, or may have granted, to this process and whose keys have not expired."""
 
     def __init__(self, *, state: CoreState) -> None:
-        """Begin without claims; `state` is of the core that they belong to."""
+        """Start without claims; `state` is the state of the core."""
         self._state = state
-        # By claim, the oldest first.
+        # Records by claim, the oldest first.
         self._records: OrderedDict[str, ClaimRecord] = OrderedDict()
-        # Calls under way whose requests have their final answer already, to the claims that they run under.
+        # Calls in flight whose requests have ended, by number, and the claims that they belong to.
         self._late_calls: dict[int, str] = {}
 
     def __len__(self) -> int:
@@ -43,11 +43,11 @@
         return len(self._records)
 
     def begin(self, claim: str, *, lifetime: timedelta) -> None:
-        """Note that the log granted a claim: its request is at work from now on."""
+        """Record that the log granted a claim and its request is in progress."""
         self._begin(claim, lifetime=lifetime)
 
     def released(self, claim: str, *, lifetime: timedelta) -> None:
-        """Note that nothing ran under a claim and nothing will: a repeat that meets it may replace it."""
+        """Record that nothing ran or will run under a claim, so a repeated request may replace it."""
         self._begin(claim, lifetime=lifetime).state = FREE
 
     def answered(self, claim: str, answer: ForwardAnswer) -> None:
@@ -56,11 +56,11 @@
             record.answer = answer
 
     def ended_unanswered(self, claim: str, *, call_number: int | None) -> None:
-        """Note that a claimed request ends without an answer.
+        """Record that a claimed request ends without an answer.
 
         Args:
-            claim: of the request.
-            call_number: of the call under way that may still bring the answer; None if there is none.
+            claim: the claim of the request.
+            call_number: the number of the call in flight that may still return the answer; None if there is none.
         """
         record = self._records.get(claim)
         if record is None:
@@ -71,11 +71,11 @@
             self._late_calls[call_number] = claim
 
     def late_calls(self) -> list[int]:
-        """Return the numbers of the calls under way whose ends claims wait for, as their requests are over."""
+        """Return the numbers of the calls in flight whose requests have ended but whose claims await their results."""
         return list(self._late_calls)
 
     def late_answer(self, number: int, answer: ForwardAnswer) -> None:
-        """Take the answer to an attempt whose client has gone: a repeat of its key still wants it."""
+        """Keep the answer to an attempt whose request has ended, for repeated requests with its key."""
         self._count_late_end(number)
         record = self._records.get(self._late_calls.pop(number, ""))
         if record is None:
@@ -83,17 +83,17 @@
         if answer.outcome == ANSWERED:
             record.answer = answer
         else:
-            # Rejected after all: nothing ran under the claim, and no other attempt of it is under way.
+            # If it was rejected, nothing ran under the claim: no other attempt of it is in flight.
             record.state = FREE if answer.outcome == NOT_RUN else UNKNOWN_RUN
 
     def late_failure(self, number: int) -> None:
-        """Note that an attempt whose client has gone brought no answer."""
+        """Record that an attempt whose request has ended got no answer."""
         self._count_late_end(number)
         if (record := self._records.get(self._late_calls.pop(number, ""))) is not None:
             record.state = UNKNOWN_RUN
 
     def state_of(self, claim: str) -> ClaimQueryAnswer:
-        """Return what is known here of a claim: of a former incarnation's, or a forgotten one, nothing."""
+        """Return the outcome of a claim; unknown for one of an earlier incarnation or one that has expired."""
         record = self._records.get(claim)
         if record is None:
             return ClaimQueryAnswer(UNKNOWN_RUN)
--- a/packages/sidecar/src/hoistsaddle/sidecar/retry_allowance.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/retry_allowance.py
@@ -1,32 +1,32 @@
-"""This sidecar's part of the retries that the whole fleet may send to each service."""
+"""This sidecar's share of the fleet-wide retry budget of each service."""
 
 from hoistsaddle.proxy.core_state import CoreState
 from hoistsaddle.proxy.retry_budget import RetryBudget, retry_quota_of
 from hoistsaddle.sidecar.request_table import PendingRequest
 from hoistsaddle.statemachine.view import View
 
-# A quarter of the share is kept back: where a run repeats, the calls it makes count as repeats as well, at services
-# that this side never sees.
+# A quarter of the retry share is held back: when a run is retried, the calls that it makes to other services count as
+# retries there too, which this sidecar can't see.
 USED_SHARE_NUMERATOR, USED_SHARE_DENOMINATOR = 3, 4
-# By how much a lease may outlast its span elsewhere, as clocks run apart.
+# The factor by which a lease may last longer on another machine, because of clock drift.
 CLOCK_TOLERANCE = 1.05
 
 
 class RetryAllowance:
-    """Admits attempts: a request's first always, a retry while this sidecar's part of the budget allows it."""
+    """Admits attempts: first attempts always, retries while this sidecar's share of the budget allows it."""
 
     def __init__(self, *, state: CoreState, percent: int, margin: int) -> None:
-        """Begin with an empty budget.
+        """Start with an empty budget.
 
         Args:
-            state: of the core, whose view says who shares the margin.
+            state: the state of the core; its view lists the sidecars that share the margin.
             percent: retries per hundred first attempts, over the whole fleet.
             margin: retries beyond that share in ten seconds, over the whole fleet.
         """
         self._state = state
         self.set_limits(percent=percent, margin=margin)
         self.budget = RetryBudget(wait=state.settings.lease_span * CLOCK_TOLERANCE)
-        # Service to this sidecar's part of the margin, worked out once for each view.
+        # This sidecar's share of the margin by service, computed once per view.
         self.quotas: dict[str, int] = {}
         self._quotas_of: View | None = None
 
@@ -36,7 +36,7 @@
         self._margin = margin
 
     def admit(self, request: PendingRequest) -> bool:
-        """Whether the request's next attempt may be sent; a retry is paid for by that."""
+        """Whether the request's next attempt may be sent; a retry is charged to the budget."""
         service = request.service
         self._update_quota(service)
         if request.attempts:
--- a/packages/sidecar/src/hoistsaddle/sidecar/server_selection.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_selection.py
@@ -1,4 +1,4 @@
-"""Load balancing: which server's sidecar an attempt goes to, by what this sidecar knows of each server's load."""
+"""Load balancing: chooses the server's sidecar for an attempt from this sidecar's estimates of each server's load."""
 
 from datetime import timedelta
 
@@ -9,22 +9,22 @@
 from hoistsaddle.statemachine.state import GONE, READY, ServerRecord
 from hoistsaddle.statemachine.view import View
 
-# How fast the load that other sidecars brought to a server is taken to be worked off, once it was reported.
+# The reported load from other sidecars is assumed to fall linearly to zero over twice this time.
 LOAD_DECAY = timedelta(seconds=1)
-# What another zone must save to be worth the way, as a share of the request's latency target: something for any
-# request, and more the more bytes would cross. Of all that a mesh spends, bytes between zones are the dearest.
+# The latency that a server in another zone must save to be chosen, as a share of the request's latency target: a fixed
+# share plus one that grows with the bytes that would cross zones, the most expensive traffic of a mesh.
 ZONE_PENALTY_SHARE = 0.1
 ZONE_PENALTY_BYTES = 20000
 MAX_ZONE_PENALTY_SHARE = 1.5
-# How long a route is taken to run that has run nowhere yet.
+# The assumed latency of a route that has not run anywhere yet.
 INITIAL_LATENCY = milliseconds(50)
-# How many requests at a time a server is taken to work on before it has said so.
+# The assumed concurrency of a server before its first report.
 INITIAL_CAPACITY = 4
-# How much longer an answer is expected to take from a server whose capacity is used up.
+# The additional share of its latency that a server is expected to take when its capacity is used up.
 BUSY_PENALTY = 0.25
-# Scores this close count as equal: among them chance decides.
+# Scores within this factor of the best count as equal; one of them is chosen at random.
 NEAR_BEST = 1.05
-# The newest answer's weight in the moving averages of its size and its latency.
+# The weight of the newest answer in the moving averages of size and latency.
 SIZE_WEIGHT = 0.1
 LATENCY_WEIGHT = 0.15
 
@@ -34,56 +34,56 @@
 
 
 def is_large(body: bytes) -> bool:
-    """Whether a body takes a noticeable time of a thin link."""
+    """Whether a body takes a noticeable time on a slow link."""
     return len(body) > LARGE_BODY_BYTES
 
 
 class ServerLoad:
-    """What this sidecar knows of the server beside another one."""
+    """This sidecar's estimate of the load of another sidecar's local server."""
 
     def __init__(self) -> None:
-        # This sidecar's own attempts under way there.
+        # Attempts of this sidecar that are in flight to it.
         self.in_flight = 0
-        # What others had sent there beside them, when it was reported.
+        # Requests of other sidecars there, as of the last report.
         self.from_others = 0.0
         self.reported_at = ZERO
-        # How many requests it works on at a time.
+        # How many requests it runs concurrently.
         self.capacity = INITIAL_CAPACITY
-        # Route to the usual time of a run.
+        # Average run time by route.
         self.latencies: dict[str, timedelta] = {}
         # How long a large body would have waited for its machine's link, and when that was reported.
         self.link_wait = ZERO
         self.link_reported_at = ZERO
-        # Its sidecar couldn't be reached: it is left alone until then, while there are others.
+        # It is avoided until then, while others are available, because its sidecar was unreachable or rejected work.
         self.avoided_until = ZERO
 
     def estimate(self, now: timedelta) -> float:
-        """Return how many requests are there now: what others brought is worked off with time."""
+        """Return the estimated number of requests there now; the reported load from others decays over time."""
         age = (now - self.reported_at) / LOAD_DECAY
         return self.in_flight + self.from_others * max(0.0, 1.0 - age / 2)
 
 
 class ServerSelection:
-    """Picks servers by the time an answer is expected to take, and learns from the answers."""
+    """Picks the server with the lowest expected latency, and learns from answers."""
 
     def __init__(self, *, state: CoreState) -> None:
         self._state = state
         self.loads: dict[str, ServerLoad] = {}
-        # Route to the usual size of its answers.
+        # Average answer size by route.
         self._answer_bytes: dict[str, float] = {}
-        # Service to its available servers, worked out once for each view.
+        # Available servers by service, computed once per view.
         self._servers: dict[str, list[ServerRecord]] = {}
         self._servers_of: View | None = None
 
     def load_of(self, proxy: str) -> ServerLoad:
-        """Return what is known of the server beside this proxy."""
+        """Return the load estimate for the server of this proxy."""
         load = self.loads.get(proxy)
         if load is None:
             load = self.loads[proxy] = ServerLoad()
         return load
 
     def select(self, request: PendingRequest) -> ServerRecord | None:
-        """Return the server whose answer is expected first; None if none is available for the request."""
+        """Return the server with the lowest expected latency; None if none is available for the request."""
         state = self._state
         own_proxy = state.settings.name
         available = [
@@ -97,33 +97,33 @@
             return None
         scored = [(self._score(server, request), server) for server in candidates]
         best = min(score for score, _ in scored)
-        # Among those as good as equal chance decides: all sidecars preferring one server would flood it.
+        # One of the nearly equal servers is chosen at random: if all sidecars preferred one, they would overload it.
         near = [server for score, server in scored if score <= best * NEAR_BEST]
         return near[0] if len(near) == 1 else state.random.choice(near)
 
     def attempt_sent(self, proxy: str) -> None:
-        """Count an attempt under way to this proxy's server."""
+        """Count an attempt in flight to this proxy's server."""
         self.load_of(proxy).in_flight += 1
 
     def attempt_ended(self, proxy: str) -> None:
-        """Count an attempt to this proxy's server as over."""
+        """Count the end of an attempt to this proxy's server."""
         load = self.load_of(proxy)
         load.in_flight = max(0, load.in_flight - 1)
 
     def load_reported(self, proxy: str, answer: ForwardAnswer) -> None:
-        """Take the load that comes with every answer."""
+        """Record the load reported with an answer."""
         load = self.load_of(proxy)
         load.capacity = max(1, answer.capacity)
         load.reported_at = self._state.now
         load.from_others = max(0, answer.load - load.in_flight)
 
     def link_reported(self, proxy: str, wait: timedelta) -> None:
-        """Take how long a large body would wait for this proxy's link."""
+        """Record how long a large body would wait for this proxy's link."""
         load = self.load_of(proxy)
         load.link_wait, load.link_reported_at = wait, self._state.now
 
     def answer_received(self, proxy: str, route: str, answer: ForwardAnswer) -> None:
-        """Learn from a server's answer how long runs of the route take there, and how large its answers are."""
+        """Update the averages of the route's run time on this server and of its answer size."""
         size = len(answer.body)
         usual_size = self._answer_bytes.get(route, float(size))
         self._answer_bytes[route] = usual_size + (size - usual_size) * SIZE_WEIGHT
@@ -134,21 +134,21 @@
         )
 
     def avoid(self, proxy: str, *, duration: timedelta) -> None:
-        """Leave this proxy's server alone for so long, while there are others."""
+        """Avoid this proxy's server for this duration, while others are available."""
         self.load_of(proxy).avoided_until = self._state.now + duration
 
     def forget_removed(self, view: View) -> None:
-        """Drop what is known of servers that the view doesn't list any more."""
+        """Drop the estimates for servers that are no longer in the view."""
         for proxy in [proxy for proxy in self.loads if proxy not in view.servers]:
             del self.loads[proxy]
 
     def _score(self, server: ServerRecord, request: PendingRequest) -> float:
-        """Return seconds until an answer is expected, with what the way to another zone must save."""
+        """Return the expected latency in seconds, plus the penalty for crossing zones."""
         route = request.route.name
         server_load = self.load_of(server.proxy)
         latency = server_load.latencies.get(route)
         if latency is None:
-            # Never tried: as quick as the quickest, so that it is tried soon.
+            # A server that has not run the route is rated like the fastest one, so that it is tried soon.
             known = [each.latencies[route] for each in self.loads.values() if route in each.latencies]
             latency = min(known, default=INITIAL_LATENCY)
         load = server_load.estimate(self._state.now)
--- a/packages/sidecar/src/hoistsaddle/sidecar/unanswered_keys.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/unanswered_keys.py
@@ -1,4 +1,4 @@
-"""Metrics of keyed requests that end without an answer: what was under way for each, and what became of its claim."""
+"""Metrics of keyed requests that end without an answer: the state of each one's attempt and of the claims."""
 
 from collections import Counter
 from datetime import timedelta
@@ -8,9 +8,9 @@
 from hoistsaddle.sidecar.claim_records import WORKING, ClaimRecords
 from hoistsaddle.sidecar.request_table import AttemptState, PendingRequest
 
-# A log line is written at most this often, and only for requests that ended since the last one.
+# An event is recorded at most this often, and only for requests that ended since the last one.
 REPORT_INTERVAL = timedelta(seconds=1)
-# What an attempt's state is called in the counters.
+# The names of the attempt states in the counters.
 NAMES = {
     AttemptState.NONE: "nothing",
     AttemptState.ANNOUNCED: "announced",
@@ -21,32 +21,32 @@
 
 
 class UnansweredKeys:
-    """Counts the claimed requests that end without an answer, and reports them in one line a second."""
+    """Counts the claimed requests that end without an answer, and reports them in at most one event a second."""
 
     def __init__(self, *, state: CoreState, records: ClaimRecords) -> None:
-        """Begin with none.
+        """Start with all counts at zero.
 
         Args:
-            state: of the core that the commands go out from.
+            state: the state of the core, which collects the commands.
             records: the claims of this process.
         """
         self._state = state
         self._records = records
         self._ended: Counter[str] = Counter()
-        # The longest time since a question had ended without an answer, as a request ended.
+        # The longest time between an unanswered follow call and the end of its request.
         self._longest_silence = ZERO
         self._reported_at: timedelta | None = None
 
     def ended(self, request: PendingRequest) -> None:
-        """Note that a claimed request ends without an answer."""
-        what = NAMES[request.attempt_state]
-        self._ended[what] += 1
-        self._state.count(f"keys.unanswered.{what}")
+        """Count a claimed request that ends without an answer."""
+        state_name = NAMES[request.attempt_state]
+        self._ended[state_name] += 1
+        self._state.count(f"keys.unanswered.{state_name}")
         if request.unanswered_at is not None and request.attempt_state is not AttemptState.ASKED:
             self._longest_silence = max(self._longest_silence, self._state.now - request.unanswered_at)
 
     def tick(self) -> None:
-        """Report what ended since the last report, if that is long enough ago."""
+        """Report the requests that ended since the last report, if the interval has passed."""
         now = self._state.now
         if not self._ended or (self._reported_at is not None and now - self._reported_at < REPORT_INTERVAL):
             return
