--- a/packages/sidecar/src/hoistsaddle/sidecar/body_admission.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/body_admission.py
@@ -1,6 +1,6 @@
-"""Large bodies are announced before they are sent: this side says when each may come, or at once that it is refused.
+"""Admission of large bodies: each is announced before it is sent, and granted the link in its turn or refused at once.
 
-Nothing of a body that is refused here has crossed a link.
+No byte of a body that is refused here has been sent.
 """
 
 import heapq
@@ -16,18 +16,18 @@
 from hoistsaddle.sidecar.link_schedule import LinkSchedule
 from hoistsaddle.sidecar.messages import AnswerBodyAnnouncement, BodyAnnounced
 
-# A wait this short, as a share of the run itself, is no reason to refuse anybody.
+# A wait shorter than this share of the expected run time is no reason for a refusal.
 SHORT_WAIT_SHARE = 0.25
-# After so long without a refusal the link counts as free again.
+# After this time without a refusal the link counts as free again.
 CALM = timedelta(seconds=1)
-# Why the server beside this sidecar takes no such call now, if so.
+# Returns the local server if it can accept a call, or why it can't.
 ServerCheck = Callable[[AnnounceBodyCall], LocalServer | ErrorKind]
-# How long a call of this rank and due time would wait for the server if it came now.
+# Returns how long a call of this rank and due time would wait for the local server if it arrived now.
 ServerWait = Callable[[int, timedelta], timedelta]
 
 
 class _Waiting(NamedTuple):
-    """An announced body's place in the queue for the link: the least comes first."""
+    """An announced body's entry in the queue for the link; the smallest entry is granted first."""
 
     rank: int
     due: timedelta
@@ -43,7 +43,7 @@
 
 
 class BodyAdmission:
-    """Owns the bodies that wait for this machine's link."""
+    """Owns the queue of bodies that wait for this machine's link."""
 
     def __init__(
         self,
@@ -54,14 +54,14 @@
         check_server: ServerCheck,
         server_wait: ServerWait,
     ) -> None:
-        """Begin without announced bodies.
+        """Start without announced bodies.
 
         Args:
-            state: of the core that the commands go out from.
-            link: of this machine.
-            latencies: how long runs take on the local server.
-            check_server: says whether the local server takes a call.
-            server_wait: says how long a call would wait for it.
+            state: the state of the core, which collects the commands.
+            link: the schedule of this machine's link.
+            latencies: the latency estimates for the local server.
+            check_server: says whether the local server can accept a call.
+            server_wait: says how long a call would wait for the local server.
         """
         self._state = state
         self.link = link
@@ -69,9 +69,9 @@
         self._check_server = check_server
         self._server_wait = server_wait
         self._queue: list[_Waiting] = []
-        # By the queue's numbers.
+        # The queued bodies by their number.
         self._announced: dict[int, _Announced] = {}
-        # When a body was last refused for the link, while that lasts.
+        # When a body was last refused because the link was full; None while the link counts as free.
         self._refused_at: timedelta | None = None
 
     def announced(self, event: BodyAnnounced) -> None:
@@ -88,14 +88,14 @@
         return self.tick()
 
     def arrived(self, attempt_id: str) -> bool:
-        """Take that a body has come; False if nothing was granted to it."""
+        """Handle the arrival of a body; False if it had no grant."""
         granted = self.link.arrived(attempt_id, now=self._state.now)
         if granted:
             self.tick()
         return granted
 
     def abandon(self, attempt_id: str) -> bool:
-        """Drop a body that isn't sent after all, whether it waits or was granted; False if it is not known."""
+        """Drop a body that won't be sent, whether it is queued or granted; False if it isn't known."""
         waiting = next((each for each in self._announced.items() if each[1].call.attempt_id == attempt_id), None)
         if waiting is None:
             return self.link.cancelled(attempt_id, now=self._state.now)
@@ -107,11 +107,11 @@
         return True
 
     def idle(self) -> bool:
-        """Whether no body waits or is under way."""
+        """Whether no body is queued or in flight."""
         return not self._queue and self.link.idle()
 
     def tick(self) -> None:
-        """Grant the link to the next bodies, and refuse those whose time or server is gone."""
+        """Grant the link to the next bodies, and refuse those that would be late or whose server is unavailable."""
         now = self._state.now
         self.link.expire(now)
         if self._refused_at is not None and now - self._refused_at > CALM:
@@ -140,11 +140,11 @@
         return self.link.duration(octets, now=self._state.now)
 
     def _needed(self, call: AnnounceBodyCall) -> timedelta:
-        """Return what a body's way and its run are expected to take."""
+        """Return the expected time of a body's transfer and its run."""
         return self._duration(call.body_octets) + self._latencies.expected(call)
 
     def _refusal(self, call: AnnounceBodyCall) -> ErrorKind | None:
-        """Return why a body must not be sent, if so."""
+        """Return why a body must not be sent, or None."""
         server = self._check_server(call)
         if isinstance(server, ErrorKind):
             return server
@@ -154,7 +154,7 @@
             return ErrorKind.LINK_FULL
         arrives_in = link_wait + self._duration(call.body_octets)
         server_wait = self._server_wait(call.rank, due)
-        # A body that is long itself is no reason to refuse it; waiting for others is, if it would be late for that.
+        # A body isn't refused for its own long transfer, only if waiting for others would make it late.
         long_wait = max(link_wait, server_wait) > self._latencies.expected(call) * SHORT_WAIT_SHARE
         in_time = max(arrives_in, server_wait) + self._latencies.safe(call) <= self._latencies.admission_limit(call)
         if in_time or not long_wait:
@@ -162,7 +162,7 @@
         return ErrorKind.LINK_FULL if arrives_in >= server_wait else ErrorKind.QUEUE_FULL
 
     def _link_wait(self, *, before: tuple[int, timedelta] | None = None) -> timedelta:
-        """Return how long the link is given away, with the bodies that wait for it before this rank and due time."""
+        """Return how long the link is taken by granted bodies and by those queued before this rank and due time."""
         octets = sum(
             self._announced[waiting.number].call.body_octets
             for waiting in self._queue
@@ -175,7 +175,7 @@
         self._state.out.append(AnswerBodyAnnouncement(ticket, AnnounceBodyAnswer(str(kind), 0, link_wait)))
 
     def _link_refused(self) -> None:
-        """Record that the link begins to be the reason for refusals."""
+        """Record the time of a refusal for a full link, and an event at the first one."""
         if self._refused_at is None:
             self._announce("link full")
         self._refused_at = self._state.now
--- a/packages/sidecar/src/hoistsaddle/sidecar/body_announcements.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/body_announcements.py
@@ -1,6 +1,6 @@
-"""Large bodies on their way out: announced to the target's sidecar, and sent once that one says so.
+"""Outgoing large bodies: each is announced to the target's sidecar, and sent once that sidecar grants it.
 
-Until then nothing of a request has been sent, so whatever ends its attempt is no uncertain end.
+Until then nothing of the request has been sent, so the attempt can't have run however it ends.
 """
 
 from datetime import timedelta
@@ -13,12 +13,12 @@
 from hoistsaddle.sidecar.messages import Abandon, AnnounceBody, BodyAnnouncementAnswered
 from hoistsaddle.sidecar.request_table import AttemptState, PendingRequest, RequestTable
 
-# An announced body is tried elsewhere if nothing is heard within its latency target, or within this if that is shorter.
+# An announcement times out after its latency target, or after this if that is longer, and the body is tried elsewhere.
 MIN_ANNOUNCE_TIMEOUT = milliseconds(400)
 
 
 class BodyGranted(NamedTuple):
-    """The body may be sent now, at most at so many bytes a second. The call's time is that of its last byte."""
+    """The body may be sent now at this rate in bytes a second; the call's budget counts from its last byte."""
 
     request: PendingRequest
     call: ForwardCall
@@ -27,7 +27,7 @@
 
 
 class BodyRefused(NamedTuple):
-    """The target's sidecar takes no such body now."""
+    """The target's sidecar refused the body."""
 
     request: PendingRequest
     kind: ErrorKind
@@ -35,13 +35,13 @@
 
 
 class BodyUnanswered(NamedTuple):
-    """The target's sidecar said nothing."""
+    """The target's sidecar gave no answer."""
 
     request: PendingRequest
 
 
 class BodyTooLate(NamedTuple):
-    """It may be sent, but would be there only after its deadline."""
+    """The body was granted, but would arrive after its deadline."""
 
     request: PendingRequest
 
@@ -50,14 +50,14 @@
 
 
 class BodyAnnouncements:
-    """Announces the bodies of pending requests, and decides what the answers mean for them."""
+    """Announces the bodies of pending requests, and turns the answers into decisions."""
 
     def __init__(self, *, state: CoreState, requests: RequestTable) -> None:
         self._state = state
         self._requests = requests
 
     def announce(self, request: PendingRequest, call: ForwardCall) -> None:
-        """Ask the target's sidecar whether and when the call's body may be sent."""
+        """Announce the call's body to the target's sidecar, which answers when the body may be sent."""
         number = self._state.next_number()
         self._requests.begin_call(request, number)
         request.announced = call
@@ -77,21 +77,21 @@
         self._state.out.append(AnnounceBody(number, request.target_address, announcement, within))
 
     def answered(self, event: BodyAnnouncementAnswered) -> BodyDecision | None:
-        """Take the answer to an announcement; None if nobody waits for it any more."""
+        """Handle the answer to an announcement; None if the request no longer waits for it."""
         request = self._requests.end_call(event.number)
         if request is None or request.call_number != event.number or request.announced is None:
             return None
         call, answer = request.announced, event.answer
         request.announced = None
         if answer is None:
-            self.take_back(request)
+            self.withdraw(request)
             return BodyUnanswered(request)
         if answer.error:
             return BodyRefused(request, ErrorKind(answer.error), answer.link_wait)
         duration = timedelta(seconds=len(call.body) / max(1, answer.rate))
         arrives_at = self._state.now + duration
         if arrives_at >= request.deadline:
-            self.take_back(request)
+            self.withdraw(request)
             return BodyTooLate(request)
         call = call._replace(
             budget=request.deadline - arrives_at,
@@ -99,6 +99,6 @@
         )
         return BodyGranted(request, call, answer.rate, answer.link_wait)
 
-    def take_back(self, request: PendingRequest) -> None:
-        """Tell the target's sidecar that an announced body isn't coming: others may have its place on the link."""
+    def withdraw(self, request: PendingRequest) -> None:
+        """Tell the target's sidecar that an announced body won't be sent, so that others can use the link."""
         self._state.out.append(Abandon(request.target_address, AbandonCall(request.attempt_id)))
--- a/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/ingress.py
@@ -435,7 +435,7 @@
         if request.attempt_state in (AttemptState.SENT, AttemptState.ANNOUNCED):
             self.servers.attempt_ended(request.target)
         if request.attempt_state is AttemptState.ANNOUNCED:
-            self._bodies.take_back(request)
+            self._bodies.withdraw(request)
 
     # -- other events ------------------------------------------------------------------------------------------------
 
