--- a/packages/sidecar/src/hoistsaddle/sidecar/arrivals.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/arrivals.py
@@ -1,7 +1,7 @@
-"""How forwarded calls arrive at a sidecar: their ages, the bytes of their bodies, and how many of these for nothing.
+"""Metrics of forwarded calls as they arrive at a sidecar: ages, body bytes, and body bytes of refused calls.
 
-A call that is old as it is read has waited on a link, here or at its sender. Bytes of a body arrive for nothing when
-the call is then refused, or when its time is over.
+A call that is old when it is read has waited for a link, here or at its sender. The body of a call that is then refused
+was transferred in vain.
 """
 
 from datetime import timedelta
@@ -11,23 +11,23 @@
 from hoistsaddle.proxy.messages import NOT_RUN
 from hoistsaddle.rpc.messages import ForwardAnswer, ForwardCall
 
-# A call that was under way for longer is late.
+# A call older than this on arrival is late.
 LATE_AGE = milliseconds(200)
-# The arrivals of so long are looked at together.
+# The length of the window over which late calls are counted.
 WINDOW = timedelta(seconds=1)
-# From this share of late calls in a window on, calls count as arriving late.
+# Above this share of late calls in a window, calls count as arriving late.
 LATE_SHARE = 0.25
 
 
 class ArrivalRecord:
-    """Counts forwarded calls as they arrive and end, and records when they begin and cease to arrive late."""
+    """Counts forwarded calls as they arrive and end, and records an event when calls start or stop arriving late."""
 
     def __init__(self, *, counters: Counters, now: timedelta) -> None:
-        """Begin with calls that arrive in time.
+        """Start in the state in which calls arrive in time.
 
         Args:
-            counters: of the process.
-            now: the monotonic clock's time.
+            counters: the counters of the process.
+            now: the time of the monotonic clock.
         """
         self._counters = counters
         self._window_began = now
@@ -42,8 +42,8 @@
 
         Args:
             call: the forwarded call.
-            age: how long it was under way.
-            now: the monotonic clock's time.
+            age: how long ago it was sent.
+            now: the time of the monotonic clock.
         """
         self._close_window(now)
         self._calls += 1
@@ -56,7 +56,7 @@
             self._counters.add("forwarded.late")
 
     def answered(self, call: ForwardCall, answer: ForwardAnswer) -> None:
-        """Count a call that was refused, and the bytes that it brought along for nothing."""
+        """Count a call if it was refused, and the body bytes that it transferred in vain."""
         if answer.outcome == NOT_RUN:
             self._counters.add(f"forwarded.refused.{answer.error}")
             self._counters.add("forwarded.refused_body_octets", len(call.body))
--- a/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
@@ -1,7 +1,7 @@
-"""Attempts whose connection broke: the incarnation of the sidecar that they were sent to is asked what became of them.
+"""Follow calls: after a connection broke, the incarnation that an attempt was sent to is asked for its outcome.
 
-What may not be repeated is never sent again on a guess. Only that incarnation can say: the answer, that the attempt
-never arrived and is shut out now, or that nobody knows.
+A request that isn't idempotent is never retried on a guess. Only that incarnation of the target's sidecar knows the
+outcome: an answer, that the attempt never arrived and is barred from now on, or that its outcome is unknown.
 """
 
 from datetime import timedelta
@@ -14,33 +14,33 @@
 from hoistsaddle.sidecar.messages import Follow, Followed
 from hoistsaddle.sidecar.request_table import AttemptState, PendingRequest, RequestTable
 
-# After a question without an answer the next one waits this much longer each time, until the request's deadline.
+# The delay before the next follow call grows by this with each unanswered one, until the request's deadline.
 RETRY_BACKOFF = milliseconds(100)
 
 
 class AttemptOutcome(Enum):
-    """What became of an attempt, as far as the sidecar that it was sent to says."""
+    """The outcome of an attempt, according to the sidecar that it was sent to."""
 
-    # Nobody answered: it is asked again.
+    # The follow call got no answer and is retried.
     PENDING = auto()
-    # It never arrived, and won't be let in any more.
+    # The attempt never arrived and is barred from running later.
     NOT_RUN = auto()
     ANSWERED = auto()
-    # It may have run, and nobody can say any more.
+    # The attempt may have run, and its outcome can't be found out any more.
     UNKNOWN = auto()
 
 
 class AttemptFollower:
-    """Asks sidecars what became of attempts, and again where no answer comes."""
+    """Sends follow calls that ask sidecars for the outcome of attempts, and retries unanswered ones."""
 
     def __init__(self, *, state: CoreState, requests: RequestTable) -> None:
         self._state = state
         self._requests = requests
-        # When to ask again, and after which request.
+        # When to retry, and the ticket of the request.
         self._retries: list[tuple[timedelta, int]] = []
 
     def follow(self, request: PendingRequest) -> None:
-        """Ask what became of the request's newest attempt."""
+        """Ask for the outcome of the request's newest attempt."""
         number = self._state.next_number()
         self._requests.begin_call(request, number)
         request.attempt_state = AttemptState.ASKED
@@ -51,25 +51,25 @@
         self._state.out.append(Follow(number, address, call, left))
 
     def followed(self, request: PendingRequest, event: Followed) -> AttemptOutcome:
-        """Take the answer to a question about the request's newest attempt."""
+        """Handle the answer to a follow call about the request's newest attempt."""
         answer = event.answer
         request.attempt_state = AttemptState.NONE
         if answer is None and event.refused:
-            # Nobody listens there: that incarnation has ended, and what it did isn't known.
+            # The connection was refused: that incarnation has ended, and the outcome is unknown.
             return AttemptOutcome.UNKNOWN
         if answer is None:
             return self._unanswered(request)
         if answer.attempt_id != request.attempt_id:
             return AttemptOutcome.UNKNOWN
         if answer.outcome == NOT_RUN and self._state.now < request.deadline:
-            # What that sidecar still knows of it is sure only within the request's time.
+            # "Not run" is reliable only until the request's deadline.
             return AttemptOutcome.NOT_RUN
         return AttemptOutcome.ANSWERED if answer.outcome == ANSWERED else AttemptOutcome.UNKNOWN
 
     def _unanswered(self, request: PendingRequest) -> AttemptOutcome:
         request.unanswered_at = self._state.now
         if self._state.now >= request.deadline:
-            # There is no time for another question, and none is under way that could still say.
+            # There is no time for another follow call, and none is in flight that could return the outcome.
             return AttemptOutcome.UNKNOWN
         request.attempt_state = AttemptState.BETWEEN_QUESTIONS
         request.follow_ups += 1
@@ -77,7 +77,7 @@
         return AttemptOutcome.PENDING
 
     def retry_due(self) -> None:
-        """Ask again what is due."""
+        """Retry the follow calls that are due."""
         retries, self._retries = self._retries, []
         for due, ticket in retries:
             if self._state.now < due:
--- a/packages/sidecar/src/hoistsaddle/sidecar/core_prober.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/core_prober.py
@@ -1,8 +1,8 @@
-"""Looks for evidence that the core is away, once the configuration has not been confirmed for a while.
+"""Probes whether the core is unavailable, once the configuration has not been confirmed for a while.
 
-All core machines are asked at once, and a few other sidecars: if these answer and those don't, this sidecar's own link
-is sound and the core is away. If nobody answers, nothing is known. A core machine that answers is polled: it confirms
-the configuration, or has no majority itself.
+All core machines and a few other sidecars, the witnesses, are probed at once. If a witness answers and no core machine
+does, this sidecar's own link works and the core is unavailable. If none answers, nothing is known. A core machine that
+answers is polled: it confirms the configuration, or reports that it has no majority itself.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 from hoistsaddle.statemachine.state import GONE
 
 CHECK_INTERVAL = milliseconds(100)
-# Shares of the configuration's greatest age: when to begin to ask, how long to wait for answers, and how long to wait
-# at the least and at the most before asking again.
+# Shares of the configuration's maximum age: when probing starts, the probe timeout, and the shortest and longest pause
+# between probes.
 ASK_SHARE = 0.5
 TIMEOUT_SHARE = 0.2
 MIN_PAUSE_SHARE, MAX_PAUSE_SHARE = 0.1, 0.5
-# Other sidecars that are asked: one of them may be away too.
+# How many other sidecars are probed; more than one, as one may be down too.
 WITNESSES = 2
 
 
@@ -41,13 +41,13 @@
         freshness: ConfigurationFreshness,
         poll: Callable[[str], Awaitable[object]],
     ) -> None:
-        """Begin without asking anybody.
+        """Start without probing.
 
         Args:
-            runtime: clock, chance and connections.
-            counters: what operators read.
-            core: whose view names the machines.
-            freshness: takes the evidence.
+            runtime: provides the clock, random numbers and connections.
+            counters: the counters of the process.
+            core: the state of the core; its view lists the machines.
+            freshness: records the evidence.
             poll: polls the core machine at an address for the configuration.
         """
         self._runtime = runtime
@@ -55,11 +55,11 @@
         self._core = core
         self._freshness = freshness
         self._poll = poll
-        # The core machine that said something of the configuration last.
-        self._informant = ""
+        # The address of the core machine that last answered about the configuration.
+        self._responsive_core = ""
 
     async def run(self) -> None:
-        """Ask whenever it is due, for as long as the process runs."""
+        """Probe whenever it is due, until the process exits."""
         pause = MIN_PAUSE_SHARE
         while True:
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
@@ -71,29 +71,31 @@
             pause = min(pause * 2, MAX_PAUSE_SHARE)
 
     async def look_for_evidence(self) -> None:
-        """Ask whoever knew something last, and if that brings nothing, everybody at once."""
-        if self._informant and await self._ask_about_configuration(self._informant):
+        """Ask the core machine that answered last, and if that gives no evidence, probe all at once."""
+        if self._responsive_core and await self._ask_about_configuration(self._responsive_core):
             return
-        self._informant = await self._find_informant()
-        if self._informant:
-            await self._ask_about_configuration(self._informant)
+        self._responsive_core = await self._find_responsive_core()
+        if self._responsive_core:
+            await self._ask_about_configuration(self._responsive_core)
 
     async def _ask_about_configuration(self, address: str) -> bool:
-        """Poll a core machine; return whether it confirmed the configuration, or that the core is away."""
+        """Poll a core machine; return whether it confirmed the configuration or that the core is unavailable."""
         before = self._freshness.current_as_of()
         await self._poll(address)
         return self._freshness.current_as_of() != before
 
-    async def _find_informant(self) -> str:
-        """Probe all core machines and some witnesses; return a core machine that is there, if one answers."""
+    async def _find_responsive_core(self) -> str:
+        """Probe all core machines and some witnesses; return the address of a core machine that answered, or ""."""
         asked_at = self._runtime.now()
         witnesses = self._witnesses()
-        present, heard = await asyncio.gather(self._answering(self._addresses("bourse")), self._answering(witnesses))
+        core_answers, witness_answers = await asyncio.gather(
+            self._answering(self._addresses("bourse")), self._answering(witnesses)
+        )
         self._counters.add("core_probes")
-        if present:
-            # Whatever delays its configuration is no reason to act on an older one.
-            return self._runtime.random.choice(present)
-        if witnesses and not heard:
+        if core_answers:
+            # The core is available, so a newer configuration may be in force, whatever delays it here.
+            return self._runtime.random.choice(core_answers)
+        if witnesses and not witness_answers:
             self._counters.add("core_probes.unanswered")
             return ""
         self._counters.add("core_probes.core_absent")
@@ -110,7 +112,7 @@
         return self._runtime.random.sample(proxies, min(WITNESSES, len(proxies)))
 
     async def _answering(self, addresses: list[str]) -> list[str]:
-        """Probe these addresses at once; return those that answer in time."""
+        """Probe all these addresses at once; return those that answer in time."""
         call = ProbeCall(self._core.settings.name, ())
         within = self._freshness.max_age * TIMEOUT_SHARE
         answers = await asyncio.gather(
--- a/packages/sidecar/src/hoistsaddle/sidecar/received_attempts.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/received_attempts.py
@@ -1,8 +1,8 @@
-"""What became of the attempts that reached this sidecar and may not be repeated: their senders may ask once more.
+"""The outcomes of non-idempotent attempts that reached this sidecar, kept for follow calls of their senders.
 
-A sidecar whose connection broke doesn't know whether its attempt arrived. Asked by the attempt's id, this incarnation
-knows: the attempt waits or runs here, was answered, or never arrived. One that never arrived is barred by the
-question, so that bytes of it that still lie in an old connection's socket can't run later.
+A sidecar whose connection broke doesn't know whether its attempt arrived. This incarnation knows by the attempt's id
+whether it is queued or running here, was answered, or never arrived. A follow call about an attempt that never arrived
+bars it, so that its bytes, which may still be in the socket buffer of an old connection, can't run later.
 """
 
 from collections import OrderedDict
@@ -10,35 +10,35 @@
 
 from hoistsaddle.rpc.messages import ForwardAnswer
 
-# Answers are kept this long for a sender that didn't get them: a new connection and a way there and back.
+# Answers are kept this long for a sender that didn't receive them: time for a new connection and a round trip.
 ANSWER_RETENTION = timedelta(seconds=2)
-# And so many bytes of them at the most: a sender that asks for a lost one is told that the outcome isn't known.
+# The most bytes of kept answers. The outcome of an attempt whose answer was dropped is reported as unknown.
 MAX_ANSWER_BYTES = 2_000_000
-# Received attempts are known past their deadline by this much. A sender believes "never arrived" only until then.
+# Received attempts are remembered this long past their deadline; senders rely on "never arrived" up to the deadline.
 ATTEMPT_RETENTION = timedelta(seconds=2)
-# Attempts stay barred for longer than a kernel goes on sending what a closed connection left behind.
+# Attempts stay barred for longer than a kernel keeps retransmitting the data of a closed connection.
 BARRED_RETENTION = timedelta(minutes=5)
-# The most attempts that are remembered of each kind.
+# The most attempts that are remembered as received, and likewise as barred.
 MAX_ATTEMPTS = 20000
 
 
 class ReceivedAttempts:
-    """Ids of the attempts that arrived here, of those that are barred, and the newest answers."""
+    """Ids of received attempts and of barred ones, and the newest answers."""
 
     def __init__(self) -> None:
-        # Id to when it may be forgotten.
+        # When each id may be forgotten.
         self.attempts: OrderedDict[str, timedelta] = OrderedDict()
         self.barred: OrderedDict[str, timedelta] = OrderedDict()
         self.answers: OrderedDict[str, tuple[timedelta, ForwardAnswer]] = OrderedDict()
         self.answer_bytes = 0
-        # Until then some attempts that arrived are not known any more.
+        # Until then the record is incomplete: received attempts were forgotten early, for lack of space.
         self.incomplete_until = timedelta()
 
     def receive(self, attempt_id: str, *, deadline: timedelta, now: timedelta) -> bool:
-        """Note an attempt that arrived.
+        """Record the arrival of an attempt.
 
         Returns:
-            False for one that arrived before or is barred: it must not run.
+            False if it arrived before or is barred, so that it must not run.
         """
         if attempt_id in self.attempts or attempt_id in self.barred:
             return False
@@ -50,22 +50,22 @@
         return True
 
     def bar(self, attempt_id: str, *, now: timedelta) -> bool:
-        """Keep an attempt that never arrived from running later.
+        """Bar an attempt that never arrived from running later.
 
         Returns:
-            Whether it surely never arrived and never will be let in; False where that isn't known.
+            True if it certainly never arrived and won't be admitted; False if that isn't certain.
         """
         if attempt_id in self.barred:
             return True
         _forget_expired(self.barred, now)
-        # What was promised is never forgotten before its time: with no room for it, no promise.
+        # Barred attempts are never forgotten early, so with a full table no more can be barred.
         if attempt_id in self.attempts or now < self.incomplete_until or len(self.barred) >= MAX_ATTEMPTS:
             return False
         self.barred[attempt_id] = now + BARRED_RETENTION
         return True
 
     def answered(self, answer: ForwardAnswer, *, now: timedelta) -> None:
-        """Keep the answer to an attempt for a while."""
+        """Keep the answer to an attempt, within the retention time and size."""
         self.answer_bytes += len(answer.body)
         self.answers[answer.attempt_id] = (now + ANSWER_RETENTION, answer)
         while self.answers:
@@ -82,6 +82,6 @@
 
 
 def _forget_expired(attempts: OrderedDict[str, timedelta], now: timedelta) -> None:
-    # Deadlines differ little from one to the next: what has expired waits for what came before it, no longer.
+    # In order of insertion: budgets differ little, so an expired entry is kept only a little longer by those before it.
     while attempts and next(iter(attempts.values())) <= now:
         attempts.popitem(last=False)
