--- a/packages/sidecar/src/hoistsaddle/sidecar/listener.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP listener for clients of a sidecar: any method, any bytes, complete requests in and complete answers out."""
+"""The HTTP listener for a sidecar's clients: any method and body, complete requests in and complete responses out."""
 
 import asyncio
 import re
@@ -20,11 +20,11 @@
 from hoistsaddle.sidecar.node import SidecarNode
 
 LARGEST_HEADER = 262144
-# What a body may have before there is a configuration.
+# The limit on a request body, in bytes, before there is a configuration.
 UNCONFIGURED_BODY = 1024 * 1024
 UNAVAILABLE, TOO_LARGE = 503, 413
-# Bodies that were under way have gone on or been given up by then, mostly.
-ROOM_RETRY_AFTER = milliseconds(500)
+# Most bodies in progress have been forwarded or given up by then.
+BUDGET_RETRY_AFTER = milliseconds(500)
 # How a request target in absolute form begins (RFC 9112, 3.2.2).
 ABSOLUTE_FORM = "http://"
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -39,14 +39,17 @@
     budget: ByteBudget | None = None,
     limits: Callable[[], HttpLimits] = HttpLimits,
 ) -> web.ServerRunner:
-    """Listen for plain HTTP; the runner closes it.
+    """Listen for plain HTTP.
 
     Args:
-        address: IP number and port.
-        handler: answers each request.
-        idle: how long a kept connection may stand unused.
-        budget: of the process; without one only single heads are bounded.
-        limits: on clients, those in force now.
+        address: IP address and port.
+        handler: responds to each request.
+        idle: how long a keep-alive connection may be idle.
+        budget: the byte budget of the process; without one only the size of each head is limited.
+        limits: returns the limits on clients that are in force now.
+
+    Returns:
+        The runner that closes the listener.
     """
     server = GuardedServer(
         handler,
@@ -57,12 +60,12 @@
         max_field_size=LARGEST_HEADER,
         keepalive_timeout=idle.total_seconds(),
         lingering_time=0.5,
-        # Bodies go on byte for byte, whatever coding they are in: their headers go on too.
+        # Bodies are forwarded unchanged, whatever their content coding, together with their headers.
         auto_decompress=False,
-        # A client that leaves ends its handler: what it asked for is given up where that is allowed.
+        # The handler is cancelled when its client disconnects, so that the request is abandoned where that is allowed.
         handler_cancellation=True,
     )
-    # What still runs when a listener closes had its time before: closing itself is quick.
+    # Requests that still run when a listener closes have had their grace period, so the close itself is quick.
     runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=0.2)
     await runner.setup()
     await listen_once_free(lambda: _open_site(runner, address), address=address)
@@ -75,40 +78,40 @@
     try:
         await site.start()
     except OSError:
-        # It is the runner's already, which would close it at its end.
+        # The site is registered with the runner already, which would stop it again at its cleanup.
         await site.stop()
         raise
 
 
 class IngressHandler:
-    """Turns HTTP requests of clients into events of the sidecar's core, and its replies into responses."""
+    """Converts client requests to events of the sidecar's core, and the core's replies to HTTP responses."""
 
     def __init__(self, *, node: SidecarNode, header_names: HeaderNames) -> None:
         self.node = node
         self.header_names = header_names
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one HTTP request."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         items = self.node.core.view.items
         if items is not None:
             handler: RequestHandler = request.protocol
-            # The operators' limit on silence may change under an open connection.
+            # The configured idle timeout may change while a connection is open.
             handler._keepalive_timeout = items.limits.idle_seconds
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
             body = await _read_body(request, max_bytes=UNCONFIGURED_BODY if items is None else items.limits.body_bytes)
         except OverBudget:
-            error = QueueFull("This process holds as many bytes as it may.", remedy="Send it again, or elsewhere.")
-            return self._refuse(UNAVAILABLE, error, retry_after=ROOM_RETRY_AFTER)
+            error = QueueFull("The byte budget of this process is used up.", remedy="Retry later, or elsewhere.")
+            return self._refuse(UNAVAILABLE, error, retry_after=BUDGET_RETRY_AFTER)
         except _BodyOverLimit:
             return self._refuse(TOO_LARGE, BodyTooLarge("The body is over its limit.", field="body"))
         host, path, raw = _read_target(request)
         budget = _milliseconds(request.headers.get(self.header_names.budget))
         if budget is not None:
-            # Its client's time runs from its first byte: a large body on a thin link may use up much of it.
+            # The budget counts from the request's first byte: a large body on a slow link may use up much of it.
             budget -= timedelta(seconds=loop.time() - began)
         answer = await self.node.handle_request(
             lambda ticket: RequestArrived(
@@ -127,7 +130,7 @@
         return self._respond(answer)
 
     def limits(self) -> HttpLimits:
-        """The operators' limits on clients, once there are any."""
+        """Return the configured limits on clients, or the defaults before there is a configuration."""
         items = self.node.core.view.items
         if items is None:
             return HttpLimits()
@@ -139,7 +142,7 @@
         )
 
     def _refuse(self, status: int, error: MeshError, *, retry_after: timedelta | None = None) -> web.Response:
-        """Refuse a request whose body has not come whole: nothing of it has run, and its connection closes."""
+        """Refuse a request whose body is incomplete: it has not run, and its connection is closed."""
         response = web.json_response({"error": str(error)}, status=status)
         self.node.counters.add(f"replies.{status}.{error.kind}")
         if retry_after is not None:
@@ -162,17 +165,17 @@
         if answer.retry_after is not None:
             response.headers["Retry-After"] = f"{answer.retry_after.total_seconds():.3f}"
         if self.node.core.stopping:
-            # A kept connection would bring the next request to a listener that closes.
+            # On a keep-alive connection the next request would reach a listener that is closing.
             response.force_close()
         return response
 
 
 class _BodyOverLimit(Exception):
-    """More of a body has come than a request may have."""
+    """The body received so far is over its limit."""
 
 
 async def _read_body(request: web.BaseRequest, *, max_bytes: int) -> bytes:
-    """Return a request's body; the library's own limit would also make its buffers as large as that."""
+    """Return a request's body; the library's own limit would also enlarge its buffers to that size."""
     body = bytearray()
     while chunk := await request.content.readany():
         body += chunk
@@ -184,7 +187,7 @@
 def _read_target(request: web.BaseRequest) -> tuple[str, str, Pairs]:
     """Return a request's host, its path with query, and its headers.
 
-    A target in absolute form names host and path, whatever the Host header says; its host then goes on in that header.
+    A target in absolute form takes precedence over the Host header, which is forwarded with the target's host instead.
     """
     target, headers = request.raw_path, request.raw_headers
     if not target.lower().startswith(ABSOLUTE_FORM):
@@ -204,11 +207,11 @@
 
 
 async def close_listener(runner: web.ServerRunner, *, wait: timedelta) -> None:
-    """Close a listener, new connections first: one that stood already may hold a request that nobody has read yet.
+    """Close a listener, for new connections first: an open one may hold a request that has not been read yet.
 
     Args:
-        runner: of the listener.
-        wait: how long such requests still get answers.
+        runner: the runner of the listener.
+        wait: how long such requests are still handled.
     """
     for site in list(runner.sites):
         await site.stop()
--- a/packages/sidecar/src/hoistsaddle/sidecar/messages.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/messages.py
@@ -1,4 +1,4 @@
-"""Events that reach a sidecar's core and the commands it answers with. Headers are msgpack of pairs of bytes."""
+"""Events that a sidecar's core handles and commands that it returns. Headers are msgpack-encoded pairs of bytes."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -23,28 +23,28 @@
     ticket: int
     method: str
     host: str
-    # Path and query as they came.
+    # Path and query as received.
     path: str
     headers: bytes
     header_bytes: int
     body: bytes
-    # The time that its sender gives it; None leaves it to the route.
+    # The time that the client allows; None for the default.
     budget: timedelta | None
     key: str
     client_attempt_id: str
-    # For how long this process may have left it unread, as it stood still itself.
+    # How long it may have waited unread because this process was frozen.
     unread: timedelta = timedelta()
 
 
 class ForwardAnswered(NamedTuple):
-    """The target's sidecar answered an attempt."""
+    """The target's sidecar has answered an attempt."""
 
     number: int
     answer: ForwardAnswer
 
 
 class ForwardFailed(NamedTuple):
-    """An attempt got no answer; unsent means that nothing was ever written to the target."""
+    """An attempt got no answer; `unsent` means that nothing was written to the target."""
 
     number: int
     unsent: bool
@@ -55,7 +55,7 @@
 
     ticket: int
     call: ForwardCall
-    # How old it was as it was read: its budget is of when it was written.
+    # The age of the call when it was read; its budget counts from when it was written.
     age: timedelta = timedelta()
 
 
@@ -67,48 +67,48 @@
 
 
 class BodyAnnouncementAnswered(NamedTuple):
-    """What the target's sidecar said to an announced body; answer is None when it said nothing."""
+    """The target sidecar's answer to an announced body; `answer` is None if there was none."""
 
     number: int
     answer: AnnounceBodyAnswer | None
 
 
 class FollowArrived(NamedTuple):
-    """Another sidecar asks what became of an attempt."""
+    """Another sidecar asks for the outcome of an attempt."""
 
     ticket: int
     call: FollowCall
 
 
 class Followed(NamedTuple):
-    """What the target's sidecar said of an attempt; answer is None when it said nothing."""
+    """The target sidecar's answer to a follow call; `answer` is None if there was none."""
 
     number: int
     answer: ForwardAnswer | None
-    # Nobody listens at its address.
+    # The connection was refused: no process listens at the address.
     refused: bool = False
 
 
 class AbandonArrived(NamedTuple):
-    """Another sidecar says that nobody waits for an attempt any more."""
+    """Another sidecar reports that an attempt's client no longer waits for it."""
 
     ticket: int
     call: AbandonCall
 
 
 class ServerAnswered(NamedTuple):
-    """The local server answered a run."""
+    """The local server has answered a run."""
 
     number: int
     status: int
     headers: bytes
     body: bytes
-    # The server itself says that it did not run it.
+    # Whether the server reports that it did not run the request.
     not_run: bool
 
 
 class ServerFailed(NamedTuple):
-    """The local server gave no answer to a run; unsent means that nothing was written to it."""
+    """The local server gave no answer to a run; `unsent` means that nothing was written to it."""
 
     number: int
     unsent: bool
@@ -116,50 +116,50 @@
 
 
 class ClaimQueryArrived(NamedTuple):
-    """Another sidecar asks what became of a claim of this one."""
+    """Another sidecar asks for the outcome of a claim of this sidecar."""
 
     ticket: int
     call: ClaimQueryCall
 
 
 class ClaimQueryAnswered(NamedTuple):
-    """What a sidecar said of its claim; answer is None when it said nothing."""
+    """A sidecar's answer to a query about its claim; `answer` is None if there was none."""
 
     number: int
     answer: ClaimQueryAnswer | None
 
 
 class HealthReported(NamedTuple):
-    """What the local server reports of itself."""
+    """A health report of the local server."""
 
     service: str
     instance: str
     address: str
     state: str
-    # How many requests it works on at a time.
+    # How many requests it runs concurrently.
     capacity: int
-    # For how long it still is slow after its start.
+    # How long it will still be slow after its start.
     warm_up: timedelta
-    # The report's number at its server, rising with each; 0 where reports carry none.
+    # The report's sequence number, which rises with each report of the server; 0 if its reports carry none.
     sequence: int = 0
 
 
 class ServerSignedOff(NamedTuple):
-    """The local server's instance takes no new work and never will; what it works on may still end."""
+    """An instance of the local server accepts no new requests from now on; running ones may still finish."""
 
     instance: str
 
 
 class CloseRequested(NamedTuple):
-    """No more requests are taken: what runs is finished."""
+    """No new requests are accepted; those in progress are finished."""
 
 
 class GraceExpired(NamedTuple):
-    """The process ends in a moment: every pending request gets its final answer now."""
+    """The process exits in a moment: every pending request gets its final response now."""
 
 
 class Abandon(NamedTuple):
-    """Tells the sidecar at this address that nobody waits for the attempt any more."""
+    """Tells the sidecar at this address that the attempt's client no longer waits for it."""
 
     address: str
     call: AbandonCall
@@ -173,13 +173,13 @@
 
 
 class CancelRun(NamedTuple):
-    """Cancels a run on the local server: its connection closes, and its end isn't reported."""
+    """Cancels a run on the local server: its connection is closed, and its end isn't reported to the core."""
 
     number: int
 
 
 class Reply(NamedTuple):
-    """The final answer to a client; headers are only the server's own."""
+    """The final response to a client; `headers` holds only those of the server."""
 
     ticket: int
     status: int
@@ -196,7 +196,7 @@
     address: str
     call: ForwardCall
     within: timedelta
-    # At most so many bytes a second; 0 for as fast as they go.
+    # The rate limit in bytes a second; 0 for none.
     rate: int = 0
 
 
@@ -217,7 +217,7 @@
 
 
 class Follow(NamedTuple):
-    """Asks the sidecar at this address what became of an attempt."""
+    """Asks the sidecar at this address for the outcome of an attempt."""
 
     number: int
     address: str
@@ -235,7 +235,7 @@
 
 
 class QueryClaim(NamedTuple):
-    """Asks the sidecar at this address what became of its claim."""
+    """Asks the sidecar at this address for the outcome of its claim."""
 
     number: int
     address: str
@@ -243,14 +243,14 @@
 
 
 class AnswerForward(NamedTuple):
-    """Answers a forwarded attempt, or a question about one."""
+    """Answers a forwarded attempt, or a follow call about one."""
 
     ticket: int
     answer: ForwardAnswer
 
 
 class AnswerClaimQuery(NamedTuple):
-    """Answers a sidecar's question about a claim."""
+    """Answers a sidecar's query about a claim."""
 
     ticket: int
     answer: ClaimQueryAnswer
--- a/packages/sidecar/src/hoistsaddle/sidecar/node.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/node.py
@@ -1,4 +1,4 @@
-"""The node of a sidecar: carries out its core's commands, without the HTTP listeners."""
+"""The mesh node of a sidecar: feeds events to its core and executes the core's commands, without the HTTP listeners."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -65,24 +65,24 @@
 from hoistsaddle.statemachine.state import GONE, READY
 from hoistsaddle.statemachine.view import View
 
-# How much of its grace a stopping sidecar waits for its clients to stay away. The rest is for what it took by then: a
-# platform that sends it clients to the end must not have them cut off.
+# The share of its grace period for which a stopping sidecar accepts requests while its clients still send some. The
+# rest is for finishing them: a platform may send it clients to the end, and their requests must not be cut off.
 OPEN_SHARE = 0.55
 CLAIM_QUERY_TIMEOUT = milliseconds(400)
-# Whoever doesn't hear within this that a client has left finds out by the attempt's deadline.
+# A target that doesn't receive the call within this keeps the attempt until its deadline.
 ABANDON_TIMEOUT = milliseconds(400)
-# A server waits a second for the acknowledgement that it leaves.
+# Below the second that a server waits for the acknowledgement of its shutdown.
 LEAVE_RECORD_TIMEOUT = milliseconds(800)
 FAN_OUT = 8
-# The roots' links are far wider than a sidecar's: they feed a zone of this size themselves.
+# The links of the tree's roots have far more bandwidth than a sidecar's: a root serves a zone of this size directly.
 ROOT_FAN_OUT = 24
 BYTES_PER_MEGABIT = 125_000
-# Runs a request on the local server and returns the event that says what came of it.
+# Runs a request on the local server and returns the event with its outcome.
 Runner = Callable[[RunOnServer], Awaitable[tuple]]
 
 
 class SidecarNode(MeshNode):
-    """A sidecar, as far as the mesh sees it."""
+    """A sidecar as a member of the mesh."""
 
     timings = NodeTimings(
         long_poll=milliseconds(300),
@@ -102,22 +102,22 @@
     core: SidecarCore
 
     def __init__(self, *, settings: SidecarSettings, runtime: Runtime, serve: Runner) -> None:
-        """Begin without a configuration.
+        """Start without a configuration.
 
         Args:
-            settings: of the process.
-            runtime: clock, chance and connections.
+            settings: the settings of the process.
+            runtime: provides the clock, random numbers and connections.
             serve: runs a request on the local server.
         """
         self._serve = serve
         self.sidecar_settings = settings
-        # The tree's parents follow from the view alone: worked out anew with each view, not with each poll.
+        # The parents in the distribution tree depend on the view alone: computed once per view, not with each poll.
         self._parents_of: View | None = None
         self._parent_addresses: list[str] = []
-        # What runs on the local server, by its number.
-        self._serving: dict[int, asyncio.Task] = {}
-        # When a client called last.
-        self.asked_at = runtime.now()
+        # Tasks of the runs on the local server, by run number.
+        self._run_tasks: dict[int, asyncio.Task] = {}
+        # When the last client request arrived.
+        self.last_request_at = runtime.now()
         super().__init__(settings=settings, runtime=runtime)
         self._arrivals = ArrivalRecord(counters=self.counters, now=runtime.now())
 
@@ -138,7 +138,7 @@
         )
 
     async def start(self) -> None:
-        """Listen for calls of the mesh, and begin to poll, tick, report, and look for the core when it is silent."""
+        """Listen for mesh calls, and start polling, ticks, health reports and probing of an unresponsive core."""
         await super().start()
         prober = CoreProber(
             runtime=self.runtime,
@@ -150,9 +150,9 @@
         self.tasks.append(asyncio.ensure_future(prober.run()))
 
     def _poll_refused(self, address: str, refusal: PollAnswer, sent: timedelta) -> None:
-        """Take that a core machine which had this configuration has lost its own lease: there is no majority.
+        """Handle a refused poll: a core machine with this configuration but without a lease has lost its majority.
 
-        One that has only just started holds none yet, and says nothing of the others.
+        A core machine that has only just started has no configuration yet, and its refusal proves nothing.
         """
         view = self.core.view
         is_root = any(node.kind == "bourse" and node.address == address for node in view.nodes.values())
@@ -160,18 +160,18 @@
             self.core.freshness.core_absent(sent)
 
     async def handle_request(self, make: Callable[[int], RequestArrived]) -> Reply:
-        """Pass a client's request to the core, and return its final answer.
+        """Pass a client's request to the core, and return its final response.
 
         Args:
-            make: gives the request's event under a ticket.
+            make: returns the request's event for a ticket.
         """
-        self.asked_at = self.runtime.now()
+        self.last_request_at = self.runtime.now()
         ticket, future = self.open_ticket()
         self.feed(make(ticket)._replace(unread=self.freezes.unread()))
         return await self.final_answer(ticket, future)
 
     def feed(self, event: tuple) -> None:
-        """Give the core an event, and carry out its commands."""
+        """Pass an event to the core, and execute the commands that it returns."""
         for command in self.core.handle(event, now=self.runtime.now()):
             match command:
                 case (
@@ -188,10 +188,10 @@
                     self.spawn(self._announce_body(command))
                 case RunOnServer():
                     task = self.spawn(self._run_on_server(command, decided=self.runtime.now()))
-                    self._serving[command.number] = task
+                    self._run_tasks[command.number] = task
                     task.add_done_callback(partial(self._run_ended, command.number))
                 case CancelRun(number=number):
-                    if (running := self._serving.pop(number, None)) is not None:
+                    if (running := self._run_tasks.pop(number, None)) is not None:
                         running.cancel()
                 case Abandon():
                     self.spawn(self._abandon(command))
@@ -209,10 +209,10 @@
                     self.counters.record_event(kind, **detail)
 
     def _run_ended(self, number: int, _: asyncio.Task) -> None:
-        self._serving.pop(number, None)
+        self._run_tasks.pop(number, None)
 
     async def answer(self, message: tuple) -> tuple | None:
-        """Answer a call of the mesh; None if it isn't known."""
+        """Answer a mesh call; None if its type isn't known."""
         match message:
             case ForwardCall():
                 return await self._answer_forward(message)
@@ -236,7 +236,7 @@
 
     async def _answer_forward(self, call: ForwardCall) -> ForwardAnswer:
         age = self._call_age()
-        # A connection's first call is as old as the connection at the most, which says nothing of the link.
+        # The first call on a connection has only an upper bound of its age, which says nothing about the link.
         known_age = timedelta() if call_age().first else age
         self._arrivals.arrived(call, age=known_age, now=self.runtime.now())
         ticket, future = self.open_ticket()
@@ -246,37 +246,37 @@
         return answer
 
     def _call_age(self) -> timedelta:
-        """Return how old the call may be that is being answered."""
+        """Return the maximum age of the call that is being answered."""
         known = call_age()
         age = timedelta(seconds=known.age)
         return age + self.freezes.unread() if known.first else age
 
     async def report_server(self, report: HealthReported | ServerSignedOff) -> MeshError | None:
-        """Take a report of the local server.
+        """Handle a report of the local server.
 
-        That it leaves is in force here at once. It may be acknowledged only once the log has it: a sidecar that starts
-        after this one takes the server for what the log says.
+        Its shutdown takes effect here at once, but may be acknowledged only once the log has recorded it: after a
+        restart, a sidecar assumes the server's state from the log.
 
         Args:
-            report: what the server says.
+            report: the report of the server.
 
         Returns:
-            Why it may not be acknowledged, if so.
+            Why the report must not be acknowledged, or None.
         """
         self.feed(report)
         if isinstance(report, HealthReported) and report.state == READY:
             return None
-        # Before the first configuration, what the log says of this server is not known here.
+        # Before the first configuration it isn't known here whether the log lists this server.
         known = self.core.server is not None or self.core.view.items is not None
         if known and await self.health.wait_recorded(self.core.serial, within=LEAVE_RECORD_TIMEOUT):
             return None
-        return NoLeader("The core has not recorded that the server leaves.", remedy="Report it again.")
+        return NoLeader("The core has not recorded the server's shutdown.", remedy="Report it again.")
 
     async def _forward_attempt(self, command: ForwardRequest, *, decided: timedelta) -> None:
         self.counters.add(f"sends.{command.call.service_name}")
 
         def still() -> bool:
-            # Nothing goes out that was decided before a standstill of this process: its budget is as of then.
+            # A call decided before this process was frozen isn't sent: its budget counts from the decision.
             return self.runtime.now() - decided <= FROZEN_GAP
 
         sent = self.runtime.rpc_client.call(
@@ -301,7 +301,7 @@
 
     async def _run_on_server(self, command: RunOnServer, *, decided: timedelta) -> None:
         self.counters.add("runs")
-        # A standstill may lie between deciding and now.
+        # The process may have been frozen since the decision, so that time is subtracted.
         self.feed(await self._serve(command._replace(within=command.within - (self.runtime.now() - decided))))
 
     async def _follow(self, command: Follow) -> None:
@@ -325,7 +325,7 @@
                 self.feed(ClaimQueryAnswered(command.number, None))
 
     def _parents(self) -> list[str]:
-        """Return the own zone's part of the tree first: updates cross between zones once for each zone's root."""
+        """Return the parents to poll, those of the own zone first: an update then crosses zones only to each root."""
         view = self.core.view
         if self._parents_of is view:
             return self._parent_addresses
@@ -345,9 +345,9 @@
         return self._parent_addresses
 
     def apply_settings(self, settings: SidecarSettings) -> None:
-        """Apply what may change while the process runs: seeds, retry limits, key lifetime, grace and drain time."""
+        """Apply the settings that may change at runtime: seeds, retry limits, key lifetime, and the time limits."""
         self.counters.record_event("params revised", seeds=settings.seeds)
-        # Its own addresses are where it listens: those stay until the next start.
+        # The process's own addresses are in use by its listeners and don't change until the next start.
         self.settings = self.sidecar_settings = msgspec.structs.replace(
             self.sidecar_settings,
             seeds=settings.seeds,
@@ -366,17 +366,17 @@
         core.upstream.drain_timeout = timedelta(seconds=settings.drain_seconds)
 
     async def wind_down(self, *, quiet: timedelta, most: timedelta) -> None:
-        """Stop as planned: say so at once, go on with all that comes, and end once nothing has come for a while.
+        """Shut down gracefully: report not ready at once, but serve requests until none has arrived for a while.
 
         Args:
-            quiet: how long no client may have called.
-            most: how long this may take at most.
+            quiet: how long there must have been no client request.
+            most: the longest that this may take.
         """
-        began = self.asked_at = self.runtime.now()
+        began = self.last_request_at = self.runtime.now()
         self.feed(StopRequested())
-        # The local server goes on being reached from everywhere; only the own clients must stay away.
+        # Other sidecars still reach the local server; only this sidecar's own clients must have gone elsewhere.
         while self.runtime.now() - began < most * OPEN_SHARE and not (
-            self.runtime.now() - self.asked_at >= quiet and not self.core.pending_count()
+            self.runtime.now() - self.last_request_at >= quiet and not self.core.pending_count()
         ):
             await asyncio.sleep(self.timings.tick.total_seconds())
         self.feed(CloseRequested())
--- a/tests/test_sidecar_listener.py
+++ b/tests/test_sidecar_listener.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.asked: list[RequestArrived] = []
-        self.asked_at = timedelta()
+        self.last_request_at = timedelta()
         self.counters = Counters(owner="test")
         items = SimpleNamespace(limits=LimitsItem(idle_seconds=30.0))
         self.core = SimpleNamespace(view=SimpleNamespace(items=items), stopping=False)
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -34,7 +34,7 @@
             runtime=SimpleNamespace(now=lambda: self.timestamp),
             core=core,
             feed=self.feed,
-            asked_at=self.timestamp,
+            last_request_at=self.timestamp,
             counters=Counters(owner="s-1"),
             timings=SidecarNode.timings,
         )
@@ -50,7 +50,7 @@
     async def sleep(self, seconds: float) -> None:
         self.timestamp += timedelta(seconds=seconds)
         if self.busy:
-            self.node.asked_at = self.timestamp
+            self.node.last_request_at = self.timestamp
 
     def run(self) -> timedelta:
         with mock.patch.object(nodes.asyncio, "sleep", self.sleep):
