--- a/packages/sidecar/src/hoistsaddle/sidecar/server_connection.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_connection.py
@@ -1,7 +1,7 @@
-"""One connection to the local server, kept as long as it is clean.
+"""One connection to the local server, reused as long as its response stream is in a known state.
 
-Reading is aiohttp's parser; what is added is the bookkeeping: a server may answer late in the place of the next
-answer, send more after a complete one, break off, or close a connection just as it is used.
+aiohttp's parser reads the responses. This class adds the bookkeeping for faulty servers: one may send a late response
+in place of the next, send data after a complete response, break off, or close a connection just as it is used.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 
 from hoistsaddle.proxy.answer_framing import AnswerFraming, framing_of
 
-# For how long an unused connection is kept where the server says nothing of it.
-KEPT_SECONDS = 4.0
+# How long an idle connection is kept if the server doesn't send a keep-alive timeout.
+DEFAULT_KEEP_SECONDS = 4.0
 HEAD_END = b"\r\n\r\n"
-# Heads that are looked for in one read: an answer's, and those of interim ones before it.
+# The most heads that are split off in one read: that of a response and those of interim responses before it.
 MAX_HEADS = 4
 
 
 class BrokenAnswer(Exception):
-    """What came is no complete answer to the request."""
+    """The received data is not a complete response to the request."""
 
 
 def _split_at_heads(data: bytes) -> list[bytes]:
@@ -31,34 +31,34 @@
 
 
 class ServerConnection(BaseProtocol):
-    """Reads answers by aiohttp's parser, and keeps the books that say whether the connection may be used again."""
+    """Reads responses with aiohttp's parser, and tracks whether the connection may be reused."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Begin unconnected."""
+        """Start unconnected."""
         super().__init__(loop)
         self.parser: HttpResponseParser | None = None
         self.messages: deque = deque()
-        # The bodies of this request's answers, and whether anything came at all.
+        # The bodies of this request's responses, and whether any data was received for it.
         self.payloads: list = []
-        self.heard = False
+        self.data_seen = False
         self.with_body = True
-        # Bytes after the newest answer's head, where that is known, and the newest bytes of all.
-        self.beyond: int | None = None
+        # The number of bytes after the newest response's head, None if unknown, and the last bytes received.
+        self.bytes_after_head: int | None = None
         self.tail = b""
-        # Whether bytes came after a complete answer that are no complete head: a surplus answer has begun.
+        # Whether there are bytes after a complete response that are no complete head: the start of a surplus response.
         self.surplus = False
         self.arrived: asyncio.Future | None = None
-        # Not to be used again; and nothing more can be read from it.
+        # Whether it must not be reused, and whether the connection has ended.
         self.dirty = False
-        self.lost = False
+        self.closed = False
         self.uses = 0
-        # The server's address and instance that it was opened to.
+        # The address and instance of the server that it was opened to.
         self.server = ""
         self.idle_since = 0.0
-        self.keep_seconds = KEPT_SECONDS
+        self.keep_seconds = DEFAULT_KEEP_SECONDS
 
     def begin(self, *, with_body: bool) -> None:
-        """Prepare to read the answer to one more request; `with_body` is False where it can have none."""
+        """Prepare to read the response to another request; `with_body` is False if it can't have a body."""
         self.parser = HttpResponseParser(
             self,
             self._loop,
@@ -73,25 +73,25 @@
         self.messages.clear()
         self.with_body = with_body
         self.payloads = []
-        self.heard = False
+        self.data_seen = False
         self.surplus = False
         self.uses += 1
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received data."""
         if self.parser is None:
-            # Nobody asked anything: whatever it is, it is no answer.
+            # No request is in flight, so this can't be a response.
             self.dirty = True
             self.abort()
             return
-        self.heard = True
-        # A parser that meets garbage forgets the answers before it in the same bytes: heads are fed on their own.
+        self.data_seen = True
+        # On invalid data the parser drops the responses before it in the same call, so each head is fed separately.
         for part in _split_at_heads(data):
             complete = bool(self.payloads) and self.payloads[-1].is_eof()
             try:
                 messages, upgraded, tail = self.parser.feed_data(part)
             except Exception:
-                # The parser's many ways to say that these bytes are no answer.
+                # The parser raises many exception types for data that is no response.
                 self.dirty = True
                 self.abort()
                 return
@@ -99,17 +99,17 @@
                 self.dirty = True
             self.messages.extend(messages)
             self.payloads += [payload for _, payload in messages]
-            # Until a head completes it: an interim answer is followed by the real one.
+            # A complete head resets this: an interim response is followed by the final one.
             self.surplus = complete and not messages
             if messages:
-                self.beyond = 0 if part.endswith(HEAD_END) else None
-            elif self.beyond is not None:
-                self.beyond += len(part)
+                self.bytes_after_head = 0 if part.endswith(HEAD_END) else None
+            elif self.bytes_after_head is not None:
+                self.bytes_after_head += len(part)
             self.tail = part[-2:]
         self._wake()
 
     def framing(self, message: RawResponseMessage) -> AnswerFraming:
-        """Return how this answer's body is framed."""
+        """Return how this response's body is framed."""
         return framing_of(
             status=message.code,
             chunked=message.chunked,
@@ -118,7 +118,7 @@
         )
 
     def ends_with(self, message: RawResponseMessage) -> bool:
-        """Whether the bytes so far end where this answer ends: the parser keeps a begun surplus answer to itself."""
+        """Whether the received data ends with this response; the parser doesn't report a partial surplus response."""
         if self.surplus:
             return False
         match self.framing(message):
@@ -128,12 +128,12 @@
                 length = int(message.headers["Content-Length"])
             case AnswerFraming.BODILESS | AnswerFraming.CONNECTION_END:
                 length = 0
-        # Where the head's end isn't known, neither is the answer's: the connection is left rather than trusted.
-        return self.beyond == length
+        # If the end of the head is unknown, so is the end of the response, and the connection must not be reused.
+        return self.bytes_after_head == length
 
     def _end(self) -> None:
-        """Nothing more will come: a body that isn't complete by now never is."""
-        self.lost = self.dirty = True
+        """Handle the end of the connection: an incomplete body will never be completed."""
+        self.closed = self.dirty = True
         if self.parser is not None:
             try:
                 self.parser.feed_eof()
@@ -149,31 +149,31 @@
             self.arrived.set_result(None)
 
     def eof_received(self) -> bool:
-        """Take that the server sends no more."""
+        """Handle the end of the server's data."""
         self._end()
         return False
 
     def connection_lost(self, exception: BaseException | None) -> None:
-        """Take that the connection has ended."""
+        """Handle the end of the connection."""
         super().connection_lost(exception)
         self._end()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self._end()
         if self.transport is not None:
             self.transport.abort()
 
     def write(self, data: bytes) -> None:
-        """Write a request; raises BrokenAnswer where the connection has ended."""
+        """Write a request; raises BrokenAnswer if the connection has ended."""
         if self.transport is None:
             raise BrokenAnswer
         self.transport.write(data)
 
     async def next_message(self) -> tuple[RawResponseMessage, StreamReader]:
-        """Return the next answer's head and body; raises BrokenAnswer if none will come."""
+        """Return the next response's head and body; raises BrokenAnswer if the connection ends before it."""
         while not self.messages:
-            if self.lost:
+            if self.closed:
                 raise BrokenAnswer
             self.arrived = self._loop.create_future()
             await self.arrived
--- a/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/server_connections.py
@@ -1,7 +1,7 @@
-"""Connections to the local server, kept between requests. An answer counts only under its request's id.
+"""The pool of connections to the local server. A response is accepted only with the id of its request.
 
-Requests are written by hand: a client library hides when a request's first byte is written and which answer came in
-whose place, and that decides whether it may be sent again.
+Requests are written without a client library: that would hide when a request's first byte is written and which response
+arrived in place of another, and this decides whether a request may be retried.
 """
 
 import asyncio
@@ -22,23 +22,23 @@
 from hoistsaddle.sidecar.server_connection import BrokenAnswer, ServerConnection
 
 CONNECT_SECONDS = 0.4
-# Used again only within this share of the time the server says it keeps a connection, so that the two never meet.
-KEPT_SHARE = 0.6
-MAX_KEPT = 64
-# The server is on the same machine: the end of a connection that it closed before our bytes came is here by then, also
-# where both share a busy processor. One that ends later may have been read.
+# A connection is reused only within this share of the server's keep-alive timeout, to avoid a race with its close.
+KEEP_ALIVE_SHARE = 0.6
+MAX_IDLE_CONNECTIONS = 64
+# The server is on the same machine, so if it closed the connection before the request arrived, the close is seen here
+# within this time, even on a busy processor. If the close is seen later, the server may have read the request.
 STALE_SECONDS = 0.02
-# Misdirected request: the server did not run it.
+# 421 Misdirected Request: the server did not run it.
 NOT_RUN_STATUSES = frozenset({421})
 
 
 class ServerConnectionPool:
-    """Runs requests on the local server, each on a connection of its own while it runs."""
+    """Runs requests on the local server, each on a connection that it uses alone."""
 
     def __init__(self, *, header_names: HeaderNames, counters: Counters) -> None:
         self.header_names = header_names
         self.counters = counters
-        self.kept: deque[ServerConnection] = deque()
+        self.idle: deque[ServerConnection] = deque()
         self.server = ""
         self.client_attempt_id = header_names.client_attempt_id.lower().encode()
         self.not_run = header_names.not_run.lower().encode()
@@ -53,24 +53,24 @@
         }
 
     def close(self) -> None:
-        """Close all kept connections."""
-        for connection in self.kept:
+        """Close all idle connections."""
+        for connection in self.idle:
             connection.abort()
-        self.kept.clear()
+        self.idle.clear()
 
     def _use_server(self, address: str, instance: str) -> None:
-        # A new incarnation of the server, or another one: what was open belongs to the former.
+        # For another server, or a new instance of it, the open connections are of no use.
         server = f"{address} {instance}"
         if server != self.server:
             self.close()
             self.server = server
 
-    def _take_kept(self) -> ServerConnection | None:
+    def _take_idle(self) -> ServerConnection | None:
         now = asyncio.get_running_loop().time()
-        while self.kept:
-            # The newest first: it is the least likely to be closed from the other side.
-            connection = self.kept.pop()
-            if not connection.dirty and not connection.lost and now - connection.idle_since < connection.keep_seconds:
+        while self.idle:
+            # The most recently used one first: it is the least likely to be closed by the server.
+            connection = self.idle.pop()
+            if not connection.dirty and not connection.closed and now - connection.idle_since < connection.keep_seconds:
                 return connection
             connection.abort()
         return None
@@ -104,12 +104,12 @@
         return b"".join(parts)
 
     async def _obtain(self, command: RunOnServer, deadline: float) -> ServerConnection | ErrorKind:
-        """Return a connection that may be written to now, or why there is none: then nothing was written."""
+        """Return a connection that is ready for a request, or why there is none."""
         loop = asyncio.get_running_loop()
         if loop.time() >= deadline:
-            # This process stood still before it came to it.
+            # This process was frozen before it got to this request.
             return ErrorKind.BUDGET_SPENT
-        if (connection := self._take_kept()) is not None:
+        if (connection := self._take_idle()) is not None:
             return connection
         try:
             connection = await self._open(command.address)
@@ -118,8 +118,8 @@
         if loop.time() >= deadline:
             connection.abort()
             return ErrorKind.BUDGET_SPENT
-        # Ended before a byte was written: the server takes no more connections just now.
-        return ErrorKind.QUEUE_FULL if connection.lost else connection
+        # The server closed the connection before anything was written: it accepts no more connections at present.
+        return ErrorKind.QUEUE_FULL if connection.closed else connection
 
     async def serve(self, command: RunOnServer) -> tuple:
         """Run a request on the server.
@@ -143,25 +143,25 @@
                     connection.write(self._request(command, left))
                     message, body = await self._answer(connection, call.client_attempt_id)
             except TimeoutError:
-                # Before the next clause: it is an OSError too.
+                # This clause must precede the next one, as TimeoutError is an OSError.
                 connection.abort()
-                return self._missed(command, ErrorKind.BUDGET_SPENT)
+                return self._unanswered(command, ErrorKind.BUDGET_SPENT)
             except (BrokenAnswer, aiohttp.ClientError, OSError, ValueError):
                 connection.abort()
-                stale = not fresh and not connection.heard and loop.time() - written <= STALE_SECONDS
+                stale = not fresh and not connection.data_seen and loop.time() - written <= STALE_SECONDS
                 if call.repeatable and stale and loop.time() < deadline:
-                    # A kept connection that the server closed as it was used: once more, on a new one. Later than that
-                    # it may be at work on it, and a retry is the ingress side's to allow.
+                    # The server closed a reused connection as the request was sent: send it again on a new one. If the
+                    # close came later, the server may have run the request, and only the ingress side may retry it.
                     self.counters.add("server.stale_connections")
                     self.close()
                     continue
-                return self._missed(command, ErrorKind.ANSWER_BROKEN)
+                return self._unanswered(command, ErrorKind.ANSWER_BROKEN)
             except asyncio.CancelledError:
                 connection.abort()
                 raise
-            self._keep(connection, message)
+            self._return_to_pool(connection, message)
             if any(name.lower() == b"content-encoding" for name, _ in message.raw_headers):
-                return self._missed(command, ErrorKind.ANSWER_BROKEN)
+                return self._unanswered(command, ErrorKind.ANSWER_BROKEN)
             declined = any(name.lower() == self.not_run for name, _ in message.raw_headers)
             return ServerAnswered(
                 command.number,
@@ -175,12 +175,12 @@
         self.counters.add(f"server.unsent.{kind}")
         return ServerFailed(command.number, True, server_not_reached(kind))
 
-    def _missed(self, command: RunOnServer, kind: ErrorKind) -> ServerFailed:
+    def _unanswered(self, command: RunOnServer, kind: ErrorKind) -> ServerFailed:
         self.counters.add(f"server.{kind}")
         return ServerFailed(command.number, False, server_answer_missing(kind))
 
     async def _answer(self, connection: ServerConnection, client_attempt_id: str) -> tuple[RawResponseMessage, bytes]:
-        """Return the answer under this id. One under another's stands in its place and belongs to nobody."""
+        """Return the response with this id; a response with another id is discarded."""
         while True:
             message, payload = await connection.next_message()
             body = await payload.read()
@@ -191,13 +191,13 @@
                 framing = connection.framing(message)
                 self.counters.add(f"server.framing.{framing}")
                 if framing is AnswerFraming.CONNECTION_END:
-                    # It ends where its connection ends, which may be anywhere.
+                    # A body that ends with its connection may have been cut off anywhere.
                     raise BrokenAnswer
                 return message, body
             self.counters.add("server.strange_answers")
             connection.dirty = True
 
-    def _keep(self, connection: ServerConnection, message: RawResponseMessage) -> None:
+    def _return_to_pool(self, connection: ServerConnection, message: RawResponseMessage) -> None:
         connection.parser = None
         closes = message.should_close
         for name, value in message.raw_headers:
@@ -205,13 +205,20 @@
                 for part in value.split(b","):
                     key, _, seconds = part.strip().partition(b"=")
                     if key.lower() == b"timeout" and seconds.strip().isdigit():
-                        connection.keep_seconds = max(0.1, int(seconds) * KEPT_SHARE)
+                        connection.keep_seconds = max(0.1, int(seconds) * KEEP_ALIVE_SHARE)
         surplus = bool(connection.messages) or not connection.ends_with(message)
-        former = connection.server != self.server
-        if connection.dirty or connection.lost or surplus or closes or former or len(self.kept) >= MAX_KEPT:
+        replaced = connection.server != self.server
+        if (
+            connection.dirty
+            or connection.closed
+            or surplus
+            or closes
+            or replaced
+            or len(self.idle) >= MAX_IDLE_CONNECTIONS
+        ):
             if surplus:
                 self.counters.add("server.surplus_answers")
             connection.abort()
             return
         connection.idle_since = asyncio.get_running_loop().time()
-        self.kept.append(connection)
+        self.idle.append(connection)
--- a/tests/test_sidecar_kept_connections.py
+++ b/tests/test_sidecar_kept_connections.py
@@ -54,7 +54,7 @@
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
-            kept = line.kept[0]
+            kept = line.idle[0]
             self.assertThat(kept.keep_seconds, Equals(0.6))
             await step(0.61)
             await self.send(line, raw, "s2")
@@ -68,10 +68,10 @@
     def test_not_beyond_the_houses_own_span_where_the_server_says_nothing(self) -> None:
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, "s1")
-            await step(server_connection.KEPT_SECONDS - 0.5)
+            await step(server_connection.DEFAULT_KEEP_SECONDS - 0.5)
             await self.send(line, raw, "s2")
             self.assertThat(raw.connections, Equals(1))
-            await step(server_connection.KEPT_SECONDS)
+            await step(server_connection.DEFAULT_KEEP_SECONDS)
             await self.send(line, raw, "s3")
             self.assertThat(raw.connections, Equals(2))
 
