--- a/packages/sidecar/src/hoistsaddle/sidecar/guarded_http.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/guarded_http.py
@@ -1,4 +1,4 @@
-"""An HTTP server whose connections are bounded as their bytes come: heads in size and time, bodies by one budget."""
+"""An HTTP server that limits its connections as data arrives: heads in size and time, bodies by one byte budget."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,15 +10,19 @@
 
 from hoistsaddle.common.byte_budget import ByteBudget
 
-# What a head may have beside its fields: the request line.
+# The allowance for the request line, which the limit on header bytes doesn't include.
 REQUEST_LINE_BYTES = 16384
-REFUSED_HEAD = b"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-NO_ROOM = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-LATE_HEAD = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+HEAD_TOO_LARGE_RESPONSE = (
+    b"HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
+OVER_BUDGET_RESPONSE = (
+    b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
+HEAD_TIMEOUT_RESPONSE = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 class HttpLimits(NamedTuple):
-    """What a client may send, and how long it may take or stay silent."""
+    """Limits on a client: header size, time for a head, and idle time."""
 
     header_bytes: int = 65536
     header_time: timedelta = timedelta(seconds=30)
@@ -26,20 +30,20 @@
 
 
 class OverBudget(Exception):
-    """The process holds as many bytes of others as it may; the request has not run."""
+    """The byte budget of the process is used up; the request has not run."""
 
 
 class GuardedServer(web.Server):
-    """A library's server whose connections are guarded."""
+    """An aiohttp server whose connections are limited."""
 
     def __init__(self, handler: Any, *, budget: ByteBudget, limits: Callable[[], HttpLimits], **arguments: Any) -> None:
-        """Takes what each connection is measured by.
+        """Sets the limits of its connections.
 
         Args:
-            handler: Answers each request.
-            budget: Of the process, shared by all its listeners.
-            limits: Those in force now.
-            arguments: The library's own.
+            handler: Responds to each request.
+            budget: The byte budget of the process, shared by all its listeners.
+            limits: Returns the limits that are in force now.
+            arguments: Further arguments of web.Server.
         """
         super().__init__(handler, **arguments)
         self.budget = budget
@@ -51,7 +55,7 @@
 
 
 class GuardedConnection(RequestHandler):
-    """One connection: what it holds is counted until its request has been answered."""
+    """One connection, whose bytes count against the budget until its request has been answered."""
 
     __slots__ = (
         "_admitted",
@@ -61,7 +65,7 @@
         "_held",
         "_idle_timer",
         "_limits",
-        "_newest",
+        "_newest_body",
         "_refused_body",
     )
 
@@ -75,14 +79,14 @@
         self._head_timer: asyncio.TimerHandle | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
         # The body of the newest request on this connection.
-        self._newest: StreamReader | None = None
-        # The body that was refused, after which the connection closes.
+        self._newest_body: StreamReader | None = None
+        # A body that was refused, after which the connection is closed.
         self._refused_body: StreamReader | None = None
 
     # -- connections -------------------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the connection, unless there are too many."""
+        """Accepts the connection, unless there are too many."""
         if not self._budget.has_room_for_connection():
             cast(asyncio.Transport, transport).abort()
             return
@@ -91,7 +95,7 @@
         super().connection_made(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Gives back what it held."""
+        """Returns the bytes and the connection to the budget."""
         if not self._admitted:
             return
         self._admitted = False
@@ -103,11 +107,11 @@
     # -- bytes -------------------------------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Counts what came, hands it to the library, and refuses what goes too far."""
+        """Counts received data, passes it to aiohttp, and refuses what is over a limit."""
         if not self._admitted or self._is_ending():
             return
         if self._refused_body is not None:
-            # Read on for a while and thrown away, so that the refusal arrives.
+            # The rest of a refused body is read and discarded for a while, so that the client receives the refusal.
             super().data_received(data)
             return
         was_in_head = self._is_in_head()
@@ -119,8 +123,8 @@
             self._head_completed()
         elif was_in_head:
             self._head_continued(len(data))
-        if self._newest is not None and not self._newest.is_eof():
-            self._body_continued(self._newest)
+        if self._newest_body is not None and not self._newest_body.is_eof():
+            self._body_continued(self._newest_body)
         elif self._idle_timer is not None:
             self._idle_timer.cancel()
             self._idle_timer = None
@@ -129,7 +133,7 @@
         return self._force_close or self._close
 
     def _is_in_head(self) -> bool:
-        return self._newest is None or self._newest.is_eof()
+        return self._newest_body is None or self._newest_body.is_eof()
 
     def _head_completed(self) -> None:
         self._head_bytes = 0
@@ -137,17 +141,19 @@
             self._head_timer.cancel()
             self._head_timer = None
         body = self._messages[-1][1] if self._messages else None
-        self._newest = body if isinstance(body, StreamReader) else None
+        self._newest_body = body if isinstance(body, StreamReader) else None
 
     def _head_continued(self, size: int) -> None:
         limits = self._limits()
         self._head_bytes += size
         if self._head_bytes > limits.header_bytes + REQUEST_LINE_BYTES:
-            self._end(REFUSED_HEAD)
+            self._end(HEAD_TOO_LARGE_RESPONSE)
         elif not self._budget.has_room_for(self._held):
-            self._end(NO_ROOM)
+            self._end(OVER_BUDGET_RESPONSE)
         elif self._head_timer is None:
-            self._head_timer = self._loop.call_later(limits.header_time.total_seconds(), self._end, LATE_HEAD)
+            self._head_timer = self._loop.call_later(
+                limits.header_time.total_seconds(), self._end, HEAD_TIMEOUT_RESPONSE
+            )
 
     def _body_continued(self, body: StreamReader) -> None:
         if not self._budget.has_room_for(self._held):
@@ -160,9 +166,9 @@
         self._idle_timer = self._loop.call_later(self._limits().idle_time.total_seconds(), self.force_close)
 
     def _end(self, answer: bytes) -> None:
-        """Refuses a head that isn't complete, and closes the connection."""
+        """Refuses an incomplete head, and closes the connection."""
         if self._current_request is not None or self._messages:
-            # A request before it is still being answered: what is written now would pass for its answer.
+            # An earlier request is still being answered: the client would take this response for that request's.
             self.close()
             return
         if self.transport is not None and not self._is_ending():
