--- a/packages/sidecar/src/hoistsaddle/sidecar/__init__.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: the proxy under items, beside each server."""
+"""The sidecar: the proxy beside each server, which routes requests by the configuration items."""
--- a/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/admin_api.py
@@ -1,4 +1,4 @@
-"""A sidecar's HTTP API for deployments without a platform: readiness, health reports, counters, events, and holds."""
+"""A sidecar's HTTP API for deployments without a platform: readiness, health reports, counters, events, key claims."""
 
 from datetime import timedelta
 from typing import Annotated
@@ -29,17 +29,17 @@
 
 
 class _HealthReport(HealthReport, frozen=True):
-    """A report with what load balancing needs to know."""
+    """A health report with the data that load balancing needs."""
 
     service: _Name
     instance: _Name
-    # How many requests it works on at a time, and for how long it still is slow after its start.
+    # How many requests it runs concurrently, and how long it will still be slow after its start.
     room: Annotated[int, msgspec.Meta(ge=1, le=100000)] = 1
     cold_seconds: Annotated[float, msgspec.Meta(ge=0, le=86400)] = 0.0
 
 
 class AdminApi:
-    """The listeners for readiness and health reports; both also serve operators' reads."""
+    """The listeners for readiness checks and health reports; both also serve counters, events and key claims."""
 
     def __init__(self, *, node: SidecarNode, settings: SidecarSettings) -> None:
         self._node = node
@@ -47,7 +47,7 @@
         self._counters_api = CountersApi(counters=node.counters)
 
     async def open(self) -> list[web.AppRunner]:
-        """Listen. One address may serve for both; health reports are taken at theirs alone."""
+        """Open the listeners. Both may share one address; health reports are accepted only at their own."""
         addresses = dict.fromkeys((self._settings.ready_door, self._settings.health_door))
         return [await self._open(address, health=address == self._settings.health_door) for address in addresses]
 
@@ -75,7 +75,7 @@
         return web.json_response({**state, "why": error.describe()}, status=503, headers={"Retry-After": "1"})
 
     async def _holds(self, request: web.Request) -> web.Response:
-        """Return what this sidecar may retry by service, and what it knows of the keys that it claimed."""
+        """Return this sidecar's retry budget by service, and the number of its key claims by state."""
         ingress = self._node.core.ingress
         budgets = retry_budgets(ingress.retries.budget, now=self._node.runtime.now())
         return web.json_response(
--- a/packages/sidecar/src/hoistsaddle/sidecar/header_names.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/header_names.py
@@ -1,18 +1,18 @@
-"""Names of the headers by which clients, servers and the mesh tell each other of attempts. A platform has its own."""
+"""Names of the headers with which clients, servers and the mesh describe attempts. A platform may have its own."""
 
 from typing import NamedTuple
 
 
 class HeaderNames(NamedTuple):
-    """Names of headers, in any case."""
+    """Header names; case is not significant."""
 
-    # The client's id of one attempt, which an answer carries back.
+    # The client's id of one attempt, which the response must repeat.
     client_attempt_id: str = "X-Hoistsaddle-Send"
-    # Milliseconds that the caller will wait.
+    # The time in milliseconds for which the caller waits.
     budget: str = "X-Hoistsaddle-Budget"
-    # The operation that runs once, whichever attempt brings it.
+    # Identifies an operation that runs only once, however many attempts carry the key.
     key: str = "Idempotency-Key"
-    # Set by the mesh: the service on the machine where the request began, and the server that is meant.
+    # Set by the mesh: the service on the machine where the request entered it, and the target server instance.
     caller: str = "X-Hoistsaddle-Caller"
     instance: str = "X-Hoistsaddle-Instance"
     # Set by a server that did not run the request.
--- a/packages/sidecar/src/hoistsaddle/sidecar/header_pairs.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/header_pairs.py
@@ -1,10 +1,10 @@
-"""HTTP headers as they travel between sidecars: msgpack of pairs of bytes, without those of one connection."""
+"""HTTP headers as encoded between sidecars: msgpack pairs of bytes, without hop-by-hop headers."""
 
 from collections.abc import Sequence
 
 import msgspec
 
-# They concern one connection only, or are written anew.
+# Headers that apply to a single connection, and those that are generated again for each hop.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -24,10 +24,10 @@
 
 
 def pack_pairs(pairs: Pairs) -> bytes:
-    """Pack the headers that concern more than one connection."""
+    """Encode the headers, without hop-by-hop headers."""
     return msgspec.msgpack.encode([(name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP])
 
 
 def unpack_pairs(data: bytes) -> list[tuple[bytes, bytes]]:
-    """Return the headers in their order."""
+    """Decode the headers, in their original order."""
     return msgspec.msgpack.decode(data, type=list[tuple[bytes, bytes]]) if data else []
--- a/packages/sidecar/src/hoistsaddle/sidecar/service.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/service.py
@@ -1,4 +1,4 @@
-"""The sidecar as a service: node, connections to the local server and listeners, opened and closed in order."""
+"""The sidecar service: starts and stops the node, the connections to the local server and the listeners in order."""
 
 import asyncio
 from datetime import timedelta
@@ -21,13 +21,13 @@
 
 KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 CONNECT_TIMEOUT = milliseconds(350)
-# A stopping sidecar ends once no client has called for so long: the platform then sends its clients elsewhere.
+# A stopping sidecar exits once no client request has arrived for this long: the platform then sends clients elsewhere.
 QUIET = milliseconds(500)
-# What closing the handlers may take of the grace.
+# The share of the grace period that is reserved for closing the listeners and handlers.
 CLOSING_SHARE = 0.15
-# The part of that after which they are left as they are: the rest is for what follows, before the last resort acts.
+# The part of that time after which closing is given up; later steps must end before the watchdog kills the process.
 CLOSING_BOUND = 0.75
-# How long handlers stay open for a request that stood unread in a connection.
+# How long handlers stay open for requests that wait unread in a connection.
 UNREAD_WAIT = milliseconds(150)
 
 
@@ -35,13 +35,13 @@
     """One sidecar process."""
 
     def __init__(self, *, settings: SidecarSettings, header_names: HeaderNames | None = None) -> None:
-        """Make the service; `header_names` are a platform's own, if it has such."""
+        """Create the service; `header_names` are those of a platform, if it has its own."""
         super().__init__()
         self.sidecar_settings = settings
         self.header_names = header_names or HeaderNames()
 
     async def start(self) -> None:
-        """Open everything: the node first, so that a request that comes can be forwarded."""
+        """Start the node and then the listeners, so that any request that arrives can be forwarded."""
         settings = self.sidecar_settings
         runtime = RealRuntime(keep_alive=KEEP_ALIVE, connect_timeout=CONNECT_TIMEOUT, local_calls=True)
         self.server_connections = ServerConnectionPool(
@@ -63,11 +63,11 @@
         self.start_event.set()
 
     async def open_admin_listeners(self) -> list[web.BaseRunner]:
-        """Listen for readiness checks and health reports, in the product's form unless a platform has its own."""
+        """Listen for readiness checks and health reports; a platform overrides this with its own API."""
         return [*await AdminApi(node=self.node, settings=self.sidecar_settings).open()]
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Shut down gracefully, within the grace that the settings give."""
+        """Shut down gracefully, within the grace period of the settings."""
         grace = self.grace()
         closing = grace * CLOSING_SHARE
         await self.node.wind_down(quiet=QUIET, most=grace - closing)
@@ -75,10 +75,10 @@
             async with asyncio.timeout(closing.total_seconds() * CLOSING_BOUND):
                 await self._close(wait=min(UNREAD_WAIT, closing / 4))
         except TimeoutError:
-            logger.warning("{}: a handler did not close in its time", self.sidecar_settings.name)
+            logger.warning("{}: the listeners did not close in time", self.sidecar_settings.name)
 
     def grace(self) -> timedelta:
-        """Return how long a stop may take, as the settings have it now."""
+        """Return the current grace period for a shutdown."""
         return timedelta(seconds=self.node.sidecar_settings.grace_seconds)
 
     async def _close(self, *, wait: timedelta) -> None:
