--- a/tests/test_sidecar_arrivals.py
+++ b/tests/test_sidecar_arrivals.py
@@ -1,4 +1,4 @@
-"""What a sidecar records of the calls that are forwarded to it: late ones, and bodies that came for nothing."""
+"""A sidecar's metrics of forwarded calls: late arrivals, and the bytes of refused bodies."""
 
 from datetime import timedelta
 
@@ -30,7 +30,7 @@
     def kinds(self) -> list[str]:
         return [event["kind"] for event in self.counters.events(after=0)["happenings"]]
 
-    def test_the_beginning_and_the_end_of_late_arrivals_are_events(self) -> None:
+    def test_the_start_and_the_end_of_late_arrivals_are_recorded_as_events(self) -> None:
         for ages in ([ZERO] * 4, [ZERO, milliseconds(600)], [milliseconds(900)], [ZERO] * 3, [ZERO]):
             self.window(*ages)
         self.assertThat(self.kinds(), Equals(["calls arrive late", "calls arrive in time"]))
--- a/tests/test_sidecar_configuration_freshness.py
+++ b/tests/test_sidecar_configuration_freshness.py
@@ -1,4 +1,4 @@
-"""Whether a sidecar acts on its configuration: by its lease, or by evidence that the core is away."""
+"""Whether a sidecar may use its configuration: by its lease, or by evidence that the core is unavailable."""
 
 from datetime import timedelta
 
@@ -20,27 +20,27 @@
         self.confirmed_at = self.bench.timestamp
 
     def ask_after(self, seconds: float) -> ErrorKind | None:
-        """Why a request is refused so long after the configuration was confirmed; None if it goes on to a server."""
+        """Return why a request is rejected this long after the configuration was confirmed; None if it is forwarded."""
         self.bench.timestamp = self.confirmed_at + timedelta(seconds=seconds)
         self.bench.health(NAME)
         ticket = self.bench.ask("/read/x", ingress=NAME)
         reply = self.bench.replies.get(ticket)
         return None if reply is None else reply.error.kind
 
-    def test_up_to_the_span_of_a_change_it_is_used_and_then_not(self) -> None:
+    def test_a_configuration_is_used_up_to_its_maximum_age_only(self) -> None:
         self.assertThat(self.ask_after(2.0), Is(None))
         self.assertThat(self.ask_after(2.01), Equals(ErrorKind.LEASE_LAPSED))
 
-    def test_it_is_used_for_as_long_as_the_core_is_known_to_be_away(self) -> None:
+    def test_a_configuration_is_used_while_the_core_is_known_to_be_unavailable(self) -> None:
         self.core.freshness.core_absent(self.confirmed_at + timedelta(seconds=5))
         self.assertThat(self.ask_after(7.0), Is(None))
         self.assertThat(self.ask_after(7.01), Equals(ErrorKind.LEASE_LAPSED))
 
-    def test_older_evidence_makes_nothing_older(self) -> None:
+    def test_older_evidence_does_not_replace_newer(self) -> None:
         self.core.freshness.core_absent(self.confirmed_at - timedelta(seconds=5))
         self.assertThat(self.ask_after(2.0), Is(None))
 
-    def test_the_readiness_check_says_the_same(self) -> None:
+    def test_the_readiness_check_uses_the_same_limit(self) -> None:
         self.assertThat(self.core.ready(), Is(None))
         self.ask_after(2.01)
         self.assertThat(self.core.ready().kind, Equals(ErrorKind.LEASE_LAPSED))
