--- a/tests/test_sidecar_body_admission.py
+++ b/tests/test_sidecar_body_admission.py
@@ -1,4 +1,4 @@
-"""Large bodies: announced to the receiver, sent once its link has room, refused at once where they can't be in time."""
+"""Large bodies: announced to the receiver, sent once its link is free, and refused at once if they would be late."""
 
 from datetime import timedelta
 
@@ -21,14 +21,14 @@
 from sidecar_bench import SidecarBench, latency_of
 
 NAME = "s-1"
-# What the link carries, and a body that takes a fifth of a second of it.
+# The capacity of the link, and a body whose transfer takes a fifth of a second.
 CAPACITY = 300_000.0
 BODY_OCTETS = 60_000
 BODY = b"x" * BODY_OCTETS
 
 
 class Receiver(TestCase):
-    """One sidecar to which others announce bodies."""
+    """A sidecar to which others announce bodies."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -45,11 +45,11 @@
         self.fleet.feed(NAME, BodyAnnounced(self.count, call))
         return self.count
 
-    def told(self) -> dict[int, AnnounceBodyAnswer]:
+    def replies(self) -> dict[int, AnnounceBodyAnswer]:
         return {command.ticket: command.answer for command in self.fleet.sent(AnswerBodyAnnouncement)}
 
     def granted(self) -> list[int]:
-        return [ticket for ticket, answer in self.told().items() if not answer.error]
+        return [ticket for ticket, answer in self.replies().items() if not answer.error]
 
     def send(self, number: int, *, octets: int = BODY_OCTETS) -> int:
         call = ForwardCall(
@@ -70,54 +70,54 @@
         )
         return self.fleet.arrive(NAME, call)
 
-    def test_bodies_come_one_after_the_other(self) -> None:
+    def test_bodies_are_granted_one_after_the_other(self) -> None:
         for _ in range(3):
             self.announce()
         self.assertThat(self.granted(), Equals([1]))
-        self.assertThat(self.told()[1].rate, Equals(round(CAPACITY * USED_SHARE)))
+        self.assertThat(self.replies()[1].rate, Equals(round(CAPACITY * USED_SHARE)))
         self.fleet.pass_time(0.24)
         self.assertThat(self.granted(), Equals([1, 2]))
         self.fleet.pass_time(0.24)
         self.assertThat(self.granted(), Equals([1, 2, 3]))
 
-    def test_what_would_be_late_for_the_bodies_before_it_is_refused_at_once(self) -> None:
+    def test_a_body_that_earlier_bodies_would_make_late_is_refused_at_once(self) -> None:
         tickets = [self.announce() for _ in range(9)]
-        refused = [ticket for ticket, answer in self.told().items() if answer.error == ErrorKind.LINK_FULL]
+        refused = [ticket for ticket, answer in self.replies().items() if answer.error == ErrorKind.LINK_FULL]
         self.assertThat(len(refused), GreaterThan(3))
         self.fleet.pass_time(1.2)
-        # Whoever was not refused at once is granted within its target, and nobody is left.
+        # Every body that was not refused at once is granted within its latency target.
         self.assertThat(sorted([*refused, *self.granted()]), Equals(tickets))
 
-    def test_a_body_that_is_long_itself_comes_over_a_free_link(self) -> None:
+    def test_a_long_transfer_is_granted_a_free_link(self) -> None:
         self.assertThat(self.granted(), Equals([]))
         self.announce(octets=400_000)
         self.assertThat(self.granted(), Equals([1]))
 
-    def test_a_body_that_cannot_come_within_its_deadline_is_refused(self) -> None:
+    def test_a_body_that_cannot_arrive_before_its_deadline_is_refused(self) -> None:
         self.announce(octets=400_000, budget=1.0)
-        self.assertThat(self.told()[1].error, Equals(str(ErrorKind.LINK_FULL)))
+        self.assertThat(self.replies()[1].error, Equals(str(ErrorKind.LINK_FULL)))
 
-    def test_more_urgent_bodies_come_first(self) -> None:
+    def test_more_urgent_bodies_are_granted_first(self) -> None:
         self.announce()
         self.announce(rank=2)
         self.announce(rank=0)
         self.fleet.pass_time(0.24)
         self.assertThat(self.granted(), Equals([1, 3]))
 
-    def test_the_time_of_a_body_that_is_not_sent_goes_to_the_next(self) -> None:
+    def test_the_link_time_of_an_abandoned_body_goes_to_the_next(self) -> None:
         for _ in range(2):
             self.announce()
         self.fleet.feed(NAME, AbandonArrived(90, AbandonCall("a-1")))
         self.fleet.pass_time(0.02)
         self.assertThat(self.granted(), Equals([1, 2]))
-        # One that waits is told, and has no place any more.
+        # A queued body that is abandoned is refused and leaves the queue.
         self.announce()
         self.fleet.feed(NAME, AbandonArrived(91, AbandonCall("a-3")))
-        self.assertThat(self.told()[3].error, Equals(str(ErrorKind.SILENT)))
+        self.assertThat(self.replies()[3].error, Equals(str(ErrorKind.SILENT)))
         self.fleet.pass_time(1.0)
         self.assertThat(self.granted(), Equals([1, 2]))
 
-    def test_senders_that_are_gone_keep_the_link_from_nobody_for_long(self) -> None:
+    def test_senders_that_are_gone_do_not_block_the_link_for_long(self) -> None:
         for number in range(12):
             self.announce(octets=9000)
             self.fleet.pass_time(0.5 if number == 5 else 0.04)
@@ -127,7 +127,7 @@
         self.announce()
         self.assertThat(self.granted()[-1], Equals(13))
 
-    def test_an_admitted_body_is_not_refused_for_a_queue_that_grew_meanwhile(self) -> None:
+    def test_a_granted_body_is_not_refused_for_a_queue_that_grew_meanwhile(self) -> None:
         self.announce()
         for _ in range(60):
             self.core.upstream.latencies.by_route["read"] = latency_of(0.2)
@@ -135,16 +135,16 @@
         ticket = self.send(1)
         self.assertThat(self.fleet.answers.get(ticket), Equals(None))
 
-    def test_what_waits_for_a_server_that_leaves_is_refused_without_being_sent(self) -> None:
+    def test_a_body_queued_for_a_server_that_winds_down_is_refused_unsent(self) -> None:
         for _ in range(2):
             self.announce()
         self.fleet.health(NAME, state=WINDING_DOWN)
         self.fleet.pass_time(0.04)
-        self.assertThat(self.told()[2].error, Equals(str(ErrorKind.WINDING_DOWN)))
+        self.assertThat(self.replies()[2].error, Equals(str(ErrorKind.WINDING_DOWN)))
 
 
 class Sender(TestCase):
-    """Three sidecars; what goes between them is carried out by hand."""
+    """Three sidecars; the test itself delivers the calls between them."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -168,14 +168,14 @@
         (sent,) = self.fleet.sent(ForwardRequest)
         self.assertThat((sent.rate, sent.call.body), Equals((100_000, BODY)))
         self.assertThat(sent.call.attempt_id, Equals(self.announced()[0].call.attempt_id))
-        # What is left of its time is that of its last byte.
+        # The budget is what remains when the last byte arrives.
         self.assertThat(sent.call.budget, Equals(timedelta(seconds=3.0) - timedelta(seconds=0.6)))
 
     def test_small_bodies_are_sent_at_once(self) -> None:
         self.fleet.ask("/pack/x", body=b"small")
         self.assertThat((len(self.announced()), len(self.fleet.sent(ForwardRequest))), Equals((0, 1)))
 
-    def test_a_refused_body_is_announced_elsewhere_and_then_comes_back_later(self) -> None:
+    def test_a_refused_body_is_announced_elsewhere_and_then_rejected_with_retry_after(self) -> None:
         ticket = self.upload()
         first = self.announced()[0].address
         self.answer(AnnounceBodyAnswer(str(ErrorKind.LINK_FULL), 0, milliseconds(900)))
@@ -187,13 +187,13 @@
         self.assertThat(reply.retry_after, GreaterThan(ZERO))
         self.assertThat(self.fleet.sent(ForwardRequest), Equals([]))
 
-    def test_a_receiver_that_says_nothing_is_no_uncertain_end(self) -> None:
+    def test_an_unanswered_announcement_is_no_uncertain_outcome(self) -> None:
         ticket = self.upload()
         for _ in range(2):
             self.answer(None)
         self.assertThat(self.fleet.replies[ticket].status, Equals(503))
 
-    def test_a_request_whose_time_ends_unsent_has_not_run(self) -> None:
+    def test_a_request_whose_deadline_passes_unsent_has_not_run(self) -> None:
         ticket = self.upload(budget=0.2)
         self.fleet.pass_time(0.3)
         self.assertThat(self.fleet.replies[ticket].status, Equals(503))
@@ -204,7 +204,7 @@
         self.answer(AnnounceBodyAnswer("", 100_000, ZERO))
         self.assertThat(self.fleet.sent(ForwardRequest), Equals([]))
 
-    def test_a_body_goes_where_the_link_is_free_sooner(self) -> None:
+    def test_a_body_goes_to_the_link_that_is_free_sooner(self) -> None:
         self.upload()
         busy = self.announced()[0].address
         self.answer(AnnounceBodyAnswer("", 100_000, timedelta(seconds=2)))
@@ -219,18 +219,18 @@
         self.now = timedelta(seconds=7)
 
     def transfers(self, link: LinkSchedule, *, actual: float, count: int) -> None:
-        """Bodies one after the other over a link that really carries so many bytes a second."""
+        """Transfer bodies one after the other over a link with this actual capacity in bytes a second."""
         for number in range(count):
             rate = link.grant(f"a-{number}", BODY_OCTETS, now=self.now)
             self.now += timedelta(seconds=BODY_OCTETS / min(rate, actual))
             link.arrived(f"a-{number}", now=self.now)
 
-    def test_a_link_that_carries_less_than_the_settings_say_is_found_out(self) -> None:
+    def test_a_capacity_below_the_settings_is_detected(self) -> None:
         link = LinkSchedule(bytes_per_second=4 * CAPACITY, now=self.now)
         self.transfers(link, actual=CAPACITY, count=60)
         self.assertThat(link.rate(self.now), LessThan(2 * CAPACITY))
 
-    def test_a_link_of_unknown_capacity_is_found_out(self) -> None:
+    def test_an_unknown_capacity_is_estimated(self) -> None:
         slow, fast = (LinkSchedule(bytes_per_second=0, now=self.now) for _ in range(2))
         self.transfers(slow, actual=CAPACITY, count=60)
         self.assertThat(slow.rate(self.now), LessThan(2 * CAPACITY))
@@ -248,7 +248,7 @@
             self.transfers(link, actual=CAPACITY / 3 if number % 8 == 0 else CAPACITY, count=1)
         self.assertThat(link.rate(self.now), GreaterThan(CAPACITY * USED_SHARE * 0.9))
 
-    def test_what_else_arrives_has_its_part(self) -> None:
+    def test_other_traffic_reduces_the_rate(self) -> None:
         link = LinkSchedule(bytes_per_second=CAPACITY, now=self.now)
         for _ in range(100):
             self.now += milliseconds(100)
--- a/tests/test_sidecar_client_gone.py
+++ b/tests/test_sidecar_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that disconnects: its work is cancelled unless it may not be repeated or runs under a key."""
+"""A client that disconnects: its request is cancelled, unless it is not idempotent or has a key."""
 
 import asyncio
 from datetime import timedelta
@@ -13,7 +13,7 @@
 
 
 class ClientGone(TestCase):
-    def test_a_repeatable_run_is_broken_off_and_the_next_one_starts(self) -> None:
+    def test_an_idempotent_run_is_cancelled_and_the_next_one_starts(self) -> None:
         fleet = SidecarBench("s-1", room=1)
         first = fleet.ask("/read/x")
         second = fleet.ask("/read/y")
@@ -24,7 +24,7 @@
         fleet.finish()
         self.assertThat((first in fleet.replies, fleet.replies[second].status), Equals((False, 200)))
 
-    def test_what_waits_for_a_server_never_reaches_it(self) -> None:
+    def test_a_queued_request_never_reaches_the_server(self) -> None:
         fleet = SidecarBench("s-1", room=1)
         fleet.ask("/read/x")
         waiting = fleet.ask("/read/y")
@@ -34,13 +34,13 @@
             ([each.call.path for each in fleet.sent(RunOnServer)], fleet.aborted), Equals(([b"/read/x"], []))
         )
 
-    def test_what_may_not_be_repeated_goes_on(self) -> None:
+    def test_a_non_idempotent_run_goes_on(self) -> None:
         for path in ("/post/x", "/pack/x"):
             fleet = SidecarBench("s-1")
             fleet.disconnect(fleet.ask(path))
             self.assertThat((fleet.sent(Abandon), fleet.aborted, len(fleet.runs)), Equals(([], [], 1)), path)
 
-    def test_work_under_a_key_goes_on_and_its_repeat_gets_the_answer(self) -> None:
+    def test_a_keyed_run_goes_on_and_its_repeat_gets_the_answer(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
         fleet.disconnect(fleet.ask("/pay/x", key="k"))
         fleet.finish(body=b"paid")
@@ -48,7 +48,7 @@
         self.assertThat((fleet.replies[again].status, fleet.replies[again].body), Equals((200, b"paid")))
         self.assertThat(len(fleet.sent(RunOnServer)), Equals(1))
 
-    def test_an_attempt_whose_sidecar_does_not_hear_of_it_is_not_sent_again(self) -> None:
+    def test_an_attempt_whose_sidecar_does_not_get_the_abandon_call_is_not_retried(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
         ticket = fleet.ask("/read/x")
         (name, _), *_ = fleet.runs
@@ -59,7 +59,7 @@
             (len(fleet.sent(ForwardRequest)), fleet.cores["s-1"].ingress.requests.requests), Equals((1, {}))
         )
 
-    def test_a_client_that_left_long_ago_changes_nothing(self) -> None:
+    def test_a_disconnect_after_the_response_changes_nothing(self) -> None:
         fleet = SidecarBench("s-1")
         ticket = fleet.ask("/read/x")
         fleet.finish()
@@ -68,10 +68,10 @@
 
 
 class ClientGoneAtTheNode(TestCase):
-    """Guards against tickets that are kept for good: a client left, and its request was given up without an answer."""
+    """Guards against leaked tickets: a client disconnected, and its request was abandoned without a response."""
 
-    def left_waiting(self, path: str) -> tuple[int, bool]:
-        """How many tickets wait after a client has left, and whether its request is still pending."""
+    def disconnect_while_waiting(self, path: str) -> tuple[int, bool]:
+        """Return how many tickets are open after a client disconnected, and whether its request is still pending."""
         bench = SidecarBench("s-1")
         node = object.__new__(SidecarNode)
         node.core = bench.cores["s-1"]
@@ -92,8 +92,8 @@
         asyncio.run(leave())
         return len(node.answers), bool(node.core.ingress.requests.requests)
 
-    def test_no_ticket_waits_for_an_answer_that_nobody_gives(self) -> None:
-        self.assertThat(self.left_waiting("/read/x"), Equals((0, False)))
+    def test_no_ticket_stays_open_for_an_abandoned_request(self) -> None:
+        self.assertThat(self.disconnect_while_waiting("/read/x"), Equals((0, False)))
 
-    def test_nor_for_one_that_comes_when_its_client_has_gone(self) -> None:
-        self.assertThat(self.left_waiting("/post/x"), Equals((0, True)))
+    def test_no_ticket_stays_open_for_a_request_that_goes_on(self) -> None:
+        self.assertThat(self.disconnect_while_waiting("/post/x"), Equals((0, True)))
--- a/tests/test_sidecar_given_up_claims.py
+++ b/tests/test_sidecar_given_up_claims.py
@@ -1,4 +1,4 @@
-"""Claims whose requests were refused: what the log may hold is given back, and what it can't hold makes no work."""
+"""Claims of rejected requests: those that may be in the log are released, the others cause no further log records."""
 
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -7,37 +7,37 @@
 from hoistsaddle.statemachine.commands import ClaimKey, ReleaseKey
 from sidecar_bench import SidecarBench
 
-# Longer than a request waits for its key, and than a release that isn't urgent is put off.
+# Longer than a request waits for its key, and longer than the delay of a release.
 LONG_SECONDS = 3.0
 
 
 class SilentLog(SidecarBench):
-    """The log answers nothing by itself: a test says what came of each command."""
+    """A log that gives no answers itself: the test feeds the outcome of each command."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[SubmitHold] = []
+        self.submitted: list[SubmitHold] = []
 
     def _carry_out(self, name: str, command: tuple) -> None:
         if isinstance(command, SubmitHold):
-            self.asked.append(command)
+            self.submitted.append(command)
         else:
             super()._carry_out(name, command)
 
     def claims(self) -> list[SubmitHold]:
-        return [each for each in self.asked if isinstance(each.command, ClaimKey)]
+        return [each for each in self.submitted if isinstance(each.command, ClaimKey)]
 
     def releases(self) -> list[SubmitHold]:
-        return [each for each in self.asked if isinstance(each.command, ReleaseKey)]
+        return [each for each in self.submitted if isinstance(each.command, ReleaseKey)]
 
     def end(self, *, maybe_accepted: bool) -> None:
-        """No claim that was submitted so far gets an outcome."""
+        """End all submitted claims without an outcome."""
         for claim in self.claims():
             self.feed("s-1", HoldAnswered(claim.number, None, maybe_accepted))
 
 
 class GivenUpClaims(TestCase):
-    """Guards against work for the log that nobody waits for: one refused request made more of it than a served one."""
+    """Guards against useless log records: a rejected request caused more of them than a served one."""
 
     def refused(self) -> tuple[SilentLog, int]:
         fleet = SilentLog()
@@ -46,7 +46,7 @@
         self.assertThat(fleet.replies[ticket].status, Equals(503))
         return fleet, ticket
 
-    def test_a_claim_says_until_when_its_answer_is_of_use(self) -> None:
+    def test_a_claim_carries_the_deadline_of_its_request_for_the_key(self) -> None:
         fleet = SilentLog()
         began = fleet.timestamp
         ticket = fleet.ask("/pay/x", key="k")
@@ -56,7 +56,7 @@
         fleet.pass_time((waited * 0.4).total_seconds())
         self.assertThat(fleet.replies[ticket].status, Equals(503))
 
-    def test_a_request_that_waits_submits_one_claim_and_a_refused_one_none_again(self) -> None:
+    def test_a_waiting_request_submits_one_claim_and_none_after_its_rejection(self) -> None:
         fleet, _ = self.refused()
         self.assertThat((len(fleet.claims()), fleet.releases()), Equals((1, [])))
 
@@ -66,13 +66,13 @@
         fleet.pass_time(LONG_SECONDS)
         self.assertThat(fleet.releases(), Equals([]))
 
-    def test_a_claim_that_may_be_in_the_log_is_given_back(self) -> None:
+    def test_a_claim_that_may_be_in_the_log_is_released(self) -> None:
         fleet, _ = self.refused()
         fleet.end(maybe_accepted=True)
         fleet.pass_time(LONG_SECONDS)
         self.assertThat({each.command.claim for each in fleet.releases()}, Equals({fleet.claims()[0].command.claim}))
 
-    def test_a_claim_granted_late_leaves_no_key_held(self) -> None:
+    def test_a_claim_that_is_granted_late_is_released(self) -> None:
         fleet, _ = self.refused()
         claim = fleet.claims()[0]
         fleet.feed("s-1", HoldAnswered(claim.number, fleet.write(claim.command)))
@@ -81,7 +81,7 @@
             fleet.write(release.command)
         self.assertThat(len(fleet.log.holds), Equals(0))
 
-    def test_each_refused_request_costs_the_log_one_claim_at_the_most(self) -> None:
+    def test_each_rejected_request_costs_the_log_at_most_one_claim(self) -> None:
         fleet = SilentLog()
         for number in range(50):
             fleet.ask("/pay/x", key=f"k-{number}")
@@ -89,4 +89,4 @@
         fleet.pass_time(LONG_SECONDS)
         fleet.end(maybe_accepted=False)
         fleet.pass_time(LONG_SECONDS)
-        self.assertThat((len(fleet.claims()), len(fleet.asked)), Equals((50, 50)))
+        self.assertThat((len(fleet.claims()), len(fleet.submitted)), Equals((50, 50)))
