--- a/tests/test_sidecar_guarded_http.py
+++ b/tests/test_sidecar_guarded_http.py
@@ -1,4 +1,4 @@
-"""Connections of the HTTP listeners are bounded as their bytes come, and what they held is given back."""
+"""Connections of the HTTP listeners are limited as data arrives, and their bytes are returned to the budget."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,7 +16,7 @@
 MEGABYTE = 1024 * 1024
 LIMITS = HttpLimits(header_bytes=1000, header_time=timedelta(seconds=60), idle_time=timedelta(seconds=60))
 HEAD = b"POST / HTTP/1.1\r\nHost: h\r\n"
-# It only ends a run that hangs.
+# Ends a test that hangs.
 MAX_SECONDS = 30.0
 
 
@@ -33,7 +33,7 @@
     request._client_max_size = 0
     if request.path == "/slow":
         SLOW_BEGUN.append(True)
-        # Longer than the head that follows it may take.
+        # Longer than the limit on the time of the head that follows it.
         await asyncio.sleep(0.3)
     try:
         body = await request.read()
@@ -45,7 +45,7 @@
 
 
 class Guarded(TestCase):
-    """Guards against bytes of clients that are held before they are counted (issue 44, second matter)."""
+    """Guards against client data that is held in memory before it is counted (issue 44, second matter)."""
 
     def run_with(
         self,
@@ -97,7 +97,7 @@
 
         self.run_with(work, limits=LIMITS._replace(header_time=timedelta(milliseconds=50)))
 
-    def test_a_refused_head_never_passes_for_the_answer_to_the_request_before_it(self) -> None:
+    def test_the_refusal_of_a_head_is_not_sent_in_place_of_an_earlier_answer(self) -> None:
         async def work(connect: Any) -> None:
             for begin_of_next in (HEAD, HEAD + b"X: " + b"y" * REQUEST_LINE_BYTES * 2):
                 reader, writer = await connect()
@@ -111,7 +111,7 @@
 
         self.run_with(work, limits=LIMITS._replace(header_time=timedelta(milliseconds=50)))
 
-    def test_a_body_that_falls_silent_is_closed(self) -> None:
+    def test_a_connection_whose_body_stops_arriving_is_closed(self) -> None:
         async def work(connect: Any) -> None:
             reader, writer = await connect()
             writer.write(HEAD + b"Content-Length: 10\r\n\r\nx")
@@ -120,7 +120,7 @@
 
         self.run_with(work, limits=LIMITS._replace(idle_time=timedelta(milliseconds=50)))
 
-    def test_beyond_the_budget_a_body_is_refused_and_one_alone_is_not(self) -> None:
+    def test_over_the_budget_a_body_is_refused_unless_it_is_the_only_one(self) -> None:
         budget = budget_of(1.0)
 
         async def work(connect: Any) -> None:
@@ -139,7 +139,7 @@
 
         self.run_with(work, budget=budget)
 
-    def test_what_was_answered_is_given_back_on_an_open_connection(self) -> None:
+    def test_bytes_of_an_answered_request_are_released_on_an_open_connection(self) -> None:
         budget = budget_of(1.0)
 
         async def work(connect: Any) -> None:
@@ -154,7 +154,7 @@
 
         self.run_with(work, budget=budget)
 
-    def test_connections_beyond_their_share_are_closed(self) -> None:
+    def test_connections_over_the_limit_are_closed(self) -> None:
         budget = budget_of(1.0, descriptors=8)
 
         async def work(connect: Any) -> None:
--- a/tests/test_sidecar_wind_down.py
+++ b/tests/test_sidecar_wind_down.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a sidecar: it serves until its listener is idle, and keeps time to finish what it accepted."""
+"""Graceful shutdown of a sidecar: it serves until its listener is idle, and has time left for accepted requests."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -20,7 +20,7 @@
 
 
 class WindDownBench:
-    """wind_down on a clock that its own waits move."""
+    """Runs wind_down on a clock that only its own sleeps advance."""
 
     def __init__(self, *, busy: bool, works: timedelta) -> None:
         self.timestamp = timedelta(seconds=100)
@@ -63,7 +63,7 @@
 
 
 class WindDown(TestCase):
-    def test_a_quiet_door_ends_it_soon(self) -> None:
+    def test_an_idle_listener_ends_the_shutdown_soon(self) -> None:
         stopping = WindDownBench(busy=False, works=timedelta(seconds=0.3))
         took = stopping.run()
         self.assertThat(
@@ -71,15 +71,15 @@
         )
         self.assertThat(QUIET <= took <= timedelta(seconds=0.9), Equals(True), str(took))
 
-    def test_a_door_that_never_falls_quiet_leaves_time_for_what_was_taken(self) -> None:
-        """Clients came to the end, and the last of them were cut off while servers worked for them."""
+    def test_a_listener_that_is_never_idle_closes_in_time_for_accepted_requests(self) -> None:
+        """Guards against cut connections: clients sent requests to the end, and the last ones were still running."""
         stopping = WindDownBench(busy=True, works=timedelta(seconds=1.5))
         took = stopping.run()
         closed = stopping.events[1][1]
         self.assertThat(closed <= MOST * OPEN_SHARE + SidecarNode.timings.tick, Equals(True), str(closed))
         self.assertThat(took < MOST, Equals(True), str(took))
 
-    def test_a_closing_proxy_turns_new_ones_back_and_ends_what_it_took(self) -> None:
+    def test_a_closing_sidecar_rejects_new_requests_and_finishes_accepted_ones(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
         before = fleet.ask(ingress="s-1", budget=3.0)
         fleet.cores["s-1"].handle(CloseRequested(), now=fleet.timestamp)
@@ -91,8 +91,8 @@
             fleet.finish()
         self.assertThat(fleet.replies[before].status, Equals(200))
 
-    def test_requests_left_at_the_end_of_the_grace_are_ended_just_before_it(self) -> None:
-        """Uploads on a thin link outlasted the grace: their connections closed with no answer."""
+    def test_requests_left_at_the_end_of_the_grace_period_get_a_response_before_it(self) -> None:
+        """Guards against closed connections without a response: uploads on a slow link outlasted the grace period."""
         stopping = WindDownBench(busy=True, works=timedelta(seconds=60))
         took = stopping.run()
         self.assertThat(
@@ -101,14 +101,14 @@
         )
         self.assertThat(MOST <= took <= MOST + SidecarNode.timings.tick, Equals(True), str(took))
 
-    def test_each_request_left_is_told_what_is_known_of_it(self) -> None:
+    def test_each_request_left_gets_a_response_with_its_known_outcome(self) -> None:
         fleet = SidecarBench("s-1", "s-2")
         sent = fleet.ask("/pack/x", budget=30.0)
         fleet.core_up = False
         claiming = fleet.ask("/pay/x", key="k", budget=30.0)
         self.assertThat(fleet.replies, Equals({}))
         fleet.feed("s-1", GraceExpired())
-        # A server may still work on the one; the other waited for its key, so it ran nowhere and never will.
+        # The first may still run on a server; the second still waited for its key, so it did not and will not run.
         self.assertThat([fleet.replies[each].status for each in (sent, claiming)], Equals([502, 503]))
         self.assertThat(fleet.replies[claiming].retry_after is not None, Equals(True))
         self.assertThat(fleet.cores["s-1"].ingress.requests.requests, Equals({}))
