--- a/tests/test_sidecar_listener.py
+++ b/tests/test_sidecar_listener.py
@@ -1,4 +1,4 @@
-"""A sidecar's HTTP listener, against a raw client."""
+"""A sidecar's HTTP listener, tested with a raw client."""
 
 import asyncio
 import gzip
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """Answers as the test says, and records the requests."""
+    """A node that gives the test's answer and records the requests."""
 
     def __init__(self) -> None:
         self.asked: list[RequestArrived] = []
@@ -39,7 +39,7 @@
 
 
 def complete_answers(received: bytes) -> int:
-    """How many answers are complete; an interim one is none."""
+    """Return the number of complete responses; interim ones don't count."""
     count = 0
     while True:
         head, end, received = received.partition(b"\r\n\r\n")
@@ -70,11 +70,11 @@
             finally:
                 await runner.cleanup()
 
-        # On a clock that stands still a request's budget is as its client sent it.
+        # On the stepped clock no time passes, so a request's budget stays as its client sent it.
         return run_stepped(run())
 
     def say(self, *parts: bytes, answers: int = 1) -> bytes:
-        """What a client gets that sends this: so many complete answers, or all until the listener closes."""
+        """Send this as a client; return the data up to this many complete responses, or up to the connection's end."""
 
         async def work(port: int) -> bytes:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -93,7 +93,7 @@
         return self.with_listener(work)
 
     def cut(self, *parts: bytes) -> None:
-        """A client that breaks off after this; the listener has noticed once it has closed the connection."""
+        """Send this as a client, break off, and wait until the listener closes the connection."""
 
         async def work(port: int) -> None:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -109,8 +109,8 @@
 
         self.with_listener(work)
 
-    def test_a_body_in_a_coding_is_told_byte_for_byte(self) -> None:
-        """Guards against servers that run another body: gzip was decompressed on its way, its header passed on."""
+    def test_an_encoded_body_is_forwarded_byte_for_byte(self) -> None:
+        """Guards against a changed body: gzip was decompressed on the way, but its header was forwarded."""
         plain = b"a line of a syllabus\n" * 60
         codings = {
             b"gzip": gzip.compress(plain),
@@ -127,11 +127,11 @@
             self.say(head + b"\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             self.say(head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + in_chunks)
             for asked in self.node.asked[-2:]:
-                told = dict(unpack_pairs(asked.headers))[b"Content-Encoding"]
-                self.assertThat((asked.body, told), Equals((body, coding)), coding)
+                forwarded = dict(unpack_pairs(asked.headers))[b"Content-Encoding"]
+                self.assertThat((asked.body, forwarded), Equals((body, coding)), coding)
 
-    def test_a_body_that_grows_without_end_costs_only_its_own_bytes(self) -> None:
-        """A decompression bomb: a thousandth of its size is what counts, and what is passed on."""
+    def test_a_decompression_bomb_is_not_decompressed(self) -> None:
+        """Only the compressed bytes, a thousandth of the content, are counted and forwarded."""
         body = gzip.compress(bytes(32 * 1024 * 1024))
         self.say(
             b"POST /pack/x HTTP/1.1\r\nHost: shop.example\r\nContent-Encoding: gzip\r\n"
@@ -149,10 +149,10 @@
         ):
             self.say(b"GET " + target + b" HTTP/1.1\r\nHost: other.example\r\n\r\n")
             asked = self.node.asked[-1]
-            told = dict(unpack_pairs(asked.headers))[b"Host"].partition(b":")[0].lower()
-            self.assertThat((asked.host, asked.path, told), Equals((host, path, host.encode())), target)
+            forwarded = dict(unpack_pairs(asked.headers))[b"Host"].partition(b":")[0].lower()
+            self.assertThat((asked.host, asked.path, forwarded), Equals((host, path, host.encode())), target)
 
-    def test_a_request_is_told_as_it_came(self) -> None:
+    def test_a_request_is_passed_to_the_core_unchanged(self) -> None:
         self.say(
             b"POST /pay/x?a=%2F&b HTTP/1.1\r\nHost: SHOP.example:80\r\nX-Own: 1\r\nx-own: 2\r\n"
             b"Connection: keep-alive\r\nIdempotency-Key: k1\r\nX-Hoistsaddle-Send: t1\r\n"
@@ -169,7 +169,7 @@
         )
         self.assertThat([name for name, _ in pairs if name.lower() in (b"connection", b"content-length")], Equals([]))
 
-    def test_odd_budgets_are_left_to_the_entry_or_count_as_none(self) -> None:
+    def test_invalid_budgets_are_ignored_and_negative_ones_count_as_zero(self) -> None:
         for said, budget in (
             ("", None),
             ("soon", None),
@@ -180,7 +180,7 @@
             self.say(f"GET / HTTP/1.1\r\nHost: a\r\nX-Hoistsaddle-Budget: {said}\r\n\r\n".encode())
             self.assertThat(self.node.asked[-1].budget, Equals(budget), said)
 
-    def test_the_time_that_a_body_takes_to_come_is_part_of_its_requests_time(self) -> None:
+    def test_the_time_in_which_a_body_arrives_counts_against_the_budget(self) -> None:
         async def run() -> None:
             runner = await open_listener(
                 address="127.0.0.1:0", handler=IngressHandler(node=self.node, header_names=HeaderNames()).handle
@@ -205,7 +205,7 @@
         run_stepped(run())
         self.assertThat(self.node.asked[0].budget, Equals(timedelta(seconds=1.75)))
 
-    def test_bodies_in_chunks_and_with_a_word_before_them(self) -> None:
+    def test_chunked_bodies_and_expect_100_continue(self) -> None:
         received = self.say(
             b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n",
             b"3\r\nabc\r\n",
@@ -215,32 +215,32 @@
         self.assertThat(received, Contains(b"100 Continue"))
         self.assertThat(received, Contains(b"200 OK"))
 
-    def test_a_servers_answer_goes_back_unchanged(self) -> None:
+    def test_a_servers_response_is_returned_unchanged(self) -> None:
         received = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         head, _, body = received.partition(b"\r\n\r\n")
         self.assertThat(body, Equals(b"body"))
         for line in (b"X-Seal: a", b"X-Seal: b", b"Content-Length: 4"):
             self.assertThat(head, Contains(line))
 
-    def test_its_own_kind_of_body_goes_back_alone(self) -> None:
+    def test_the_servers_content_type_is_the_only_one(self) -> None:
         self.node.answer = self.node.answer._replace(headers=pack_pairs([(b"content-type", b"image/x-odd; a=b")]))
         head = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").partition(b"\r\n\r\n")[0]
         kinds = [line for line in head.split(b"\r\n") if line.lower().startswith(b"content-type")]
         self.assertThat([kind.partition(b": ")[2] for kind in kinds], Equals([b"image/x-odd; a=b"]))
 
-    def test_an_answer_to_head_has_no_body(self) -> None:
+    def test_the_response_to_head_has_no_body(self) -> None:
         self.node.answer = self.node.answer._replace(body=b"")
         received = self.say(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", answers=2)
         self.assertThat((received.count(b"200 OK"), len(self.node.asked)), Equals((2, 2)))
 
-    def test_many_requests_on_one_connection_are_answered_in_their_order(self) -> None:
+    def test_pipelined_requests_are_answered_in_order(self) -> None:
         one = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
         received = self.say(one % 1 + one % 2, one % 3, answers=3)
         self.assertThat(received.count(b"200 OK"), Equals(3))
         self.assertThat([asked.path for asked in self.node.asked], Equals(["/1", "/2", "/3"]))
 
-    def test_a_refusal_says_why_and_when_to_come_back(self) -> None:
-        error = MeshError(ErrorKind.NO_SERVER, "None takes work.", "Come back.")
+    def test_a_rejection_has_its_reason_and_retry_after(self) -> None:
+        error = MeshError(ErrorKind.NO_SERVER, "No server accepts requests.", "Retry later.")
         self.node.answer = Reply(0, 503, b"", b"", error, timedelta(milliseconds=250))
         received = self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         for part in (b"503 Service Unavailable", b"Retry-After: 0.250", b"no-server"):
@@ -251,8 +251,8 @@
         received = self.say(b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
         self.assertThat(received.lower(), Contains(b"connection: close"))
 
-    def test_a_door_closes_though_something_still_runs_on_it(self) -> None:
-        """A proxy that waited for it would be killed at the end of its grace, with all that it holds."""
+    def test_a_listener_closes_though_a_handler_still_runs(self) -> None:
+        """A sidecar that waited for it would be killed at the end of its grace period, with all its requests."""
 
         async def run() -> str:
             begun = asyncio.Event()
@@ -281,7 +281,7 @@
 
         self.assertThat(asyncio.run(run()), Equals("cancelled"))
 
-    def test_what_never_came_whole_is_asked_of_nobody(self) -> None:
+    def test_incomplete_requests_are_not_passed_to_the_core(self) -> None:
         for parts in (
             (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc",),
             (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", b"5\r\nab"),
@@ -290,7 +290,7 @@
             self.cut(*parts)
         self.assertThat(self.node.asked, Equals([]))
 
-    def test_what_is_no_http_is_refused_and_asked_of_nobody(self) -> None:
+    def test_invalid_http_is_refused_and_not_passed_to_the_core(self) -> None:
         for data in (
             b"\x16\x03\x01\x02\x00\r\n\r\n",
             b"GET / HTTP/1.1\r\nbad header\r\n\r\n",
--- a/tests/test_sidecar_server_connections.py
+++ b/tests/test_sidecar_server_connections.py
@@ -1,6 +1,6 @@
-"""Pooled connections to a server, against a small raw one that does everything a server shouldn't.
+"""Pooled connections to a server, tested with a raw server that violates the protocol in many ways.
 
-The clock moves only by a test's own steps: nothing here depends on how busy the machine is.
+The clock advances only by the steps of the test, so no result depends on the load of the machine.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Requests(Case):
-    def test_the_request_goes_as_it_came_but_for_what_concerns_one_connection(self) -> None:
+    def test_a_request_is_forwarded_unchanged_except_for_hop_by_hop_headers(self) -> None:
         pairs = [
             (b"Host", b"shop.example"),
             (b"Connection", b"close"),
@@ -56,7 +56,7 @@
         self.assertThat(first.headers["X-Hoistsaddle-Budget"], Equals("2000"))
         self.assertThat("Content-Length" in second.headers, Equals(False))
 
-    def test_a_body_of_nothing_has_its_length_too(self) -> None:
+    def test_an_empty_body_has_a_content_length(self) -> None:
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
             await self.send(line, raw, method="POST")
 
@@ -79,36 +79,36 @@
                 asked.say(part)
                 await asked.writer.drain()
             if cut:
-                # What was sent before is on its way: it arrives before the end.
+                # The data sent before is in flight and arrives before the end of the connection.
                 asked.cut()
 
         return behave
 
-    def test_status_body_and_headers_come_back_as_they_are(self) -> None:
+    def test_status_body_and_headers_are_returned_unchanged(self) -> None:
         result = self.one(self.saying(answer("s1", b"\x00\xff", "X-Seal: a", "X-Seal: b", status="418 Teapot")))
         self.assertServed(result, b"\x00\xff", status=418)
         seals = [value for name, value in unpack_pairs(result.headers) if name == b"X-Seal"]
         self.assertThat((seals, result.not_run), Equals(([b"a", b"b"], False)))
 
-    def test_chunks_make_one_body(self) -> None:
+    def test_chunks_are_joined_to_one_body(self) -> None:
         body = b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
         head = answer("s1", b"", "Transfer-Encoding: chunked", length=False)
         self.assertServed(self.one(self.saying(head, body[:6], body[6:])), b"abcdefg")
 
-    def test_chunks_that_break_off_are_no_answer(self) -> None:
+    def test_incomplete_chunks_are_no_answer(self) -> None:
         head = answer("s1", b"", "Transfer-Encoding: chunked", length=False)
         self.assertMissed(self.one(self.saying(head, b"3\r\nabc\r\n", cut=True)), ErrorKind.ANSWER_BROKEN)
 
-    def test_a_head_only_answer_has_no_body(self) -> None:
+    def test_the_answer_to_head_has_no_body(self) -> None:
         head = b"HTTP/1.1 200 OK\r\n" + f"{ID}: s1\r\nContent-Length: 900\r\n\r\n".encode()
         self.assertServed(self.one(self.saying(head), method="HEAD"), b"")
 
-    def test_answers_without_a_body_by_their_status(self) -> None:
+    def test_answers_with_a_bodiless_status_have_no_body(self) -> None:
         for status in ("204 No Content", "304 Not Modified"):
             head = f"HTTP/1.1 {status}\r\n{ID}: s1\r\n\r\n".encode()
             self.assertServed(self.one(self.saying(head)), b"", status=int(status[:3]))
 
-    def test_words_before_the_answer_are_passed_over(self) -> None:
+    def test_interim_responses_are_skipped(self) -> None:
         hints = f"HTTP/1.1 103 Early Hints\r\n{ID}: s0\r\n\r\n".encode()
 
         async def early(asked: ServerRequest) -> None:
@@ -122,12 +122,12 @@
         for length in (0, 5, 20, len(complete) - 12, len(complete) - 10, len(complete) - 1):
             self.assertMissed(self.one(self.saying(complete[:length], cut=True)), ErrorKind.ANSWER_BROKEN)
 
-    def test_an_answer_that_ends_where_its_connection_ends_may_end_anywhere(self) -> None:
+    def test_an_answer_delimited_by_the_end_of_its_connection_is_rejected(self) -> None:
         head = answer("s1", b"", "Connection: close", length=False)
         self.assertMissed(self.one(self.saying(head, b"some", cut=True)), ErrorKind.ANSWER_BROKEN)
 
-    def test_nor_does_one_that_ends_there_before_its_body_has_begun(self) -> None:
-        """Found on a day of the platform: a head without a length and then nothing was passed on as an empty body."""
+    def test_an_answer_without_a_length_and_without_a_body_is_rejected(self) -> None:
+        """Guards against a fault seen on a platform: a head without a length and then nothing became an empty body."""
         for more in ((), ("Connection: close",), ("Transfer-Encoding: identity",)):
             for cut in (False, True):
                 head = answer("s1", b"", *more, length=False)
@@ -139,21 +139,21 @@
 
                 self.assertMissed(self.one(ending), ErrorKind.ANSWER_BROKEN)
 
-    def test_garbage_is_no_answer(self) -> None:
+    def test_invalid_data_is_no_answer(self) -> None:
         for garbage in (b"\x00\x01\x02\x03", b"HTTP/1.1 abc", b"SSH-2.0-x", b"HTTP/1.1 200 OK\r\n:"):
             result = self.one(self.saying(garbage + b"\r\n\r\n", cut=True))
             self.assertMissed(result, ErrorKind.ANSWER_BROKEN)
 
-    def test_an_encoded_answer_is_not_the_servers_body(self) -> None:
+    def test_an_answer_with_a_content_coding_is_rejected(self) -> None:
         result = self.one(self.saying(answer("s1", b"\x1f\x8b\x08", "Content-Encoding: gzip")))
         self.assertMissed(result, ErrorKind.ANSWER_BROKEN)
 
-    def test_an_answer_without_the_id_or_with_two_is_nobodys(self) -> None:
+    def test_an_answer_without_the_id_or_with_two_ids_is_discarded(self) -> None:
         for head in ("X-Other: s1", f"{ID}: s2", f"{ID}: s1\r\n{ID}: s1"):
             data = f"HTTP/1.1 200 OK\r\n{head}\r\nContent-Length: 2\r\n\r\nno".encode()
             self.assertMissed(self.one(self.saying(data, cut=True)), ErrorKind.ANSWER_BROKEN)
 
-    def test_silence_ends_with_the_budget(self) -> None:
+    def test_an_unanswered_request_times_out_after_its_budget(self) -> None:
         async def silent(asked: ServerRequest) -> None:
             await asyncio.Event().wait()
 
@@ -168,7 +168,7 @@
 
         self.run_with(silent, work)
 
-    def test_only_the_servers_own_word_says_that_it_did_not_run(self) -> None:
+    def test_only_the_not_run_header_or_421_means_that_it_did_not_run(self) -> None:
         for more, status, not_run in (
             (("X-Hoistsaddle-Not-Run: 1",), "503 Full", True),
             (("x-hoistsaddle-not-run: true",), "429 Many", True),
@@ -179,13 +179,13 @@
             result = self.one(self.saying(answer("s1", b"", *more, status=status)))
             self.assertThat((result.status, result.not_run), Equals((int(status[:3]), not_run)), status)
 
-    def test_nobody_listens(self) -> None:
+    def test_a_refused_connection_is_reported_as_unsent(self) -> None:
         async def run() -> tuple:
-            # The port is taken, so that nobody else comes to listen there meanwhile.
-            with socket.socket() as taken:
-                taken.bind(("127.0.0.1", 0))
+            # The port is bound, so that no other process can listen on it meanwhile.
+            with socket.socket() as bound:
+                bound.bind(("127.0.0.1", 0))
                 raw = RawServer(plain)
-                raw.port = taken.getsockname()[1]
+                raw.port = bound.getsockname()[1]
                 return await self.send(self.line(), raw)
 
         self.assertMissed(run_stepped(run()), ErrorKind.UNREACHABLE, unsent=True)
--- a/tests/test_sidecar_server_selection.py
+++ b/tests/test_sidecar_server_selection.py
@@ -1,4 +1,4 @@
-"""What an ingress derives from a configuration: available servers by service, and its share of the retry budget."""
+"""Values that an ingress derives from a configuration: available servers by service, and its retry budget share."""
 
 import random
 from datetime import timedelta
@@ -45,53 +45,55 @@
     return core
 
 
-def asked(core: SidecarCore, count: int) -> set[str]:
-    """Which proxies so many requests for the first service went to."""
-    found = set()
+def targets_of_requests(core: SidecarCore, count: int) -> set[str]:
+    """Send this many requests for the first service; return the proxies that they were forwarded to."""
+    targets = set()
     for _ in range(count):
         core.tickets = getattr(core, "tickets", 0) + 1
         event = RequestArrived(
             core.tickets, "GET", HOST, f"{prefix_of(0)}x", b"\x90", 80, b"", None, "", f"send-{core.tickets}"
         )
-        found |= {each.call.target for each in core.handle(event, now=timedelta()) if isinstance(each, ForwardRequest)}
-    return found
+        targets |= {
+            each.call.target for each in core.handle(event, now=timedelta()) if isinstance(each, ForwardRequest)
+        }
+    return targets
 
 
 class ServerSelection(TestCase):
-    def test_a_new_view_counts_with_the_next_request(self) -> None:
+    def test_a_new_view_takes_effect_with_the_next_request(self) -> None:
         state = make_state(SIZE)
         core = core_with(view_of(state))
-        self.assertThat(asked(core, 60), Equals({proxy_name(0), proxy_name(2), proxy_name(4)}))
+        self.assertThat(targets_of_requests(core, 60), Equals({proxy_name(0), proxy_name(2), proxy_name(4)}))
         servers = state.servers
         for proxy, change in ((0, {"state": WINDING_DOWN}), (2, {"drained_by": "ada"})):
             servers = servers.set(proxy_name(proxy), servers[proxy_name(proxy)]._replace(**change))
             state = state._replace(servers=servers)
             core.handle(ConfigurationChanged(view_of(state)), now=timedelta())
-            self.assertThat(proxy_name(proxy) in asked(core, 30), Equals(False))
-        self.assertThat(asked(core, 30), Equals({proxy_name(4)}))
+            self.assertThat(proxy_name(proxy) in targets_of_requests(core, 30), Equals(False))
+        self.assertThat(targets_of_requests(core, 30), Equals({proxy_name(4)}))
         gone = state.nodes.set(proxy_name(4), state.nodes[proxy_name(4)]._replace(state=GONE))
         core.handle(ConfigurationChanged(view_of(state._replace(nodes=gone))), now=timedelta())
-        self.assertThat(asked(core, 5), Equals(set()))
+        self.assertThat(targets_of_requests(core, 5), Equals(set()))
         core.handle(ConfigurationChanged(view_of(make_state(SIZE))), now=timedelta())
-        # The one that had all requests meanwhile has the most under way: the others come first now.
-        self.assertThat(asked(core, 60), Equals({proxy_name(0), proxy_name(2)}))
+        # The server that got all requests meanwhile has the most in flight, so the others are chosen now.
+        self.assertThat(targets_of_requests(core, 60), Equals({proxy_name(0), proxy_name(2)}))
 
-    def test_the_part_of_further_sends_is_worked_out_once_a_view_and_anew_with_the_next(self) -> None:
-        worked_out = []
+    def test_the_share_of_the_retry_budget_is_computed_once_per_view(self) -> None:
+        proxy_counts = []
 
         def counted(**needs):
-            worked_out.append(len(needs["proxies"]))
+            proxy_counts.append(len(needs["proxies"]))
             return retry_quota_of(**needs)
 
         self.patch(retry_allowance, "retry_quota_of", counted)
         state = make_state(SIZE)
         core = core_with(view_of(state))
-        asked(core, 20)
-        self.assertThat(worked_out, Equals([6]))
+        targets_of_requests(core, 20)
+        self.assertThat(proxy_counts, Equals([6]))
         gone = state.nodes.set(proxy_name(5), state.nodes[proxy_name(5)]._replace(state=GONE))
         core.handle(ConfigurationChanged(view_of(state._replace(nodes=gone))), now=timedelta())
-        asked(core, 20)
-        self.assertThat(worked_out, Equals([6, 5]))
+        targets_of_requests(core, 20)
+        self.assertThat(proxy_counts, Equals([6, 5]))
         left = [proxy_name(number) for number in range(5)]
         self.assertThat(
             core.ingress.retries.quotas,
