--- a/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/upstream.py
@@ -322,7 +322,7 @@
                 self._start(run, server)
 
     def _review_queue(self) -> None:
-        """Reject queued runs that can't finish in time without waiting for a free slot; then start what can run."""
+        """Reject queued runs that can't finish in time now, not when a slot becomes free; then start what can run."""
         for queued, server in [(queued, self._startable(self.runs[queued.number])) for queued in self._queue]:
             if isinstance(server, ErrorKind):
                 self._queue.remove(queued)
