--- a/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
@@ -71,7 +71,7 @@
         if self._state.now >= request.deadline:
             # There is no time for another follow call, and none is in flight that could return the outcome.
             return AttemptOutcome.UNKNOWN
-        request.attempt_state = AttemptState.BETWEEN_QUESTIONS
+        request.attempt_state = AttemptState.BETWEEN_FOLLOW_CALLS
         request.follow_ups += 1
         self._retries.append((self._state.now + RETRY_BACKOFF * request.follow_ups, request.ticket))
         return AttemptOutcome.PENDING
--- a/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
@@ -24,11 +24,11 @@
     # Its connection broke, and a follow call that asks for its outcome is in flight.
     ASKED = auto()
     # The last follow call got no answer, and the next one is due later: nothing is in flight.
-    BETWEEN_QUESTIONS = auto()
+    BETWEEN_FOLLOW_CALLS = auto()
 
     def may_have_run(self) -> bool:
         """Whether the attempt was sent and its outcome is unknown."""
-        return self in (AttemptState.SENT, AttemptState.ASKED, AttemptState.BETWEEN_QUESTIONS)
+        return self in (AttemptState.SENT, AttemptState.ASKED, AttemptState.BETWEEN_FOLLOW_CALLS)
 
 
 class PendingRequest:
--- a/packages/sidecar/src/hoistsaddle/sidecar/unanswered_keys.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/unanswered_keys.py
@@ -16,7 +16,7 @@
     AttemptState.ANNOUNCED: "announced",
     AttemptState.SENT: "forwarded",
     AttemptState.ASKED: "asked",
-    AttemptState.BETWEEN_QUESTIONS: "between_questions",
+    AttemptState.BETWEEN_FOLLOW_CALLS: "between_questions",
 }
 
 
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -203,7 +203,7 @@
         if outcome is AttemptOutcome.UNKNOWN:
             # As before: the tick that follows ends the request.
             outcome = AttemptOutcome.PENDING
-        request.attempt_state = AttemptState.BETWEEN_QUESTIONS
+        request.attempt_state = AttemptState.BETWEEN_FOLLOW_CALLS
         self._requests.tickets[request.call_number] = request.ticket
         return outcome
 
