--- a/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/attempt_follower.py
@@ -43,7 +43,7 @@
         """Ask for the outcome of the request's newest attempt."""
         number = self._state.next_number()
         self._requests.begin_call(request, number)
-        request.attempt_state = AttemptState.ASKED
+        request.attempt_state = AttemptState.FOLLOWING
         left = request.deadline - self._state.now
         node = self._state.view.nodes.get(request.target)
         address = node.address if node is not None else request.target_address
--- a/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/request_table.py
@@ -22,13 +22,13 @@
     # It was sent and awaits its answer.
     SENT = auto()
     # Its connection broke, and a follow call that asks for its outcome is in flight.
-    ASKED = auto()
+    FOLLOWING = auto()
     # The last follow call got no answer, and the next one is due later: nothing is in flight.
     BETWEEN_FOLLOW_CALLS = auto()
 
     def may_have_run(self) -> bool:
         """Whether the attempt was sent and its outcome is unknown."""
-        return self in (AttemptState.SENT, AttemptState.ASKED, AttemptState.BETWEEN_FOLLOW_CALLS)
+        return self in (AttemptState.SENT, AttemptState.FOLLOWING, AttemptState.BETWEEN_FOLLOW_CALLS)
 
 
 class PendingRequest:
--- a/packages/sidecar/src/hoistsaddle/sidecar/unanswered_keys.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/unanswered_keys.py
@@ -15,7 +15,7 @@
     AttemptState.NONE: "nothing",
     AttemptState.ANNOUNCED: "announced",
     AttemptState.SENT: "forwarded",
-    AttemptState.ASKED: "asked",
+    AttemptState.FOLLOWING: "asked",
     AttemptState.BETWEEN_FOLLOW_CALLS: "between_questions",
 }
 
@@ -42,7 +42,7 @@
         state_name = NAMES[request.attempt_state]
         self._ended[state_name] += 1
         self._state.count(f"keys.unanswered.{state_name}")
-        if request.unanswered_at is not None and request.attempt_state is not AttemptState.ASKED:
+        if request.unanswered_at is not None and request.attempt_state is not AttemptState.FOLLOWING:
             self._longest_silence = max(self._longest_silence, self._state.now - request.unanswered_at)
 
     def tick(self) -> None:
--- a/tests/test_modelcheck_pending_requests.py
+++ b/tests/test_modelcheck_pending_requests.py
@@ -41,7 +41,7 @@
 
     def twice(self: IngressCore, request: PendingRequest) -> None:
         plain(self, request)
-        if request.attempt_state is AttemptState.ASKED:
+        if request.attempt_state is AttemptState.FOLLOWING:
             self.servers.attempt_ended(request.target)
 
     return mock.patch.object(IngressCore, "_forget", twice)
