--- a/packages/sidecar/src/hoistsaddle/sidecar/body_admission.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/body_admission.py
@@ -19,7 +19,7 @@
 # A wait shorter than this share of the expected run time is no reason for a refusal.
 SHORT_WAIT_SHARE = 0.25
 # After this time without a refusal the link counts as free again.
-CALM = timedelta(seconds=1)
+LINK_FREE_DELAY = timedelta(seconds=1)
 # Returns the local server if it can accept a call, or why it can't.
 ServerCheck = Callable[[AnnounceBodyCall], LocalServer | ErrorKind]
 # Returns how long a call of this rank and due time would wait for the local server if it arrived now.
@@ -114,7 +114,7 @@
         """Grant the link to the next bodies, and refuse those that would be late or whose server is unavailable."""
         now = self._state.now
         self.link.expire(now)
-        if self._refused_at is not None and now - self._refused_at > CALM:
+        if self._refused_at is not None and now - self._refused_at > LINK_FREE_DELAY:
             self._refused_at = None
             self._announce("link free")
         while self._queue:
--- a/packages/sidecar/src/hoistsaddle/sidecar/core_prober.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/core_prober.py
@@ -85,7 +85,7 @@
         return self._freshness.current_as_of() != before
 
     async def _find_responsive_core(self) -> str:
-        """Probe all core machines and some witnesses; return the address of a core machine that answered, or ""."""
+        """Probe all core machines and some witnesses; return a core machine that answered, or an empty string."""
         asked_at = self._runtime.now()
         witnesses = self._witnesses()
         core_answers, witness_answers = await asyncio.gather(
--- a/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
+++ b/packages/sidecar/src/hoistsaddle/sidecar/key_claims.py
@@ -142,7 +142,7 @@
             return None
         request = self._requests.end_call(number)
         if request is None or request.claim != command.claim:
-            self._give_back_unused(command, event)
+            self._release_unused_claim(command, event)
             return None
         if outcome is not None:
             # Whatever the outcome of an earlier call of this claim, the log has answered the claim now.
@@ -162,14 +162,14 @@
             return KeyGranted(request)
         return self._query_holder(request, proxy=outcome.detail["stall"], claim=outcome.detail["claim"])
 
-    def _give_back_unused(self, command: ClaimKey, event: HoldAnswered) -> None:
+    def _release_unused_claim(self, command: ClaimKey, event: HoldAnswered) -> None:
         """Release the key of a claim whose request has ended with nothing sent under it."""
-        was_unsure = command.claim in self._maybe_accepted
+        was_uncertain = command.claim in self._maybe_accepted
         self._maybe_accepted.discard(command.claim)
         if event.outcome is not None:
             if event.outcome.detail.get("phase") == GRANTED_PHASE:
                 self._release(command)
-        elif event.maybe_accepted or was_unsure:
+        elif event.maybe_accepted or was_uncertain:
             # The log didn't answer in time, so it is overloaded or unavailable: the release, not urgent, is delayed.
             self.releases.schedule(_release_of(command))
 
@@ -255,7 +255,7 @@
             self._release(command)
         elif not self.is_claim(request.call_number):
             # No call about the claim is in flight.
-            self._give_back_unused(command, HoldAnswered(request.call_number, None, maybe_accepted=False))
+            self._release_unused_claim(command, HoldAnswered(request.call_number, None, maybe_accepted=False))
 
     def _release(self, command: ClaimKey) -> None:
         self.releases.submit(_release_of(command))
