--- a/packages/raft/src/hoistsaddle/raft/elections.py
+++ b/packages/raft/src/hoistsaddle/raft/elections.py
@@ -30,7 +30,7 @@
 SUCCESSOR_NAMED_FRACTION = 0.5
 # The fraction of an election timeout that is added to the interval between the attempts of a candidate.
 VOTE_RETRY_FRACTION = 0.5
-# A replica whose oldest write has waited for the disk stall timeout divided by this does not become a candidate.
+# A replica whose oldest write has waited for the timeout of its disk divided by this does not become a candidate.
 ELECTABLE_STALL_DIVISOR = 3
 
 
