--- a/packages/membership/src/hoistsaddle/membership/__init__.py
+++ b/packages/membership/src/hoistsaddle/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Failure detection among the members, and the tree that carries configuration updates to them."""
+"""SWIM failure detection among the members, and the tree that distributes configuration updates to them."""
--- a/packages/membership/src/hoistsaddle/membership/configuration_copy.py
+++ b/packages/membership/src/hoistsaddle/membership/configuration_copy.py
@@ -1,4 +1,4 @@
-"""A node's copy of the data plane's items, with digests by which it is compared and damage to it is found."""
+"""A node's copy of the data plane's items, with digests for comparing copies and detecting damage."""
 
 import hashlib
 
@@ -10,19 +10,19 @@
 
 # Key to (revision of its last change, value).
 Items = dict[str, tuple[int, bytes]]
-# The revision of a copy that holds nothing yet.
+# The revision of a copy that has no configuration yet.
 NO_REVISION = -1
 FINGERPRINT_BYTES = 16
 
 
 class ConfigurationCopy:
-    """Key to (revision of its last change, value), and a digest of each range of keys.
+    """A node's configuration items, with a digest of each range of keys.
 
     Attributes:
-        mesh: The id of the mesh that it is of; empty while it holds nothing.
-        revision: The revision of the configuration; NO_REVISION while it holds nothing.
-        items: What it holds.
-        removals: The keys that were removed from it lately.
+        mesh: The id of the mesh to which the configuration belongs; empty while there is none.
+        revision: The revision of the configuration; NO_REVISION while there is none.
+        items: Key to (revision of its last change, value).
+        removals: The keys that were removed recently.
     """
 
     def __init__(self) -> None:
@@ -31,38 +31,38 @@
         self.items: Items = {}
         self.removals = RemovalHistory()
         self._digests: tuple[int, ...] | None = None
-        # Of the items that the digests were taken from.
+        # The fingerprint of the items from which the digests were computed.
         self._digested_fingerprint = b""
 
     def digests(self) -> tuple[int, ...]:
-        """A digest of each range, as of the last replace() or audit()."""
+        """The digest of each range, as of the last replace() or audit()."""
         if self._digests is None:
             self._digested_fingerprint = self._fingerprint()
             self._digests = digests_of(self.items)
         return self._digests
 
     def _fingerprint(self) -> bytes:
-        """A digest of every byte that the digests cover, in two calls for the whole copy in place of two for each key.
+        """A hash of everything that the digests cover, computed with two calls instead of two for each key.
 
-        Every poll and every answer checks the whole copy. With hundreds of nodes that would be most of the control
-        plane's work if done range by range; which ranges differ matters only once something does.
+        Every poll and every answer checks the complete copy. With hundreds of nodes, computing the digests of the
+        ranges each time would be most of the control plane's work; they are needed only once the fingerprint differs.
         """
         return hashlib.blake2b(msgspec.msgpack.encode(self.items), digest_size=FINGERPRINT_BYTES).digest()
 
     def audit(self) -> tuple[int, ...]:
-        """The digests of what is held now, read anew: memory that was damaged in place gives no notice."""
+        """The digests of the items as they are now: checked again, since items may be damaged in memory unnoticed."""
         if self._digests is not None and self._digested_fingerprint != self._fingerprint():
             self._digests = None
         return self.digests()
 
     def replace(self, *, mesh: str, revision: int, items: Items, digests: tuple[int, ...] | None = None) -> None:
-        """Holds other items from now on.
+        """Replaces the configuration.
 
         Args:
             mesh: The id of the mesh.
             revision: The revision of the configuration.
             items: Key to (revision of its last change, value).
-            digests: The digests of the items, where the caller has just taken them.
+            digests: The digests of the items, if the caller has just computed them.
         """
         if self.revision < 0 or mesh != self.mesh or revision < self.revision:
             self.removals.restart(revision=revision)
@@ -79,11 +79,11 @@
         )
 
     def differing(self, digests: tuple[int, ...]) -> tuple[int, ...]:
-        """The ranges whose digests differ from another copy's; all of them if it has none."""
+        """The ranges whose digests differ from those of another copy; all ranges if that copy has no digests."""
         own = self.digests()
         if len(digests) != RANGES:
             return tuple(range(RANGES))
-        return tuple(place for place in range(RANGES) if own[place] != digests[place])
+        return tuple(index for index in range(RANGES) if own[index] != digests[index])
 
     def items_in(self, ranges: tuple[int, ...]) -> tuple[ConfigurationItem, ...]:
         """The items of some ranges."""
@@ -94,9 +94,9 @@
         )
 
     def without_keys(self, keys: frozenset[str]) -> Items:
-        """What it holds, but for some keys."""
+        """The items without those of some keys."""
         return {key: item for key, item in self.items.items() if key not in keys}
 
     def without_ranges(self, ranges: tuple[int, ...]) -> Items:
-        """What it holds, but for some ranges."""
+        """The items without those of some ranges."""
         return {key: item for key, item in self.items.items() if range_of(key) not in ranges}
--- a/packages/membership/src/hoistsaddle/membership/distribution_tree.py
+++ b/packages/membership/src/hoistsaddle/membership/distribution_tree.py
@@ -1,6 +1,6 @@
-"""The tree along which configuration updates reach every proxy: its roots are the core machines' registries."""
+"""The distribution tree, through which every proxy gets configuration updates; its roots are the core registries."""
 
-# Children that a parent feeds.
+# The number of children of a parent.
 FAN_OUT = 2
 
 
@@ -14,30 +14,30 @@
 ) -> list[str]:
     """The addresses that a node polls, best first: its parent in the tree, then the roots in case the parent fails.
 
-    Every node computes the tree from the members that it knows, so nobody has to assign places. Nodes that know
-    different members may form a ring for a while; its leases only grow older, so they expire and its nodes turn to the
-    roots.
+    Every node computes the tree from the members that it knows, so no coordinator is needed. Nodes that know different
+    members may form a cycle for a while. No lease is renewed within a cycle, so the leases expire and its nodes fall
+    back to the roots.
 
     Args:
         node: The node's name.
         proxies: Name and address of each proxy.
         roots: Name and address of each root.
-        fan_out: Children that each parent feeds.
-        root_fan_out: Children that each root feeds; 0 for as many as any other parent.
+        fan_out: The number of children of each proxy.
+        root_fan_out: The number of children of each root; 0 for the same as `fan_out`.
     """
     roots = sorted(roots)
-    order = sorted(proxies)
-    names = [name for name, _ in order]
+    sorted_proxies = sorted(proxies)
+    names = [name for name, _ in sorted_proxies]
     parents: list[str] = []
     if node in names and roots:
-        place = names.index(node)
-        direct = len(roots) * (root_fan_out or fan_out)
-        if place < direct:
-            parents.append(roots[place % len(roots)][1])
+        position = names.index(node)
+        root_children = len(roots) * (root_fan_out or fan_out)
+        if position < root_children:
+            parents.append(roots[position % len(roots)][1])
         else:
-            parents.append(order[(place - direct) // fan_out][1])
-        # Each node begins with another root, so that they share the load when a parent fails.
-        turn = place % len(roots)
-        roots = roots[turn:] + roots[:turn]
+            parents.append(sorted_proxies[(position - root_children) // fan_out][1])
+        # Each node starts with a different root, so that the roots share the load when a parent fails.
+        first_root = position % len(roots)
+        roots = roots[first_root:] + roots[:first_root]
     parents += [address for _, address in roots]
     return list(dict.fromkeys(parents))
--- a/packages/membership/src/hoistsaddle/membership/long_poll.py
+++ b/packages/membership/src/hoistsaddle/membership/long_poll.py
@@ -1,4 +1,4 @@
-"""Answering a child's poll late, once there is an update for it; the same at a root and at a relay."""
+"""Long polling: a child's poll is answered once there is an update for it; used by roots and relays alike."""
 
 import asyncio
 from datetime import timedelta
@@ -14,12 +14,12 @@
 async def answer_long_poll(
     *, runtime: Runtime, relay: Relay, updated: asyncio.Condition, call: PollCall, hold: timedelta = LONG_POLL_TIMEOUT
 ) -> PollAnswer:
-    """Answers a poll; one of a child that is up to date waits for an update, or until the timeout.
+    """Answers a poll; that of a child that is up to date waits for an update, or until the timeout.
 
     Args:
-        runtime: Gives the time.
-        relay: Answers from its copy of the configuration.
-        updated: Notified whenever the relay's copy or lease has changed.
+        runtime: Provides the time.
+        relay: Answers the poll from its copy of the configuration.
+        updated: Notified whenever the relay's copy or lease changes.
         call: The child's poll.
         hold: The longest wait.
     """
--- a/packages/membership/src/hoistsaddle/membership/member.py
+++ b/packages/membership/src/hoistsaddle/membership/member.py
@@ -1,4 +1,4 @@
-"""Connections and timers round the membership core, the same for registries and proxies."""
+"""Runs the membership core with real connections and timers; the same for registries and proxies."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -31,23 +31,23 @@
 
 
 class MemberTimings(NamedTuple):
-    """How often others are probed, and how long an answer and a suspicion may take."""
+    """The intervals and timeouts of probes and suspicions."""
 
     probe_interval: timedelta = PROBE_INTERVAL
     probe_timeout: timedelta = PROBE_TIMEOUT
     indirect_probe_timeout: timedelta = INDIRECT_PROBE_TIMEOUT
     suspicion_timeout: timedelta = SUSPICION_TIMEOUT
-    # Ticks between two calls of the seeds; there are two ticks in a probe interval.
+    # The number of ticks between two rounds of calls to the seeds; a probe interval has two ticks.
     seed_interval: int = 40
-    # How often a state is passed on before everybody is taken to know it; None for ever.
+    # How often a state is sent before all members are assumed to know it; None for no limit.
     retransmit_limit: int | None = None
 
 
 class Member:
-    """One process as a member: probes others and answers their probes.
+    """One process as a member: probes other members and answers their probes.
 
     Attributes:
-        core: What it knows of the members.
+        core: The membership core, with this member's view of all members.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         counters: Counters,
         timings: MemberTimings = MemberTimings(),  # noqa: B008
     ) -> None:
-        """Knows of nobody else yet.
+        """Starts with this member alone.
 
         Args:
             me: This member's own state.
-            seeds: Addresses of members through which it finds the others.
-            runtime: Gives time, connections and random numbers.
-            counters: Where probes and changes are counted.
+            seeds: Addresses of members through which the others are found.
+            runtime: Provides time, connections and random numbers.
+            counters: Counts probes and changes.
             timings: Intervals and timeouts.
         """
         self.core = Membership(
@@ -85,11 +85,12 @@
         """Probes others until it is cancelled."""
         tick = 0
         while True:
-            # Seeds are called while nobody else is known, and now and then after, so that two halves find each other.
+            # Seeds are called while no other member is known, and periodically after that, so that the two sides of a
+            # partition find each other again.
             if len(self.core.members) < 2 or tick % self._timings.seed_interval == 0:
                 for seed in self.seeds:
                     if seed != self.core.me.address:
-                        self._spawn(self._meet(seed))
+                        self._spawn(self._call_seed(seed))
             tick += 1
             self._handle(Ticked())
             await asyncio.sleep(self._timings.probe_interval.total_seconds() / 2)
@@ -119,7 +120,7 @@
                 return answer
         return None
 
-    async def _meet(self, seed: str) -> None:
+    async def _call_seed(self, seed: str) -> None:
         answer = await self._call_probe(seed, self.core.member_states())
         if answer is not None:
             self._handle(ProbeAnswered(answer.node, answer.member_states))
@@ -143,11 +144,11 @@
         self._handle(IndirectProbesAnswered(request.node, alive))
 
     async def answer(self, message: tuple) -> ProbeAnswer | IndirectProbeAnswer | None:
-        """The answer to another member's call; None if it is no call of the membership."""
+        """Answers another member's call; None if it is not a membership call."""
         match message:
-            case ProbeCall(caller=asker, member_states=member_states):
-                # A member just met is told of everybody, the others only what is new.
-                complete = not self.core.knows(asker) and self.core.retransmit_limit is not None
+            case ProbeCall(caller=calling_node, member_states=member_states):
+                # A new member gets all states, the others only those below the retransmit limit.
+                complete = not self.core.knows(calling_node) and self.core.retransmit_limit is not None
                 self._handle(GossipReceived(member_states))
                 return ProbeAnswer(self.core.me.node, self.core.member_states(complete=complete))
             case IndirectProbeCall(address=address):
@@ -159,6 +160,6 @@
         return None
 
     def stop(self) -> None:
-        """Cancels all calls under way."""
+        """Cancels all calls in flight."""
         for task in list(self._tasks):
             task.cancel()
--- a/packages/membership/src/hoistsaddle/membership/membership.py
+++ b/packages/membership/src/hoistsaddle/membership/membership.py
@@ -1,7 +1,8 @@
-"""Which members are alive, after SWIM (Das, Gupta, Motivala, 2002): a core without I/O that takes events.
+"""SWIM membership and failure detection (Das, Gupta, Motivala, 2002), as an event-driven core without I/O.
 
-Members probe a few others in turn. Who doesn't answer is probed by third parties too, is then a suspect, and is dead
-when the suspicion has lasted. What members learn of each other travels along with probes and their answers.
+Members probe each other in turn. A member that doesn't answer is probed indirectly through third parties. If that fails
+too, it becomes a suspect, and when the suspicion timeout expires it is declared dead. Member states are gossiped on
+probes and their answers.
 """
 
 import random
@@ -11,13 +12,13 @@
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.rpc.messages import MemberState
 
-# A member's states; on the wire.
+# The states of a member; these values go on the wire.
 ALIVE = "alive"
 SUSPECT = "suspect"
 DEAD = "dead"
-# Of two states with one count, the one with the higher rank prevails.
+# Of two states with the same count, the one with the higher rank takes precedence.
 _rank = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
-# How long the dead are remembered, and probed: long enough for a network partition to heal.
+# How long dead members are kept and probed: long enough for a network partition to heal.
 DEAD_RETENTION = timedelta(minutes=10)
 
 
@@ -35,14 +36,14 @@
 
 
 class IndirectProbesAnswered(NamedTuple):
-    """Third parties have probed a member: whether it answered any of them."""
+    """Third parties probed a member; `alive` is set if it answered any of them."""
 
     node: str
     alive: bool
 
 
 class GossipReceived(NamedTuple):
-    """Another member told what it knows of some members."""
+    """Another member sent the states of some members that it knows."""
 
     member_states: tuple[MemberState, ...]
 
@@ -52,7 +53,7 @@
 
 
 class Probe(NamedTuple):
-    """Command: probe a member, and pass these states on to it."""
+    """Command: probe a member and gossip these states to it."""
 
     node: str
     address: str
@@ -60,7 +61,7 @@
 
 
 class RequestIndirectProbes(NamedTuple):
-    """Command: have third parties, by their addresses, probe a member."""
+    """Command: ask the members at the addresses in `helpers` to probe a member."""
 
     node: str
     address: str
@@ -68,7 +69,7 @@
 
 
 class Changed(NamedTuple):
-    """Command: tell that a member is new, has another state or another incarnation."""
+    """Command: report that a member is new or that its state or incarnation changed."""
 
     member_state: MemberState
 
@@ -78,7 +79,7 @@
 
 
 class Membership:
-    """What one member knows of all.
+    """One member's view of all members.
 
     Attributes:
         me: This member's own state.
@@ -96,16 +97,16 @@
         max_gossip: int = 24,
         retransmit_limit: int | None = None,
     ) -> None:
-        """Knows of nobody else yet.
+        """Starts with this member alone.
 
         Args:
             me: This member's own state.
-            rng: Draws the order of probes and the third parties.
+            rng: Chooses the probe order and the third parties.
             probe_interval: The time between two probes.
-            suspicion_timeout: How long a suspect has to prove that it is alive.
-            helpers: Third parties that are asked to probe a member that didn't answer.
-            max_gossip: The most states that are passed on at once, this member's own included.
-            retransmit_limit: How often a state is passed on before everybody is taken to know it; None for ever.
+            suspicion_timeout: How long a suspect has to refute the suspicion before it is declared dead.
+            helpers: How many third parties are asked to probe a member that didn't answer.
+            max_gossip: The most states in one message, this member's own included.
+            retransmit_limit: How often a state is sent before all members are assumed to know it; None for no limit.
         """
         self.me = me
         self.members: dict[str, MemberState] = {me.node: me}
@@ -115,46 +116,48 @@
         self._helpers = helpers
         self._max_gossip = max_gossip
         self.retransmit_limit = retransmit_limit
-        # Since when a member is a suspect, and dead.
+        # When each suspect became one, and when each dead member was declared dead.
         self._suspected_since: dict[str, timedelta] = {}
         self._dead_since: dict[str, timedelta] = {}
-        # How often each member's state was passed on.
+        # How often each member's state was sent.
         self.transmissions: dict[str, int] = {me.node: 0}
-        # The members to probe in this round, the next one last.
+        # The members still to be probed in this round; the next one is at the end.
         self._probe_order: list[str] = []
         self._probed_at = ZERO
 
     def alive(self, *, kind: str) -> list[MemberState]:
-        """The members of a kind that aren't dead: a suspect counts until its suspicion has lasted."""
+        """The members of a kind that aren't dead; a suspect counts as alive until its suspicion times out."""
         return [member for member in self.members.values() if member.kind == kind and member.state != DEAD]
 
     def knows(self, node: str) -> bool:
-        """Whether it has heard of a member."""
+        """Whether the member is in this view."""
         return node in self.members
 
     def member_states(self, *, complete: bool = False) -> tuple[MemberState, ...]:
-        """The states to pass on: this member's own, and those that were passed on least.
+        """The states to gossip: this member's own, and those that were sent least often.
 
         Args:
-            complete: For a member just met: all states, also those that everybody else is taken to know.
+            complete: Whether to include all states, also those over the retransmit limit, for a new member.
         """
-        others = [node for node in self.members if node != self.me.node and (complete or self._is_gossip(node))]
-        most = len(others) if complete else self._max_gossip - 1
-        # Sorting is stable: members that were passed on as often keep the order in which they were met.
-        others.sort(key=self._times_transmitted)
-        selected = [self.me.node, *others[:most]]
+        others = [
+            node for node in self.members if node != self.me.node and (complete or self._below_retransmit_limit(node))
+        ]
+        limit = len(others) if complete else self._max_gossip - 1
+        # Sorting is stable: states that were sent equally often keep the order in which the members were added.
+        others.sort(key=self._transmission_count)
+        selected = [self.me.node, *others[:limit]]
         for node in selected:
-            self.transmissions[node] = self._times_transmitted(node) + 1
+            self.transmissions[node] = self._transmission_count(node) + 1
         return tuple(self.members[node] for node in selected)
 
-    def _is_gossip(self, node: str) -> bool:
-        return self.retransmit_limit is None or self._times_transmitted(node) < self.retransmit_limit
+    def _below_retransmit_limit(self, node: str) -> bool:
+        return self.retransmit_limit is None or self._transmission_count(node) < self.retransmit_limit
 
-    def _times_transmitted(self, node: str) -> int:
+    def _transmission_count(self, node: str) -> int:
         return self.transmissions.get(node, 0)
 
     def handle(self, event: Event, *, now: timedelta) -> list[Command]:
-        """What is to be done after an event."""
+        """Processes an event and returns the commands to carry out."""
         match event:
             case GossipReceived(member_states=member_states) | ProbeAnswered(member_states=member_states):
                 return self._merge(member_states, now)
@@ -183,7 +186,7 @@
         return self._merge((member._replace(state=SUSPECT),), now)
 
     def _merge(self, member_states: tuple[MemberState, ...], now: timedelta) -> list[Command]:
-        """Takes what is newer than what is known."""
+        """Stores the states that are newer than the known ones, and returns the changes to report."""
         changes: list[Command] = []
         for member in member_states:
             if member.node == self.me.node:
@@ -191,7 +194,7 @@
                 continue
             known = self.members.get(member.node)
             if known is None and member.state == DEAD:
-                # Nobody has to learn a name in order to forget it.
+                # An unknown member that is dead already need not be stored: it would only be removed again.
                 continue
             if known is not None and _precedence(member) <= _precedence(known):
                 continue
@@ -200,11 +203,11 @@
                 changes.append(Changed(member))
         return changes
 
-    def _refute(self, claimed: MemberState) -> None:
-        """Overrides what is told of this member if it is wrong: with a higher count its own state prevails."""
-        is_wrong = claimed.state != ALIVE or claimed.incarnation != self.me.incarnation
-        if claimed.count >= self.me.count and is_wrong:
-            self.me = self.me._replace(count=claimed.count + 1)
+    def _refute(self, received: MemberState) -> None:
+        """Refutes a wrong state of this member: its own state, sent with a higher count, takes precedence."""
+        is_wrong = received.state != ALIVE or received.incarnation != self.me.incarnation
+        if received.count >= self.me.count and is_wrong:
+            self.me = self.me._replace(count=received.count + 1)
             self.members[self.me.node] = self.me
             self.transmissions[self.me.node] = 0
 
@@ -236,7 +239,7 @@
         return changes
 
     def _forget_dead(self, now: timedelta) -> None:
-        """Forgets who has been dead for long; whoever comes back later is met anew through the seeds."""
+        """Removes members that were dead for DEAD_RETENTION; one that comes back later rejoins through the seeds."""
         for node, since in list(self._dead_since.items()):
             if now - since < DEAD_RETENTION:
                 continue
@@ -249,12 +252,12 @@
         while self._probe_order and self._probe_order[-1] not in self.members:
             self._probe_order.pop()
         if not self._probe_order:
-            # Shuffled anew: everybody is probed once a round, in an order that nobody can foresee.
+            # Each member is probed once a round, in an order that is shuffled again for each round.
             self._probe_order = sorted(node for node in self.members if node != self.me.node)
             self._rng.shuffle(self._probe_order)
         if not self._probe_order:
             return []
-        # The dead are probed too, so that both halves meet again when a partition heals.
+        # Dead members are probed too, so that both sides find each other again when a partition heals.
         member = self.members[self._probe_order.pop()]
         return [Probe(member.node, member.address, self.member_states())]
 
