--- a/packages/rpc/src/hoistsaddle/rpc/__init__.py
+++ b/packages/rpc/src/hoistsaddle/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Connections and messages between the processes of a mesh."""
+"""RPC between the processes of a mesh: connections, framing and messages."""
--- a/packages/rpc/src/hoistsaddle/rpc/call_context.py
+++ b/packages/rpc/src/hoistsaddle/rpc/call_context.py
@@ -1,4 +1,4 @@
-"""What the answer to a call under way may know of the call: how old it was as it was read."""
+"""The context of the call that is being answered: the age that the call had when it was read."""
 
 from contextvars import ContextVar
 
@@ -8,10 +8,10 @@
 
 
 def call_age() -> CallAge:
-    """How old the call under way was as it was read."""
+    """The age that the call being answered had when it was read."""
     return _call_age.get() or CallAge()
 
 
 def set_call_age(age: CallAge) -> None:
-    """Says so to the tasks that are started from here on in this context."""
+    """Sets the age for this context and for the tasks that are started from it."""
     _call_age.set(age)
--- a/packages/rpc/src/hoistsaddle/rpc/client.py
+++ b/packages/rpc/src/hoistsaddle/rpc/client.py
@@ -1,4 +1,4 @@
-"""Calls to other processes."""
+"""The RPC client: calls to other processes, and to handlers of this process."""
 
 import asyncio
 import itertools
@@ -18,21 +18,23 @@
 from hoistsaddle.rpc.framing import Traffic
 from hoistsaddle.rpc.server import Handler
 
-# A peer that is there takes a connection within milliseconds. Waiting longer spends a budget on one that isn't.
+# A running peer accepts a connection within milliseconds. A longer wait would spend the call's time budget on a peer
+# that is down.
 CONNECT_TIMEOUT = timedelta(seconds=1)
-# Where packets wait for longer than that, a connection is still opened for those that call within this.
+# On a link whose queues delay packets for longer than CONNECT_TIMEOUT, opening continues up to this limit, for the
+# benefit of later calls.
 OPEN_TIMEOUT = timedelta(seconds=3)
 
 
-class _Lane(NamedTuple):
-    """What a connection is for: calls that are sent at a rate have one of their own, so that no other call waits."""
+class _ConnectionKey(NamedTuple):
+    """The key of a connection. Paced calls have a separate connection, so that other calls don't wait behind them."""
 
     address: str
     paced: bool = False
 
 
 class RpcClient:
-    """Calls other processes. An error says whether the call can have reached the other side."""
+    """Calls other processes. The error of a failed call shows whether the call may have reached the other side."""
 
     def __init__(
         self,
@@ -41,48 +43,48 @@
         keep_alive: KeepAlive | None = None,
         connect_timeout: timedelta = CONNECT_TIMEOUT,
     ) -> None:
-        """Begins without connections; each is opened with the first call to its address.
+        """Starts without connections; each is opened by the first call to its address.
 
         Args:
-            faults: Cuts of connections that a test ordered.
-            keep_alive: How connections with calls under way are checked.
-            connect_timeout: How long a call waits for a connection.
+            faults: Connection faults that a test injects.
+            keep_alive: How connections with calls in flight are checked; None for no checks.
+            connect_timeout: How long a call waits for its connection.
         """
         self.keep_alive = keep_alive
         self.connect_timeout = connect_timeout
         self.traffic = Traffic()
-        # Addresses that this very process serves: a call to one of them is a call of a function.
+        # The handlers of addresses that this process serves: calls to these addresses are direct function calls.
         self.local_handlers: dict[str, Handler] = {}
-        self._connections: dict[_Lane, Connection] = {}
-        self._opening: dict[_Lane, asyncio.Task] = {}
-        self._numbers = itertools.count(1)
+        self._connections: dict[_ConnectionKey, Connection] = {}
+        self._opening: dict[_ConnectionKey, asyncio.Task] = {}
+        self._call_numbers = itertools.count(1)
         self.faults = faults
 
     # -- connections -------------------------------------------------------------------------------------------------
 
-    async def _connect(self, lane: _Lane) -> Connection:
-        """The lane's connection. Whoever stops waiting for it leaves it to be opened for the next call."""
-        connection = self._connections.get(lane)
+    async def _connect(self, key: _ConnectionKey) -> Connection:
+        """Returns the open connection, or opens it. Opening continues for the next call if this one stops waiting."""
+        connection = self._connections.get(key)
         if connection is not None and not connection.closed:
             return connection
-        opening = self._opening.get(lane)
+        opening = self._opening.get(key)
         if opening is None:
-            opening = self._opening[lane] = asyncio.ensure_future(self._open(lane))
-            opening.add_done_callback(lambda task: self._opened(lane, task))
+            opening = self._opening[key] = asyncio.ensure_future(self._open(key))
+            opening.add_done_callback(lambda task: self._opened(key, task))
         return await asyncio.shield(opening)
 
-    def _opened(self, lane: _Lane, task: asyncio.Task) -> None:
-        del self._opening[lane]
+    def _opened(self, key: _ConnectionKey, task: asyncio.Task) -> None:
+        del self._opening[key]
         if not task.cancelled():
-            # Read here, as nobody may wait for it any more.
+            # Retrieved here, since no call may be waiting any more: asyncio would log it as never retrieved.
             task.exception()
 
-    async def _open(self, lane: _Lane) -> Connection:
-        host, port = split_address(lane.address)
+    async def _open(self, key: _ConnectionKey) -> Connection:
+        host, port = split_address(key.address)
         async with asyncio.timeout(OPEN_TIMEOUT.total_seconds()):
             reader, writer = await asyncio.open_connection(host, port)
         connection = Connection(reader=reader, writer=writer, traffic=self.traffic, keep_alive=self.keep_alive)
-        self._connections[lane] = connection
+        self._connections[key] = connection
         return connection
 
     # -- calls -------------------------------------------------------------------------------------------------------
@@ -101,18 +103,19 @@
         Args:
             address: The process's mesh address, host:port.
             message: The call.
-            within: How long the answer is waited for.
-            still: Asked directly before the first byte is written: a freeze may lie between deciding and sending.
-            rate: Bytes a second at which it is sent, on a connection of its own; 0 for as fast as they go.
+            within: The timeout of the call.
+            still: Whether the call is still wanted; checked directly before the first byte is written, since the
+                process may freeze between deciding and sending.
+            rate: Bytes per second at which the call is sent, on a separate connection; 0 for no limit.
 
         Returns:
-            The answer. Unreachable if nothing was sent, NoResponse if the call may have been carried out.
+            The answer; Unreachable if nothing was sent, NoResponse if the call may have been carried out.
         """
         deadline = asyncio.get_running_loop().time() + within.total_seconds()
         if address in self.local_handlers:
             return await self._call_local(address, message, deadline=deadline, still=still)
         if self.faults is not None and self.faults.drops_calls_to(address):
-            # Bytes that vanish on the way look like this from here: nothing comes back, and nobody can say why.
+            # To the caller, lost packets look like this: there is no answer and no error until the timeout.
             await asyncio.sleep(within.total_seconds())
             return Failure(no_response(address))
         return await self._call_remote(address, message, deadline=deadline, still=still, rate=rate)
@@ -123,12 +126,12 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout_at(min(deadline, loop.time() + self.connect_timeout.total_seconds())):
-                connection = await self._connect(_Lane(address, paced=rate > 0))
+                connection = await self._connect(_ConnectionKey(address, paced=rate > 0))
         except (OSError, TimeoutError):
             return Failure(unreachable(address))
         if not still():
             return Failure(unreachable(address))
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         future = connection.pending[number] = loop.create_future()
         try:
             async with asyncio.timeout_at(deadline):
@@ -157,10 +160,10 @@
     async def _call_local(
         self, address: str, message: tuple, *, deadline: float, still: Callable[[], bool]
     ) -> Result[tuple, MeshError]:
-        """Calls this process's own handler."""
+        """Calls a handler of this process directly."""
         if not still():
             return Failure(unreachable(address))
-        # As on a connection, whoever stops waiting doesn't stop the work.
+        # As with a remote call, a timeout of the caller doesn't cancel the handler.
         work = asyncio.ensure_future(self._handle_locally(address, message))
         try:
             async with asyncio.timeout_at(deadline):
@@ -170,12 +173,12 @@
         return Failure(no_response(address)) if answer is None else Success(answer)
 
     async def _handle_locally(self, address: str, message: tuple) -> tuple | None:
-        # Whoever calls may itself be answering a call that came on a connection.
+        # The caller's own context may carry the age of a remote call that it is answering: a local call has no age.
         set_call_age(CallAge(0.0, False))
         return await self.local_handlers[address](message)
 
     def close(self) -> None:
-        """Closes all connections; calls under way get no answer."""
+        """Closes all connections; calls in flight end with NoResponse."""
         for opening in list(self._opening.values()):
             opening.cancel()
         for connection in self._connections.values():
--- a/packages/rpc/src/hoistsaddle/rpc/codec.py
+++ b/packages/rpc/src/hoistsaddle/rpc/codec.py
@@ -1,6 +1,6 @@
-"""Messages to and from thrift's binary form, and the frame that carries one.
+"""Encodes and decodes messages and frames with Thrift's binary protocol.
 
-mesh.thrift's structs have the names of the message classes and of their fields; only the numbers there are on the wire.
+The structs of mesh.thrift have the same names as the message classes and fields; only their field ids are encoded.
 """
 
 import re
@@ -28,18 +28,18 @@
     return isinstance(hint, type) and hasattr(hint, "_fields")
 
 
-# Every message and every record inside one, by the name of its class and of its struct.
+# Every message class, and every class nested in a message, by the common name of the class and its struct.
 MESSAGES: dict[str, Any] = {name: value for name in messages.__all__ if _is_message(value := getattr(messages, name))}
 
 
 @cache
 def tag_of(kind: Any) -> str:
-    """The name of the union's field that holds messages of this class."""
+    """The name of the union field for messages of this class."""
     return re.sub(r"(?<!^)(?=[A-Z])", "_", kind.__name__).lower()
 
 
 def _writer_of(hint: Any) -> Converter | None:
-    """Turns a field's value into its thrift form; None where the two are the same."""
+    """Returns the converter from a field's value to its Thrift value; None if the two are the same."""
     if hint is timedelta:
         return to_microseconds
     if get_origin(hint) is tuple:
@@ -49,7 +49,7 @@
 
 
 def _reader_of(hint: Any) -> Converter | None:
-    """Turns a field's thrift form into its value; None where the two are the same."""
+    """Returns the converter from a field's Thrift value to its value; None if the two are the same."""
     if hint is timedelta:
         return from_microseconds
     if get_origin(hint) is tuple:
@@ -65,7 +65,7 @@
 
 
 class _Field(NamedTuple):
-    """One field of a message, with what turns it into thrift and back."""
+    """One field of a message, with its converters to and from Thrift."""
 
     name: str
     write: Converter | None
@@ -75,7 +75,7 @@
 
 @cache
 def _fields_of(kind: Any) -> tuple[_Field, ...]:
-    # Looking the hints up for each message was half of a busy controller's processor time: once a kind is enough.
+    # Cached for each class: looking up the type hints for each message took half of a busy controller's CPU time.
     hints = get_type_hints(kind)
     return tuple(
         _Field(name, _writer_of(hints[name]), _reader_of(hints[name]), name in kind._field_defaults)
@@ -84,7 +84,7 @@
 
 
 def to_thrift(message: Any) -> object:
-    """The thrift struct of a message."""
+    """Converts a message to its Thrift struct."""
     kind: Any = type(message)
     struct = getattr(mesh_thrift, kind.__name__)()
     for field, value in zip(_fields_of(kind), message, strict=True):
@@ -93,12 +93,12 @@
 
 
 def from_thrift(struct: object) -> tuple:
-    """The message in a thrift struct."""
+    """Converts a Thrift struct to its message."""
     kind = MESSAGES[type(struct).__name__]
     values = {}
     for field in _fields_of(kind):
         value = getattr(struct, field.name)
-        # A field an older sender doesn't know arrives unset and falls back to the tuple's default.
+        # A field that an older sender doesn't know is unset, and gets the default of the message class.
         if value is None and field.has_default:
             continue
         values[field.name] = value if field.read is None else field.read(value)
@@ -106,24 +106,24 @@
 
 
 class Frame(NamedTuple):
-    """One message on a connection; number pairs an answer with its call."""
+    """One message on a connection; the number matches an answer to its call."""
 
     number: int
     answer: bool
-    # None for one that only a newer release knows.
+    # None for a message that only a newer release knows.
     message: tuple | None
-    # Its sender's monotonic clock in seconds; 0 where it says nothing.
+    # The sender's monotonic clock in seconds; 0 if the frame doesn't carry it.
     sent: float = 0.0
 
 
 def pack(*, number: int, answer: bool, message: tuple, sent: float = 0.0) -> bytes:
-    """The bytes of a frame, without the length before it.
+    """Encodes a frame, without its length prefix.
 
     Args:
-        number: Pairs an answer with its call.
-        answer: Whether it is one.
+        number: Matches an answer to its call.
+        answer: Whether the message is an answer.
         message: The message.
-        sent: The own monotonic clock in seconds; 0 to say nothing.
+        sent: This process's monotonic clock in seconds; 0 to leave it out.
     """
     union = mesh_thrift.Message(**{tag_of(type(message)): to_thrift(message)})
     sent_microseconds = round(sent * MICROSECONDS) or None
@@ -131,12 +131,12 @@
 
 
 def unpack_frame(data: bytes) -> Frame:
-    """The frame in these bytes."""
+    """Decodes a frame."""
     frame = deserialize(mesh_thrift.Frame(), data, _protocol)
     message = next((from_thrift(value) for value in vars(frame.message).values() if value is not None), None)
     return Frame(frame.number, bool(frame.answer), message, (frame.sent or 0) / MICROSECONDS)
 
 
 def unpack(data: bytes) -> tuple[int, bool, tuple | None]:
-    """Number, whether it is an answer, and the message."""
+    """Decodes a frame to its number, whether it is an answer, and its message."""
     return unpack_frame(data)[:3]
--- a/packages/rpc/src/hoistsaddle/rpc/connection.py
+++ b/packages/rpc/src/hoistsaddle/rpc/connection.py
@@ -1,4 +1,4 @@
-"""The calling side of one connection: thrift's framed binary form over TCP, many calls in flight."""
+"""The client side of one connection: Thrift's binary protocol in frames over TCP, with many calls in flight."""
 
 import asyncio
 from datetime import timedelta
@@ -7,22 +7,24 @@
 from hoistsaddle.rpc.framing import Traffic, encode_frame, read_frame, write_frame
 from hoistsaddle.rpc.messages import PingCall
 
-# The number of pings, which is no call's: the answer only shows that somebody is there.
+# The frame number of pings, which no call uses: their answers need no match, they only show that the peer is alive.
 PING_NUMBER = 0
-# A connection that was silent for this part of the interval is pinged: the timer may be early by a little.
-PING_AFTER = 0.9
-# Of a call that is sent at a rate, so much is written at once: at least the bytes, or what goes in the time.
-MIN_PIECE_BYTES = 4096
-PIECE_DURATION = timedelta(milliseconds=20)
-# A process that was late itself by so many intervals reads what came in meanwhile before it gives a connection up.
-LATE_INTERVALS = 2
+# A connection is pinged after this fraction of the interval without data, since the timer may fire slightly early.
+PING_INTERVAL_FRACTION = 0.9
+# A paced call is written in chunks of this size: at least the minimum, or as much as the rate allows in the duration.
+MIN_CHUNK_BYTES = 4096
+CHUNK_DURATION = timedelta(milliseconds=20)
+# If this process itself was delayed by this many intervals, it first reads what has arrived since, before it closes a
+# connection as dead.
+OWN_DELAY_INTERVALS = 2
 
 
 class KeepAlive(NamedTuple):
-    """How a connection with calls under way is checked: pinged after an interval of silence, closed after a time-out.
+    """How a connection with calls in flight is checked: pinged after an interval of silence, closed after a timeout.
 
-    A machine without power says nothing. Without pings a call to it would wait out its whole budget. Bytes that the
-    other side takes count as heard: on a thin link a ping stands behind large calls for longer than the time-out.
+    A machine that lost power sends nothing, not even a reset. Without pings a call to it would wait for its whole time
+    budget. Bytes that the peer accepts count as a sign of life too: on a slow link a ping may be queued behind large
+    calls for longer than the timeout.
     """
 
     interval: timedelta
@@ -30,7 +32,7 @@
 
 
 class Connection:
-    """An open connection to another process, and the calls that wait on it."""
+    """An open connection to another process, and the calls that wait for answers on it."""
 
     def __init__(
         self,
@@ -43,34 +45,34 @@
         """Starts reading answers.
 
         Args:
-            reader: The stream's reading side.
-            writer: Its writing side.
-            traffic: Counts what passes.
-            keep_alive: How the connection is checked; not at all if not given.
+            reader: The stream to read from.
+            writer: The stream to write to.
+            traffic: Counts the frames and bytes of both directions.
+            keep_alive: How the connection is checked; None for no checks.
         """
         self.writer = writer
         self.traffic = traffic
         self.keep_alive = keep_alive
-        # The loop's time when the other side was heard last.
-        self.heard_at = 0.0
-        # Bytes written to the connection; how many of them had left this process at the last check, and whether others
-        # waited here for the other side to take them.
+        # The event loop's time of the last sign of life from the peer.
+        self.last_active_at = 0.0
+        # The bytes written to the connection, how many of them had left this process's buffer at the last check, and
+        # whether any were still buffered then.
         self.bytes_written = 0
-        self.bytes_gone = 0
-        self.bytes_waited = False
-        # Held while a call is written in pieces: nothing may come between them.
+        self.bytes_flushed = 0
+        self.had_buffered_bytes = False
+        # Held while a paced call is written: no other frame may be written between its chunks.
         self._paced = asyncio.Lock()
         self.check_timer: asyncio.TimerHandle | None = None
-        # Calls that wait for their answers, by number; None as the answer means that none will come.
+        # The calls that wait for an answer, by number; the result None means that there will be no answer.
         self.pending: dict[int, asyncio.Future] = {}
         self.closed = False
-        self._task = asyncio.ensure_future(self._listen(reader))
+        self._task = asyncio.ensure_future(self._read_answers(reader))
 
-    async def _listen(self, reader: asyncio.StreamReader) -> None:
+    async def _read_answers(self, reader: asyncio.StreamReader) -> None:
         try:
             while True:
                 number, _, message, _ = await read_frame(reader, self.traffic)
-                self.heard_at = asyncio.get_running_loop().time()
+                self.last_active_at = asyncio.get_running_loop().time()
                 future = self.pending.pop(number, None)
                 if future is not None and not future.done():
                     future.set_result(message)
@@ -84,39 +86,39 @@
         self.bytes_written += write_frame(self.writer, self.traffic, number=number, answer=False, message=message)
 
     async def write_paced(self, *, number: int, message: tuple, rate: int) -> None:
-        """Writes one call at no more than so many bytes a second. One that is interrupted ends the connection.
+        """Writes one call at `rate` bytes per second at most. If it is interrupted, the connection is closed.
 
         Raises:
-            OSError: The connection ended.
+            OSError: The connection was lost.
         """
         async with self._paced:
             loop = asyncio.get_running_loop()
             began = loop.time()
             octets = sum(len(field) for field in message if isinstance(field, bytes))
             frame = encode_frame(self.traffic, number=number, answer=False, message=message, sent=began + octets / rate)
-            piece_bytes = max(MIN_PIECE_BYTES, round(rate * PIECE_DURATION.total_seconds()))
+            chunk_bytes = max(MIN_CHUNK_BYTES, round(rate * CHUNK_DURATION.total_seconds()))
             try:
-                for first in range(0, len(frame), piece_bytes):
+                for first in range(0, len(frame), chunk_bytes):
                     if first:
                         await asyncio.sleep(began + first / rate - loop.time())
-                    piece = frame[first : first + piece_bytes]
-                    self.writer.write(piece)
-                    self.bytes_written += len(piece)
+                    chunk = frame[first : first + chunk_bytes]
+                    self.writer.write(chunk)
+                    self.bytes_written += len(chunk)
                     await self.writer.drain()
             except BaseException:
-                # Half a frame: nothing that follows could be read.
+                # The frame is incomplete, so the peer could not read anything after it.
                 self.close()
                 raise
 
     # -- keep-alive --------------------------------------------------------------------------------------------------
 
     def start_checks(self) -> None:
-        """Called with each call: a connection that nobody waits on needs no checks."""
+        """Starts the keep-alive checks; done for each call, since an idle connection needs no checks."""
         if self.keep_alive is not None and self.check_timer is None:
-            self.heard_at = asyncio.get_running_loop().time()
-            self._check_later(self.keep_alive)
+            self.last_active_at = asyncio.get_running_loop().time()
+            self._schedule_check(self.keep_alive)
 
-    def _check_later(self, keep_alive: KeepAlive) -> None:
+    def _schedule_check(self, keep_alive: KeepAlive) -> None:
         loop = asyncio.get_running_loop()
         self.check_timer = loop.call_later(keep_alive.interval.total_seconds(), self._check, keep_alive)
 
@@ -124,33 +126,33 @@
         self.check_timer = None
         if self.closed or not self.pending:
             return
-        self._note_progress()
+        self._record_progress()
         now = asyncio.get_running_loop().time()
-        silence = now - self.heard_at
-        if silence >= (keep_alive.timeout + keep_alive.interval * LATE_INTERVALS).total_seconds():
-            self.heard_at = now - (keep_alive.timeout - keep_alive.interval).total_seconds()
+        silence = now - self.last_active_at
+        if silence >= (keep_alive.timeout + keep_alive.interval * OWN_DELAY_INTERVALS).total_seconds():
+            self.last_active_at = now - (keep_alive.timeout - keep_alive.interval).total_seconds()
         elif silence >= keep_alive.timeout.total_seconds():
             self.close()
             return
-        if silence >= keep_alive.interval.total_seconds() * PING_AFTER and not self._paced.locked():
+        if silence >= keep_alive.interval.total_seconds() * PING_INTERVAL_FRACTION and not self._paced.locked():
             try:
                 self.write(number=PING_NUMBER, message=PingCall(""))
             except OSError:
                 self.close()
                 return
-        self._check_later(keep_alive)
+        self._schedule_check(keep_alive)
 
-    def _note_progress(self) -> None:
-        """Counts bytes that waited here and went on since as heard: the other side takes them."""
-        waiting = self.writer.transport.get_write_buffer_size()
-        gone = self.bytes_written - waiting
-        if (self.bytes_waited or self._paced.locked()) and gone > self.bytes_gone:
-            self.heard_at = asyncio.get_running_loop().time()
-        self.bytes_gone = gone
-        self.bytes_waited = waiting > 0
+    def _record_progress(self) -> None:
+        """Counts it as a sign of life if buffered bytes have left since the last check: the peer accepts them."""
+        buffered = self.writer.transport.get_write_buffer_size()
+        flushed = self.bytes_written - buffered
+        if (self.had_buffered_bytes or self._paced.locked()) and flushed > self.bytes_flushed:
+            self.last_active_at = asyncio.get_running_loop().time()
+        self.bytes_flushed = flushed
+        self.had_buffered_bytes = buffered > 0
 
     def close(self) -> None:
-        """Closes the connection; the calls that wait on it get no answer."""
+        """Closes the connection; the calls that wait on it end without an answer."""
         self.closed = True
         self.writer.close()
         for future in self.pending.values():
--- a/packages/rpc/src/hoistsaddle/rpc/connection_faults.py
+++ b/packages/rpc/src/hoistsaddle/rpc/connection_faults.py
@@ -1,4 +1,4 @@
-"""Cuts of single connections, as tests on real processes order them."""
+"""Injected connection faults, for tests with real processes."""
 
 from pathlib import Path
 
@@ -6,14 +6,13 @@
 
 
 class ConnectionFaults:
-    """Cuts of connections, one way or both, as the tests write them into a file.
+    """Drops calls and answers in one or both directions, as listed in a file that the tests write.
 
-    A one-way cut from one process to another is two entries: the one drops its calls to the other, and the other
-    drops the answers of the one.
+    A one-way cut from process A to process B takes two entries: A drops its calls to B, and B drops the answers from A.
     """
 
     def __init__(self, *, path: Path) -> None:
-        """Names the file; it is read again whenever it changes."""
+        """Uses the file at `path`, which is read again whenever it changes."""
         self.path = path
         self.modified_at = 0
         self.calls: frozenset[str] = frozenset()
@@ -27,16 +26,16 @@
         if modified_at == self.modified_at:
             return
         self.modified_at = modified_at
-        cuts = msgspec.json.decode(self.path.read_bytes()) if modified_at else {}
-        self.calls = frozenset(cuts.get("calls_to", ()))
-        self.answers = frozenset(cuts.get("answers_from", ()))
+        faults = msgspec.json.decode(self.path.read_bytes()) if modified_at else {}
+        self.calls = frozenset(faults.get("calls_to", ()))
+        self.answers = frozenset(faults.get("answers_from", ()))
 
     def drops_calls_to(self, address: str) -> bool:
-        """Whether calls to the address vanish."""
+        """Whether calls to the address are dropped."""
         self._refresh()
         return address in self.calls
 
     def drops_answers_from(self, address: str) -> bool:
-        """Whether answers from the address vanish."""
+        """Whether answers from the address are dropped."""
         self._refresh()
         return address in self.answers
--- a/packages/rpc/src/hoistsaddle/rpc/frame_ages.py
+++ b/packages/rpc/src/hoistsaddle/rpc/frame_ages.py
@@ -1,59 +1,64 @@
-"""How old a call is that is read only now: judged by its sender's clock, not by what it says of its time.
+"""Computes how long ago a call was written, from its sender's clock.
 
-A call says how much time it has left as it is written. Bytes that wait in a socket, because this process stood still,
-the sender did, or the way between them was cut, say the same for ever. So each frame carries its sender's monotonic
-clock. The least difference between the own clock and the sender's is their offset and the shortest way; what a call's
-difference has beyond that is its age.
+A call states the time it has left when it is written. That value is outdated if the bytes then wait in a socket,
+because this process or the sender was frozen or the link between them was down. So each frame carries its sender's
+monotonic clock. The smallest difference between this process's clock and the sender's is the clock offset plus the
+shortest transit time; the excess of a call's difference over it is the call's age.
 """
 
 from typing import NamedTuple
 
-# Seconds. A least difference counts in its own window and the next one that brings calls: drift of two clocks stays far
-# below a millisecond meanwhile, and a clock that was set back with its machine is believed again after two of them.
+# In seconds. The minimum difference of a window is used in that window and in the next one with calls. Two clocks drift
+# apart by far less than a millisecond in that time. After the sender's clock was set back together with its machine,
+# ages are correct again after two windows.
 OFFSET_WINDOW = 5.0
 
 
 class CallAge(NamedTuple):
-    """Seconds since a call was written, as far as its connection can know."""
+    """The seconds since a call was written, as estimated on its connection."""
 
     age: float = 0.0
-    # The first frame of its connection has nothing to be compared with: it is as old as the connection at the most,
-    # and as this process may have left both unread.
+    # Set for the first frame of a connection, which can't be compared with earlier frames: its age is at most that of
+    # the connection, plus the time for which this process may have left both unread.
     first: bool = True
 
 
 class FrameAges:
-    """The ages of the frames of one connection, whose sender's clock is one."""
+    """Computes the ages of the frames of one connection, which all carry the same sender's clock."""
 
     def __init__(self, *, accepted: float) -> None:
-        """Begins with the connection.
+        """Starts with a new connection.
 
         Args:
-            accepted: When the connection was accepted, in seconds of the own monotonic clock.
+            accepted: When the connection was accepted, in seconds of this process's monotonic clock.
         """
         self.accepted = accepted
-        # When the present window began, and the least differences of it and of the window before.
-        self.began = 0.0
-        self.least: float | None = None
-        self.least_before = 0.0
+        # When the present window started, and the minimum differences of this window and of the previous one.
+        self.window_start = 0.0
+        self.min_difference: float | None = None
+        self.previous_min_difference = 0.0
 
     def age(self, *, sent: float, now: float) -> CallAge:
         """The age of a frame that is read now.
 
         Args:
-            sent: Its sender's monotonic clock in seconds; 0 where it says nothing.
-            now: The own monotonic clock in seconds.
+            sent: The sender's monotonic clock in seconds; 0 if the frame doesn't carry it.
+            now: This process's monotonic clock in seconds.
         """
         if not sent:
-            # A former release's frame says nothing of its sender's clock.
+            # Frames of a former release don't carry the sender's clock.
             return CallAge(0.0, True)
         difference = now - sent
-        if self.least is None:
-            # Nothing on a connection is older than the connection: that much of the difference may be age.
+        if self.min_difference is None:
+            # A frame can't be older than its connection, so at most that part of the difference is age.
             age = now - self.accepted
-            self.began, self.least, self.least_before = now, difference - age, difference - age
+            self.window_start, self.min_difference, self.previous_min_difference = (
+                now,
+                difference - age,
+                difference - age,
+            )
             return CallAge(age, True)
-        if now - self.began >= OFFSET_WINDOW:
-            self.began, self.least_before, self.least = now, self.least, difference
-        self.least = min(self.least, difference)
-        return CallAge(difference - min(self.least, self.least_before), False)
+        if now - self.window_start >= OFFSET_WINDOW:
+            self.window_start, self.previous_min_difference, self.min_difference = now, self.min_difference, difference
+        self.min_difference = min(self.min_difference, difference)
+        return CallAge(difference - min(self.min_difference, self.previous_min_difference), False)
--- a/packages/rpc/src/hoistsaddle/rpc/mesh.thrift
+++ b/packages/rpc/src/hoistsaddle/rpc/mesh.thrift
@@ -1,5 +1,5 @@
-// The messages between the processes of a mesh. One union: its set field is the tag of the message.
-// Only numbers and types stand on the wire: names may change, numbers never.
+// The messages between the processes of a mesh, in one union, whose set field is the type of the message.
+// Only field ids and types are encoded on the wire: names may change, ids must not.
 // Times are microseconds. An offset of -1 means "not set".
 
 struct Record { 1: i64 offset, 2: i64 epoch, 3: i64 stamp, 4: binary payload }
@@ -48,14 +48,15 @@
 struct BundleForwardCall { 1: string attempt_id, 2: string caller, 3: string client, 4: string service_name, 5: string target, 6: string instance, 7: i64 bundle, 8: string route, 9: i64 budget, 10: string method, 11: string path, 12: map<string, string> headers, 13: binary body, 14: string hold, 15: i64 answer_bytes, 16: i64 ordinal }
 struct BundleForwardAnswer { 1: string attempt_id, 2: string outcome, 3: string error, 4: string detail, 5: i64 status, 6: map<string, string> headers, 7: binary body, 8: string digest }
 
-// A request under items, on its way to the proxy beside the server that is to run it. Headers are packed name, value pairs.
+// Forwards a request in a mesh configured by items to the proxy of its server. Headers are a MessagePack list of
+// (name, value) pairs.
 struct ForwardCall { 1: string attempt_id, 2: string service_name, 3: string target, 4: string instance, 5: i64 budget, 6: i64 latency_target, 7: i64 rank, 8: string route, 9: string method, 10: binary path, 11: binary headers, 12: binary body, 13: string caller, 14: string client_attempt_id, 15: i64 ordinal, 16: bool repeatable }
 struct ForwardAnswer { 1: string attempt_id, 2: string outcome, 3: string error, 4: i64 status, 5: binary headers, 6: binary body, 7: i64 load, 8: i64 capacity, 9: i64 run_time }
-// What became of an attempt whose connection broke, asked of the incarnation of the sidecar that it was sent to.
+// Requests the outcome of an attempt whose connection was lost, from the incarnation of the sidecar to which it was sent.
 struct FollowCall { 1: string attempt_id, 2: string incarnation, 3: i64 budget }
 struct AbandonCall { 1: string attempt_id }
 struct AbandonAnswer { 1: bool known }
-// A large body is announced before it is sent, and sent once its receiver's link has room for it.
+// A large body is announced before it is sent, and sent once the receiver's link has capacity for it.
 struct AnnounceBodyCall { 1: string attempt_id, 2: string service_name, 3: string target, 4: string instance, 5: i64 budget, 6: i64 latency_target, 7: i64 rank, 8: string route, 9: i64 body_octets }
 struct AnnounceBodyAnswer { 1: string error, 2: i64 rate, 3: i64 link_wait }
 struct ClaimQueryCall { 1: string claim }
@@ -79,6 +80,6 @@
   43: FoundingStatusCall founding_status_call, 44: FoundingStatusAnswer founding_status_answer
 }
 
-// One frame on a connection: number pairs an answer with its call.
-// sent: the sender's monotonic clock as the frame was written, in microseconds; calls only.
+// One frame on a connection. number: matches an answer to its call.
+// sent: the sender's monotonic clock when the frame was written, in microseconds; calls only.
 struct Frame { 1: i64 number, 2: bool answer, 3: Message message, 4: i64 sent }
--- a/packages/rpc/src/hoistsaddle/rpc/message_names.py
+++ b/packages/rpc/src/hoistsaddle/rpc/message_names.py
@@ -1,11 +1,11 @@
-"""The names by which operators' counters know the messages.
+"""The names of the messages in operators' counters.
 
-A counter keeps its name when a message's class gets another: those who read counters rely on it.
+A counter keeps its name when a message class is renamed, since operators' tools rely on it.
 """
 
 from hoistsaddle.rpc import messages
 
-_COUNTED_AS: dict[type, str] = {
+_COUNTER_NAMES: dict[type, str] = {
     messages.FetchSnapshotCall: "PullCall",
     messages.VoteCall: "BallotCall",
     messages.BeginEpochCall: "LeadCall",
@@ -24,6 +24,6 @@
 
 
 def counted_name(message: tuple) -> str:
-    """The name of the message's class in counters."""
+    """The name by which counters list messages of this class."""
     kind = type(message)
-    return _COUNTED_AS.get(kind, kind.__name__)
+    return _COUNTER_NAMES.get(kind, kind.__name__)
--- a/packages/rpc/src/hoistsaddle/rpc/messages/__init__.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The messages between processes, as typed tuples; field names and order are those of mesh.thrift.
+"""The messages between processes, as named tuples with the same field names and order as in mesh.thrift.
 
 A field with a default may be missing: a former release doesn't send it.
 """
--- a/packages/rpc/src/hoistsaddle/rpc/messages/configuration.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/configuration.py
@@ -1,11 +1,11 @@
-"""Messages that carry the configuration down the distribution tree, and what nodes have applied back up."""
+"""Messages that carry the configuration down the distribution tree, and the applied versions back up."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
 
 class AppliedVersion(NamedTuple):
-    """The revision and bundle that a node has applied, and why it refused one."""
+    """The revision and bundle that a node has applied, and the bundle that it rejected, if any, with the reason."""
 
     node: str
     revision: int
@@ -16,7 +16,7 @@
 
 
 class ConfigurationItem(NamedTuple):
-    """One item of the configuration, and the revision that set it."""
+    """One configuration item, with the revision that set it."""
 
     key: str
     revision: int
@@ -24,7 +24,7 @@
 
 
 class PollCall(NamedTuple):
-    """A node asks for the configuration above its own revision; the answer may wait for one (long poll)."""
+    """Requests updates after the node's own revision; the answer may be delayed until there is one (long poll)."""
 
     node: str
     incarnation: str
@@ -32,41 +32,41 @@
     revision: int
     digests: tuple[int, ...]
     applied_versions: tuple[AppliedVersion, ...]
-    # Whether the answer may hold the changes since `revision` alone, and its items in one block. A former release knows
-    # neither.
+    # Whether the answer may contain only the changes since `revision`, and whether the items may be packed in a block.
+    # A former release supports neither.
     takes_changes: bool = False
     takes_block: bool = False
 
 
 class PollAnswer(NamedTuple):
-    """A configuration, or the parts of it that differ from the caller's."""
+    """The configuration, or the parts of it that differ from the caller's copy."""
 
     error: str
     mesh: str
     revision: int
-    # How old the configuration was when this was made.
+    # The time since the leader confirmed the configuration, as of this answer.
     lease_age: timedelta
     ranges: tuple[int, ...] = ()
     items: tuple[ConfigurationItem, ...] = ()
     expected_digests: tuple[int, ...] = ()
-    # Under which leader's epoch the configuration was confirmed; 0 from a former release.
+    # The leader's epoch under which the configuration was confirmed; 0 from a former release.
     epoch: int = 0
-    # The items are what was set since the caller's revision, and `removed` what was removed since; no range is
-    # complete.
+    # Whether the items are only those set since the caller's revision and `removed` the keys removed since; otherwise
+    # `ranges` are complete.
     only_changes: bool = False
     removed: tuple[str, ...] = ()
-    # The items, compressed, for a caller that takes them so.
+    # The items in compressed form, if the caller supports it (`takes_block`).
     block: bytes = b""
 
 
 class AppliedVersionsCall(NamedTuple):
-    """Ask what all nodes below have applied."""
+    """Requests the applied versions of all nodes below in the distribution tree."""
 
     caller: str
 
 
 class AppliedVersionsAnswer(NamedTuple):
-    """What they have applied, and the lowest release level among them."""
+    """The applied versions of all nodes below, and the lowest release level among them."""
 
     applied_versions: tuple[AppliedVersion, ...]
     level: int = 1
--- a/packages/rpc/src/hoistsaddle/rpc/messages/forwarding.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/forwarding.py
@@ -1,6 +1,6 @@
-"""Messages that carry requests from the proxy that took them to the one beside the server, and ask what became of them.
+"""Messages that forward requests from the client's proxy to the server's proxy, and that query their outcome.
 
-Under bundles a request is a BundleForwardCall, under items a ForwardCall.
+A request is a BundleForwardCall in a mesh that is configured by bundles, and a ForwardCall in one configured by items.
 """
 
 from datetime import timedelta
@@ -8,7 +8,7 @@
 
 
 class BundleForwardCall(NamedTuple):
-    """A request under bundles."""
+    """Forwards a request in a mesh that is configured by bundles."""
 
     attempt_id: str
     caller: str
@@ -30,7 +30,7 @@
 
 
 class BundleForwardAnswer(NamedTuple):
-    """What became of it."""
+    """The outcome of a forwarded request, with the server's answer if there is one."""
 
     attempt_id: str
     outcome: str
@@ -43,7 +43,10 @@
 
 
 class ForwardCall(NamedTuple):
-    """A request under items. Headers are msgpack of name, value pairs of bytes, in their order."""
+    """Forwards a request in a mesh that is configured by items.
+
+    `headers` is a MessagePack list of (name, value) pairs of bytes, in their order.
+    """
 
     attempt_id: str
     service_name: str
@@ -65,7 +68,7 @@
 
 
 class ForwardAnswer(NamedTuple):
-    """What became of it."""
+    """The outcome of a forwarded request, with the server's answer if there is one."""
 
     attempt_id: str
     outcome: str
@@ -73,14 +76,14 @@
     status: int = 0
     headers: bytes = b""
     body: bytes = b""
-    # Requests running and waiting at the target's server, how many it works on at a time, and what this one took.
+    # The requests running and waiting at the target's server, its concurrency, and the run time of this request.
     load: int = 0
     capacity: int = 1
     run_time: timedelta = timedelta()
 
 
 class AnnounceBodyCall(NamedTuple):
-    """A request with a large body is about to be forwarded. Nothing of the body has been sent."""
+    """Announces a request with a large body, before any of the body is sent."""
 
     attempt_id: str
     service_name: str
@@ -90,49 +93,49 @@
     latency_target: timedelta
     rank: int
     route: str
-    # Size of the body.
+    # The size of the body.
     body_octets: int
 
 
 class AnnounceBodyAnswer(NamedTuple):
-    """The body may be sent now, or, with an error, it must not be sent: the attempt is over, and nothing ran."""
+    """Permits sending the body; with an error it must not be sent: the attempt has ended, and nothing ran."""
 
     error: str = ""
-    # At most so many bytes a second.
+    # The rate at which to send it, in bytes per second.
     rate: int = 0
-    # How long the next body would wait for the link.
+    # How long the next body would have to wait for the link.
     link_wait: timedelta = timedelta()
 
 
 class FollowCall(NamedTuple):
-    """What became of an attempt whose connection broke. Answered as the attempt itself would be."""
+    """Requests the outcome of an attempt whose connection was lost; the answer is that of the attempt itself."""
 
     attempt_id: str
-    # The incarnation of the sidecar that it went to: another one can't know.
+    # The incarnation of the sidecar to which the attempt was sent: another incarnation doesn't know the outcome.
     incarnation: str
     budget: timedelta
 
 
 class AbandonCall(NamedTuple):
-    """The client of a repeatable attempt has left: nobody waits for its answer any more."""
+    """Cancels a repeatable attempt whose client has disconnected, so that its answer is no longer needed."""
 
     attempt_id: str
 
 
 class AbandonAnswer(NamedTuple):
-    """Whether the attempt was waiting or running there."""
+    """Whether the attempt was waiting or running at the receiver."""
 
     known: bool
 
 
 class ClaimQueryCall(NamedTuple):
-    """What became of the request that claimed a key."""
+    """Requests the outcome of the request that claimed an idempotency key."""
 
     claim: str
 
 
 class ClaimQueryAnswer(NamedTuple):
-    """The claim's standing, and the kept answer if there is one."""
+    """The state of the claim, and the recorded answer if there is one."""
 
     state: str
     status: int = 0
--- a/packages/rpc/src/hoistsaddle/rpc/messages/membership.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/membership.py
@@ -1,10 +1,10 @@
-"""Messages of membership: probes with gossip (SWIM), and reports of a server's health."""
+"""Messages of membership (probes with gossip, as in SWIM), of health reports, and of keep-alive pings."""
 
 from typing import NamedTuple
 
 
 class HealthCall(NamedTuple):
-    """A node reports the server beside it."""
+    """Reports the health of the node's local server."""
 
     node: str
     incarnation: str
@@ -20,7 +20,7 @@
 
 
 class HealthAnswer(NamedTuple):
-    """The server's state as the log has it."""
+    """The server's state as recorded in the log."""
 
     error: str
     state: str
@@ -28,7 +28,7 @@
 
 
 class MemberState(NamedTuple):
-    """What is known of one member, as gossip carries it; a higher count is newer."""
+    """The state of one member, as sent in gossip; a higher count is newer."""
 
     node: str
     kind: str
@@ -40,40 +40,40 @@
 
 
 class ProbeCall(NamedTuple):
-    """Ask a member whether it is there."""
+    """Probes a member."""
 
     caller: str
     member_states: tuple[MemberState, ...]
 
 
 class ProbeAnswer(NamedTuple):
-    """It is there."""
+    """Confirms that the probed member is alive."""
 
     node: str
     member_states: tuple[MemberState, ...]
 
 
 class IndirectProbeCall(NamedTuple):
-    """Ask a member to probe another one."""
+    """Asks a member to probe another member on the caller's behalf."""
 
     caller: str
     address: str
 
 
 class IndirectProbeAnswer(NamedTuple):
-    """Whether the other one answered it."""
+    """Whether the other member answered the probe."""
 
     alive: bool
     member_states: tuple[MemberState, ...]
 
 
 class PingCall(NamedTuple):
-    """Keeps a connection with calls under way alive; answered by the connection's server itself."""
+    """Checks that a connection with calls in flight is alive; answered by RpcServer itself, not by its handler."""
 
     caller: str
 
 
 class PingAnswer(NamedTuple):
-    """The connection is alive."""
+    """Confirms that the connection is alive."""
 
     node: str
--- a/packages/rpc/src/hoistsaddle/rpc/messages/raft.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/raft.py
@@ -5,14 +5,14 @@
 
 from hoistsaddle.rpc.messages.values import UNKNOWN_AGE, UNSET
 
-# What a leader says to a replica that leaves; a former release says nothing.
+# The leader's answer to a replica that is leaving; a former release sends none (LEAVE_UNANSWERED).
 LEAVE_UNANSWERED = 0
 LEAVE_WAIT = 1
 LEAVE_GO = 2
 
 
 class Record(NamedTuple):
-    """One record of the log; stamp is mesh time."""
+    """One record of the log; the stamp is in mesh time."""
 
     offset: int
     epoch: int
@@ -21,7 +21,7 @@
 
 
 class FetchCall(NamedTuple):
-    """A follower asks the leader for the records from an offset on, and says that it has those below."""
+    """Requests the records from an offset on, and acknowledges those below it."""
 
     mesh: str
     replica: int
@@ -30,18 +30,18 @@
     fetch_offset: int
     # The epoch of the record below the offset.
     fetch_epoch: int
-    # The leader's newest round that the follower has heard of.
+    # The newest round of the leader that the follower has received.
     round: int
-    # Whether the follower holds a state, so that its log counts.
+    # Whether the follower has a complete state, so that its log counts.
     complete: bool
-    # The highest release level the replica supports; a former release doesn't say.
+    # The highest release level that the replica supports; a former release doesn't send it.
     level: int = 1
-    # Its process is to stop: it goes once the leader says that it may.
+    # Whether the replica's process is shutting down: it stops once the leader allows it to leave.
     leaving: bool = False
 
 
 class FetchAnswer(NamedTuple):
-    """Records, or where the follower's log parts from the leader's, or the checkpoint to begin with."""
+    """Records, or where the follower's log diverges from the leader's, or the checkpoint to fetch first."""
 
     error: str
     epoch: int
@@ -56,12 +56,13 @@
     next_offset: int = UNSET
     round: int = 0
     leave: int = LEAVE_UNANSWERED
-    # How long ago, when this was made, the leader last knew that a majority followed it and its state was the newest.
+    # The time, as of this answer, since the leader last knew that a majority followed it and that its state was the
+    # newest.
     contact_age: timedelta = UNKNOWN_AGE
 
 
 class FetchSnapshotCall(NamedTuple):
-    """A follower asks for a chunk of a checkpoint; the position is in bytes."""
+    """Requests a chunk of a checkpoint; the position is in bytes."""
 
     replica: int
     epoch: int
@@ -72,7 +73,7 @@
 
 
 class FetchSnapshotAnswer(NamedTuple):
-    """The chunk; continues says whether more follow."""
+    """A chunk of a checkpoint; `continues` is set if more chunks follow."""
 
     error: str
     epoch: int
@@ -84,23 +85,24 @@
 
 
 class VoteCall(NamedTuple):
-    """A candidate asks for a vote, or for a pre-vote that binds nobody."""
+    """Requests a vote for the candidate, or a pre-vote, which is not binding."""
 
     mesh: str
     epoch: int
     replica: int
     incarnation: str
-    # The end of the candidate's log.
+    # The offset and epoch at the end of the candidate's log.
     last_offset: int
     last_epoch: int
     pre_vote: bool
     level: int = 1
-    # The leader named this replica for its place: whoever still hears that leader may vote all the same.
+    # Whether the leader transfers its leadership to this replica: replicas that are still in contact with that leader
+    # may then vote too.
     leadership_transfer: bool = False
 
 
 class VoteAnswer(NamedTuple):
-    """Whether the vote is granted; vote_epoch is the epoch that was asked for."""
+    """Whether the vote is granted; `vote_epoch` is the epoch of the request."""
 
     epoch: int
     replica: int
@@ -111,7 +113,7 @@
 
 
 class BeginEpochCall(NamedTuple):
-    """A leader says that it leads."""
+    """Announces a new leader to the other replicas."""
 
     mesh: str
     epoch: int
@@ -119,15 +121,15 @@
 
 
 class EndEpochCall(NamedTuple):
-    """A leader says that it resigns."""
+    """Announces that the leader resigns."""
 
     epoch: int
     leader: int
-    # Whom the leader calls to stand at once; UNSET if it names nobody.
+    # The replica that is to become a candidate immediately (leadership transfer); UNSET for none.
     successor: int = UNSET
 
 
 class EpochAcknowledged(NamedTuple):
-    """The answer to both: the epoch of the replica that was called."""
+    """The answer to BeginEpochCall and EndEpochCall: the epoch of the called replica."""
 
     epoch: int
--- a/packages/rpc/src/hoistsaddle/rpc/messages/store.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/store.py
@@ -5,12 +5,12 @@
 
 from hoistsaddle.rpc.messages.values import UNSET
 
-# As an event's number: above all that will ever be.
+# An event number above all that can occur, so that no events are requested.
 NO_EVENTS = 2**62
 
 
 class BootstrapCall(NamedTuple):
-    """Begin a mesh: voters are incarnations by replica, operators are keys by name."""
+    """Bootstraps a mesh: `voters` maps replicas to incarnations, `operators` maps names to keys."""
 
     mesh: str
     voters: dict[int, str]
@@ -19,7 +19,7 @@
 
 
 class BootstrapAnswer(NamedTuple):
-    """The mesh that the store belongs to now, and its disk's incarnation."""
+    """The mesh to which the store belongs now, and the incarnation of its disk."""
 
     error: str
     mesh: str
@@ -27,29 +27,29 @@
 
 
 class FoundingStatusCall(NamedTuple):
-    """Ask a store what it knows of a founding."""
+    """Requests what a store knows about the founding of the mesh."""
 
     caller: str
 
 
 class FoundingStatusAnswer(NamedTuple):
-    """Whether a replica's disk belongs to a mesh, and what it would found one by."""
+    """Whether a replica's disk belongs to a mesh, and the data that it would use to found one."""
 
     # Empty for a blank disk.
     mesh: str
     replica: int
     incarnation: str
-    # Of the recorded first start; without one the controllers that it knows of, itself among them.
+    # The seeds of the recorded first start, or, without such a record, the controllers that it knows, including itself.
     seeds: tuple[int, ...]
-    # Whether this disk was there at the first start of all and has kept what it acknowledged since.
+    # Whether this disk took part in the very first start and still has everything that it has acknowledged since.
     first_start: bool
 
 
 class StatusCall(NamedTuple):
-    """Ask a store for its status."""
+    """Requests the status of a store."""
 
     caller: str
-    # Events above this number go along; by default none.
+    # The answer contains the events above this number; by default none.
     after: int = NO_EVENTS
 
 
@@ -68,34 +68,34 @@
     counters: bytes
     events: bytes
     level: int = 1
-    # Why the replica can't go on; empty while it can.
+    # Why the replica has halted; empty while it runs.
     halted: str = ""
-    # How long the oldest write has been waiting for its sync.
+    # How long the oldest write has been waiting to be synced to disk.
     unsynced: timedelta = timedelta()
 
 
 class RaiseLevelCall(NamedTuple):
-    """Raise the release level of the log."""
+    """Raises the release level of the log."""
 
     level: int
 
 
 class RaiseLevelAnswer(NamedTuple):
-    """The kind of the error, empty if the level is raised."""
+    """The kind and message of the error; the kind is empty if the level was raised."""
 
     error: str
     message: str
 
 
 class WriteCall(NamedTuple):
-    """Append payloads to the log, one record each."""
+    """Appends payloads to the log, one record each."""
 
     caller: str
     payloads: tuple[bytes, ...]
 
 
 class WriteAnswer(NamedTuple):
-    """The outcome of each record, and the last one's offset; or the kind of the error and who leads."""
+    """The outcome of each record and the offset of the last one, or the kind of the error; and the leader."""
 
     error: str
     leader: int
@@ -104,7 +104,7 @@
 
 
 class ReadCall(NamedTuple):
-    """Read a part of the state, confirmed by a majority."""
+    """Reads a part of the state, confirmed by a majority."""
 
     caller: str
     part: str
@@ -112,14 +112,14 @@
 
 
 class ReadAnswer(NamedTuple):
-    """The part's content at a revision of the configuration, or the kind of the error and who leads."""
+    """The part's content at a revision of the configuration, or the kind of the error; and the leader."""
 
     error: str
     leader: int
     revision: int = UNSET
     offset: int = UNSET
     content: bytes = b""
-    # Of every range of the configuration at this revision, as the log has it.
+    # The digest of each range of the configuration at this revision, as computed from the log.
     digests: tuple[int, ...] = ()
-    # Of the leader that confirmed the read; 0 from a former release.
+    # The epoch of the leader that confirmed the read; 0 from a former release.
     epoch: int = 0
--- a/packages/rpc/src/hoistsaddle/rpc/messages/values.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/values.py
@@ -1,8 +1,8 @@
-"""Values that stand for "none" in messages."""
+"""Values that represent "none" in messages."""
 
 from datetime import timedelta
 
 # An offset, epoch or replica that is not set.
 UNSET = -1
-# An age that the sender doesn't know, or one of a former release.
+# An age that is unknown to the sender, or that a former release did not send.
 UNKNOWN_AGE = timedelta(microseconds=-1)
--- a/packages/rpc/src/hoistsaddle/rpc/runtime.py
+++ b/packages/rpc/src/hoistsaddle/rpc/runtime.py
@@ -1,4 +1,4 @@
-"""What a node needs of the world: a clock, chance, names, connections. The simulator has another of the same shape."""
+"""The runtime of a node: clock, random numbers, tokens and connections. The simulator implements the same interface."""
 
 import random
 import secrets
@@ -18,7 +18,7 @@
 
 
 class Calls(Protocol):
-    """Calls to other processes, as RpcClient makes them."""
+    """The interface of RpcClient."""
 
     async def call(
         self, address: str, message: tuple, *, within: timedelta, still: Callable[[], bool] = ..., rate: int = ...
@@ -32,7 +32,7 @@
 
 
 class Serving(Protocol):
-    """A listener, as RpcServer is one."""
+    """The interface of RpcServer."""
 
     async def stop(self) -> None:
         """Stops listening."""
@@ -40,13 +40,13 @@
 
 
 class Runtime(Protocol):
-    """Clock, chance, names and connections of one process."""
+    """The clock, random numbers, tokens and connections of one process."""
 
     random: random.Random
 
     @property
     def rpc_client(self) -> Calls:
-        """Calls to other processes."""
+        """The client for calls to other processes."""
         ...
 
     def now(self) -> timedelta:
@@ -54,11 +54,11 @@
         ...
 
     def token(self, size: int) -> str:
-        """A random name of so many bytes, in hex."""
+        """A random token of `size` bytes, in hexadecimal."""
         ...
 
     async def serve(self, address: str, handler: Handler) -> Serving:
-        """Listens at the address."""
+        """Starts a server that listens on the address."""
         ...
 
 
@@ -73,13 +73,13 @@
         connect_timeout: timedelta = CONNECT_TIMEOUT,
         local_calls: bool = False,
     ) -> None:
-        """Begins without connections.
+        """Starts without connections.
 
         Args:
-            line_faults: The file in which tests order cuts of connections; empty for none.
-            keep_alive: How connections with calls under way are checked.
-            connect_timeout: How long a call waits for a connection.
-            local_calls: Whether calls to an address that this process serves are calls of a function.
+            line_faults: The file in which tests list connection faults; empty for none.
+            keep_alive: How connections with calls in flight are checked; None for no checks.
+            connect_timeout: How long a call waits for its connection.
+            local_calls: Whether calls to addresses that this process serves are direct function calls.
         """
         self.local_calls = local_calls
         self.random = random.Random()
@@ -94,11 +94,11 @@
         return monotonic_now()
 
     def token(self, size: int) -> str:
-        """A random name of so many bytes, in hex."""
+        """A random token of `size` bytes, in hexadecimal."""
         return secrets.token_hex(size)
 
     async def serve(self, address: str, handler: Handler) -> RpcServer:
-        """Listens at the address."""
+        """Starts a server that listens on the address."""
         server = RpcServer(address=address, handler=handler, traffic=self.rpc_client.traffic)
         await server.start()
         if self.local_calls:
--- a/packages/rpc/src/hoistsaddle/rpc/server.py
+++ b/packages/rpc/src/hoistsaddle/rpc/server.py
@@ -1,4 +1,4 @@
-"""The answering side: listens at the process's mesh address."""
+"""The RPC server: listens on the process's mesh address and answers calls."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,20 +12,20 @@
 from hoistsaddle.rpc.framing import Traffic, read_frame, write_frame
 from hoistsaddle.rpc.messages import PingAnswer, PingCall
 
-# Answers a call; None stands for "no answer", and the caller's own deadline tells it so.
+# Answers a call; None means that no answer is sent, so that the call times out at the caller.
 Handler = Callable[[tuple], Awaitable[tuple | None]]
 
 
 class RpcServer:
-    """Answers the calls of other processes, each in a task of its own."""
+    """Answers calls of other processes, each in a separate task."""
 
     def __init__(self, *, address: str, handler: Handler, traffic: Traffic | None = None) -> None:
-        """Names the address; `start` listens there.
+        """Configures the server; `start` makes it listen.
 
         Args:
             address: The mesh address, host:port.
-            handler: Answers the calls.
-            traffic: Counts what passes.
+            handler: Answers a call.
+            traffic: Counts the frames and bytes of both directions.
         """
         self.address = address
         self.handler = handler
@@ -35,10 +35,10 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
-        """Listens.
+        """Starts to listen.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: The address can't be bound.
         """
         host, port = split_address(self.address)
         self._server = await listen_once_free(
@@ -52,13 +52,13 @@
         try:
             while True:
                 number, _, message, sent = await read_frame(reader, self.traffic)
-                # The task that answers it takes this along.
+                # The task that answers the call inherits this context variable.
                 set_call_age(ages.age(sent=sent, now=loop.time()))
                 if isinstance(message, PingCall):
                     write_frame(writer, self.traffic, number=number, answer=True, message=PingAnswer(""))
                     continue
                 if message is None:
-                    # A newer release's call: unanswered, so its sender knows that it isn't understood here.
+                    # A call that only a newer release knows: no answer shows the sender that it isn't supported.
                     continue
                 task = asyncio.ensure_future(self._answer(writer, number, message))
                 self._tasks.add(task)
@@ -66,7 +66,7 @@
         except (OSError, asyncio.IncompleteReadError, EOFError, asyncio.CancelledError):
             pass
         except ValueError as problem:
-            logger.warning("{} closes a connection that sent what can't be read: {}", self.address, problem)
+            logger.warning("{}: closing a connection that sent an invalid frame: {}", self.address, problem)
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -77,7 +77,7 @@
             write_frame(writer, self.traffic, number=number, answer=True, message=answer)
 
     async def stop(self) -> None:
-        """Stops listening, closes the connections and cancels the answers under way."""
+        """Stops listening, closes the connections and cancels the handlers in flight."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
--- a/packages/rpc/src/hoistsaddle/rpc/write_queue.py
+++ b/packages/rpc/src/hoistsaddle/rpc/write_queue.py
@@ -1,7 +1,7 @@
-"""Commands on their way to the log: they wait here, in one place, and travel in batches of which few are in flight.
+"""A queue of commands to be written to the log: they are sent in batches, with few batches in flight.
 
-What waits here costs nobody anything, and who gives up waiting takes it back. While attempts fail, one at a time goes
-out for all that wait, with exponential backoff between attempts.
+Queued commands cause no load elsewhere, and a caller that stops waiting cancels its command. While attempts fail, only
+one batch at a time is sent for the whole queue, with exponential backoff between attempts.
 """
 
 import asyncio
@@ -11,20 +11,20 @@
 
 
 class PendingWrite:
-    """One packed command on its way to the log."""
+    """One encoded command that is to be written to the log."""
 
     def __init__(self, *, payload: bytes, future: asyncio.Future) -> None:
-        """Begins as a command that was never sent.
+        """Starts as a command that was never sent.
 
         Args:
-            payload: The packed command.
-            future: Gets the result. One that is done or cancelled is not sent (again).
+            payload: The encoded command.
+            future: Receives the result. A command whose future is done or cancelled is not sent (again).
         """
         self.payload = payload
         self.future = future
-        # Whether a receiver may hold it: true from when it is sent, until that receiver says it never took it.
+        # Whether a receiver may have accepted it: set when it is sent, cleared if that receiver reports otherwise.
         self.maybe_accepted = False
-        # Whether a call with it is under way.
+        # Whether a call with it is in flight.
         self.in_flight = False
 
 
@@ -32,7 +32,7 @@
 
 
 def note_sent(batch: Batch) -> set[PendingWrite]:
-    """Notes that a call with the batch goes out; returns those that an earlier call may have brought to a receiver."""
+    """Marks a batch as sent; returns its writes that a receiver may have accepted from an earlier call."""
     maybe_accepted_before = {write for write in batch if write.maybe_accepted}
     for write in batch:
         write.maybe_accepted = write.in_flight = True
@@ -40,13 +40,13 @@
 
 
 def note_not_accepted(batch: Batch, *, maybe_accepted_before: set[PendingWrite]) -> None:
-    """Notes that the last call's receiver took none of the batch; an earlier one's may still have."""
+    """Marks a batch as not accepted by the receiver of the last call; that of an earlier call may have accepted it."""
     for write in batch:
         write.maybe_accepted = write in maybe_accepted_before
 
 
 class WriteQueue:
-    """Hands what waits to an attempt, batch by batch."""
+    """Passes the queued commands to `attempt`, batch by batch."""
 
     def __init__(
         self,
@@ -57,14 +57,15 @@
         max_in_flight: Callable[[], int],
         max_batch_commands: int,
     ) -> None:
-        """Begins empty.
+        """Starts empty.
 
         Args:
-            attempt: Makes one call with a batch; true once all of it is concluded. It notes failures in the backoff.
-            wait_for_backoff: Waits until the next attempt is due, or something gives hope before.
-            backoff: Between attempts while they fail.
-            max_in_flight: The most batches in flight at this moment.
-            max_batch_commands: The most commands of one batch.
+            attempt: Makes one call with a batch; returns true if all its commands have results. Records failures in the
+                backoff.
+            wait_for_backoff: Waits until the next attempt is due, or until there is reason to retry earlier.
+            backoff: The delay between attempts while they fail.
+            max_in_flight: Returns the present maximum of batches in flight.
+            max_batch_commands: The maximum number of commands in a batch.
         """
         self._attempt = attempt
         self._wait_for_backoff = wait_for_backoff
@@ -74,17 +75,17 @@
         self.waiting: Batch = []
         self._batches_in_flight = 0
         self._tasks: set[asyncio.Task] = set()
-        # While attempts fail, one task retries for all that wait.
+        # While attempts fail, a single task retries for the whole queue.
         self._retrying = False
         self._stopped = False
 
     def add(self, writes: Batch) -> None:
-        """Takes up commands, and sends what may be sent."""
+        """Queues commands, and sends as many as the limits allow."""
         self.waiting += writes
         self._flush()
 
     def stop(self) -> None:
-        """Cancels what is in flight; commands without a result stay without one."""
+        """Cancels the batches in flight; commands without a result get none."""
         self._stopped = True
         for task in list(self._tasks):
             task.cancel()
@@ -98,21 +99,21 @@
                 self._retrying = True
                 self._spawn(self._retry(), at_end=self._retry_ended)
             return
-        # A few batches in flight at most: what arrives meanwhile goes together into the next.
+        # Only a few batches are in flight: commands that arrive meanwhile share the next batch.
         while self.waiting and self._batches_in_flight < self._max_in_flight():
             self._batches_in_flight += 1
             self._spawn(self._send_batch(self._next_batch()), at_end=self._batch_ended)
 
     def _spawn(self, work: Coroutine, *, at_end: Callable[[], None]) -> None:
-        """Runs `work` as a task. `at_end` follows in a callback, which a task that is only collected never runs."""
+        """Runs `work` as a task, then `at_end` as a callback, which is not run for a task that is garbage-collected."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
 
-        def ended(task: asyncio.Task) -> None:
+        def finished(task: asyncio.Task) -> None:
             self._tasks.discard(task)
             at_end()
 
-        task.add_done_callback(ended)
+        task.add_done_callback(finished)
 
     def _batch_ended(self) -> None:
         self._batches_in_flight -= 1
@@ -132,7 +133,7 @@
             self.waiting = [*batch, *self.waiting]
 
     async def _retry(self) -> None:
-        """While attempts fail, retries alone for all that wait; each attempt takes those whose callers still wait."""
+        """Retries, as the only sender, while attempts fail; each attempt sends commands whose callers still wait."""
         while self._backoff.failing:
             await self._wait_for_backoff()
             if not (batch := self._next_batch()):
