--- a/packages/common/src/hoistsaddle/common/__init__.py
+++ b/packages/common/src/hoistsaddle/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every package uses: errors, counters, time, settings and the reading of outside data."""
+"""Shared by all packages: errors, counters, time, settings and the validation of external input."""
--- a/packages/common/src/hoistsaddle/common/backoff.py
+++ b/packages/common/src/hoistsaddle/common/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff between attempts, shared by all who attempt the same thing."""
+"""Exponential backoff between attempts, shared by concurrent attempts at the same operation."""
 
 from datetime import timedelta
 
@@ -6,13 +6,13 @@
 
 
 class ExponentialBackoff:
-    """A delay from `least`, twice as long after each failure, up to `most`; a success starts it over.
+    """A delay that starts at `least`, doubles after each failure up to `most`, and is reset by a success.
 
-    Several attempts that fail side by side are one failure: the delay grows once for each delay that has passed.
+    Concurrent attempts that fail together count as one failure: the delay doubles only after it has elapsed.
     """
 
     def __init__(self, *, least: timedelta, most: timedelta) -> None:
-        """Begins without a failure."""
+        """Starts without a failure."""
         self.least = least
         self.most = max(least, most)
         self.delay = least
@@ -24,7 +24,7 @@
         return self._failed_at is not None
 
     def failed(self, *, now: timedelta) -> None:
-        """Notes a failed attempt."""
+        """Records a failed attempt."""
         if self._failed_at is None:
             self.delay = self.least
         elif now - self._failed_at >= self.delay:
@@ -34,10 +34,10 @@
         self._failed_at = now
 
     def left(self, *, now: timedelta) -> timedelta:
-        """How long until the next attempt is due."""
+        """The time until the next attempt is due."""
         return ZERO if self._failed_at is None else max(ZERO, self._failed_at + self.delay - now)
 
     def reset(self) -> None:
-        """Notes a success."""
+        """Records a successful attempt."""
         self.delay = self.least
         self._failed_at = None
--- a/packages/common/src/hoistsaddle/common/clock.py
+++ b/packages/common/src/hoistsaddle/common/clock.py
@@ -1,4 +1,4 @@
-"""Time as timedelta: durations, and timestamps on a monotonic clock."""
+"""Time as `timedelta`: durations, and timestamps of a monotonic clock."""
 
 import time
 from datetime import timedelta
@@ -9,12 +9,12 @@
 
 def monotonic_now() -> timedelta:
     """The time on this machine's monotonic clock."""
-    # CLOCK_MONOTONIC goes on while a process is stopped and never follows wall-clock jumps.
+    # CLOCK_MONOTONIC keeps running while the process is stopped, and is not affected by jumps of the wall clock.
     return timedelta(seconds=time.monotonic())
 
 
 def to_microseconds(span: timedelta) -> int:
-    """A duration in complete microseconds, as it is encoded."""
+    """A duration in whole microseconds, as encoded in messages."""
     return span // MICROSECOND
 
 
--- a/packages/common/src/hoistsaddle/common/counters.py
+++ b/packages/common/src/hoistsaddle/common/counters.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and events of a process: each is counted, and only changes of state become log lines."""
+"""Counters, gauges and events of a process. Only changes of state are recorded as events and logged."""
 
 import threading
 from collections import defaultdict, deque
@@ -7,11 +7,11 @@
 
 from loguru import logger
 
-EVENTS_KEPT = 2000
+MAX_EVENTS = 2000
 
 
 class Event(NamedTuple):
-    """A change of state, numbered from one since the process started; the timestamp is for people to read."""
+    """A change of state, numbered from 1 since the process started; the wall-clock timestamp is only for display."""
 
     number: int
     timestamp: datetime
@@ -20,20 +20,20 @@
 
 
 class Counters:
-    """The counters of one process, under its name. Every thread may use them."""
+    """The counters of one process, labelled with its name; thread-safe."""
 
-    def __init__(self, *, owner: str, keep: int = EVENTS_KEPT) -> None:
-        """Counts for `owner` and keeps its last `keep` events."""
+    def __init__(self, *, owner: str, keep: int = MAX_EVENTS) -> None:
+        """Starts without counts for the process `owner`; the last `keep` events are kept."""
         self.owner = owner
         self._counts: defaultdict[str, float] = defaultdict(float)
         self._gauges: dict[str, float] = {}
-        # The store's disk thread counts too.
+        # The store's disk thread also updates counters.
         self._lock = threading.Lock()
         self._events: deque[Event] = deque(maxlen=keep)
         self._number = 0
 
     def add(self, name: str, amount: float = 1) -> None:
-        """Adds to a count."""
+        """Adds to a counter."""
         with self._lock:
             self._counts[name] += amount
 
@@ -43,11 +43,11 @@
             self._gauges[name] = value
 
     def record_event(self, kind: str, **detail) -> None:
-        """Notes a change of state: counted, kept for `hoistsaddle watch`, and one log line.
+        """Records a change of state: it is counted, kept for `hoistsaddle watch`, and logged.
 
         Args:
-            kind: The event's name; it and the details' names are part of the operators' interface.
-            detail: What the event is about, as JSON takes it.
+            kind: The event's name; it and the names of the details are part of the operators' API.
+            detail: The details of the event, as values that JSON can encode.
         """
         with self._lock:
             self._number += 1
@@ -56,10 +56,10 @@
         logger.info("{} {} {}", self.owner, kind, detail)
 
     def events(self, *, after: int) -> dict:
-        """The kept events above a number, and the newest number, as the operators' interface shows them."""
+        """The kept events after a number, and the newest event's number, in the form of the operators' API."""
         with self._lock:
-            shown = [self._describe(event) for event in self._events if event.number > after]
-            return {"newest": self._number, "happenings": shown}
+            selected = [self._describe(event) for event in self._events if event.number > after]
+            return {"newest": self._number, "happenings": selected}
 
     def _describe(self, event: Event) -> dict:
         return {
@@ -71,7 +71,7 @@
         }
 
     def read(self) -> dict:
-        """All counts and gauges, sorted by name."""
+        """All counters and gauges, sorted by name."""
         with self._lock:
             return {
                 "owner": self.owner,
--- a/packages/common/src/hoistsaddle/common/errors.py
+++ b/packages/common/src/hoistsaddle/common/errors.py
@@ -1,6 +1,7 @@
-"""Errors as typed values: a class for each kind of failure, with what to do about it.
+"""Errors as typed values: a class for each kind of failure, with a remedy.
 
-Here are the base classes and the errors that several packages make; a package's own stand in its `errors.py`.
+This module has the base classes and the errors that several packages use; other errors are in their package's
+`errors.py`.
 """
 
 from enum import StrEnum
@@ -8,7 +9,7 @@
 
 
 class ErrorKind(StrEnum):
-    """The kinds of failure by the names that answers, messages and the log carry; their values never change."""
+    """The kinds of failure. Answers, messages and the log contain the values, so these must never change."""
 
     PARAMS = "params"
     BUNDLE_BROKEN = "bundle-broken"
@@ -70,16 +71,16 @@
 
 
 class MeshError(NamedTuple):
-    """A failure as a value: it travels in results, in messages and in answers, and is never raised.
+    """A failure as a value: it is passed in results, messages and answers, and never raised.
 
-    Two errors are equal if their fields are, whichever class made them: one that was decoded from the wire by its kind
-    equals the one that was sent.
+    Two errors are equal if their fields are equal, whatever their classes: an error decoded from the wire, as a plain
+    `MeshError`, equals the one that was sent.
 
     Attributes:
-        kind: Which failure it is, one of `ErrorKind`; a newer release may send others.
-        message: What went wrong, in a sentence.
-        remedy: What the reader can do about it, in a sentence.
-        field: The field, header or setting that is at fault; empty if it is none in particular.
+        kind: The kind of failure, one of `ErrorKind`; a newer release may send other kinds.
+        message: What went wrong, as a sentence.
+        remedy: What the reader can do about it, as a sentence.
+        field: The field, header or setting that caused the error; empty if there is none in particular.
     """
 
     kind: str
@@ -88,7 +89,7 @@
     field: str = ""
 
     def describe(self) -> dict[str, str]:
-        """The fields as the operators' interface shows them under "refused"."""
+        """The fields as shown by the operators' API under "refused"."""
         return {"kind": str(self.kind), "message": self.message, "remedy": self.remedy, "field": self.field}
 
     def __str__(self) -> str:
@@ -102,9 +103,9 @@
 
 
 class TypedError(MeshError):
-    """Base of the classes below: each fixes its kind and its usual remedy, the message is given where it is made.
+    """Base of the error classes: a class defines the kind and a default remedy, an instance adds the message.
 
-    A subclass sets `KIND` and `REMEDY`. A place that knows a better remedy gives its own.
+    A subclass sets `KIND` and `REMEDY`. Code that knows a more specific remedy passes its own.
     """
 
     __slots__ = ()
@@ -113,17 +114,17 @@
     REMEDY: ClassVar[str]
 
     def __new__(cls, message: str, *, field: str = "", remedy: str | None = None) -> Self:
-        """Makes an error of this class's kind.
+        """Creates an error of this class's kind.
 
         Args:
-            message: What went wrong, in a sentence.
-            field: The field, header or setting that is at fault, if it is one in particular.
-            remedy: What to do about it here, if that is not the class's usual remedy.
+            message: What went wrong, as a sentence.
+            field: The field, header or setting that caused the error, if there is one in particular.
+            remedy: What the reader can do about it; None for the class's default remedy.
         """
         return tuple.__new__(cls, (cls.KIND, message, cls.REMEDY if remedy is None else remedy, field))
 
     def __reduce__(self) -> tuple:
-        # The constructor takes fewer values than the tuple holds.
+        # The constructor takes fewer arguments than the tuple has fields, so the default of tuples would fail.
         return _restore, (type(self), tuple(self))
 
 
@@ -131,28 +132,28 @@
 
 
 class InvalidSettings(TypedError):
-    """A settings file, a flag or an argument of a command that can't be used."""
+    """A settings file, a flag or a command argument is invalid."""
 
     KIND = ErrorKind.PARAMS
     REMEDY = "Give the field in the settings file or as a flag."
 
 
 class InvalidRequest(TypedError):
-    """A call that can't be read."""
+    """A request can't be parsed or has invalid parameters."""
 
     KIND = ErrorKind.REQUEST_BROKEN
     REMEDY = "See docs/operators/api.md."
 
 
 class InvalidItem(TypedError):
-    """A patch of items, or one item in it, that can't be read or is refused by its check."""
+    """A patch of items, or one of its items, can't be parsed or fails validation."""
 
     KIND = ErrorKind.ITEM_BROKEN
     REMEDY = "Save it as UTF-8."
 
 
 class BodyTooLarge(TypedError):
-    """A request's body is over its limit."""
+    """The body of a request is over the size limit."""
 
     KIND = ErrorKind.BODY_TOO_LARGE
     REMEDY = "Send a smaller body."
@@ -162,35 +163,35 @@
 
 
 class BundleConflict(TypedError):
-    """Another bundle is in its way."""
+    """The bundle conflicts with another bundle."""
 
     KIND = ErrorKind.BUNDLE_CONFLICT
     REMEDY = "Take the next free number."
 
 
 class BundleStale(TypedError):
-    """Its number is not above the newest bundle that was signed."""
+    """The bundle's number is not above that of the newest signed bundle."""
 
     KIND = ErrorKind.BUNDLE_STALE
     REMEDY = "Take the next free number."
 
 
 class BundleDuplicate(TypedError):
-    """This very bundle is known already."""
+    """The same bundle was already submitted."""
 
     KIND = ErrorKind.BUNDLE_DUPLICATE
     REMEDY = "Nothing to do: read its status."
 
 
 class BundleUnknown(TypedError):
-    """There is no bundle of this number, or none in force."""
+    """There is no bundle with this number, or no bundle is in force."""
 
     KIND = ErrorKind.BUNDLE_UNKNOWN
     REMEDY = "Submit it first."
 
 
 class BundleWrongBase(TypedError):
-    """It was made on top of another bundle than the one in force."""
+    """The bundle is based on a bundle other than the one in force."""
 
     KIND = ErrorKind.BUNDLE_WRONG_BASE
     REMEDY = "Rework it on top of the bundle in force."
@@ -203,63 +204,63 @@
     REMEDY = "Send Authorization: Bearer with the token given at founding."
 
 
-# -- the replicated log and the way to it ------------------------------------------------------------------------------
+# -- the replicated log and access to it -------------------------------------------------------------------------------
 
 
 class NoLeader(TypedError):
-    """No replica of the log leads with a majority."""
+    """No replica of the log is a leader with a majority."""
 
     KIND = ErrorKind.NO_LEADER
-    REMEDY = "Come back after the time given."
+    REMEDY = "Retry after the time in Retry-After."
 
 
 class OutcomeUnknown(TypedError):
-    """A change was handed to the log, which has not said whether it is committed."""
+    """A change was sent to the log, which has not reported whether it was committed."""
 
     KIND = ErrorKind.UNSURE
-    REMEDY = "Send the same again, here or to another machine: what was taken is confirmed, and nothing counts twice."
+    REMEDY = "Send the same again, here or to another machine: an accepted change is confirmed, none is applied twice."
 
 
 class NotFounded(TypedError):
-    """The mesh is not founded."""
+    """The mesh has not been founded."""
 
     KIND = ErrorKind.NOT_FOUNDED
-    REMEDY = "Wipe the data folders of those that did and found again."
+    REMEDY = "Wipe the data folders of the stores that accepted the founding, and found the mesh again."
 
 
 class AlreadyFounded(TypedError):
-    """A mesh is founded here already."""
+    """A mesh has already been founded on these machines."""
 
     KIND = ErrorKind.ALREADY_FOUNDED
-    REMEDY = "Nothing to do; a blank machine among them rejoins by itself."
+    REMEDY = "Nothing to do: a machine with a blank disk among them rejoins automatically."
 
 
 class OtherRelease(TypedError):
-    """Something was written by, or needs, another release than this one."""
+    """Data was written by another release, or an operation needs another release."""
 
     KIND = ErrorKind.OTHER_RELEASE
     REMEDY = "Install the mesh's release."
 
 
 class DiskFailed(TypedError):
-    """The disk refuses, or has not synced for too long."""
+    """The disk reports errors, or has not completed a sync for too long."""
 
     KIND = ErrorKind.DISK
     REMEDY = "Free it."
 
 
 class LeaseExpired(TypedError):
-    """The lease on the configuration has run out: no update came from the core in time."""
+    """The lease on the configuration has expired: no update came from the core in time."""
 
     KIND = ErrorKind.LEASE_LAPSED
-    REMEDY = "Come back after the time given."
+    REMEDY = "Retry after the time in Retry-After."
 
 
 class NoConfiguration(TypedError):
     """No configuration is in force here yet."""
 
     KIND = ErrorKind.NO_CONFIGURATION
-    REMEDY = "Come back shortly."
+    REMEDY = "Retry shortly."
 
 
 # -- connections -------------------------------------------------------------------------------------------------------
@@ -269,84 +270,84 @@
     """No connection was made, so nothing was sent."""
 
     KIND = ErrorKind.UNREACHABLE
-    REMEDY = "Send it elsewhere."
+    REMEDY = "Send it to another machine."
 
 
 class NoResponse(TypedError):
     """A request was sent, perhaps in part, and no complete answer came in time."""
 
     KIND = ErrorKind.SILENT
-    REMEDY = "Ask what became of it."
+    REMEDY = "Query the outcome of the request."
 
 
 class InvalidAnswer(TypedError):
-    """A server's answer can't be passed on: it is cut short or not of the form it declares."""
+    """A server's answer can't be forwarded: it is truncated or not in the format that it declares."""
 
     KIND = ErrorKind.ANSWER_BROKEN
-    REMEDY = "Ask what became of the request before sending it again."
+    REMEDY = "Query the outcome of the request before sending it again."
 
 
 class AnswerTooLarge(TypedError):
-    """A server's answer is over its limit."""
+    """A server's answer is over the size limit."""
 
     KIND = ErrorKind.ANSWER_TOO_LARGE
-    REMEDY = "Raise answer_bytes in a bundle, or have the server say less."
+    REMEDY = "Raise answer_bytes in a bundle, or make the server send smaller answers."
 
 
 # -- requests in the mesh ----------------------------------------------------------------------------------------------
 
 
 class NoRoute(TypedError):
-    """No route takes this request."""
+    """No route matches the request."""
 
     KIND = ErrorKind.NO_ENTRY
-    REMEDY = "Call a declared entry."
+    REMEDY = "Call a declared route."
 
 
 class NoServer(TypedError):
-    """No server of the service may take the request."""
+    """No server of the service is available for the request."""
 
     KIND = ErrorKind.NO_SERVER
-    REMEDY = "Come back after the time given."
+    REMEDY = "Retry after the time in Retry-After."
 
 
 class NotAllowed(TypedError):
-    """The caller may not do this."""
+    """The caller is not allowed to do this."""
 
     KIND = ErrorKind.NOT_ALLOWED
-    REMEDY = "Have a bundle allow it."
+    REMEDY = "Allow it in a bundle."
 
 
 class QueueFull(TypedError):
-    """Too many requests wait already."""
+    """Too many requests are waiting already."""
 
     KIND = ErrorKind.QUEUE_FULL
-    REMEDY = "Come back after the time given."
+    REMEDY = "Retry after the time in Retry-After."
 
 
 class DeadlineExceeded(TypedError):
     """The request's time budget is spent."""
 
     KIND = ErrorKind.BUDGET_SPENT
-    REMEDY = "Come back after the time given."
+    REMEDY = "Retry after the time in Retry-After."
 
 
 class KeyInUse(TypedError):
-    """Another request with the same idempotency key is still being worked on."""
+    """Another request with the same idempotency key is still being processed."""
 
     KIND = ErrorKind.KEY_HELD
     REMEDY = "Ask again with the same key after the time given."
 
 
 class ShuttingDown(TypedError):
-    """This process, or the server beside it, is stopping and takes no new work."""
+    """This process, or its local server, is shutting down and accepts no new requests."""
 
     KIND = ErrorKind.WINDING_DOWN
     REMEDY = "Send it to another machine."
 
 
 def field_in(problem: Exception) -> str:
-    """The field that a message of msgspec's is about; empty if it names none."""
+    """The field that an error message of msgspec names; empty if it names none."""
     message = str(problem)
     if "`$." in message:
         return message.rpartition("`$.")[2].rstrip("`")
--- a/packages/common/src/hoistsaddle/common/listening.py
+++ b/packages/common/src/hoistsaddle/common/listening.py
@@ -1,4 +1,4 @@
-"""Listening at an address that another process may be about to leave."""
+"""Listening on an address that another process may be about to release."""
 
 import asyncio
 import errno
@@ -11,9 +11,9 @@
 from hoistsaddle.common.backoff import ExponentialBackoff
 from hoistsaddle.common.clock import milliseconds, monotonic_now
 
-PAUSE_LEAST = milliseconds(50)
-PAUSE_MOST = timedelta(seconds=1)
-# Whoever had the address before this process is gone by then, or stays.
+MIN_BACKOFF = milliseconds(50)
+MAX_BACKOFF = timedelta(seconds=1)
+# A process that is shutting down has released the address by then; any other will not release it.
 MAX_WAIT = timedelta(seconds=20)
 
 _Listener = TypeVar("_Listener")
@@ -22,27 +22,29 @@
 async def listen_once_free(
     listen: Callable[[], Awaitable[_Listener]], *, address: str, within: timedelta = MAX_WAIT
 ) -> _Listener:
-    """Listens, and tries again for a while if the address is still taken.
+    """Starts a listener, and retries for a while if the address is still in use.
 
     Args:
-        listen: Opens the listener; raises OSError and leaves nothing behind where it can't.
-        address: For the log.
-        within: How long a taken address is waited for.
+        listen: Opens the listener; if it fails, it raises OSError and has released all resources.
+        address: The address, for the log.
+        within: How long to wait for an address in use.
 
     Raises:
-        OSError: The address can't be listened at, or is taken for longer.
+        OSError: The address can't be bound, or is still in use after `within`.
     """
-    pause = ExponentialBackoff(least=PAUSE_LEAST, most=PAUSE_MOST)
-    until = monotonic_now() + within
+    backoff = ExponentialBackoff(least=MIN_BACKOFF, most=MAX_BACKOFF)
+    deadline = monotonic_now() + within
     while True:
         try:
             return await listen()
         except OSError as problem:
-            if problem.errno != errno.EADDRINUSE or monotonic_now() >= until:
+            if problem.errno != errno.EADDRINUSE or monotonic_now() >= deadline:
                 raise
-            if not pause.failing:
+            if not backoff.failing:
                 logger.warning(
-                    "{} is taken; waiting up to {:.0f} s: end the process that has it", address, within.total_seconds()
+                    "{} is in use; waiting up to {:.0f} s for it: stop the process that uses it",
+                    address,
+                    within.total_seconds(),
                 )
-            pause.failed(now=monotonic_now())
-            await asyncio.sleep(pause.delay.total_seconds())
+            backoff.failed(now=monotonic_now())
+            await asyncio.sleep(backoff.delay.total_seconds())
--- a/packages/common/src/hoistsaddle/common/settings.py
+++ b/packages/common/src/hoistsaddle/common/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the programs: read from a settings file, flags on top, checked completely before anything starts.
+"""The settings of the programs: read from a settings file, overridden by flags, and validated before anything starts.
 
-Durations are in seconds, as the names say; addresses are an IP number and a port.
+Durations are in seconds, as their names say; addresses consist of an IP address and a port.
 """
 
 import ipaddress
@@ -16,7 +16,7 @@
 
 from hoistsaddle.common.errors import InvalidSettings, MeshError, field_in
 
-# Attributes whose name in settings files, flags and refusals is another one, which stays.
+# Attributes that have another, unchangeable name in settings files, flags and error messages.
 DOCUMENTED_NAMES = {
     "store": "warehouse",
     "registry": "bourse",
@@ -46,7 +46,7 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
-    """A store that stands apart from its registry."""
+    """The settings of a store that runs in a separate process from its registry."""
 
     replica: int
     zone: str
@@ -57,16 +57,16 @@
     chunk_bytes: int = 65536
     lag_wait_seconds: float = 10.0
     disk_stall_seconds: float = 1.0
-    # The grace period: a stop takes so long at most.
+    # The grace period: the longest time that a shutdown may take.
     grace_seconds: float = 6.0
-    # The highest release level this process says it supports; 0 for all it knows.
+    # The highest release level that this process claims to support; 0 for the highest that it knows.
     release_level: int = 0
-    # For tests alone: a file that names the connections to drop. Programs in service leave it empty.
+    # Only for tests: a file that lists the connection faults to inject. Empty in production.
     line_faults: str = ""
 
 
 class RegistrySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
-    """A registry that stands apart from its store."""
+    """The settings of a registry that runs in a separate process from its store."""
 
     replica: int
     zone: str
@@ -76,12 +76,12 @@
     lease_seconds: float = 1.5
     health_seconds: float = 1.5
     release_level: int = 0
-    # For tests alone: a file that names the connections to drop. Programs in service leave it empty.
+    # Only for tests: a file that lists the connection faults to inject. Empty in production.
     line_faults: str = ""
 
 
 class ProxySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
-    """A proxy under bundles."""
+    """The settings of a proxy in a mesh that is configured by bundles."""
 
     name: str
     zone: str
@@ -94,79 +94,82 @@
     backlog: int = 200
     outstanding: int = 100
     release_level: int = 0
-    # For tests alone: a file that names the connections to drop. Programs in service leave it empty.
+    # Only for tests: a file that lists the connection faults to inject. Empty in production.
     line_faults: str = ""
 
 
 class ControllerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
-    """One core machine whose two core programs share a process, in a core that founds itself and grows by its log."""
+    """The settings of a controller: a store and a registry in one process, in a core that bootstraps itself.
+
+    Core machines are added and replaced through the log.
+    """
 
     host: str
     zone: str
     data_folder: str
-    # Hosts of one to three core machines; those of the cold start found the mesh.
+    # The hosts of one to three core machines; at the cold start they found the mesh.
     seeds: list[str]
     cold_start: bool
-    # How many core machines may be lost at once: the voters wanted are twice as many and one.
+    # How many core machines may be lost at once: the target number of voters is twice that plus one.
     losses: int = 1
     registry_port: int = 7100
     store_port: int = 7101
     operators_port: int = 7102
-    # Who answers for patches: their author, and who signed them off in advance.
+    # The operators recorded for patches: their author, and the one who approved them in advance.
     desk: str = "desk"
     standing_sign_off: str = "standing"
     lease_seconds: float = 1.5
     health_seconds: float = 4.0
     checkpoint_records: int = 600
     chunk_bytes: int = 65536
-    # How long a patch waits for every proxy to apply it before it is acknowledged all the same.
+    # How long a patch waits for every proxy to apply it before it is acknowledged anyway.
     applied_version_seconds: float = 0.35
     write_seconds: float = 0.5
-    # A machine counts as lost for so long after it is back, or after its successor has started.
+    # How long a machine still counts as lost after it has come back, or after its replacement has started.
     settle_seconds: float = 4.0
-    # The grace period: a stop takes so long at most.
+    # The grace period: the longest time that a shutdown may take.
     grace_seconds: float = 6.0
-    # How long the log remembers a patch, so that a repeat after a lost answer is recognised.
+    # How long the log keeps the outcome of a patch, so that a retry after a lost answer is recognised.
     resend_seconds: float = 600.0
-    # What this process may have of its machine; 0 if that isn't known, and then nothing is bounded by it.
+    # The process's limits of memory and file descriptors; 0 if unknown, and then nothing is limited by them.
     memory_megabytes: float = 0.0
     descriptors: int = 0
 
 
 class SidecarSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename=DOCUMENTED_NAMES):
-    """A sidecar: the proxy that serves items, beside one server."""
+    """The settings of a sidecar: the proxy of one server, in a mesh that is configured by items."""
 
     name: str
     zone: str
     listen: str
-    # Where clients and its own server call.
+    # The listener for clients and for the local server.
     door: str
-    # Where the server posts its health reports, and where the platform checks readiness.
+    # The listeners for the server's health reports and for the platform's readiness checks.
     health_door: str
     ready_door: str
     seeds: list[str]
-    # The server beside it.
+    # The service of the local server, and the server's address.
     service: str
     server: str
     lease_seconds: float = 1.5
-    # How long a change of the configuration may take to be in force here. What nobody has confirmed for longer is not
-    # acted on, unless the core is known to be away.
+    # How long a change of the configuration may take until it is applied here. A configuration that has not been
+    # confirmed for longer is not used, unless the core is known to be down.
     apply_seconds: float = 2.0
     health_seconds: float = 5.0
     backlog: int = 400
     outstanding: int = 400
     release_level: int = 0
-    # The retry budget: this share of a service's traffic in any ten seconds, plus the margin, over the complete fleet.
+    # The retry budget: this percentage of a service's traffic in any ten seconds, plus the margin, for the whole fleet.
     further_percent: int = 20
     further_margin: int = 10
     # How long an idempotency key stays claimed.
     key_seconds: float = 75.0
-    # The grace period of a stop, and how long a draining server still gets work at most.
+    # The grace period of a shutdown, and the longest time for which a draining server still gets requests.
     grace_seconds: float = 6.0
     drain_seconds: float = 2.0
-    # What the machine's link carries each way, in megabits a second; 0 if that isn't known.
+    # The capacity of the machine's link in each direction, in megabits per second; 0 if it is unknown.
     link_megabits: float = 0.0
-    # What this process may have of its machine; 0 if that isn't known, and then nothing is bounded by it.
+    # The process's limits of memory and file descriptors; 0 if unknown, and then nothing is limited by them.
     memory_megabytes: float = 0.0
     descriptors: int = 0
 
@@ -176,7 +179,7 @@
 MAX_PORT_DIGITS = 5
 MAX_SEEDS = 3
 PROXY_SEEDS = 3
-# By documented name, both ends included.
+# By documented name; both limits are included.
 ALLOWED_RANGES: dict[str, tuple[float, float]] = {
     "replica": (1, 1000),
     "lease_seconds": (0.1, 60),
@@ -210,13 +213,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address that was checked."""
+    """The host and port of a validated address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def check_address(*, field: str, address: str) -> MeshError | None:
-    """The error if this is not an IP number and port."""
+    """Returns an error if this is not an IP address and port."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host)
@@ -226,38 +229,42 @@
     if is_port:
         return None
     return InvalidSettings(
-        f"{address!r} is not an IP number and port.", field=field, remedy="Write it like 127.0.0.1:7100."
+        f"{address!r} is not an IP address and port.", field=field, remedy="Use the form 127.0.0.1:7100."
     )
 
 
 def _value_of(settings: Settings, setting: str) -> Any:
-    """The value of a setting by its documented name; None if this program has no such setting."""
+    """The value of a setting, by its documented name; None if this program doesn't have the setting."""
     return getattr(settings, attribute_of(setting), None)
 
 
 def _errors_of_all(settings: Settings) -> Iterator[MeshError | None]:
-    """The checks of the settings that several programs share, in the order in which they are reported."""
+    """The errors of settings that several programs share, in the order in which they are reported."""
     for setting in ("listen", "visitors", "inner", "operators"):
         if (address := _value_of(settings, setting)) is not None:
             yield check_address(field=setting, address=address)
     for setting, (least, most) in ALLOWED_RANGES.items():
         value = _value_of(settings, setting)
-        # Written so that "not a number" is refused too.
+        # The comparison is negated so that NaN is rejected too.
         if value is not None and not least <= value <= most:
-            remedy = f"Leave it out for the default, or give {least:g} to {most:g}."
+            remedy = f"Leave it out to use the default, or give a value from {least:g} to {most:g}."
             yield InvalidSettings(f"{value} is out of range.", field=setting, remedy=remedy)
     for setting in ("name", "zone", "service", "desk", "standing_sign_off"):
         name = _value_of(settings, setting)
         if name is not None and not _PLAIN_NAME.match(name):
-            remedy = "Use letters, digits, . _ and -, 64 at most."
-            yield InvalidSettings("That is no plain name.", field=setting, remedy=remedy)
+            remedy = "Use at most 64 letters, digits, dots, underscores and hyphens."
+            yield InvalidSettings("The value is not a valid name.", field=setting, remedy=remedy)
     folder = _value_of(settings, "data_folder")
     if folder is not None and (not folder or "\0" in folder):
-        yield InvalidSettings("That is no folder.", field="data_folder", remedy="Name one that this process may write.")
+        yield InvalidSettings(
+            "The value is not a valid folder.",
+            field="data_folder",
+            remedy="Name a folder that this process can write to.",
+        )
 
 
 def _errors_of_proxy(settings: ProxySettings) -> Iterator[MeshError | None]:
-    # Three seeds, so that any one of them may be down when a process starts.
+    # Three seeds are required, so that any one of them may be down when a process starts.
     if len(settings.seeds) != PROXY_SEEDS:
         remedy = "Give three seed addresses of registries."
         yield InvalidSettings(f"{len(settings.seeds)} seeds given.", field="seeds", remedy=remedy)
@@ -282,11 +289,13 @@
 def _errors_of_controller(settings: ControllerSettings) -> Iterator[MeshError | None]:
     ports = {settings.registry_port, settings.store_port, settings.operators_port}
     if len(ports) < 3:
-        yield InvalidSettings("Two ports are the same.", field="bourse_port", remedy="Give each its own.")
+        yield InvalidSettings("Two of the ports are the same.", field="bourse_port", remedy="Give each its own.")
     if settings.desk == settings.standing_sign_off:
-        # Whoever sends a patch must not be the one who answers for what counts at once.
+        # Patches take effect without further approval, so their author must not also be the one who approved them.
         yield InvalidSettings(
-            "The desk signs its own patches.", field="standing_sign_off", remedy="Name another person."
+            "The author of patches (desk) can't approve them too.",
+            field="standing_sign_off",
+            remedy="Name another operator.",
         )
     yield _error_of_seeds(settings.seeds)
     hosts = [("host", settings.host), *((f"seeds[{place}]", seed) for place, seed in enumerate(settings.seeds))]
@@ -319,7 +328,7 @@
 
 
 def check_settings(settings: Settings) -> Result[Settings, MeshError]:
-    """Checks settings that another format brought; the first error is reported."""
+    """Validates settings, also those from a source other than a settings file; the first error is returned."""
     for error in chain(_errors_of_all(settings), _errors_of_program(settings)):
         if error is not None:
             return Failure(error)
@@ -332,20 +341,20 @@
     except (OSError, UnicodeDecodeError) as problem:
         message, remedy = f"{path} can't be read: {problem}.", "Name a readable TOML file."
     except (tomllib.TOMLDecodeError, RecursionError, ValueError) as problem:
-        message, remedy = f"{path} is not TOML: {problem}.", "Mend the line it names."
+        message, remedy = f"{path} is not valid TOML: {problem}.", "Fix the line that the message names."
     return Failure(InvalidSettings(message, field="settings", remedy=remedy))
 
 
 def read_settings_file(*, kind: type, path: str | None, flags: dict) -> Result[Settings, MeshError]:
-    """Reads a program's settings.
+    """Reads and validates the settings of a program.
 
     Args:
-        kind: The settings' class.
-        path: The TOML file; None if flags give all of it.
-        flags: Values by documented name; those that are not empty win over the file.
+        kind: The class of the settings.
+        path: The TOML file; None if all settings are given by flags.
+        flags: Values by documented name; those that are not empty override the file.
 
     Returns:
-        Settings that passed every check, or the first error.
+        The validated settings, or the first error.
     """
     values: dict = {}
     if path is not None:
@@ -354,7 +363,7 @@
                 return Failure(error)
             case Success(read):
                 values = read
-    # Flags win over the file: they are what the person starting the process typed last.
+    # Flags override the file: they are the most recent choice of the person who starts the process.
     values.update({name: value for name, value in flags.items() if value not in (None, (), [])})
     try:
         settings: Settings = msgspec.convert(values, kind)
--- a/packages/common/src/hoistsaddle/common/shutdown.py
+++ b/packages/common/src/hoistsaddle/common/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process that was told to stop: by its own means within its grace period, or else by a watchdog."""
+"""A watchdog that ends a process whose graceful shutdown does not finish within the grace period."""
 
 import os
 import signal
@@ -11,24 +11,27 @@
 
 from loguru import logger
 
-# The fraction of the grace period after which it acts: the signal may have come late, and ending takes a while.
+# The fraction of the grace period after which the watchdog acts: the signal may have arrived late, and exiting takes
+# some time.
 GRACE_FRACTION = 0.97
-# The exit status of a stop that did not finish by itself.
+# The exit status after a shutdown that did not finish in time.
 UNFINISHED_EXIT_CODE = 1
 
 
 def _exit_process() -> None:
-    """Ends the process whatever its other threads do: one may hang in a call to a disk that answers nothing."""
-    logger.error("the stop was not finished within its grace: something still waited, the process ends all the same")
+    """Ends the process regardless of its other threads: one may hang in a call to a disk that doesn't respond."""
+    logger.error(
+        "the shutdown was not finished within its grace period: exiting although some task or thread is still waiting"
+    )
     sys.stderr.flush()
     os._exit(UNFINISHED_EXIT_CODE)
 
 
 class ShutdownWatchdog:
-    """Ends a process that is still there shortly before its grace period is over.
+    """Ends a process that is still running shortly before the end of its grace period.
 
-    Whatever a stop waits for, a task, a thread, a closing file: the platform kills the process at the end of its grace
-    period, and a process that ends by itself has at least logged it. Each step of a stop has time-outs of its own.
+    A shutdown may hang in a task, a thread or a file that is being closed, although each of its steps has a timeout.
+    The platform kills the process at the end of the grace period; a process that exits before that can log the failure.
     """
 
     def __init__(
@@ -38,10 +41,10 @@
         exit_process: Callable[[], None] = _exit_process,
         sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        """Not armed yet.
+        """Starts unarmed.
 
         Args:
-            grace: Gives the grace period when the stop begins.
+            grace: Returns the grace period; called when the shutdown begins.
             exit_process: Ends the process.
             sleep: Waits for a number of seconds.
         """
@@ -51,7 +54,7 @@
         self.armed = False
 
     def arm(self) -> None:
-        """Begins to count down. A second call changes nothing."""
+        """Starts the countdown; has no effect if it is already running."""
         if self.armed:
             return
         self.armed = True
@@ -62,12 +65,12 @@
         self.exit_process()
 
     def watch(self, number: signal.Signals = signal.SIGTERM) -> None:
-        """Arms itself with the signal that stops the process, before whoever handles the signal so far."""
+        """Arms the watchdog on the signal that stops the process, then calls the previous handler of that signal."""
         previous_handler = signal.getsignal(number)
 
-        def stopped(signal_number: int, frame: FrameType | None) -> None:
+        def arm_and_forward(signal_number: int, frame: FrameType | None) -> None:
             self.arm()
             if callable(previous_handler):
                 previous_handler(signal_number, frame)
 
-        signal.signal(number, stopped)
+        signal.signal(number, arm_and_forward)
