--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Wall clocks jump at Brindlefield, so no daemon may read one."""
+"""The machines' wall clocks may jump, so no daemon may read one."""
 
 import ast
 from pathlib import Path
@@ -7,8 +7,8 @@
 from testtools.matchers import Equals
 
 PACKAGES = Path(__file__).parent.parent / "packages"
-# Events carry a wall-clock time for people to read; the export says when it was read; measurements and soaks are
-# no daemons, and a soak dates the lines of the daemons' logs.
+# Events carry a wall-clock time for display, and the export states when it was made. Measurements and soak tests are
+# not daemons; a soak test dates the lines of the daemons' logs.
 MAY_READ = {
     "common/src/hoistsaddle/common/counters.py",
     "cli/src/hoistsaddle/cli/export.py",
@@ -30,12 +30,12 @@
 class Clocks(TestCase):
     def test_no_daemon_reads_a_wall_clock(self) -> None:
         readers = set()
-        looked = 0
+        checked_files = 0
         for path in PACKAGES.glob("*/src/**/*.py"):
-            looked += 1
+            checked_files += 1
             for node in ast.walk(ast.parse(path.read_text())):
                 match node:
                     case ast.Call(func=ast.Attribute(value=ast.Name(id=owner), attr=name)) if (owner, name) in WALL:
                         readers.add(str(path.relative_to(PACKAGES)))
         self.assertThat(readers, Equals(MAY_READ))
-        self.assertThat(looked > 40, Equals(True))
+        self.assertThat(checked_files > 40, Equals(True))
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors as values: what a class fixes, what equals what, and that copies stay what they were."""
+"""Errors as values: what their classes define, when they are equal, and that copies equal the original."""
 
 import copy
 import importlib
@@ -14,7 +14,7 @@
 
 
 class TypedErrors(TestCase):
-    def test_a_class_fixes_kind_and_usual_remedy(self) -> None:
+    def test_a_class_defines_the_kind_and_the_default_remedy(self) -> None:
         error = BodyTooLarge("The body is over 10 bytes.", field="body")
         self.assertThat(error, IsInstance(MeshError))
         self.assertThat(
@@ -32,16 +32,16 @@
             str(error), Equals("body-too-large (field body): The body is over 10 bytes. Remedy: Send a smaller body.")
         )
 
-    def test_a_place_that_knows_better_gives_its_own_remedy(self) -> None:
+    def test_an_instance_can_have_another_remedy(self) -> None:
         self.assertThat(BodyTooLarge("Too large.", remedy="Split it.").remedy, Equals("Split it."))
 
-    def test_it_equals_what_was_decoded_by_kind(self) -> None:
+    def test_an_error_equals_its_decoded_form(self) -> None:
         error = BodyTooLarge("Too large.")
         decoded = MeshError("body-too-large", "Too large.", "Send a smaller body.")
         self.assertThat((error, hash(error), Failure(error)), Equals((decoded, hash(decoded), Failure(decoded))))
         self.assertThat(error == BodyTooLarge("Much too large."), Equals(False))
 
-    def test_it_can_be_matched_by_class_and_by_kind(self) -> None:
+    def test_an_error_can_be_matched_by_kind_whatever_its_class(self) -> None:
         for error in (BodyTooLarge("Too large."), MeshError(ErrorKind.BODY_TOO_LARGE, "Too large.", "Less.")):
             match error:
                 case MeshError(kind=ErrorKind.BODY_TOO_LARGE, message=message):
@@ -49,7 +49,7 @@
                 case _:
                     self.fail("not matched")
 
-    def test_it_never_changes(self) -> None:
+    def test_an_error_is_immutable(self) -> None:
         error = BodyTooLarge("Too large.")
 
         def change() -> None:
@@ -59,12 +59,12 @@
         replaced = error._replace(field="body")
         self.assertThat((type(replaced), replaced.field, error.field), Equals((BodyTooLarge, "body", "")))
 
-    def test_copies_are_the_same_error(self) -> None:
+    def test_copies_equal_the_original(self) -> None:
         error = BodyTooLarge("Too large.", field="body", remedy="Less.")
         for copied in (copy.copy(error), copy.deepcopy(error), pickle.loads(pickle.dumps(error))):
             self.assertThat((type(copied), copied), Equals((BodyTooLarge, error)))
 
-    def test_each_class_has_a_kind_of_its_own(self) -> None:
+    def test_each_class_has_a_unique_kind(self) -> None:
         for module in pkgutil.walk_packages(hoistsaddle.__path__, "hoistsaddle."):
             if module.name.endswith(".errors"):
                 importlib.import_module(module.name)
--- a/tests/test_membership_polling.py
+++ b/tests/test_membership_polling.py
@@ -1,4 +1,4 @@
-"""How a sidecar changes from one parent to the next, against scripted answers."""
+"""How a sidecar switches from one parent to the next, with scripted answers to its polls."""
 
 import asyncio
 import random
@@ -30,11 +30,11 @@
 
 
 class ScriptedRuntime:
-    """A runtime whose RPC client answers polls from a list of lease starts; None is no answer."""
+    """A runtime whose RPC client answers polls with the lease starts in a list; None stands for no answer."""
 
     def __init__(self, starts: list[float | None]) -> None:
         self.starts = list(starts)
-        self.asked: list[str] = []
+        self.polled: list[str] = []
         self.random = random.Random(1)
         self.timestamp = 100.0
         self.rpc_client = self
@@ -46,18 +46,18 @@
         return "life"
 
     async def call(self, address, message, *, within, still=lambda: True):
-        self.asked.append(address)
+        self.polled.append(address)
         if not self.starts:
             raise asyncio.CancelledError
         start = self.starts.pop(0)
         self.timestamp += 0.3
         if start is None:
             return Failure(no_response(address))
-        # The age counts from when the poll was sent.
+        # The lease age is relative to the time when the poll was sent.
         return Success(PollAnswer("", "m", 1, timedelta(seconds=self.timestamp - 0.3 - start)))
 
 
-def asked(*starts: float | None) -> list[str]:
+def polled(*starts: float | None) -> list[str]:
     script = ScriptedRuntime(list(starts))
 
     async def scenario() -> None:
@@ -68,12 +68,12 @@
             pass
 
     asyncio.run(scenario())
-    return script.asked
+    return script.polled
 
 
 class OlderUpdates(TestCase):
-    def test_it_is_refused_counted_and_its_sender_named(self) -> None:
-        """A parent that was cut off comes back with an old copy: nothing of it counts, and one event says so."""
+    def test_an_older_update_is_rejected_counted_and_reported_with_its_sender(self) -> None:
+        """A parent returns from a partition with an old copy: its updates are rejected, and one event reports it."""
         script = ScriptedRuntime([99.9, 100.2, 100.5, 100.8, 101.1])
         observed = [(5, 7), (5, 6), (4, 9), (4, 9), (5, 7)]
 
@@ -86,11 +86,11 @@
 
         async def scenario() -> SidecarNode:
             node = SidecarNode(settings=SETTINGS, runtime=script, serve=None)
-            said = [
+            results = [
                 await node.poller.poll_once(address, within=node.poller.timeout)
                 for address in (FIRST, SECOND, SECOND, SECOND, FIRST)
             ]
-            self.assertThat(said, Equals(["renewed", "same", "same", "same", "renewed"]))
+            self.assertThat(results, Equals(["renewed", "same", "same", "same", "renewed"]))
             return node
 
         node = asyncio.run(scenario())
@@ -108,9 +108,9 @@
 
 
 class LateAnswers(TestCase):
-    """On a link whose delay exceeds the poll's timeout, an answer that comes late still counts."""
+    """On a link whose delay exceeds the poll timeout, an answer that arrives late is still applied."""
 
-    def test_the_next_parent_is_asked_and_the_late_answer_is_taken(self) -> None:
+    def test_the_next_parent_is_polled_and_the_late_answer_is_applied(self) -> None:
         script = ScriptedRuntime([])
         slow = asyncio.Event()
         observed: list[str] = []
@@ -128,15 +128,15 @@
         node.poller.timeout = timedelta(milliseconds=1)
 
         async def scenario() -> None:
-            said = await node.poller.poll(FIRST)
-            self.assertThat((said, node.relay.copy.revision, len(node.poller.late_polls)), Equals(("missed", -1, 1)))
+            result = await node.poller.poll(FIRST)
+            self.assertThat((result, node.relay.copy.revision, len(node.poller.late_polls)), Equals(("missed", -1, 1)))
             slow.set()
             await asyncio.wait(node.poller.late_polls)
             self.assertThat((node.relay.copy.revision, node.poller.late_polls), Equals((7, set())))
 
         asyncio.run(scenario())
 
-    def test_few_answers_are_waited_for_at_once(self) -> None:
+    def test_the_number_of_late_answers_waited_for_is_limited(self) -> None:
         script = ScriptedRuntime([])
         spans: list[timedelta] = []
 
@@ -161,15 +161,15 @@
 
 
 class Parents(TestCase):
-    def test_one_answer_that_renews_nothing_is_the_beat_of_two_polls(self) -> None:
-        self.assertThat(asked(99.9, 99.9, 100.4, 100.4, 101), Equals([FIRST] * 6))
+    def test_a_single_answer_without_renewal_may_be_due_to_timing_and_keeps_the_parent(self) -> None:
+        self.assertThat(polled(99.9, 99.9, 100.4, 100.4, 101), Equals([FIRST] * 6))
 
-    def test_a_second_one_in_a_row_moves_on_and_a_renewal_brings_back(self) -> None:
-        self.assertThat(asked(99.9, 99.9, 99.9, 100.8, 101), Equals([FIRST, FIRST, FIRST, SECOND, FIRST, FIRST]))
+    def test_a_second_answer_without_renewal_switches_parents_and_a_renewal_switches_back(self) -> None:
+        self.assertThat(polled(99.9, 99.9, 99.9, 100.8, 101), Equals([FIRST, FIRST, FIRST, SECOND, FIRST, FIRST]))
 
-    def test_a_ring_that_only_grows_older_is_left_for_every_other_parent_in_turn(self) -> None:
+    def test_a_cycle_without_renewals_is_left_for_each_other_parent_in_turn(self) -> None:
         stuck = [99.9] * 7
-        self.assertThat(asked(*stuck), Equals([FIRST, FIRST, FIRST, SECOND, SECOND, THIRD, THIRD, FIRST]))
+        self.assertThat(polled(*stuck), Equals([FIRST, FIRST, FIRST, SECOND, SECOND, THIRD, THIRD, FIRST]))
 
-    def test_no_answer_moves_on_at_once(self) -> None:
-        self.assertThat(asked(99.9, None, None, 101), Equals([FIRST, FIRST, SECOND, THIRD, FIRST]))
+    def test_no_answer_switches_parents_at_once(self) -> None:
+        self.assertThat(polled(99.9, None, None, 101), Equals([FIRST, FIRST, SECOND, THIRD, FIRST]))
--- a/tests/test_rpc_connections.py
+++ b/tests/test_rpc_connections.py
@@ -1,6 +1,6 @@
-"""Connections between processes: keep-alives that tell a silent machine from a slow one, and calls within one process.
+"""Connections between processes: keep-alives that distinguish a dead peer from a slow one, and local calls.
 
-The clock moves only by a test's own steps: nothing here depends on how busy the machine is.
+The clock advances only in steps made by the test, so the results don't depend on the load of the machine.
 """
 
 import asyncio
@@ -30,23 +30,23 @@
 
 
 class CountedTraffic(Traffic):
-    """A connection's traffic counts, and a way to wait for them."""
+    """Traffic counts of connections, which a test can wait for."""
 
     def __init__(self) -> None:
         super().__init__()
         self.frames_sent = EventCounter()
         self.pings_answered = EventCounter()
 
-    def count(self, way: str, message: tuple | None, size: int) -> None:
-        super().count(way, message, size)
-        if way == OUT:
+    def count(self, direction: str, message: tuple | None, size: int) -> None:
+        super().count(direction, message, size)
+        if direction == OUT:
             self.frames_sent.count_event()
         elif isinstance(message, PingAnswer):
             self.pings_answered.count_event()
 
 
 class RawPeer:
-    """A peer that reads complete frames and answers as the test says."""
+    """A peer that reads complete frames and answers with a function of the test."""
 
     def __init__(self, behave: Callable[[int, Any, asyncio.StreamWriter], Awaitable[None]]) -> None:
         self.behave = behave
@@ -78,17 +78,17 @@
         return sum(isinstance(message, PingCall) for _, message in self.received)
 
 
-def say(writer: asyncio.StreamWriter, number: int, message: tuple) -> None:
+def send_answer(writer: asyncio.StreamWriter, number: int, message: tuple) -> None:
     data = pack(number=number, answer=True, message=message)
     writer.write(struct.pack("!I", len(data)) + data)
 
 
-async def nothing(number: int, message: Any, writer: asyncio.StreamWriter) -> None:
+async def ignore(number: int, message: Any, writer: asyncio.StreamWriter) -> None:
     pass
 
 
 class KeepAlives(TestCase):
-    """Pings that tell a slow peer from a silent one."""
+    """Pings that distinguish a slow peer from a silent one."""
 
     def call(self, rpc_client: RpcClient, address: str, *, within: float = 3000.0) -> asyncio.Future:
         return asyncio.ensure_future(rpc_client.call(address, CALL, within=timedelta(seconds=within)))
@@ -97,16 +97,16 @@
         self.assertThat(result, IsInstance(Failure), str(result))
         self.assertThat(result.failure().kind, Equals(ErrorKind.SILENT))
 
-    def test_a_peer_that_says_nothing_is_given_up_long_before_the_budget(self) -> None:
+    def test_calls_to_a_silent_peer_end_long_before_their_timeout(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
-            async with RawPeer(nothing) as raw:
-                call = self.call(rpc_client, raw.address)
-                await raw.frames.reach(1)
+            async with RawPeer(ignore) as peer:
+                call = self.call(rpc_client, peer.address)
+                await peer.frames.reach(1)
                 for second in (1, 2):
                     await step(1)
-                    await raw.frames.reach(1 + second)
-                    self.assertThat((raw.pings(), call.done()), Equals((second, False)))
+                    await peer.frames.reach(1 + second)
+                    self.assertThat((peer.pings(), call.done()), Equals((second, False)))
                 await step(1)
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
@@ -114,32 +114,32 @@
 
         run_stepped(work())
 
-    def test_without_pulses_the_whole_budget_is_waited_out(self) -> None:
+    def test_without_keep_alive_a_call_waits_for_its_whole_timeout(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient()
-            async with RawPeer(nothing) as raw:
-                call = self.call(rpc_client, raw.address, within=300)
-                await raw.frames.reach(1)
+            async with RawPeer(ignore) as peer:
+                call = self.call(rpc_client, peer.address, within=300)
+                await peer.frames.reach(1)
                 for _ in range(299):
                     await step(1)
                 self.assertThat(call.done(), Equals(False))
                 await step(1)
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
-                # A connection keeps order: whatever was written before would arrive before this call.
-                last = self.call(rpc_client, raw.address)
-                await raw.frames.reach(2)
-                self.assertThat([message for _, message in raw.received], Equals([CALL, CALL]))
+                # A connection preserves order, so any ping written before this call would arrive before it.
+                last = self.call(rpc_client, peer.address)
+                await peer.frames.reach(2)
+                self.assertThat([message for _, message in peer.received], Equals([CALL, CALL]))
                 last.cancel()
             rpc_client.close()
 
         run_stepped(work())
 
-    def test_a_slow_answer_is_waited_for_while_the_pulse_is_felt(self) -> None:
-        go = asyncio.Event()
+    def test_a_slow_answer_is_waited_for_while_pings_are_answered(self) -> None:
+        proceed = asyncio.Event()
 
         async def handler(message: tuple) -> tuple:
-            await go.wait()
+            await proceed.wait()
             return ANSWER
 
         async def work() -> None:
@@ -150,49 +150,49 @@
             port = server._server.sockets[0].getsockname()[1]
             call = self.call(rpc_client, f"127.0.0.1:{port}")
             await traffic.frames_sent.reach(1)
-            # Far longer than a ping's timeout.
+            # Far longer than the keep-alive timeout.
             for second in range(1, 21):
                 await step(1)
                 await traffic.pings_answered.reach(second)
             self.assertThat((call.done(), traffic.pings_answered.count), Equals((False, 20)))
-            go.set()
+            proceed.set()
             self.assertThat(await call, Equals(Success(ANSWER)))
             rpc_client.close()
             await server.stop()
 
         run_stepped(work())
 
-    def test_a_line_that_nobody_waits_on_has_no_pulse(self) -> None:
+    def test_a_connection_without_calls_in_flight_is_not_pinged(self) -> None:
         async def answering(number: int, message: Any, writer: asyncio.StreamWriter) -> None:
-            say(writer, number, ANSWER)
+            send_answer(writer, number, ANSWER)
 
         async def work() -> None:
             rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
-            async with RawPeer(answering) as raw:
+            async with RawPeer(answering) as peer:
                 for _ in range(3):
-                    self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
+                    self.assertThat(await self.call(rpc_client, peer.address), Equals(Success(ANSWER)))
                 for _ in range(20):
                     await step(1)
-                # It is as good as new afterwards, and in order: a ping written before would arrive before.
-                self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
-                self.assertThat([message for _, message in raw.received], Equals([CALL] * 4))
-                self.assertThat(raw.connections, Equals(1))
+                # The connection still works. It preserves order, so an earlier ping would arrive before this call.
+                self.assertThat(await self.call(rpc_client, peer.address), Equals(Success(ANSWER)))
+                self.assertThat([message for _, message in peer.received], Equals([CALL] * 4))
+                self.assertThat(peer.connections, Equals(1))
             rpc_client.close()
 
         run_stepped(work())
 
-    def test_all_calls_of_a_dead_line_end_and_the_next_one_opens_anew(self) -> None:
+    def test_all_calls_on_a_dead_connection_end_and_the_next_call_reconnects(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
             silent = True
 
             async def behave(number: int, message: Any, writer: asyncio.StreamWriter) -> None:
                 if not silent and not isinstance(message, PingCall):
-                    say(writer, number, ANSWER)
+                    send_answer(writer, number, ANSWER)
 
-            async with RawPeer(behave) as raw:
-                calls = [self.call(rpc_client, raw.address) for _ in range(5)]
-                await raw.frames.reach(5)
+            async with RawPeer(behave) as peer:
+                calls = [self.call(rpc_client, peer.address) for _ in range(5)]
+                await peer.frames.reach(5)
                 for _ in range(3):
                     self.assertThat([each.done() for each in calls], Equals([False] * 5))
                     await step(1)
@@ -200,17 +200,17 @@
                 for each in calls:
                     self.assertSilent(await each)
                 silent = False
-                self.assertThat(await self.call(rpc_client, raw.address), Equals(Success(ANSWER)))
-                self.assertThat(raw.connections, Equals(2))
+                self.assertThat(await self.call(rpc_client, peer.address), Equals(Success(ANSWER)))
+                self.assertThat(peer.connections, Equals(2))
             rpc_client.close()
 
         run_stepped(work())
 
-    def test_whoever_was_late_itself_gives_nobody_up_for_it(self) -> None:
-        go = asyncio.Event()
+    def test_a_delayed_process_does_not_close_connections_to_live_peers(self) -> None:
+        proceed = asyncio.Event()
 
         async def handler(message: tuple) -> tuple:
-            await go.wait()
+            await proceed.wait()
             return ANSWER
 
         async def work() -> None:
@@ -221,29 +221,29 @@
             port = server._server.sockets[0].getsockname()[1]
             call = self.call(rpc_client, f"127.0.0.1:{port}")
             await traffic.frames_sent.reach(1)
-            # As after a freeze of this process: nothing was read for far longer than a ping's timeout.
+            # Simulates a freeze of this process: it read no data for far longer than the keep-alive timeout.
             await step(5)
             self.assertThat(next(iter(rpc_client._connections.values())).closed, Equals(False))
             await traffic.pings_answered.reach(1)
             for second in range(2, 6):
                 await step(1)
                 await traffic.pings_answered.reach(second)
-            go.set()
+            proceed.set()
             self.assertThat(await call, Equals(Success(ANSWER)))
             rpc_client.close()
             await server.stop()
 
         run_stepped(work())
 
-    def test_a_freeze_of_ones_own_spares_a_dead_peer_for_one_pulse_only(self) -> None:
+    def test_after_a_freeze_a_dead_peer_is_given_only_one_more_ping(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient(keep_alive=KEEP_ALIVE)
-            async with RawPeer(nothing) as raw:
-                call = self.call(rpc_client, raw.address)
-                await raw.frames.reach(1)
+            async with RawPeer(ignore) as peer:
+                call = self.call(rpc_client, peer.address)
+                await peer.frames.reach(1)
                 await step(50)
-                await raw.frames.reach(2)
-                self.assertThat((raw.pings(), call.done()), Equals((1, False)))
+                await peer.frames.reach(2)
+                self.assertThat((peer.pings(), call.done()), Equals((1, False)))
                 await step(1)
                 self.assertThat(call.done(), Equals(True))
                 self.assertSilent(await call)
@@ -253,52 +253,52 @@
 
 
 class LocalCalls(TestCase):
-    """Calls to an address of the same process."""
+    """Calls to an address that the same process serves."""
 
-    def test_a_call_to_an_address_of_ones_own_never_touches_the_network(self) -> None:
+    def test_a_call_to_an_own_address_opens_no_connection(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient()
 
             async def handler(message: tuple) -> tuple:
                 return ANSWER if message == CALL else None
 
-            # Nobody listens there.
+            # No process listens on this address.
             rpc_client.local_handlers["127.0.0.1:1"] = handler
             result = await rpc_client.call("127.0.0.1:1", CALL, within=timedelta(seconds=1))
             self.assertThat(result, Equals(Success(ANSWER)))
             self.assertThat(rpc_client._connections, Equals({}))
-            # "No answer" of a local call is silence, as on a connection.
+            # If the handler returns None, the local call ends as one without an answer, as on a connection.
             silent = await rpc_client.call("127.0.0.1:1", ProbeCall("other", ()), within=timedelta(seconds=1))
             self.assertThat(silent.failure().kind, Equals(ErrorKind.SILENT))
 
         run_stepped(work())
 
-    def test_whoever_stops_waiting_does_not_stop_the_work(self) -> None:
+    def test_a_timeout_of_the_caller_does_not_cancel_the_handler(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient()
-            began, go, done = EventCounter(), asyncio.Event(), EventCounter()
+            started, proceed, done = EventCounter(), asyncio.Event(), EventCounter()
 
             async def handler(message: tuple) -> tuple:
-                began.count_event()
-                await go.wait()
+                started.count_event()
+                await proceed.wait()
                 self.assertThat(message, Equals(CALL))
                 done.count_event()
                 return ANSWER
 
             rpc_client.local_handlers["home"] = handler
             call = asyncio.ensure_future(rpc_client.call("home", CALL, within=timedelta(seconds=2)))
-            await began.reach(1)
+            await started.reach(1)
             await step(1)
             self.assertThat(call.done(), Equals(False))
             await step(1)
             self.assertThat((call.done(), done.count), Equals((True, 0)))
             self.assertThat((await call).failure().kind, Equals(ErrorKind.SILENT))
-            go.set()
+            proceed.set()
             await done.reach(1)
 
         run_stepped(work())
 
-    def test_what_is_no_longer_wanted_is_not_called(self) -> None:
+    def test_a_call_that_is_no_longer_wanted_is_not_made(self) -> None:
         async def work() -> None:
             rpc_client = RpcClient()
             called = []
@@ -313,24 +313,24 @@
 
         run_stepped(work())
 
-    def test_only_a_runtime_that_was_asked_to_knows_its_home(self) -> None:
+    def test_only_a_runtime_with_local_calls_registers_its_handlers(self) -> None:
         async def handler(message: tuple) -> tuple:
             return ANSWER
 
         async def work() -> None:
-            for home in (True, False):
-                runtime = RealRuntime(local_calls=home)
+            for local in (True, False):
+                runtime = RealRuntime(local_calls=local)
                 server = await runtime.serve("127.0.0.1:0", handler)
-                self.assertThat("127.0.0.1:0" in runtime.rpc_client.local_handlers, Equals(home))
+                self.assertThat("127.0.0.1:0" in runtime.rpc_client.local_handlers, Equals(local))
                 await server.stop()
 
         run_stepped(work())
 
 
 class ThinLinks(TestCase):
-    """Large calls fill a slow link: a connection whose bytes go on is alive, and one may take long to open."""
+    """Large calls fill a slow link: a connection that makes progress is alive, and opening one may take long."""
 
-    def test_a_line_is_given_up_only_once_its_bytes_stand_still(self) -> None:
+    def test_a_connection_is_closed_only_once_its_buffered_bytes_make_no_progress(self) -> None:
         waiting = [10000]
 
         def write(data: bytes) -> None:
@@ -343,51 +343,53 @@
         )
 
         async def work() -> list[bool]:
-            line = Connection(reader=asyncio.StreamReader(), writer=writer, traffic=Traffic(), keep_alive=KEEP_ALIVE)
-            line.pending[1] = asyncio.get_running_loop().create_future()
-            line.write(number=1, message=CALL)
-            line.start_checks()
+            connection = Connection(
+                reader=asyncio.StreamReader(), writer=writer, traffic=Traffic(), keep_alive=KEEP_ALIVE
+            )
+            connection.pending[1] = asyncio.get_running_loop().create_future()
+            connection.write(number=1, message=CALL)
+            connection.start_checks()
             closed = []
             for second in range(12):
-                # They go on for eight seconds, which is far more than the timeout, and then no more.
+                # The peer accepts bytes for eight seconds, far longer than the timeout, and then no more.
                 waiting[0] -= 1000 if second < 8 else 0
                 await step(1)
-                closed.append(line.closed)
+                closed.append(connection.closed)
             return closed
 
         self.assertThat(run_stepped(work()), Equals([False] * 10 + [True] * 2))
 
-    def test_a_connection_that_opens_late_serves_the_next_call(self) -> None:
-        go, opened = asyncio.Event(), []
+    def test_a_connection_that_opens_late_is_used_by_the_next_call(self) -> None:
+        proceed, opened = asyncio.Event(), []
         open_connection = asyncio.open_connection
 
-        async def slowly(host: str, port: int) -> tuple:
+        async def open_slowly(host: str, port: int) -> tuple:
             opened.append(port)
-            await go.wait()
+            await proceed.wait()
             return await open_connection(host, port)
 
         async def answering(number: int, message: Any, writer: asyncio.StreamWriter) -> None:
-            say(writer, number, ANSWER)
+            send_answer(writer, number, ANSWER)
 
         async def work() -> None:
             rpc_client = RpcClient(connect_timeout=timedelta(seconds=1))
-            async with RawPeer(answering) as raw:
-                first = asyncio.ensure_future(rpc_client.call(raw.address, CALL, within=timedelta(seconds=30)))
+            async with RawPeer(answering) as peer:
+                first = asyncio.ensure_future(rpc_client.call(peer.address, CALL, within=timedelta(seconds=30)))
                 await asyncio.sleep(0)
                 await step(1)
                 self.assertThat((await first).failure().kind, Equals(ErrorKind.UNREACHABLE))
-                go.set()
-                second = await rpc_client.call(raw.address, CALL, within=timedelta(seconds=30))
-                self.assertThat((second, len(opened), len(raw.received)), Equals((Success(ANSWER), 1, 1)))
+                proceed.set()
+                second = await rpc_client.call(peer.address, CALL, within=timedelta(seconds=30))
+                self.assertThat((second, len(opened), len(peer.received)), Equals((Success(ANSWER), 1, 1)))
             rpc_client.close()
 
-        self.patch(asyncio, "open_connection", slowly)
+        self.patch(asyncio, "open_connection", open_slowly)
         run_stepped(work())
 
-    def test_an_opening_that_takes_too_long_is_begun_anew(self) -> None:
+    def test_an_opening_that_takes_too_long_is_restarted(self) -> None:
         opened: list[int] = []
 
-        async def never(host: str, port: int) -> tuple:
+        async def never_open(host: str, port: int) -> tuple:
             opened.append(port)
             await asyncio.Event().wait()
             raise AssertionError
@@ -401,6 +403,6 @@
                 self.assertThat((await call).failure().kind, Equals(ErrorKind.UNREACHABLE))
             rpc_client.close()
 
-        self.patch(asyncio, "open_connection", never)
+        self.patch(asyncio, "open_connection", never_open)
         run_stepped(work())
         self.assertThat(len(opened), Equals(2))
--- a/tests/test_rpc_frame_ages.py
+++ b/tests/test_rpc_frame_ages.py
@@ -1,4 +1,4 @@
-"""How long a call has waited when it is read, and what remains of its timeout."""
+"""The age of a call when it is read, and what remains of its timeout."""
 
 import random
 from datetime import timedelta
@@ -24,52 +24,52 @@
     def setUp(self) -> None:
         super().setUp()
         self.connect(1)
-        # The sender's clock is far from the own one.
+        # The sender's clock differs widely from the receiver's.
         self.offset = 5000.0
 
     def connect(self, timestamp: float) -> None:
         self.ages = FrameAges(accepted=timestamp)
 
-    def age(self, *, sent: float, way: float) -> float:
-        return round(self.ages.age(sent=sent + self.offset, now=sent + way).age, 6)
+    def age(self, *, sent: float, transit: float) -> float:
+        return round(self.ages.age(sent=sent + self.offset, now=sent + transit).age, 6)
 
-    def test_the_shortest_way_counts_as_none(self) -> None:
-        self.assertThat(self.age(sent=0.99, way=0.01), Equals(0.0))
-        self.assertThat(self.age(sent=2, way=0.03), Equals(0.02))
-        self.assertThat(self.age(sent=3, way=0.005), Equals(0.0))
-        self.assertThat(self.age(sent=4, way=3.005), Equals(3.0))
+    def test_the_shortest_transit_time_counts_as_age_zero(self) -> None:
+        self.assertThat(self.age(sent=0.99, transit=0.01), Equals(0.0))
+        self.assertThat(self.age(sent=2, transit=0.03), Equals(0.02))
+        self.assertThat(self.age(sent=3, transit=0.005), Equals(0.0))
+        self.assertThat(self.age(sent=4, transit=3.005), Equals(3.0))
 
-    def test_a_first_frame_is_as_old_as_its_connection(self) -> None:
+    def test_the_first_frame_is_as_old_as_its_connection(self) -> None:
         self.assertThat(self.ages.age(sent=5001.0, now=5.0), Equals(CallAge(4.0, True)))
-        # What may have been its own age is no part of the offset.
-        self.assertThat(self.age(sent=8, way=2.0), Equals(2.0))
+        # The possible age of the first frame is not counted as part of the offset.
+        self.assertThat(self.age(sent=8, transit=2.0), Equals(2.0))
 
-    def test_a_former_releases_frame_says_nothing(self) -> None:
+    def test_a_frame_of_a_former_release_has_no_known_age(self) -> None:
         self.assertThat(self.ages.age(sent=0.0, now=9.0), Equals(CallAge(0.0, True)))
 
-    def test_an_old_call_after_a_long_silence_is_known_by_what_was_before_it(self) -> None:
-        self.age(sent=0.99, way=0.01)
-        self.assertThat(self.age(sent=60, way=20.01), Equals(20.0))
-        self.assertThat(self.age(sent=81, way=0.01), Equals(0.0))
+    def test_the_age_of_a_call_after_a_long_silence_is_measured_against_earlier_calls(self) -> None:
+        self.age(sent=0.99, transit=0.01)
+        self.assertThat(self.age(sent=60, transit=20.01), Equals(20.0))
+        self.assertThat(self.age(sent=81, transit=0.01), Equals(0.0))
 
-    def test_a_clock_that_lags_after_its_machine_slept_is_believed_again(self) -> None:
-        self.age(sent=0.99, way=0.01)
+    def test_ages_become_correct_again_after_the_senders_clock_falls_back(self) -> None:
+        self.age(sent=0.99, transit=0.01)
         self.offset -= 30
-        ages = [self.age(sent=10 + each, way=0.01) for each in range(12)]
+        ages = [self.age(sent=10 + each, transit=0.01) for each in range(12)]
         self.assertThat((ages[0], ages[-1]), Equals((30.0, 0.0)))
         self.assertThat(sum(each > 0 for each in ages) <= OFFSET_WINDOW + 1, Equals(True), str(ages))
 
-    def test_no_age_is_ever_more_than_its_true_one_with_steady_clocks(self) -> None:
-        """Whatever the ways are like: a call counts as younger than it is, never as older, but for the first."""
+    def test_with_steady_clocks_no_age_exceeds_the_transit_time(self) -> None:
+        """For any transit times, the computed age is at most the true one, except for the first call."""
         for seed in range(20):
-            dice = random.Random(seed)
+            generator = random.Random(seed)
             timestamp = 0.0
             self.connect(timestamp)
-            self.age(sent=timestamp, way=0.01)
+            self.age(sent=timestamp, transit=0.01)
             for _ in range(200):
-                timestamp += dice.choice((0.01, 0.5, 8.0))
-                way = dice.choice((0.001, 0.05, 2.0))
-                self.assertThat(self.age(sent=timestamp, way=way) <= way, Equals(True), f"seed {seed}")
+                timestamp += generator.choice((0.01, 0.5, 8.0))
+                transit = generator.choice((0.001, 0.05, 2.0))
+                self.assertThat(self.age(sent=timestamp, transit=transit) <= transit, Equals(True), f"seed {seed}")
 
 
 class AtTheTarget(TestCase):
@@ -80,7 +80,7 @@
         self.fleet.show(self.fleet.view._replace(servers=servers))
 
     def held(self, **needs: Any) -> Any:
-        """A call of s-1's that is on its way to s-2."""
+        """A call of s-1 that is in flight to s-2."""
         self.fleet.silent = {"s-2"}
         self.fleet.ask("/pack/x", **needs)
         self.fleet.silent = set()
@@ -91,26 +91,26 @@
         self.fleet.feed("s-2", ForwardArrived(self.fleet.tickets, call, seconds(age)))
         return self.fleet.tickets
 
-    def test_a_call_whose_time_was_over_on_the_way_is_refused_and_not_run(self) -> None:
+    def test_a_call_that_times_out_in_transit_is_rejected_and_not_run(self) -> None:
         answer = self.fleet.answers[self.arrive(self.held(budget=2.0), age=2.5)]
         self.assertThat((answer.outcome, answer.error), Equals((NOT_RUN, ErrorKind.BUDGET_SPENT)))
         self.assertThat(self.fleet.sent(RunOnServer), Equals([]))
 
-    def test_a_server_is_told_what_is_really_left(self) -> None:
+    def test_the_server_gets_the_time_that_is_really_left(self) -> None:
         for age in (0.02, 1.0):
             self.arrive(self.held(budget=3.0), age=age)
             self.assertThat(self.fleet.sent(RunOnServer)[-1].within, Equals(seconds(3 - age)))
 
-    def test_an_ordinary_way_changes_nothing_in_when_it_is_due(self) -> None:
+    def test_the_latency_target_is_reduced_only_by_an_unusual_transit_time(self) -> None:
         call = self.held(budget=3.0)
-        for age, aim in ((0.1, 1.0), (0.7, 0.3), (1.5, 0.0)):
+        for age, target in ((0.1, 1.0), (0.7, 0.3), (1.5, 0.0)):
             self.assertThat(
                 self.fleet.cores["s-2"].upstream.without_age(ForwardArrived(1, call, seconds(age))).latency_target,
-                Equals(seconds(aim)),
+                Equals(seconds(target)),
             )
 
-    def test_what_waits_is_given_up_in_time_for_its_clients_sidecar_to_hear_of_it(self) -> None:
-        """Called unknown there, it would be answered 504, though it ran nowhere and never will."""
+    def test_a_queued_call_ends_early_enough_for_the_clients_sidecar_to_get_the_answer(self) -> None:
+        """Otherwise its outcome would be unknown there and answered with 504, although the call never ran."""
         for seed in range(5):
             fleet = SidecarBench("s-1", "s-2", room=1, seed=seed)
             fleet.show(fleet.view._replace(servers={"s-2": fleet.view.servers["s-2"]}))
@@ -123,13 +123,13 @@
 
 
 class AtTheHandler(TestCase):
-    def test_what_lay_unread_has_less_left_than_it_says(self) -> None:
+    def test_a_request_that_was_left_unread_has_less_time_left_than_it_states(self) -> None:
         fleet = SidecarBench()
         for ticket, (unread, status) in enumerate(((0.0, None), (1.0, None), (3.5, 503)), start=100):
-            asked = RequestArrived(
+            request = RequestArrived(
                 ticket, "POST", "shop.example", "/pack/x", b"", 100, b"", seconds(3), "", "t", seconds(unread)
             )
-            fleet.feed("s-1", asked)
+            fleet.feed("s-1", request)
             reply = fleet.replies.get(ticket)
             self.assertThat(reply and reply.status, Equals(status))
         self.assertThat([each.call.budget for each in fleet.sent(ForwardRequest)], Equals([seconds(3), seconds(2)]))
@@ -153,10 +153,10 @@
         )
         return freezes.unread().total_seconds()
 
-    def test_it_is_told_before_and_after_the_tick_that_sees_it(self) -> None:
+    def test_a_pause_is_reported_before_and_after_the_tick_that_detects_it(self) -> None:
         gap = FROZEN_GAP.total_seconds()
         self.assertThat(self.unread(ticked=100, thawed=0, last_freeze=0, now=100.02), Equals(0.0))
         self.assertThat(self.unread(ticked=100, thawed=0, last_freeze=0, now=103), Equals(3.0))
-        # The tick has come; what came in meanwhile is still being read.
+        # The tick has run, but the data that arrived during the pause is still being read.
         self.assertThat(round(self.unread(ticked=103, thawed=103 + gap, last_freeze=3, now=103.1), 6), Equals(3.1))
         self.assertThat(self.unread(ticked=103.5, thawed=103 + gap, last_freeze=3, now=103.5), Equals(0.0))
--- a/tests/test_rpc_messages.py
+++ b/tests/test_rpc_messages.py
@@ -1,4 +1,4 @@
-"""The message classes match mesh.thrift, and every message survives encoding and decoding."""
+"""The message classes match mesh.thrift, and messages are unchanged after encoding and decoding."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -21,7 +21,7 @@
         tags = {entry[1] for entry in mesh_thrift.Message.thrift_spec.values()}
         self.assertThat(tags <= {tag_of(kind) for kind in MESSAGES.values()}, Equals(True))
 
-    def test_a_newer_releases_message_is_passed_over(self) -> None:
+    def test_a_message_that_only_a_newer_release_knows_is_ignored(self) -> None:
         number, answer, message = unpack(
             serialize(
                 mesh_thrift.Frame(number=4, answer=False, message=mesh_thrift.Message()), TCyBinaryProtocolFactory()
@@ -29,7 +29,7 @@
         )
         self.assertThat((number, answer, message), Equals((4, False, None)))
 
-    def test_messages_come_through_unchanged(self) -> None:
+    def test_messages_are_unchanged_after_encoding_and_decoding(self) -> None:
         for message in (
             FetchAnswer("", 3, 1, 7, 2, (Record(8, 3, timedelta(seconds=1.5), b"\x00\xff"),), round=4),
             BundleForwardCall(
--- a/tests/test_rpc_paced_calls.py
+++ b/tests/test_rpc_paced_calls.py
@@ -1,4 +1,4 @@
-"""Calls that are sent at a rate: on a connection of their own, whole or not at all, and no call waits behind them."""
+"""Paced calls: they use a separate connection, arrive completely or not at all, and don't delay other calls."""
 
 import asyncio
 from datetime import timedelta
@@ -16,14 +16,14 @@
 
 SPAN = timedelta(seconds=10)
 RATE = 100_000
-# Two seconds at that rate: longer than the time-out of the keep-alive.
+# Takes two seconds at that rate: longer than the keep-alive timeout.
 BODY = b"x" * 200_000
 UPLOAD = ForwardCall("a", "decks", "s-1", "i", SPAN, SPAN, 1, "pack", "POST", b"/", b"", BODY, "decks", "t")
 KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 
 
 class PacedCalls(TestCase):
-    """A server that notes what arrives, and when."""
+    """Paced calls to a server that records which calls arrive, and when."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -67,7 +67,7 @@
         run_stepped(run())
         self.assertThat(self.arrived, Equals([("AbandonCall", 1.0), ("ForwardCall", 2.0)]))
 
-    def test_one_that_is_interrupted_arrives_not_at_all_and_the_next_one_does(self) -> None:
+    def test_an_interrupted_call_does_not_arrive_and_the_next_one_does(self) -> None:
         async def run() -> None:
             client = await self.open()
             late = asyncio.ensure_future(client.call(self.address, UPLOAD, within=timedelta(seconds=1), rate=RATE))
@@ -82,7 +82,7 @@
         run_stepped(run())
         self.assertThat([kind for kind, _ in self.arrived], Equals(["ForwardCall"]))
 
-    def test_two_to_one_process_come_whole_one_after_the_other(self) -> None:
+    def test_two_calls_to_one_process_arrive_completely_and_one_after_the_other(self) -> None:
         async def run() -> None:
             client = await self.open()
             calls = [asyncio.ensure_future(client.call(self.address, UPLOAD, within=SPAN, rate=RATE)) for _ in range(2)]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: the documented names are those of files, flags and refusals, whatever the attributes are called."""
+"""Settings: files, flags and error messages use the documented names, whatever the names of the attributes."""
 
 import tempfile
 from pathlib import Path
@@ -69,7 +69,7 @@
 
 
 class Checks(TestCase):
-    def test_good_settings_pass(self) -> None:
+    def test_valid_settings_are_accepted(self) -> None:
         for kind, values in ((ProxySettings, PROXY), (StoreSettings, STORE), (RegistrySettings, REGISTRY)):
             self.assertThat(read(kind, values), IsInstance(Success))
 
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""The settings file and SIGHUP from the very start of a program: neither a signal nor a change is lost or fatal."""
+"""The settings file and SIGHUP while a program starts: no signal ends the program, and no change is missed."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 from test_adapter import SETTINGS
 
 LAUNCHER = Path(__file__).parent.parent / "platform" / "run.py"
-# The launcher, with a signal in the place of the program that it hands over to.
+# The launcher, which sends itself a signal where it would otherwise run the program.
 SIGNALLED = f"""
 import os, runpy, signal, sys
 launcher = runpy.run_path
@@ -30,8 +30,8 @@
 
 
 class Reload(TestCase):
-    def test_a_signal_before_the_program_has_begun_does_not_end_it(self) -> None:
-        """Found by a soak: SIGHUP in the first tenths of a second ended sidecars and controllers."""
+    def test_a_signal_before_the_program_has_started_does_not_end_it(self) -> None:
+        """A soak test found that SIGHUP in the first tenths of a second ended sidecars and controllers."""
         done = subprocess.run([sys.executable, "-c", SIGNALLED], capture_output=True, text=True)
         self.assertThat((done.returncode, done.stdout), Equals((0, "alive\n")))
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A process that is asked to stop has ended by the end of its grace period, whatever hangs."""
+"""A process that gets SIGTERM has ended by the end of its grace period, even if a thread or task hangs."""
 
 import asyncio
 import signal
@@ -16,7 +16,7 @@
 from hoistsaddle.sidecar.service import CLOSING_BOUND, CLOSING_SHARE, SidecarService
 from stepped_clock import run_stepped, step
 
-# A process whose main thread and a second one hang for ever once it is asked to stop.
+# A process whose main thread and second thread hang forever once it gets SIGTERM.
 HANGING = """
 import signal, threading
 from datetime import timedelta
@@ -35,51 +35,53 @@
     def setUp(self) -> None:
         super().setUp()
         self.slept: list[float] = []
-        self.left = threading.Event()
+        self.exited = threading.Event()
         self.grace = timedelta(seconds=8)
-        self.last = ShutdownWatchdog(grace=lambda: self.grace, exit_process=self.left.set, sleep=self.slept.append)
+        self.watchdog = ShutdownWatchdog(
+            grace=lambda: self.grace, exit_process=self.exited.set, sleep=self.slept.append
+        )
 
-    def test_it_ends_the_process_shortly_before_its_grace_does(self) -> None:
-        self.assertThat(self.left.is_set(), Equals(False))
-        self.last.arm()
-        self.assertThat((self.left.wait(30), self.slept), Equals((True, [8 * GRACE_FRACTION])))
+    def test_it_ends_the_process_shortly_before_the_grace_period_is_over(self) -> None:
+        self.assertThat(self.exited.is_set(), Equals(False))
+        self.watchdog.arm()
+        self.assertThat((self.exited.wait(30), self.slept), Equals((True, [8 * GRACE_FRACTION])))
 
-    def test_the_grace_is_what_the_settings_say_when_the_signal_comes(self) -> None:
+    def test_the_grace_period_is_read_when_the_signal_arrives(self) -> None:
         self.grace = timedelta(seconds=2)
-        self.last.arm()
-        self.assertThat((self.left.wait(30), self.slept), Equals((True, [2 * GRACE_FRACTION])))
+        self.watchdog.arm()
+        self.assertThat((self.exited.wait(30), self.slept), Equals((True, [2 * GRACE_FRACTION])))
 
-    def test_a_second_signal_starts_no_second_count(self) -> None:
-        self.last.arm()
-        self.left.wait(30)
-        self.last.arm()
+    def test_a_second_signal_starts_no_second_countdown(self) -> None:
+        self.watchdog.arm()
+        self.exited.wait(30)
+        self.watchdog.arm()
         self.assertThat(self.slept, Equals([8 * GRACE_FRACTION]))
 
     def test_the_signal_arms_it_and_still_stops_the_process(self) -> None:
         received: list[int] = []
         before = signal.signal(signal.SIGUSR2, lambda number, _: received.append(number))
         self.addCleanup(signal.signal, signal.SIGUSR2, before)
-        self.last.watch(signal.SIGUSR2)
+        self.watchdog.watch(signal.SIGUSR2)
         signal.raise_signal(signal.SIGUSR2)
-        self.assertThat((self.left.wait(30), received), Equals((True, [signal.SIGUSR2])))
+        self.assertThat((self.exited.wait(30), received), Equals((True, [signal.SIGUSR2])))
 
-    def test_an_orderly_stop_is_over_before_it(self) -> None:
+    def test_a_graceful_shutdown_ends_before_the_watchdog_acts(self) -> None:
         self.assertThat(1 - CLOSING_SHARE + CLOSING_SHARE * CLOSING_BOUND < GRACE_FRACTION, Equals(True))
 
-    def test_a_process_that_hangs_in_every_thread_ends_all_the_same(self) -> None:
+    def test_a_process_that_hangs_in_every_thread_still_ends(self) -> None:
         with subprocess.Popen(
             [sys.executable, "-c", HANGING], stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True
         ) as process:
             self.assertThat(process.stdout.readline(), Equals("up\n"))
             process.terminate()
-            # Only a process that would hang for ever takes this long.
-            _, said = process.communicate(timeout=120)
+            # Only a process that hangs forever takes this long.
+            _, error_output = process.communicate(timeout=120)
         self.assertThat(process.returncode, Equals(UNFINISHED_EXIT_CODE))
-        self.assertThat(said, Contains("not finished within its grace"))
+        self.assertThat(error_output, Contains("not finished within its grace"))
 
 
 class GracefulStop(TestCase):
-    def test_a_handler_that_never_closes_is_left(self) -> None:
+    def test_a_listener_that_never_closes_is_abandoned(self) -> None:
         closed: list[str] = []
 
         class Runner:
