--- a/packages/common/src/hoistsaddle/common/settings.py
+++ b/packages/common/src/hoistsaddle/common/settings.py
@@ -107,7 +107,7 @@
     host: str
     zone: str
     data_folder: str
-    # The hosts of one to three core machines; at the cold start they found the mesh.
+    # The hosts of one to three core machines; at a cold start the mesh is founded by these.
     seeds: list[str]
     cold_start: bool
     # How many core machines may be lost at once: the target number of voters is twice that plus one.
@@ -238,7 +238,7 @@
     return getattr(settings, attribute_of(setting), None)
 
 
-def _errors_of_all(settings: Settings) -> Iterator[MeshError | None]:
+def _errors_of_shared_settings(settings: Settings) -> Iterator[MeshError | None]:
     """The errors of settings that several programs share, in the order in which they are reported."""
     for setting in ("listen", "visitors", "inner", "operators"):
         if (address := _value_of(settings, setting)) is not None:
@@ -329,7 +329,7 @@
 
 def check_settings(settings: Settings) -> Result[Settings, MeshError]:
     """Validates settings, also those from a source other than a settings file; the first error is returned."""
-    for error in chain(_errors_of_all(settings), _errors_of_program(settings)):
+    for error in chain(_errors_of_shared_settings(settings), _errors_of_program(settings)):
         if error is not None:
             return Failure(error)
     return Success(settings)
--- a/packages/membership/src/hoistsaddle/membership/membership.py
+++ b/packages/membership/src/hoistsaddle/membership/membership.py
@@ -17,7 +17,7 @@
 SUSPECT = "suspect"
 DEAD = "dead"
 # Of two states with the same count, the one with the higher rank takes precedence.
-_rank = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
+_STATE_RANKS = {ALIVE: 0, SUSPECT: 1, DEAD: 2}
 # How long dead members are kept and probed: long enough for a network partition to heal.
 DEAD_RETENTION = timedelta(minutes=10)
 
@@ -224,21 +224,21 @@
             self._suspected_since.pop(member.node, None)
 
     def _tick(self, now: timedelta) -> list[Command]:
-        commands = self._end_suspicions(now)
-        self._forget_dead(now)
+        commands = self._expire_suspicions(now)
+        self._remove_dead(now)
         if now - self._probed_at >= self._probe_interval:
             self._probed_at = now
             commands += self._next_probe()
         return commands
 
-    def _end_suspicions(self, now: timedelta) -> list[Command]:
+    def _expire_suspicions(self, now: timedelta) -> list[Command]:
         changes: list[Command] = []
         for node, since in list(self._suspected_since.items()):
             if now - since >= self._suspicion_timeout:
                 changes += self._merge((self.members[node]._replace(state=DEAD),), now)
         return changes
 
-    def _forget_dead(self, now: timedelta) -> None:
+    def _remove_dead(self, now: timedelta) -> None:
         """Removes members that were dead for DEAD_RETENTION; one that comes back later rejoins through the seeds."""
         for node, since in list(self._dead_since.items()):
             if now - since < DEAD_RETENTION:
@@ -263,4 +263,4 @@
 
 
 def _precedence(member: MemberState) -> tuple[int, int]:
-    return member.count, _rank[member.state]
+    return member.count, _STATE_RANKS[member.state]
--- a/packages/membership/src/hoistsaddle/membership/relay.py
+++ b/packages/membership/src/hoistsaddle/membership/relay.py
@@ -34,7 +34,7 @@
         needs_ranges: Set after changes from a parent were damaged or did not match the expected digests: the next
             answer must contain complete ranges.
         blocks: Packed blocks for children, by what the children are missing: (ranges, revision after which).
-        blocks_of: The mesh and revision of the copy from which the blocks were packed.
+        blocks_source: The mesh and revision of the copy from which the blocks were packed.
     """
 
     def __init__(self, *, node: str, incarnation: str, lease_span: timedelta) -> None:
@@ -48,7 +48,7 @@
         self.expected_digests: tuple[int, ...] = ()
         self.needs_ranges = False
         self.blocks: dict[tuple[tuple[int, ...], int | None], bytes] = {}
-        self.blocks_of = ("", NO_REVISION)
+        self.blocks_source = ("", NO_REVISION)
 
     # -- the lease and the copy ----------------------------------------------------------------------------------------
 
@@ -234,8 +234,8 @@
 
     def _block(self, *, ranges: tuple[int, ...], after: int | None) -> bytes:
         """The items that a child is missing, packed once for all children that are missing the same ones."""
-        if self.blocks_of != (self.copy.mesh, self.copy.revision):
-            self.blocks_of, self.blocks = (self.copy.mesh, self.copy.revision), {}
+        if self.blocks_source != (self.copy.mesh, self.copy.revision):
+            self.blocks_source, self.blocks = (self.copy.mesh, self.copy.revision), {}
         missing = (ranges, after)
         if missing not in self.blocks:
             self.blocks[missing] = pack_items(self._missing_items(ranges=ranges, after=after))
--- a/packages/rpc/src/hoistsaddle/rpc/codec.py
+++ b/packages/rpc/src/hoistsaddle/rpc/codec.py
@@ -38,22 +38,22 @@
     return re.sub(r"(?<!^)(?=[A-Z])", "_", kind.__name__).lower()
 
 
-def _writer_of(hint: Any) -> Converter | None:
+def _to_thrift_converter(hint: Any) -> Converter | None:
     """Returns the converter from a field's value to its Thrift value; None if the two are the same."""
     if hint is timedelta:
         return to_microseconds
     if get_origin(hint) is tuple:
-        write = _writer_of(get_args(hint)[0])
+        write = _to_thrift_converter(get_args(hint)[0])
         return list if write is None else lambda values: [write(value) for value in values]
     return to_thrift if _is_message(hint) else None
 
 
-def _reader_of(hint: Any) -> Converter | None:
+def _from_thrift_converter(hint: Any) -> Converter | None:
     """Returns the converter from a field's Thrift value to its value; None if the two are the same."""
     if hint is timedelta:
         return from_microseconds
     if get_origin(hint) is tuple:
-        read = _reader_of(get_args(hint)[0])
+        read = _from_thrift_converter(get_args(hint)[0])
         if read is None:
             return lambda values: tuple(values or ())
         return lambda values: tuple([read(value) for value in values or ()])
@@ -78,7 +78,9 @@
     # Cached for each class: looking up the type hints for each message took half of a busy controller's CPU time.
     hints = get_type_hints(kind)
     return tuple(
-        _Field(name, _writer_of(hints[name]), _reader_of(hints[name]), name in kind._field_defaults)
+        _Field(
+            name, _to_thrift_converter(hints[name]), _from_thrift_converter(hints[name]), name in kind._field_defaults
+        )
         for name in kind._fields
     )
 
--- a/packages/rpc/src/hoistsaddle/rpc/connection.py
+++ b/packages/rpc/src/hoistsaddle/rpc/connection.py
@@ -61,7 +61,7 @@
         self.bytes_flushed = 0
         self.had_buffered_bytes = False
         # Held while a paced call is written: no other frame may be written between its chunks.
-        self._paced = asyncio.Lock()
+        self._paced_lock = asyncio.Lock()
         self.check_timer: asyncio.TimerHandle | None = None
         # The calls that wait for an answer, by number; the result None means that there will be no answer.
         self.pending: dict[int, asyncio.Future] = {}
@@ -91,7 +91,7 @@
         Raises:
             OSError: The connection was lost.
         """
-        async with self._paced:
+        async with self._paced_lock:
             loop = asyncio.get_running_loop()
             began = loop.time()
             octets = sum(len(field) for field in message if isinstance(field, bytes))
@@ -134,7 +134,7 @@
         elif silence >= keep_alive.timeout.total_seconds():
             self.close()
             return
-        if silence >= keep_alive.interval.total_seconds() * PING_INTERVAL_FRACTION and not self._paced.locked():
+        if silence >= keep_alive.interval.total_seconds() * PING_INTERVAL_FRACTION and not self._paced_lock.locked():
             try:
                 self.write(number=PING_NUMBER, message=PingCall(""))
             except OSError:
@@ -146,7 +146,7 @@
         """Counts it as a sign of life if buffered bytes have left since the last check: the peer accepts them."""
         buffered = self.writer.transport.get_write_buffer_size()
         flushed = self.bytes_written - buffered
-        if (self.had_buffered_bytes or self._paced.locked()) and flushed > self.bytes_flushed:
+        if (self.had_buffered_bytes or self._paced_lock.locked()) and flushed > self.bytes_flushed:
             self.last_active_at = asyncio.get_running_loop().time()
         self.bytes_flushed = flushed
         self.had_buffered_bytes = buffered > 0
--- a/packages/rpc/src/hoistsaddle/rpc/connection_faults.py
+++ b/packages/rpc/src/hoistsaddle/rpc/connection_faults.py
@@ -8,7 +8,8 @@
 class ConnectionFaults:
     """Drops calls and answers in one or both directions, as listed in a file that the tests write.
 
-    A one-way cut from process A to process B takes two entries: A drops its calls to B, and B drops the answers from A.
+    A one-way partition from process A to process B takes two entries: A drops its calls to B, and B drops the answers
+    from A.
     """
 
     def __init__(self, *, path: Path) -> None:
--- a/packages/rpc/src/hoistsaddle/rpc/frame_ages.py
+++ b/packages/rpc/src/hoistsaddle/rpc/frame_ages.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 # In seconds. The minimum difference of a window is used in that window and in the next one with calls. Two clocks drift
-# apart by far less than a millisecond in that time. After the sender's clock was set back together with its machine,
-# ages are correct again after two windows.
+# apart by far less than a millisecond in that time. If the sender's clock falls behind, for example because its machine
+# slept, ages are correct again after two windows.
 OFFSET_WINDOW = 5.0
 
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -9,13 +9,13 @@
 PACKAGES = Path(__file__).parent.parent / "packages"
 # Events carry a wall-clock time for display, and the export states when it was made. Measurements and soak tests are
 # not daemons; a soak test dates the lines of the daemons' logs.
-MAY_READ = {
+ALLOWED_READERS = {
     "common/src/hoistsaddle/common/counters.py",
     "cli/src/hoistsaddle/cli/export.py",
     "testbed/src/hoistsaddle/testbed/measure.py",
     "testbed/src/hoistsaddle/testbed/soak/soak.py",
 }
-WALL = {
+WALL_CLOCK_CALLS = {
     ("datetime", "now"),
     ("datetime", "utcnow"),
     ("datetime", "today"),
@@ -35,7 +35,10 @@
             checked_files += 1
             for node in ast.walk(ast.parse(path.read_text())):
                 match node:
-                    case ast.Call(func=ast.Attribute(value=ast.Name(id=owner), attr=name)) if (owner, name) in WALL:
+                    case ast.Call(func=ast.Attribute(value=ast.Name(id=owner), attr=name)) if (
+                        owner,
+                        name,
+                    ) in WALL_CLOCK_CALLS:
                         readers.add(str(path.relative_to(PACKAGES)))
-        self.assertThat(readers, Equals(MAY_READ))
+        self.assertThat(readers, Equals(ALLOWED_READERS))
         self.assertThat(checked_files > 40, Equals(True))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -29,7 +29,7 @@
 from hoistsaddle.rpc.messages import AppliedVersion, ConfigurationItem, MemberState, PollAnswer
 from hoistsaddle.statemachine.digests import RANGES, digests_of, range_of
 
-SPAN = timedelta(seconds=1.5)
+LEASE_SPAN = timedelta(seconds=1.5)
 OWN = AppliedVersion("child", 0, 0, "", "life", 0)
 
 
@@ -38,7 +38,7 @@
 
 
 def relay(name: str) -> Relay:
-    return Relay(node=name, incarnation="life", lease_span=SPAN)
+    return Relay(node=name, incarnation="life", lease_span=LEASE_SPAN)
 
 
 def items(count: int, *, revision: int = 1) -> dict[str, tuple[int, bytes]]:
--- a/tests/test_rpc_paced_calls.py
+++ b/tests/test_rpc_paced_calls.py
@@ -14,11 +14,11 @@
 from hoistsaddle.rpc.server import RpcServer
 from stepped_clock import run_stepped, step
 
-SPAN = timedelta(seconds=10)
+TIMEOUT = timedelta(seconds=10)
 RATE = 100_000
 # Takes two seconds at that rate: longer than the keep-alive timeout.
 BODY = b"x" * 200_000
-UPLOAD = ForwardCall("a", "decks", "s-1", "i", SPAN, SPAN, 1, "pack", "POST", b"/", b"", BODY, "decks", "t")
+UPLOAD = ForwardCall("a", "decks", "s-1", "i", TIMEOUT, TIMEOUT, 1, "pack", "POST", b"/", b"", BODY, "decks", "t")
 KEEP_ALIVE = KeepAlive(interval=milliseconds(250), timeout=milliseconds(900))
 
 
@@ -55,9 +55,9 @@
     def test_small_calls_do_not_wait_behind_a_large_one(self) -> None:
         async def run() -> None:
             client = await self.open()
-            upload = asyncio.ensure_future(client.call(self.address, UPLOAD, within=SPAN, rate=RATE))
+            upload = asyncio.ensure_future(client.call(self.address, UPLOAD, within=TIMEOUT, rate=RATE))
             await self.pass_time(1.0)
-            small = await client.call(self.address, AbandonCall("b"), within=SPAN)
+            small = await client.call(self.address, AbandonCall("b"), within=TIMEOUT)
             self.assertThat(small, Equals(Success(AbandonAnswer(True))))
             await self.pass_time(1.5)
             self.assertThat(await upload, Equals(Success(ForwardAnswer("a", "answered"))))
@@ -73,7 +73,7 @@
             late = asyncio.ensure_future(client.call(self.address, UPLOAD, within=timedelta(seconds=1), rate=RATE))
             await self.pass_time(1.1)
             self.assertThat((await late).failure().kind, Equals("silent"))
-            upload = asyncio.ensure_future(client.call(self.address, UPLOAD, within=SPAN, rate=RATE))
+            upload = asyncio.ensure_future(client.call(self.address, UPLOAD, within=TIMEOUT, rate=RATE))
             await self.pass_time(2.5)
             self.assertThat(await upload, Equals(Success(ForwardAnswer("a", "answered"))))
             client.close()
@@ -85,7 +85,9 @@
     def test_two_calls_to_one_process_arrive_completely_and_one_after_the_other(self) -> None:
         async def run() -> None:
             client = await self.open()
-            calls = [asyncio.ensure_future(client.call(self.address, UPLOAD, within=SPAN, rate=RATE)) for _ in range(2)]
+            calls = [
+                asyncio.ensure_future(client.call(self.address, UPLOAD, within=TIMEOUT, rate=RATE)) for _ in range(2)
+            ]
             await self.pass_time(4.5)
             for call in calls:
                 self.assertThat(await call, Equals(Success(ForwardAnswer("a", "answered"))))
