--- a/packages/raft/src/hoistsaddle/raft/leaving.py
+++ b/packages/raft/src/hoistsaddle/raft/leaving.py
@@ -12,7 +12,7 @@
 from hoistsaddle.raft.events import Ended
 from hoistsaddle.raft.replica import LEADER
 from hoistsaddle.raft.voters import ReplicaKey
-from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNANSWERED, LEAVE_WAIT, UNSET, FetchAnswer, FetchCall
+from hoistsaddle.rpc.messages import LEAVE_ALLOWED, LEAVE_UNANSWERED, LEAVE_WAIT, UNSET, FetchAnswer, FetchCall
 from hoistsaddle.statemachine.commands import LEVEL_OF, ReplaceVoter
 
 if TYPE_CHECKING:
@@ -125,7 +125,7 @@
 
     def leave_answered(self, answer: FetchAnswer) -> None:
         """Handles the leader's answer to the leave; a leader of an older release gives none and is not waited for."""
-        if answer.leave == LEAVE_GO:
+        if answer.leave == LEAVE_ALLOWED:
             self._end("handed over")
         elif answer.leave == LEAVE_WAIT:
             self.ignored_leaves = 0
@@ -148,7 +148,7 @@
         key = (call.replica, call.incarnation)
         decision = self.decide_leave(key)
         progress = self.core.replication.progress
-        if decision == LEAVE_GO and key in progress:
+        if decision == LEAVE_ALLOWED and key in progress:
             # From here on its acknowledgement must not count towards a commit.
             progress[key].complete = False
             progress[key].leave_granted = True
@@ -158,7 +158,7 @@
         """Whether this replica may leave: all committed records must be on a majority of the voters without it.
 
         Returns:
-            LEAVE_GO or LEAVE_WAIT.
+            LEAVE_ALLOWED or LEAVE_WAIT.
         """
         core = self.core
         if not core.replication.has_committed() or core.pending_voter_changes:
@@ -185,7 +185,7 @@
             holders += 1
         # If the leader is stopping too and no voter can succeed it, keeping the others has no use.
         all_stopping = self.stopping and self._next_leader() is None
-        return LEAVE_GO if all_stopping or holders * 2 > len(voters) else LEAVE_WAIT
+        return LEAVE_ALLOWED if all_stopping or holders * 2 > len(voters) else LEAVE_WAIT
 
     def _has_potential_successor(self) -> bool:
         """Whether a live replica without a vote can become a voter, now or once it has caught up."""
--- a/packages/raft/src/hoistsaddle/raft/replication.py
+++ b/packages/raft/src/hoistsaddle/raft/replication.py
@@ -9,7 +9,7 @@
 from hoistsaddle.raft.events import Answer, ProposalResult
 from hoistsaddle.raft.replica import LEADER, NOT_LEADER_FOR_PARTITION, RELEASE_OLD, WRONG_MESH
 from hoistsaddle.raft.voters import ReplicaKey
-from hoistsaddle.rpc.messages import LEAVE_GO, LEAVE_UNANSWERED, UNSET, FetchAnswer, FetchCall, Record
+from hoistsaddle.rpc.messages import LEAVE_ALLOWED, LEAVE_UNANSWERED, UNSET, FetchAnswer, FetchCall, Record
 from hoistsaddle.statemachine.commands import Outcome, RaiseLevel
 from hoistsaddle.statemachine.encoding import pack_command
 
@@ -201,7 +201,7 @@
         if previous is not None:
             core.answer(previous.ticket, answer)
         self.advance()
-        may_leave = call.leaving and core.leaving.decide_leave(key) == LEAVE_GO
+        may_leave = call.leaving and core.leaving.decide_leave(key) == LEAVE_ALLOWED
         # Only a read needs an answer at once; rounds that only date the leader's contact travel with other answers.
         read_is_waiting = any(call.round < read.round for read in core.reads.pending)
         if read_is_waiting or may_leave or self._has_records_for(call, arrived_at=core.now):
--- a/packages/rpc/src/hoistsaddle/rpc/messages/__init__.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/__init__.py
@@ -36,7 +36,7 @@
     ProbeCall,
 )
 from hoistsaddle.rpc.messages.raft import (
-    LEAVE_GO,
+    LEAVE_ALLOWED,
     LEAVE_UNANSWERED,
     LEAVE_WAIT,
     BeginEpochCall,
@@ -100,7 +100,7 @@
     "HealthCall",
     "IndirectProbeAnswer",
     "IndirectProbeCall",
-    "LEAVE_GO",
+    "LEAVE_ALLOWED",
     "LEAVE_UNANSWERED",
     "LEAVE_WAIT",
     "MemberState",
--- a/packages/rpc/src/hoistsaddle/rpc/messages/raft.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/raft.py
@@ -8,7 +8,7 @@
 # The leader's answer to a replica that is leaving; a former release sends none (LEAVE_UNANSWERED).
 LEAVE_UNANSWERED = 0
 LEAVE_WAIT = 1
-LEAVE_GO = 2
+LEAVE_ALLOWED = 2
 
 
 class Record(NamedTuple):
