--- a/packages/common/src/hoistsaddle/common/settings.py
+++ b/packages/common/src/hoistsaddle/common/settings.py
@@ -268,8 +268,8 @@
     if len(settings.seeds) != PROXY_SEEDS:
         remedy = "Give three seed addresses of registries."
         yield InvalidSettings(f"{len(settings.seeds)} seeds given.", field="seeds", remedy=remedy)
-    for place, seed in enumerate(settings.seeds):
-        yield check_address(field=f"seeds[{place}]", address=seed)
+    for index, seed in enumerate(settings.seeds):
+        yield check_address(field=f"seeds[{index}]", address=seed)
 
 
 def _error_of_seeds(seeds: list[str]) -> MeshError | None:
@@ -282,8 +282,8 @@
     yield _error_of_seeds(settings.seeds)
     for setting in ("door", "vitals_door", "ready_door", "server"):
         yield check_address(field=setting, address=_value_of(settings, setting))
-    for place, seed in enumerate(settings.seeds):
-        yield check_address(field=f"seeds[{place}]", address=seed)
+    for index, seed in enumerate(settings.seeds):
+        yield check_address(field=f"seeds[{index}]", address=seed)
 
 
 def _errors_of_controller(settings: ControllerSettings) -> Iterator[MeshError | None]:
@@ -298,7 +298,7 @@
             remedy="Name another operator.",
         )
     yield _error_of_seeds(settings.seeds)
-    hosts = [("host", settings.host), *((f"seeds[{place}]", seed) for place, seed in enumerate(settings.seeds))]
+    hosts = [("host", settings.host), *((f"seeds[{index}]", seed) for index, seed in enumerate(settings.seeds))]
     for field, host in hosts:
         yield check_address(field=field, address=f"{host}:1")
 
@@ -310,9 +310,9 @@
         yield InvalidSettings(message, field="replica", remedy="Add it under [[core]].")
     if len(set(replicas)) != len(replicas):
         yield InvalidSettings("Two core machines share a replica number.", field="core", remedy="Give each its own.")
-    for place, machine in enumerate(core):
-        yield check_address(field=f"core[{place}].warehouse", address=machine.store)
-        yield check_address(field=f"core[{place}].bourse", address=machine.registry)
+    for index, machine in enumerate(core):
+        yield check_address(field=f"core[{index}].warehouse", address=machine.store)
+        yield check_address(field=f"core[{index}].bourse", address=machine.registry)
 
 
 def _errors_of_program(settings: Settings) -> Iterator[MeshError | None]:
