--- a/packages/rpc/src/hoistsaddle/rpc/messages/__init__.py
+++ b/packages/rpc/src/hoistsaddle/rpc/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The messages between processes, as typed tuples; field names and order are those of mesh.thrift.
+"""The messages between processes, as named tuples with the same field names and order as in mesh.thrift.
 
 A field with a default may be missing: a former release doesn't send it.
 """
@@ -36,7 +36,7 @@
     ProbeCall,
 )
 from hoistsaddle.rpc.messages.raft import (
-    LEAVE_GO,
+    LEAVE_ALLOWED,
     LEAVE_UNANSWERED,
     LEAVE_WAIT,
     BeginEpochCall,
@@ -100,7 +100,7 @@
     "HealthCall",
     "IndirectProbeAnswer",
     "IndirectProbeCall",
-    "LEAVE_GO",
+    "LEAVE_ALLOWED",
     "LEAVE_UNANSWERED",
     "LEAVE_WAIT",
     "MemberState",
