--- a/packages/cli/src/hoistsaddle/cli/caller.py
+++ b/packages/cli/src/hoistsaddle/cli/caller.py
@@ -1,4 +1,4 @@
-"""Calls at the operators' interface of whichever registry answers."""
+"""Calls the operators' interface of the first available registry."""
 
 import asyncio
 import secrets
@@ -8,7 +8,7 @@
 import click
 import msgspec
 
-from hoistsaddle.cli.output import format_json, refuse, refuse_use
+from hoistsaddle.cli.output import exit_with_error, exit_with_usage_error, format_json
 from hoistsaddle.common.errors import MeshError, Unreachable
 
 CALL_TIMEOUT_SECONDS = 15.0
@@ -18,7 +18,7 @@
 
 
 class Answer(NamedTuple):
-    """An HTTP status and the JSON object that came with it; status 0 if nobody answered."""
+    """An HTTP status and the JSON object of its response; status 0 if no registry answered."""
 
     status: int
     body: dict
@@ -34,17 +34,17 @@
     seconds: float = CALL_TIMEOUT_SECONDS,
     kind: str = "",
 ) -> Answer:
-    """Calls one registry after the other until one can answer.
+    """Calls one registry after the other until one is available.
 
-    The same request id goes to each, so a call repeated elsewhere is still one call.
+    Each attempt carries the same request id, so that a call repeated at another registry is carried out once.
 
     Args:
-        endpoints: The registries' operators' addresses, in the order of the attempts.
+        endpoints: The addresses of the registries' operators' interfaces, in the order of the attempts.
         method: The HTTP method.
         path: The path with its query.
-        token: The operator's token; empty for a call that needs none.
+        token: The operator's token; empty for a call without authentication.
         body: The body; empty for none.
-        seconds: How long one attempt may take.
+        seconds: The timeout of one attempt.
         kind: The body's content type, if it matters.
     """
     headers = {"X-Request-Id": secrets.token_hex(REQUEST_ID_BYTES)}
@@ -52,12 +52,12 @@
         headers["Authorization"] = f"Bearer {token}"
     if kind:
         headers["Content-Type"] = kind
-    nobody = Unreachable(
+    unreachable = Unreachable(
         f"No registry answers at {', '.join(endpoints)}.",
         field="door",
         remedy="Check the addresses given with --door or HOISTSADDLE_DOORS.",
     )
-    answer = Answer(0, {"refused": nobody.describe()})
+    answer = Answer(0, {"refused": unreachable.describe()})
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=seconds)) as session:
         for endpoint in endpoints:
             url = f"http://{endpoint}{path}"
@@ -66,36 +66,36 @@
                     answer = Answer(response.status, msgspec.json.decode(await response.read(), type=dict))
             except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
                 continue
-            # A registry cut off from the leader says 503; another one may reach it.
+            # A registry that can't reach the leader answers 503; another one may reach it.
             if answer.status != UNAVAILABLE:
                 return answer
     return answer
 
 
 def call(*, endpoints: tuple[str, ...], method: str, path: str) -> Answer:
-    """A call whose refusal is an answer too, such as a ready check's."""
+    """Makes a call and returns its answer whatever the status, as a readiness check needs."""
     return asyncio.run(call_first_available(endpoints=endpoints, method=method, path=path))
 
 
 def call_or_exit(
     *, endpoints: tuple[str, ...], method: str, path: str, token: str = "", body: bytes = b"", kind: str = ""
 ) -> dict:
-    """A call whose refusal ends the command.
+    """Makes a call and exits with its error if it is rejected.
 
     Raises:
-        SystemExit: No address was given, or the call was refused.
+        SystemExit: No address was given, or the call was rejected.
     """
     if not endpoints:
-        refuse_use("no door given. Remedy: give --door IP:PORT or set HOISTSADDLE_DOORS.")
+        exit_with_usage_error("no address given. Remedy: give --door IP:PORT or set HOISTSADDLE_DOORS.")
     status, answer = asyncio.run(
         call_first_available(endpoints=endpoints, method=method, path=path, token=token, body=body, kind=kind)
     )
-    refused = answer.get("refused")
-    if status == OK or not refused:
+    rejection = answer.get("refused")
+    if status == OK or not rejection:
         return answer
-    error = MeshError(refused["kind"], refused["message"], refused["remedy"], refused.get("field") or "")
+    error = MeshError(rejection["kind"], rejection["message"], rejection["remedy"], rejection.get("field") or "")
     if "machines" not in answer:
-        refuse(error)
+        exit_with_error(error)
     click.echo(f"refused: {error}", err=True)
     click.echo(format_json(answer["machines"]), err=True)
     raise SystemExit(1)
--- a/packages/cli/src/hoistsaddle/cli/commands.py
+++ b/packages/cli/src/hoistsaddle/cli/commands.py
@@ -15,7 +15,7 @@
 from hoistsaddle.cli.fleet_commands import fleet
 from hoistsaddle.cli.item_commands import items
 from hoistsaddle.cli.operator_commands import OPERATOR_COMMANDS
-from hoistsaddle.cli.output import MISUSED, refuse
+from hoistsaddle.cli.output import EXIT_USAGE, exit_with_error
 from hoistsaddle.common.errors import InvalidSettings
 from hoistsaddle.common.settings import (
     ControllerSettings,
@@ -49,7 +49,7 @@
     """
     match read_settings_file(kind=kind, path=settings_file, flags=flags):
         case Failure(error):
-            refuse(error, status=MISUSED)
+            exit_with_error(error, status=EXIT_USAGE)
         case Success(settings):
             pass
     logging.getLogger("aiohttp.server").addFilter(_not_a_clients_fault)
@@ -66,7 +66,7 @@
             field="listen" if problem.errno in ADDRESS_ERRORS else "data_folder",
             remedy="Free the address or mend the data folder, or name another in the settings.",
         )
-        refuse(error, status=MISUSED)
+        exit_with_error(error, status=EXIT_USAGE)
 
 
 def _core_machines(values: tuple[str, ...]) -> list[dict] | None:
--- a/packages/cli/src/hoistsaddle/cli/export.py
+++ b/packages/cli/src/hoistsaddle/cli/export.py
@@ -8,7 +8,7 @@
 import click
 from returns.result import Failure, Success
 
-from hoistsaddle.cli.output import REFUSED, refuse
+from hoistsaddle.cli.output import EXIT_FAILURE, exit_with_error
 from hoistsaddle.cli.proxy_reports import read_reports
 
 
@@ -30,7 +30,7 @@
     reports, silent = asyncio.run(read_reports(proxies=proxies, path="/hoistsaddle/usage"))
     match write_usage(table_of(reports, read_at=datetime.now(UTC)), path=Path(out)):
         case Failure(error):
-            refuse(error)
+            exit_with_error(error)
         case Success(rows):
             click.echo(f"{rows} rows from {len(reports)} proxies in {out}")
     if silent:
@@ -39,4 +39,4 @@
             "Remedy: export again once it is back.",
             err=True,
         )
-        sys.exit(REFUSED)
+        sys.exit(EXIT_FAILURE)
--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -13,7 +13,7 @@
 
 import click
 
-from hoistsaddle.cli.output import refuse_use
+from hoistsaddle.cli.output import exit_with_usage_error
 
 _deployment = click.argument("deployment", type=click.Choice(["brindlefield", "kadiri", "thimble"]))
 _folder = click.option(
@@ -122,7 +122,7 @@
     first, _, last = seeds.partition("-")
     unknown = sorted(name for name in set(scenarios) if find_scenario(name) is None)
     if unknown or not first.isdigit() or not (last or first).isdigit():
-        refuse_use(
+        exit_with_usage_error(
             f"params: scenarios {unknown} or seeds {seeds!r} can't be read. Remedy: see --list; write seeds like 1-20."
         )
     chosen = scenarios or (CORE_SCENARIOS if deployment in ("three", "five") else SCENARIOS)
@@ -157,7 +157,7 @@
     first, _, last = seeds.partition("-")
     places = None if only is None else [place.strip() for place in only.split(",") if place.strip()]
     if not first.isdigit() or not (last or first).isdigit() or not all(place.isdigit() for place in places or ()):
-        refuse_use(
+        exit_with_usage_error(
             f"params: seeds {seeds!r} or happenings {only!r} can't be read. Remedy: write seeds like 1-20 "
             "and happenings like 0,3,4."
         )
@@ -165,7 +165,9 @@
     numbers = range(int(first), int(last or first) + 1)
     most = {number: len(hunting.day_of(hunting.DayCase(number, small)).events) for number in numbers}
     if kept is not None and (beyond := [number for number in numbers if max(kept, default=-1) >= most[number]]):
-        refuse_use(f"params: seed {beyond[0]} has {most[beyond[0]]} happenings. Remedy: name places below that.")
+        exit_with_usage_error(
+            f"params: seed {beyond[0]} has {most[beyond[0]]} happenings. Remedy: name places below that."
+        )
     days = [hunting.DayCase(number, small, kept) for number in numbers]
     broken = 0
     for verdict in hunting.hunt(days, workers=workers):
@@ -211,12 +213,12 @@
     first, _, last = seeds.partition("-")
     chosen = read_size(size)
     if chosen is None or not first.isdigit() or not (last or first).isdigit():
-        refuse_use(
+        exit_with_usage_error(
             f"params: size {size!r} or seeds {seeds!r} can't be read. Remedy: write CONTROLLERS+SIDECARS, "
             "at least 3+6, and seeds like 1-20."
         )
     if (problem := check_room(chosen, memory=total_memory())) is not None:
-        refuse_use(str(problem))
+        exit_with_usage_error(str(problem))
     verdicts: Counter[str] = Counter()
     for seed in range(int(first), int(last or first) + 1):
         place = (folder or Path(tempfile.mkdtemp(prefix="hoistsaddle-soak-"))) / f"seed-{seed}"
@@ -263,7 +265,7 @@
     try:
         known = read_site(site) if site else BenchSite()
     except (ValueError, KeyError) as problem:
-        refuse_use(f"params: {site} is no site file ({problem}). Remedy: name one of the bench's.")
+        exit_with_usage_error(f"params: {site} is no site file ({problem}). Remedy: name one of the bench's.")
     for path in write(site=known, point=point, seed=seed, count=count, folder=out):
         click.echo(str(path))
 
@@ -283,7 +285,7 @@
     from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
     if what == "versions" and older is None:
-        refuse_use("params: versions needs --older. Remedy: name a checkout of the former release.")
+        exit_with_usage_error("params: versions needs --older. Remedy: name a checkout of the former release.")
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as temporary:
         work = {
             "commits": lambda: measuring.commits(folder=Path(temporary), write_line=click.echo),
@@ -337,7 +339,7 @@
     numbers = f"{sizes},{losses}".replace(" ", "").split(",")
     unknown = sorted(set(slopes) - set(SLOPES))
     if unknown or not all(number.isdigit() or not number for number in numbers):
-        refuse_use(
+        exit_with_usage_error(
             f"params: slopes {unknown}, sizes {sizes!r} or losses {losses!r} can't be read. "
             "Remedy: see --list; write sizes like 100,250."
         )
--- a/packages/cli/src/hoistsaddle/cli/operator_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: each is one call at the operators' interface."""
+"""Operators' commands, which call the operators' interface of a registry."""
 
 import hashlib
 import sys
@@ -11,7 +11,7 @@
 from hoistsaddle.cli.caller import OK, call, call_or_exit
 from hoistsaddle.cli.export import export
 from hoistsaddle.cli.holds import holds
-from hoistsaddle.cli.output import REFUSED, print_json, refuse
+from hoistsaddle.cli.output import EXIT_FAILURE, exit_with_error, print_json
 from hoistsaddle.cli.plan import plan
 from hoistsaddle.cli.watch import watch
 from hoistsaddle.config.bundle import digest_of
@@ -22,7 +22,7 @@
     "endpoints",
     multiple=True,
     envvar="HOISTSADDLE_DOORS",
-    help="A registry's operators' address; repeat, or set HOISTSADDLE_DOORS (spaces between).",
+    help="A registry's address for operators; repeat, or set HOISTSADDLE_DOORS (separated by spaces).",
 )
 _token = click.option(
     "--token", envvar="HOISTSADDLE_TOKEN", required=True, help="Your token, or set HOISTSADDLE_TOKEN."
@@ -43,7 +43,7 @@
     help="NAME=TOKEN; give at least two. Only the token's digest is kept.",
 )
 def found(endpoints, operators) -> None:
-    """Founds a mesh on blank core machines. Done once, ever."""
+    """Founds a mesh on blank core machines. Done only once for a mesh."""
     digests = {}
     for operator in operators:
         name, _, token = operator.partition("=")
@@ -59,10 +59,10 @@
         text = Path(file).read_text(encoding="utf-8")
     except UnicodeDecodeError:
         click.echo("refused: bundle-broken: the file is not UTF-8 text. Remedy: save it as UTF-8.", err=True)
-        sys.exit(REFUSED)
+        sys.exit(EXIT_FAILURE)
     match read_bundle(text):
         case Failure(error):
-            refuse(error)
+            exit_with_error(error)
         case Success(bundle):
             print_json(
                 {
@@ -89,9 +89,9 @@
 @_endpoint
 @_token
 @click.argument("number", type=int)
-@click.option("--digest", help="The digest you read; without it the digest the mesh shows is signed.")
+@click.option("--digest", help="The digest of the bundle you reviewed; by default the digest that the mesh reports.")
 def sign(endpoints, token, number, digest) -> None:
-    """Signs a bundle off and puts its first stage in force."""
+    """Signs a bundle off and starts its rollout with the first stage."""
     digest = digest or call_or_exit(endpoints=endpoints, method="GET", path=f"/bundles/{number}")["digest"]
     print_json(
         call_or_exit(
@@ -104,9 +104,9 @@
 @_endpoint
 @_token
 @click.argument("number", type=int)
-@click.option("--from-stage", type=int, required=True, help="The stage it is in now.")
+@click.option("--from-stage", type=int, required=True, help="The current stage.")
 def advance(endpoints, token, number, from_stage) -> None:
-    """Moves a rolling bundle one stage on."""
+    """Advances a bundle's rollout to the next stage."""
     print_json(
         call_or_exit(
             endpoints=endpoints,
@@ -123,7 +123,7 @@
 @_token
 @click.argument("number", type=int)
 def abort(endpoints, token, number) -> None:
-    """Takes a draft or rolling bundle back."""
+    """Aborts a draft bundle or one whose rollout is in progress."""
     print_json(call_or_exit(endpoints=endpoints, method="POST", path=f"/bundles/{number}/abort", token=token))
 
 
@@ -131,7 +131,7 @@
 @_endpoint
 @click.argument("number", type=int)
 def status(endpoints, number) -> None:
-    """Shows a bundle and what each machine makes of it."""
+    """Shows a bundle and its state on each machine."""
     print_json(call_or_exit(endpoints=endpoints, method="GET", path=f"/bundles/{number}"))
 
 
@@ -139,9 +139,9 @@
 @_endpoint
 @_token
 @click.argument("proxy", metavar="STALL")
-@click.option("--undo", is_flag=True, help="Take the mark away again.")
+@click.option("--undo", is_flag=True, help="Undo an earlier drain.")
 def drain(endpoints, token, proxy, undo) -> None:
-    """Marks the server beside a proxy as leaving; it gets no new work."""
+    """Drains the server beside a proxy: it gets no new requests."""
     print_json(
         call_or_exit(
             endpoints=endpoints,
@@ -156,14 +156,14 @@
 @click.command()
 @_endpoint
 def setup(endpoints) -> None:
-    """Reads the whole configuration back, confirmed by the leader."""
+    """Shows the complete configuration, confirmed by the leader."""
     print_json(call_or_exit(endpoints=endpoints, method="GET", path="/setup"))
 
 
 @click.command()
 @_endpoint
 def core(endpoints) -> None:
-    """Shows the core machines and who leads."""
+    """Shows the core machines and which of them is the leader."""
     print_json(call_or_exit(endpoints=endpoints, method="GET", path="/core"))
 
 
@@ -177,19 +177,19 @@
 @click.command()
 @_endpoint
 def ready(endpoints) -> None:
-    """Asks each core machine whether it is ready; exit 1 names those that aren't."""
-    waiting = False
+    """Shows whether each core machine is ready; exits with status 1 if one isn't."""
+    any_unready = False
     for endpoint in endpoints:
         answer = call(endpoints=(endpoint,), method="GET", path="/ready")
-        waiting = waiting or answer.status != OK
+        any_unready = any_unready or answer.status != OK
         print_json({"door": endpoint, **answer.body})
-    if waiting:
-        sys.exit(REFUSED)
+    if any_unready:
+        sys.exit(EXIT_FAILURE)
 
 
 @click.group()
 def operator() -> None:
-    """Changes among the operators: one proposes, a second person signs."""
+    """Changes the operators: one operator proposes a change, a second one signs it."""
 
 
 def _propose(endpoints, token, name, new_token) -> None:
@@ -220,7 +220,7 @@
 @_new_token
 @click.argument("name")
 def operator_renew(endpoints, token, name, new_token) -> None:
-    """Proposes another token for an operator."""
+    """Proposes a new token for an operator."""
     _propose(endpoints, token, name, new_token)
 
 
@@ -229,7 +229,7 @@
 @_token
 @click.argument("name")
 def operator_remove(endpoints, token, name) -> None:
-    """Proposes that somebody is an operator no longer."""
+    """Proposes the removal of an operator."""
     print_json(call_or_exit(endpoints=endpoints, method="POST", path=f"/operators/{name}/remove", token=token))
 
 
@@ -237,9 +237,9 @@
 @_endpoint
 @_token
 @click.argument("name")
-@click.option("--change", help="The change you read; without it the one the mesh shows is signed.")
+@click.option("--change", help="The change you reviewed; by default the one that the mesh reports.")
 def operator_sign(endpoints, token, name, change) -> None:
-    """Signs a proposed change as the second person; it is in force at once."""
+    """Signs a change proposed by another operator; it is in force at once."""
     if change is None:
         proposed = call_or_exit(endpoints=endpoints, method="GET", path="/operators")["changes"]
         change = next((each["change"] for each in proposed if each["name"] == name), "")
@@ -255,14 +255,14 @@
 @_token
 @click.argument("name")
 def operator_drop(endpoints, token, name) -> None:
-    """Takes a proposed change back."""
+    """Withdraws a proposed change."""
     print_json(call_or_exit(endpoints=endpoints, method="POST", path=f"/operators/{name}/drop", token=token))
 
 
 @operator.command("list")
 @_endpoint
 def operator_list(endpoints) -> None:
-    """Shows the operators and the changes that wait for a second person."""
+    """Shows the operators and the changes that await a second operator's signature."""
     print_json(call_or_exit(endpoints=endpoints, method="GET", path="/operators"))
 
 
--- a/packages/cli/src/hoistsaddle/cli/output.py
+++ b/packages/cli/src/hoistsaddle/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: answers as JSON, and refusals on the error stream with the exit status."""
+"""The output of commands: answers as JSON on stdout, errors on stderr together with the exit status."""
 
 import sys
 from typing import NoReturn
@@ -8,13 +8,14 @@
 
 from hoistsaddle.common.errors import MeshError
 
-REFUSED = 1
-# The command itself was called wrongly.
-MISUSED = 2
+# Exit status after an error or a rejected call.
+EXIT_FAILURE = 1
+# Exit status after wrong arguments or settings.
+EXIT_USAGE = 2
 
 
 def format_json(value: object) -> str:
-    """A value as indented JSON."""
+    """Formats a value as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value)).decode()
 
 
@@ -23,13 +24,13 @@
     click.echo(format_json(value))
 
 
-def refuse(error: MeshError, *, status: int = REFUSED) -> NoReturn:
-    """Prints an error and ends the command with this exit status."""
+def exit_with_error(error: MeshError, *, status: int = EXIT_FAILURE) -> NoReturn:
+    """Prints an error and exits with the given status."""
     click.echo(f"refused: {error}", err=True)
     sys.exit(status)
 
 
-def refuse_use(message: str) -> NoReturn:
-    """Prints how the command is called instead and ends it."""
+def exit_with_usage_error(message: str) -> NoReturn:
+    """Prints what is wrong with the arguments and how to correct them, and exits."""
     click.echo(f"refused: {message}", err=True)
-    sys.exit(MISUSED)
+    sys.exit(EXIT_USAGE)
--- a/packages/cli/src/hoistsaddle/cli/plan.py
+++ b/packages/cli/src/hoistsaddle/cli/plan.py
@@ -1,4 +1,4 @@
-"""`hoistsaddle plan`: the planner at the command line."""
+"""`hoistsaddle plan`: forecasts the effect of a change with the planner."""
 
 import sys
 from pathlib import Path
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from hoistsaddle.cli.caller import call_or_exit
-from hoistsaddle.cli.output import print_json, refuse, refuse_use
+from hoistsaddle.cli.output import exit_with_error, exit_with_usage_error, print_json
 from hoistsaddle.common.errors import MeshError
 from hoistsaddle.planner.bundle_forecast import forecast_bundle
 from hoistsaddle.planner.change_forecast import Change, forecast_change
@@ -19,20 +19,20 @@
     "endpoints",
     multiple=True,
     envvar="HOISTSADDLE_DOORS",
-    help="A registry's operators' address; repeat, or set HOISTSADDLE_DOORS.",
+    help="A registry's address for operators; repeat, or set HOISTSADDLE_DOORS.",
 )
 @click.argument("file", required=False, type=click.Path(exists=True, dir_okay=False))
-@click.option("--drain", multiple=True, help="A proxy whose server would be marked as leaving.")
-@click.option("--undrain", multiple=True, help="A proxy whose mark would be taken away.")
-@click.option("--gone", multiple=True, help="A proxy that would leave.")
-@click.option("--server", multiple=True, help="STALL=SERVICE: a server that would come beside a stall.")
+@click.option("--drain", multiple=True, help="A proxy whose server would be drained.")
+@click.option("--undrain", multiple=True, help="A proxy whose server's drain would be undone.")
+@click.option("--gone", multiple=True, help="A proxy that would leave the mesh.")
+@click.option("--server", multiple=True, help="STALL=SERVICE: a server that would be added beside a proxy.")
 def plan(endpoints, file, drain, undrain, gone, server) -> None:
-    """Shows what a bundle FILE, or a change of servers and nodes, would move. Changes nothing."""
+    """Shows what a bundle FILE, or a change of servers and nodes, would affect. Changes nothing."""
     change = Change(
         tuple(drain), tuple(undrain), tuple(gone), tuple(tuple(each.partition("=")[::2]) for each in server)
     )
     if not file and change == Change():
-        refuse_use("nothing to plan. Remedy: give a bundle file, --drain, --undrain, --gone or --server.")
+        exit_with_usage_error("nothing to plan. Remedy: give a bundle file, --drain, --undrain, --gone or --server.")
     configuration = call_or_exit(endpoints=endpoints, method="GET", path="/setup")
     forecast: dict = {}
     if file:
@@ -47,6 +47,6 @@
 def _unwrap(forecast: Result[dict, MeshError]) -> dict:
     match forecast:
         case Failure(error):
-            refuse(error)
-        case Success(found):
-            return found
+            exit_with_error(error)
+        case Success(value):
+            return value
--- a/packages/cli/src/hoistsaddle/cli/watch.py
+++ b/packages/cli/src/hoistsaddle/cli/watch.py
@@ -7,7 +7,7 @@
 import click
 
 from hoistsaddle.cli.caller import call_or_exit
-from hoistsaddle.cli.output import refuse_use
+from hoistsaddle.cli.output import exit_with_usage_error
 from hoistsaddle.cli.proxy_reports import fetch_report
 
 ROUND_TIMEOUT_SECONDS = 1.5
@@ -152,7 +152,7 @@
 def watch(endpoints, proxies, seconds, past) -> None:
     """Shows changes arriving, servers leaving, keys held, core machines catching up, as they happen."""
     if not endpoints and not proxies:
-        refuse_use(
+        exit_with_usage_error(
             "nothing to watch. Remedy: give --door and --stall, or set HOISTSADDLE_DOORS and HOISTSADDLE_STALLS."
         )
     sources = [f"{endpoint}/happenings" for endpoint in endpoints]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -68,7 +68,7 @@
 class Refusals(TestCase):
     def test_misuse_is_told_with_the_remedy(self) -> None:
         for arguments, text in (
-            (["core"], "refused: no door given. Remedy: give --door IP:PORT or set HOISTSADDLE_DOORS."),
+            (["core"], "refused: no address given. Remedy: give --door IP:PORT or set HOISTSADDLE_DOORS."),
             (["plan"], "refused: nothing to plan. Remedy: give a bundle file, --drain, --undrain, --gone or --server."),
             (
                 ["watch"],
