--- a/packages/cli/src/hoistsaddle/cli/__init__.py
+++ b/packages/cli/src/hoistsaddle/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: the programs, operators' calls, and whole deployments on one machine."""
+"""The command line: starts the programs, calls the operators' interface and runs test deployments on one machine."""
--- a/packages/cli/src/hoistsaddle/cli/commands.py
+++ b/packages/cli/src/hoistsaddle/cli/commands.py
@@ -1,4 +1,4 @@
-"""The command line: programs, operators' calls, the fleet and the watch."""
+"""The `hoistsaddle` command: its subcommands that run the programs, and the registration of all others."""
 
 import errno
 import logging
@@ -27,32 +27,32 @@
 )
 from hoistsaddle.common.shutdown import ShutdownWatchdog
 
-# The grace period of programs whose settings name none: longer than any time-out of their own.
+# The grace period of programs whose settings have none: longer than any timeout inside them.
 DEFAULT_GRACE_SECONDS = 60.0
-# The listening address is at fault, and not the data folder.
+# Errors of the listening address; other errors at the start concern the data folder.
 ADDRESS_ERRORS = (errno.EADDRINUSE, errno.EADDRNOTAVAIL)
 
 
-def _not_a_clients_fault(record: logging.LogRecord) -> bool:
-    """Bytes that are no HTTP were answered with 400 by the library; they are no error of this process's."""
+def _is_not_malformed_request(record: logging.LogRecord) -> bool:
+    """Filters out log records of malformed HTTP: the library has answered 400, and this process is not at fault."""
     return not (record.exc_info and isinstance(record.exc_info[1], HttpProcessingError))
 
 
 def _run(*, kind: type, service: Callable[..., Service], settings_file: str | None, flags: dict) -> None:
-    """Runs a program until it is told to stop.
+    """Runs a program until it receives a signal to stop.
 
     Args:
         kind: The class of its settings.
-        service: Makes the program of its settings.
-        settings_file: The TOML file, if there is one.
-        flags: Settings from the command line, by documented name.
+        service: Creates the program from its settings.
+        settings_file: The path of the TOML file; None if there is none.
+        flags: Settings from the command line, by their documented names.
     """
     match read_settings_file(kind=kind, path=settings_file, flags=flags):
         case Failure(error):
             exit_with_error(error, status=EXIT_USAGE)
         case Success(settings):
             pass
-    logging.getLogger("aiohttp.server").addFilter(_not_a_clients_fault)
+    logging.getLogger("aiohttp.server").addFilter(_is_not_malformed_request)
     logger.remove()
     logger.add(sys.stderr, format="{time:YYYY-MM-DDTHH:mm:ss.SSSZ} {level} {message}", level="INFO")
     try:
@@ -62,15 +62,15 @@
             loop.run_forever()
     except OSError as problem:
         error = InvalidSettings(
-            f"It can't start: {problem}.",
+            f"The program can't start: {problem}.",
             field="listen" if problem.errno in ADDRESS_ERRORS else "data_folder",
-            remedy="Free the address or mend the data folder, or name another in the settings.",
+            remedy="Free the address or repair the data folder, or give another one in the settings.",
         )
         exit_with_error(error, status=EXIT_USAGE)
 
 
 def _core_machines(values: tuple[str, ...]) -> list[dict] | None:
-    """The core machines as the settings file would have them; their check is the settings'."""
+    """Converts core machines to the form of the settings file; they are validated with the other settings."""
     machines = []
     for value in values:
         replica, _, rest = value.partition("=")
@@ -83,11 +83,11 @@
 
 @click.group()
 def main() -> None:
-    """hoistsaddle: a service mesh you can watch at work."""
+    """hoistsaddle: a service mesh whose state and events can be observed."""
 
 
 _settings = click.option(
-    "--params", "--settings", "settings_file", type=str, help="TOML file with the fields below; flags win over it."
+    "--params", "--settings", "settings_file", type=str, help="TOML file with the fields below; flags override it."
 )
 _core = click.option(
     "--core", multiple=True, help="A core machine: REPLICA=STORE_ADDRESS,REGISTRY_ADDRESS. Repeat for each."
@@ -150,16 +150,18 @@
 @main.command()
 @click.argument("settings", required=False, type=str)
 @_settings
-@click.option("--host", help="This machine's IP number.")
+@click.option("--host", help="This machine's IP address.")
 @click.option("--zone")
 @click.option("--data-folder")
-@click.option("--seed", "seeds", multiple=True, help="A core machine's IP number; one to three, alike everywhere.")
 @click.option(
-    "--cold-start/--no-cold-start", default=None, help="True once: at the first start of all, on blank disks."
+    "--seed", "seeds", multiple=True, help="A core machine's IP address; one to three, the same on all machines."
+)
+@click.option(
+    "--cold-start/--no-cold-start", default=None, help="Set only at the very first start of the mesh, on blank disks."
 )
 @click.option("--losses", type=int, help="How many core machines may be lost at once.")
 def controller(settings, settings_file, seeds, **flags) -> None:
-    """Runs both core programs in one process, for items. SETTINGS is a TOML file; flags win over it."""
+    """Runs store and registry in one process, for meshes with items. SETTINGS is a TOML file; flags override it."""
     from hoistsaddle.registry.controller_api import ControllerService
 
     _run(
@@ -176,14 +178,14 @@
 @click.option("--name")
 @click.option("--zone")
 @click.option("--listen", help="Mesh address, IP:PORT.")
-@click.option("--door", help="HTTP address for clients and the own server, IP:PORT.")
-@click.option("--vitals-door", help="HTTP address where the own server tells its health reports, IP:PORT.")
-@click.option("--ready-door", help="HTTP address where readiness is asked, IP:PORT.")
+@click.option("--door", help="HTTP address for clients and for this machine's own server, IP:PORT.")
+@click.option("--vitals-door", help="HTTP address for the health reports of this machine's own server, IP:PORT.")
+@click.option("--ready-door", help="HTTP address for readiness checks, IP:PORT.")
 @click.option("--service", help="The service of the server beside it.")
 @click.option("--server", help="That server's address, IP:PORT.")
 @click.option("--seed", "seeds", multiple=True, help="A controller's registry address, IP:PORT; one to three.")
 def sidecar(settings, settings_file, seeds, **flags) -> None:
-    """Runs the proxy that serves items. SETTINGS is a TOML file; flags win over it."""
+    """Runs the proxy for meshes with items. SETTINGS is a TOML file; flags override it."""
     from hoistsaddle.sidecar.service import SidecarService
 
     _run(
@@ -199,7 +201,7 @@
 
 
 def _alias(*, former: str, command: click.Command) -> click.Command:
-    """The command under its former name: hidden, with a line of warning."""
+    """Returns a hidden command under the former name that prints a warning and runs the command."""
 
     def run(**arguments: object) -> None:
         click.echo(
@@ -210,8 +212,8 @@
     return click.Command(former, params=command.params, callback=run, help=command.help, hidden=True)
 
 
-for former_name, present in FORMER_NAMES.items():
-    main.add_command(_alias(former=former_name, command=present))
+for former_name, renamed_command in FORMER_NAMES.items():
+    main.add_command(_alias(former=former_name, command=renamed_command))
 main.add_command(fleet)
 main.add_command(items)
 for command in OPERATOR_COMMANDS:
--- a/packages/cli/src/hoistsaddle/cli/export.py
+++ b/packages/cli/src/hoistsaddle/cli/export.py
@@ -1,4 +1,4 @@
-"""`hoistsaddle export`: what the proxies counted, as a file for accounting."""
+"""`hoistsaddle export`: writes the usage that the proxies counted to a file for accounting."""
 
 import asyncio
 import sys
@@ -19,12 +19,12 @@
     multiple=True,
     envvar="HOISTSADDLE_STALLS",
     required=True,
-    help="A proxy's clients' address; repeat, or set HOISTSADDLE_STALLS.",
+    help="A proxy's address for clients; repeat, or set HOISTSADDLE_STALLS.",
 )
 @click.option("--out", required=True, type=click.Path(dir_okay=False), help="A file ending in .parquet or .csv.")
 def export(proxies, out) -> None:
     """Writes usage by service, entry, caller and outcome as Parquet or CSV."""
-    # Only here: a program in service has no use for so large a library.
+    # Imported only here, because this module loads a large library that the long-running programs don't need.
     from hoistsaddle.usage.usage import table_of, write_usage
 
     reports, silent = asyncio.run(read_reports(proxies=proxies, path="/hoistsaddle/usage"))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -174,7 +174,7 @@
                     "     61.5 s  key l at stall-02: settled, its answer is kept",
                     "      1.5 s  ledger beside stall-01 (drained): gets no new work in 1.5 s at the latest",
                     "      0.0 s  ledger beside stall-02 (gone): gets no new work, is forgotten in 20 s",
-                    "  room for further sends to ledger: 3.5 of 10",
+                    "  retry budget left for ledger: 3.5 of 10",
                 ]
             ),
         )
