--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""`hoistsaddle fleet`: a whole deployment on one machine, with stand-in servers and callers."""
+"""`hoistsaddle fleet`: runs and tests a whole deployment on one machine, with test servers and clients."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
     type=click.Path(file_okay=False),
     help="Where settings, logs and data go; a temporary folder by default.",
 )
-_rate = click.option("--rate", type=float, help="Client requests a second; the deployment's own by default.")
+_rate = click.option("--rate", type=float, help="Client requests per second; the deployment's own rate by default.")
 _seed = click.option("--seed", type=int, default=1, show_default=True)
 
 
@@ -37,7 +37,7 @@
 @_rate
 @_seed
 def run(deployment, folder, seconds, rate, seed) -> None:
-    """Starts it, founds it, rolls out its first bundle, and sends it clients (none with --rate 0)."""
+    """Starts and founds a deployment, rolls out its first bundle and sends client requests (none with --rate 0)."""
 
     async def work(running, stopped: asyncio.Event):
         from hoistsaddle.testbed.fleet import AUTHOR, SIGNER
@@ -59,21 +59,21 @@
         ) as load:
             loading = asyncio.ensure_future(load.run(10**9)) if rate != 0 else None
             proof = Proof(fleet=running, load=load, write_line=click.echo)
-            wiping: list[asyncio.Task] = []
+            wipes: list[asyncio.Task] = []
 
             def wipe() -> None:
-                # One core machine at a time: a second one waits until the first votes again.
-                if all(task.done() for task in wiping):
-                    wiping.append(asyncio.ensure_future(proof.wipe_leader()))
+                # Only one core machine at a time: a signal is ignored until the machine wiped before votes again.
+                if all(task.done() for task in wipes):
+                    wipes.append(asyncio.ensure_future(proof.wipe_leader()))
 
             asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, wipe)
-            click.echo(f"to see the leading core machine lose its disk and come back: kill -USR1 {os.getpid()}")
+            click.echo(f"to wipe the disk of the leading core machine and see it recover: kill -USR1 {os.getpid()}")
             try:
                 await asyncio.wait_for(stopped.wait(), seconds)
             except TimeoutError:
                 pass
             load.stopping = True
-            await asyncio.gather(*wiping, return_exceptions=True)
+            await asyncio.gather(*wipes, return_exceptions=True)
             if loading is not None:
                 await loading
         return load
@@ -90,10 +90,10 @@
 @click.option(
     "--older",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="The same, with the former release's own code, from a checkout of it.",
+    help="As --former, with the former release's own code, from a checkout of it.",
 )
 def prove(deployment, folder, rate, seed, former, older) -> None:
-    """Does a day's worth of harm to it under load and checks every line of "What must never happen"."""
+    """Injects a day's worth of faults under load and checks every line of "What must never happen"."""
 
     async def work(running, stopped: asyncio.Event):
         from hoistsaddle.testbed.proof import prove as proof
@@ -105,13 +105,13 @@
 
 @fleet.command()
 @click.argument("deployment", type=click.Choice(["brindlefield", "kadiri", "thimble", "three", "five"]))
-@click.option("--scenario", "scenarios", multiple=True, help="One of those `--list` names; all by default.")
+@click.option("--scenario", "scenarios", multiple=True, help="A scenario that `--list` names; all by default.")
 @click.option("--seeds", default="1-5", show_default=True, help="FIRST-LAST.")
-@click.option("--workers", type=click.IntRange(1, 256), help="Runs at once; by default one for each core.")
-@click.option("--quiet", is_flag=True, help="Only the broken runs and the sum.")
-@click.option("--list", "listing", is_flag=True, help="Names the scenarios and ends.")
+@click.option("--workers", type=click.IntRange(1, 256), help="Parallel runs; by default one per CPU core.")
+@click.option("--quiet", is_flag=True, help="Print only broken runs and the summary.")
+@click.option("--list", "listing", is_flag=True, help="List the scenarios and exit.")
 def simulate(deployment, scenarios, seeds, listing, workers, quiet) -> None:
-    """Drives the same code through failures in simulated time, seed by seed."""
+    """Runs failure scenarios against the same code in simulated time, seed by seed."""
     from hoistsaddle.testbed.simulation.catalogue import CORE_SCENARIOS, SCENARIOS, find_scenario
     from hoistsaddle.testbed.simulation.runs import Run, carry_out_all
 
@@ -130,15 +130,15 @@
     broken = 0
     for outcome in carry_out_all(runs, workers=workers):
         run = outcome.run
-        bad = outcome.failed or "; ".join(f"{line}: {found[0]}" for line, found in outcome.broken.items())
-        again = f"hoistsaddle fleet simulate {run.deployment} --scenario {run.scenario} --seeds {run.seed}"
-        if bad:
+        problem = outcome.failed or "; ".join(f"{line}: {found[0]}" for line, found in outcome.broken.items())
+        rerun = f"hoistsaddle fleet simulate {run.deployment} --scenario {run.scenario} --seeds {run.seed}"
+        if problem:
             broken += 1
-            click.echo(f"BROKEN {run.scenario} seed {run.seed}: {bad} (again: {again})")
+            click.echo(f"BROKEN {run.scenario} seed {run.seed}: {problem} (again: {rerun})")
         elif not quiet:
             click.echo(
                 f"{run.scenario} seed {run.seed}: {outcome.answered} of {outcome.asked} answered, "
-                f"further sends at most {outcome.retry_share:.2f} of the bound, held"
+                f"retries at most {outcome.retry_share:.2f} of the bound, held"
             )
     click.echo(f"{len(runs)} runs of {len(chosen)} scenarios on {deployment}, {broken} broken")
     sys.exit(1 if broken else 0)
@@ -146,27 +146,29 @@
 
 @fleet.command()
 @click.option("--seeds", default="1-5", show_default=True, help="FIRST-LAST.")
-@click.option("--only", help="Keeps these happenings of the day alone, by place: 0,3,4.")
-@click.option("--small", is_flag=True, help="Small sites: quicker days with less on them.")
-@click.option("--no-shrink", is_flag=True, help="Doesn't make a failing day smaller.")
-@click.option("--workers", type=click.IntRange(1, 256), help="Days at once; by default one for each core.")
+@click.option("--only", help="Keep only these events of the day, by index: 0,3,4.")
+@click.option("--small", is_flag=True, help="Use small sites, whose days run faster.")
+@click.option("--no-shrink", is_flag=True, help="Do not reduce a failing day to the events that break a rule.")
+@click.option("--workers", type=click.IntRange(1, 256), help="Parallel days; by default one per CPU core.")
 def hunt(seeds, only, small, no_shrink, workers) -> None:
-    """Plays random days of the users' platform in simulated time and looks for broken rules."""
+    """Simulates random days of the users' platform and looks for broken rules."""
     from hoistsaddle.testbed.emulator import hunt as hunting
 
     first, _, last = seeds.partition("-")
-    places = None if only is None else [place.strip() for place in only.split(",") if place.strip()]
-    if not first.isdigit() or not (last or first).isdigit() or not all(place.isdigit() for place in places or ()):
+    indexes = None if only is None else [index.strip() for index in only.split(",") if index.strip()]
+    if not first.isdigit() or not (last or first).isdigit() or not all(index.isdigit() for index in indexes or ()):
         exit_with_usage_error(
-            f"params: seeds {seeds!r} or happenings {only!r} can't be read. Remedy: write seeds like 1-20 "
-            "and happenings like 0,3,4."
+            f"params: seeds {seeds!r} or events {only!r} can't be read. Remedy: write seeds like 1-20 "
+            "and events like 0,3,4."
         )
-    kept = None if places is None else tuple(int(place) for place in places)
+    kept = None if indexes is None else tuple(int(index) for index in indexes)
     numbers = range(int(first), int(last or first) + 1)
-    most = {number: len(hunting.day_of(hunting.DayCase(number, small)).events) for number in numbers}
-    if kept is not None and (beyond := [number for number in numbers if max(kept, default=-1) >= most[number]]):
+    event_counts = {number: len(hunting.day_of(hunting.DayCase(number, small)).events) for number in numbers}
+    if kept is not None and (
+        too_short := [number for number in numbers if max(kept, default=-1) >= event_counts[number]]
+    ):
         exit_with_usage_error(
-            f"params: seed {beyond[0]} has {most[beyond[0]]} happenings. Remedy: name places below that."
+            f"params: seed {too_short[0]} has {event_counts[too_short[0]]} events. Remedy: give indexes below that."
         )
     days = [hunting.DayCase(number, small, kept) for number in numbers]
     broken = 0
@@ -187,24 +189,29 @@
 
 def _print_broken(verdict) -> None:
     day_case = verdict.day_case
-    again = f"hoistsaddle fleet hunt --seeds {day_case.seed}" + (" --small" if day_case.small else "")
+    rerun = f"hoistsaddle fleet hunt --seeds {day_case.seed}" + (" --small" if day_case.small else "")
     if day_case.only is not None:
-        again += f" --only {','.join(str(place) for place in day_case.only)}"
+        rerun += f" --only {','.join(str(index) for index in day_case.only)}"
     summary = verdict.failed or "; ".join(
         f"{rule} ({len(found)}): {found[0]}" for rule, found in sorted(verdict.broken.items())
     )
-    click.echo(f"BROKEN seed {day_case.seed}: {summary} (again: {again})")
+    click.echo(f"BROKEN seed {day_case.seed}: {summary} (again: {rerun})")
 
 
 @fleet.command()
 @click.argument("size", default="3+6")
 @click.option("--seeds", default="1", show_default=True, help="FIRST-LAST.")
-@click.option("--minutes", type=click.FloatRange(0.2, 600), default=1.0, show_default=True, help="Of traffic.")
-@click.option("--older", type=click.Path(exists=True, file_okay=False, path_type=Path), help="A former release, built.")
+@click.option("--minutes", type=click.FloatRange(0.2, 600), default=1.0, show_default=True, help="Minutes of traffic.")
+@click.option(
+    "--older", type=click.Path(exists=True, file_okay=False, path_type=Path), help="Folder of a former release, built."
+)
 @click.option("--report", "figures", type=click.Path(file_okay=False, path_type=Path), help="Folder for CSV and plot.")
 @click.option("--folder", type=click.Path(file_okay=False, path_type=Path), help="Where settings, logs and data go.")
 def soak(size, seeds, minutes, older, figures, folder) -> None:
-    """Runs real sidecars and controllers under kept connections, signals, restarts and changes; SIZE as 3+6."""
+    """Runs real sidecars and controllers under kept connections, signals, restarts and changes.
+
+    SIZE is CONTROLLERS+SIDECARS, such as 3+6.
+    """
     from hoistsaddle.testbed.soak.day import draw_soak
     from hoistsaddle.testbed.soak.report import lines_of, plot_usage, verdict_of, write_usage
     from hoistsaddle.testbed.soak.size import check_room, read_size, site_of, total_memory
@@ -221,11 +228,11 @@
         exit_with_usage_error(str(problem))
     verdicts: Counter[str] = Counter()
     for seed in range(int(first), int(last or first) + 1):
-        place = (folder or Path(tempfile.mkdtemp(prefix="hoistsaddle-soak-"))) / f"seed-{seed}"
-        place.mkdir(parents=True, exist_ok=True)
+        run_folder = (folder or Path(tempfile.mkdtemp(prefix="hoistsaddle-soak-"))) / f"seed-{seed}"
+        run_folder.mkdir(parents=True, exist_ok=True)
         day = draw_soak(site_of(chosen, seed=seed), seed=seed, seconds=minutes * 60)
         try:
-            report = asyncio.run(run_soak(day, folder=place, older=older, write_line=click.echo))
+            report = asyncio.run(run_soak(day, folder=run_folder, older=older, write_line=click.echo))
         except asyncio.CancelledError:
             click.echo("stopped: interrupted; all its processes are ended", err=True)
             sys.exit(1)
@@ -241,11 +248,13 @@
 
 
 @fleet.command()
-@click.option("--minutes", type=click.FloatRange(0.05, 600), default=1.0, show_default=True, help="Of random walks.")
-@click.option("--workers", type=click.IntRange(1, 256), help="Processes at once; by default one for each core.")
+@click.option(
+    "--minutes", type=click.FloatRange(0.05, 600), default=1.0, show_default=True, help="Minutes of random walks."
+)
+@click.option("--workers", type=click.IntRange(1, 256), help="Parallel processes; by default one per CPU core.")
 @_seed
 def check(minutes, seed, workers) -> None:
-    """Model check of the log, its voters and its snapshots: small spaces walked through whole, then random walks."""
+    """Checks a model of the log, its voters and its snapshots: small state spaces in full, then by random walks."""
     from hoistsaddle.testbed.modelcheck import check as checking
 
     sys.exit(1 if checking.check(minutes=minutes, seed=seed, workers=workers, write_line=click.echo) else 0)
@@ -253,20 +262,24 @@
 
 @fleet.command()
 @click.option("--point", required=True, type=click.Choice(["cutoff", "orders", "losses", "changes", "answers", "all"]))
-@click.option("--site", type=click.Path(exists=True, dir_okay=False, path_type=Path), help="The site file to fit.")
+@click.option(
+    "--site",
+    type=click.Path(exists=True, dir_okay=False, path_type=Path),
+    help="The site file for which the days are drawn.",
+)
 @click.option("--count", type=click.IntRange(1, 1000), default=5, show_default=True, help="How many days.")
 @click.option("--out", type=click.Path(file_okay=False, path_type=Path), required=True, help="Folder for the files.")
 @_seed
 def days(point, site, count, out, seed) -> None:
-    """Draws days of our own for the users' bench, one TOML file each."""
+    """Generates days for the users' bench, one TOML file each."""
     from hoistsaddle.testbed.benchdays.site import BenchSite, read_site
     from hoistsaddle.testbed.benchdays.writer import write
 
     try:
-        known = read_site(site) if site else BenchSite()
+        bench_site = read_site(site) if site else BenchSite()
     except (ValueError, KeyError) as problem:
-        exit_with_usage_error(f"params: {site} is no site file ({problem}). Remedy: name one of the bench's.")
-    for path in write(site=known, point=point, seed=seed, count=count, folder=out):
+        exit_with_usage_error(f"params: {site} is no site file ({problem}). Remedy: give a site file of the bench.")
+    for path in write(site=bench_site, point=point, seed=seed, count=count, folder=out):
         click.echo(str(path))
 
 
@@ -280,12 +293,12 @@
     help="For versions: a checkout of the former release.",
 )
 def measure(what, older) -> None:
-    """Takes one of the measurements that docs/measurements.md keeps."""
+    """Takes one of the measurements that docs/measurements.md records."""
     from hoistsaddle.testbed import measure as measuring
     from hoistsaddle.testbed.deployments import DEPLOYMENTS
 
     if what == "versions" and older is None:
-        exit_with_usage_error("params: versions needs --older. Remedy: name a checkout of the former release.")
+        exit_with_usage_error("params: versions needs --older. Remedy: give a checkout of the former release.")
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as temporary:
         work = {
             "commits": lambda: measuring.commits(folder=Path(temporary), write_line=click.echo),
@@ -302,31 +315,54 @@
 
 
 @fleet.command()
-@click.option("--sizes", default="100,250,500,760", show_default=True, help="Nodes of each fleet; empty for none.")
-@click.option("--slope", "slopes", multiple=True, help="One of those `--list` names; all by default.")
-@click.option("--no-slopes", is_flag=True, help="Only the fleets.")
-@click.option("--small", is_flag=True, help="The slopes at a few small points, once each.")
 @click.option(
-    "--rounds", type=click.IntRange(1, 100), default=5, show_default=True, help="Of each timed piece of work."
+    "--sizes", default="100,250,500,760", show_default=True, help="Number of nodes of each fleet; empty for no fleet."
+)
+@click.option("--slope", "slopes", multiple=True, help="A slope that `--list` names; all by default.")
+@click.option("--no-slopes", is_flag=True, help="Measure only the fleets.")
+@click.option("--small", is_flag=True, help="Measure the slopes at a few small points, once each.")
+@click.option(
+    "--rounds", type=click.IntRange(1, 100), default=5, show_default=True, help="Repetitions of each timed operation."
 )
 @click.option("--core", type=click.IntRange(1, 7), default=3, show_default=True, help="Core machines of a fleet.")
 @click.option(
-    "--whole", "full", type=click.IntRange(0, 8), default=2, show_default=True, help="Full proxies among them."
+    "--whole",
+    "full",
+    type=click.IntRange(0, 8),
+    default=2,
+    show_default=True,
+    help="Number of full proxies in a fleet.",
+)
+@click.option(
+    "--together", type=click.IntRange(1, 400), default=32, show_default=True, help="Hollow proxies per process."
 )
-@click.option("--together", type=click.IntRange(1, 400), default=32, show_default=True, help="Hollow ones a process.")
-@click.option("--stretch", type=float, default=0.0, help="Seconds here for one of the mesh; by the size if left out.")
-@click.option("--quiet-seconds", type=float, default=8.0, show_default=True, help="Of the mesh, with nothing asked.")
-@click.option("--load-seconds", type=float, default=4.0, show_default=True, help="Of the mesh, with calls and claims.")
-@click.option("--calls", type=float, default=100.0, show_default=True, help="Plain calls a second of the whole fleet.")
-@click.option("--keyed", type=float, default=40.0, show_default=True, help="Keyed calls a second of the whole fleet.")
-@click.option("--losses", default="1,1", show_default=True, help="How many proxies are lost at once, in turn.")
-@click.option("--most-seconds", type=float, default=1200.0, show_default=True, help="Of this machine, for one fleet.")
-@click.option("--figures", type=click.Path(dir_okay=False, path_type=Path), help="All figures: .csv or .parquet.")
-@click.option("--plot", "picture", type=click.Path(dir_okay=False, path_type=Path), help="A picture: .png or .svg.")
-@click.option("--list", "listing", is_flag=True, help="Names the slopes and ends.")
+@click.option(
+    "--stretch", type=float, default=0.0, help="Real seconds per second of mesh time; by default chosen by size."
+)
+@click.option("--quiet-seconds", type=float, default=8.0, show_default=True, help="Mesh time without requests.")
+@click.option("--load-seconds", type=float, default=4.0, show_default=True, help="Mesh time with calls and claims.")
+@click.option(
+    "--calls", type=float, default=100.0, show_default=True, help="Plain calls per second of the whole fleet."
+)
+@click.option("--keyed", type=float, default=40.0, show_default=True, help="Keyed calls per second of the whole fleet.")
+@click.option(
+    "--losses", default="1,1", show_default=True, help="Numbers of proxies lost at once, one loss after the other."
+)
+@click.option("--most-seconds", type=float, default=1200.0, show_default=True, help="Longest real time for one fleet.")
+@click.option(
+    "--figures", type=click.Path(dir_okay=False, path_type=Path), help="File for all figures: .csv or .parquet."
+)
+@click.option(
+    "--plot", "picture", type=click.Path(dir_okay=False, path_type=Path), help="File for the plot: .png or .svg."
+)
+@click.option("--list", "listing", is_flag=True, help="List the slopes and exit.")
 @_seed
-def scale(sizes, slopes, no_slopes, small, listing, figures, picture, rounds, seed, losses, **needs) -> None:
-    """Measures what control costs as the fleet grows: hollow proxies beside a real core, and the cores' own slopes."""
+def scale(sizes, slopes, no_slopes, small, listing, figures, picture, rounds, seed, losses, **options) -> None:
+    """Measures how the cost of the control plane grows with the fleet.
+
+    A fleet consists of a real core, a few full proxies and many hollow ones. The slopes time single control mechanisms
+    without sockets.
+    """
     from hoistsaddle.testbed.scale import report
     from hoistsaddle.testbed.scale.meter import Measured
     from hoistsaddle.testbed.scale.run import Plan, run_fleet
@@ -350,13 +386,13 @@
         found += take(chosen, small=small, rounds=1 if small else rounds, write_line=click.echo)
     rows = []
     for size in (int(number) for number in sizes.split(",") if number.strip()):
-        # So that all hollow proxies together need about one core of this machine.
-        stretch = needs["stretch"] or max(1.0, round(size / 38))
+        # With this value all hollow proxies together need about one CPU core of this machine.
+        stretch = options["stretch"] or max(1.0, round(size / 38))
         plan = Plan(
             nodes=size,
             seed=seed,
             losses=tuple(int(number) for number in losses.split(",") if number.strip()),
-            **{**needs, "stretch": stretch},
+            **{**options, "stretch": stretch},
         )
         click.echo(f"{size} nodes, {plan.core} core machines, one second of the mesh in {stretch:g} here")
         rows += asyncio.run(run_fleet(plan, write_line=click.echo))
@@ -371,22 +407,24 @@
 
 
 def _with_fleet(
-    name: str, folder: str | None, seed: int, work: Callable[..., Awaitable], *, outsiders: bool = False, **needs
+    name: str, folder: str | None, seed: int, work: Callable[..., Awaitable], *, outsiders: bool = False, **options
 ) -> None:
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-") as temporary:
-        place = Path(folder) if folder else Path(temporary)
+        used_folder = Path(folder) if folder else Path(temporary)
         try:
-            sys.exit(asyncio.run(_run(name, place, seed, work, outsiders, needs)))
+            sys.exit(asyncio.run(_run(name, used_folder, seed, work, outsiders, options)))
         except (AssertionError, asyncio.CancelledError) as problem:
             click.echo(
-                f"stopped: {problem or 'interrupted'}. Remedy: look at the logs in {place}, or begin "
+                f"stopped: {problem or 'interrupted'}. Remedy: look at the logs in {used_folder}, or begin "
                 "with an empty folder.",
                 err=True,
             )
             sys.exit(1)
 
 
-async def _run(name: str, folder: Path, seed: int, work: Callable[..., Awaitable], outsiders: bool, needs: dict) -> int:
+async def _run(
+    name: str, folder: Path, seed: int, work: Callable[..., Awaitable], outsiders: bool, options: dict
+) -> int:
     from hoistsaddle.testbed.checkers import check_all
     from hoistsaddle.testbed.deployments import DEPLOYMENTS
     from hoistsaddle.testbed.fleet import Fleet
@@ -398,26 +436,26 @@
     main = asyncio.current_task()
 
     def interrupt() -> None:
-        # The first interrupt ends the run in order, a second one cuts it short.
+        # The first interrupt ends the run gracefully, a second one cancels it.
         if stopped.is_set():
             main.cancel()
         stopped.set()
 
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, interrupt)
-    async with Fleet(deployment=deployment, folder=folder, seed=seed, **needs) as running:
+    async with Fleet(deployment=deployment, folder=folder, seed=seed, **options) as running:
         click.echo(f"seed {seed}; settings, logs and data in {folder}")
         await running.start()
         click.echo(
             f"{name} is up: {deployment.core} core machines, {len(running.proxies)} proxies, each with its server"
         )
         load = await work(running, stopped)
-        outcomes = Counter(got.outcome for got in running.history.of(RequestResult))
+        outcomes = Counter(result.outcome for result in running.history.of(RequestResult))
         if load.latencies:
             ordered = sorted(load.latencies)
             click.echo(
-                f"clients: {sum(outcomes.values())} asked, {dict(outcomes)}, median "
-                f"{statistics.median(ordered) * 1000:.1f} ms, 99th of 100 "
+                f"clients: {sum(outcomes.values())} requests, {dict(outcomes)}, median "
+                f"{statistics.median(ordered) * 1000:.1f} ms, 99th percentile "
                 f"{ordered[int(len(ordered) * 0.99)] * 1000:.1f} ms"
             )
         lines = check_all(running.history, deployment, outsiders=outsiders)
