--- a/packages/cli/src/hoistsaddle/cli/fleet_commands.py
+++ b/packages/cli/src/hoistsaddle/cli/fleet_commands.py
@@ -27,7 +27,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Runs a whole deployment on this machine."""
+    """Runs and tests whole deployments on this machine."""
 
 
 @fleet.command()
@@ -106,7 +106,7 @@
 @fleet.command()
 @click.argument("deployment", type=click.Choice(["brindlefield", "kadiri", "thimble", "three", "five"]))
 @click.option("--scenario", "scenarios", multiple=True, help="A scenario that `--list` names; all by default.")
-@click.option("--seeds", default="1-5", show_default=True, help="FIRST-LAST.")
+@click.option("--seeds", default="1-5", show_default=True, help="Range of seeds, FIRST-LAST.")
 @click.option("--workers", type=click.IntRange(1, 256), help="Parallel runs; by default one per CPU core.")
 @click.option("--quiet", is_flag=True, help="Print only broken runs and the summary.")
 @click.option("--list", "listing", is_flag=True, help="List the scenarios and exit.")
@@ -130,7 +130,7 @@
     broken = 0
     for outcome in carry_out_all(runs, workers=workers):
         run = outcome.run
-        problem = outcome.failed or "; ".join(f"{line}: {found[0]}" for line, found in outcome.broken.items())
+        problem = outcome.failed or "; ".join(f"{rule}: {violations[0]}" for rule, violations in outcome.broken.items())
         rerun = f"hoistsaddle fleet simulate {run.deployment} --scenario {run.scenario} --seeds {run.seed}"
         if problem:
             broken += 1
@@ -145,7 +145,7 @@
 
 
 @fleet.command()
-@click.option("--seeds", default="1-5", show_default=True, help="FIRST-LAST.")
+@click.option("--seeds", default="1-5", show_default=True, help="Range of seeds, FIRST-LAST.")
 @click.option("--only", help="Keep only these events of the day, by index: 0,3,4.")
 @click.option("--small", is_flag=True, help="Use small sites, whose days run faster.")
 @click.option("--no-shrink", is_flag=True, help="Do not reduce a failing day to the events that break a rule.")
@@ -193,14 +193,14 @@
     if day_case.only is not None:
         rerun += f" --only {','.join(str(index) for index in day_case.only)}"
     summary = verdict.failed or "; ".join(
-        f"{rule} ({len(found)}): {found[0]}" for rule, found in sorted(verdict.broken.items())
+        f"{rule} ({len(violations)}): {violations[0]}" for rule, violations in sorted(verdict.broken.items())
     )
     click.echo(f"BROKEN seed {day_case.seed}: {summary} (again: {rerun})")
 
 
 @fleet.command()
 @click.argument("size", default="3+6")
-@click.option("--seeds", default="1", show_default=True, help="FIRST-LAST.")
+@click.option("--seeds", default="1", show_default=True, help="Range of seeds, FIRST-LAST.")
 @click.option("--minutes", type=click.FloatRange(0.2, 600), default=1.0, show_default=True, help="Minutes of traffic.")
 @click.option(
     "--older", type=click.Path(exists=True, file_okay=False, path_type=Path), help="Folder of a former release, built."
@@ -380,10 +380,10 @@
             "Remedy: see --list; write sizes like 100,250."
         )
     click.echo(f"seed {seed}; load of this machine now: {', '.join(f'{load:.1f}' for load in os.getloadavg())}")
-    found: list[Measured] = []
+    measurements: list[Measured] = []
     if not no_slopes:
         chosen = list(slopes or SLOPES)
-        found += take(chosen, small=small, rounds=1 if small else rounds, write_line=click.echo)
+        measurements += take(chosen, small=small, rounds=1 if small else rounds, write_line=click.echo)
     rows = []
     for size in (int(number) for number in sizes.split(",") if number.strip()):
         # With this value all hollow proxies together need about one CPU core of this machine.
@@ -396,14 +396,14 @@
         )
         click.echo(f"{size} nodes, {plan.core} core machines, one second of the mesh in {stretch:g} here")
         rows += asyncio.run(run_fleet(plan, write_line=click.echo))
-    found += report.of_fleet(rows)
-    for line in report.table_of(found):
+    measurements += report.of_fleet(rows)
+    for line in report.table_of(measurements):
         click.echo(line)
     if figures is not None:
-        report.write_figures(found, figures)
+        report.write_figures(measurements, figures)
     if picture is not None:
-        report.plot(found, picture)
-    sys.exit(1 if any(each.what.startswith("BROKE") for each in found) else 0)
+        report.plot(measurements, picture)
+    sys.exit(1 if any(each.what.startswith("BROKE") for each in measurements) else 0)
 
 
 def _with_fleet(
--- a/tests/test_registry_controller.py
+++ b/tests/test_registry_controller.py
@@ -233,10 +233,10 @@
     def test_events_are_shown_as_sentences(self) -> None:
         for kind, detail, words in (
             ("bundle patched", {"number": 4, "items": 2, "author": "desk", "signer": "ben"}, "signed by ben"),
-            ("patch refused", {"mishap": "item-broken", "field": "sets[0].parts"}, "is refused: item-broken"),
-            ("items taken up", {"revision": 9, "items": 3}, "takes up 3 items at revision 9"),
-            ("voter added", {"replica": 1, "epoch": 1, "voter": 5, "voters": 3}, "replica 5 votes from now on, of 3"),
-            ("voter dropped", {"replica": 1, "epoch": 1, "voter": 5, "voters": 2}, "replica 5 votes no more"),
+            ("patch refused", {"mishap": "item-broken", "field": "sets[0].parts"}, "is rejected: item-broken"),
+            ("items taken up", {"revision": 9, "items": 3}, "applies 3 items at revision 9"),
+            ("voter added", {"replica": 1, "epoch": 1, "voter": 5, "voters": 3}, "replica 5 becomes a voter, one of 3"),
+            ("voter dropped", {"replica": 1, "epoch": 1, "voter": 5, "voters": 2}, "replica 5 is no longer a voter"),
             ("founded", {"mesh": "abc"}, "founded as mesh abc"),
         ):
             event = {"moment": "2026-12-02T03:00:00.000+00:00", "owner": "x", "kind": kind, "detail": detail}
