--- a/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/change_requests.py
@@ -180,7 +180,7 @@
         first, second = rng.sample(self._initial_routes(), 2)
         valid = first._replace(parts=((rng.choice(services), 1.0),))
         beside_split = how == "unknown service" and len(second.parts) > 1 and rng.random() < 0.5
-        invalid = samples.spoiled(
+        invalid = samples.invalid_route(
             self._encode_route(second, number), how=how, services=services, beside_split=beside_split
         )
         body = samples.call(routes=[self._encode_route(valid, number), invalid])
