--- a/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
@@ -189,7 +189,7 @@
                 if done or self.environment.now() >= until:
                     break
                 await asyncio.sleep(READ_RETRY_SECONDS)
-            routes = samples.read_complete(answer.body) if done else None
+            routes = samples.routes_of(answer.body) if done else None
             self.environment.history.add(ConfigurationRead(self.environment.now(), name, routes))
 
         await asyncio.gather(*(read(name) for name in self.environment.core))
