--- a/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
@@ -217,7 +217,7 @@
             await asyncio.sleep(max(0.0, until - environment.now()))
             error = MeshError(ErrorKind.BUDGET_SPENT, "No answer came.", "simulated")
             return ServerFailed(command.number, False, error)
-        headers = pack_pairs(adapter("samples").sealed(run=run, attempt=call.client_attempt_id))
+        headers = pack_pairs(adapter("samples").answer_headers(run=run, attempt=call.client_attempt_id))
         return ServerAnswered(command.number, status, headers, body, False)
 
     def make_body(self, mark: bytes) -> bytes:
