--- a/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
@@ -85,7 +85,7 @@
         cold = max(0.0, self.began + SLOW_START_SECONDS - self.environment.now())
         leaving = self.leaving
         samples = adapter("samples")
-        body = samples.beat(
+        body = samples.heartbeat(
             service=self.service,
             address=self.address,
             zone=self.machine.zone,
