--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform adapter: settings, configuration items and HTTP handlers in the platform's own names and formats."""
+"""The platform adapter: settings, configuration items and HTTP handlers with the platform's names and formats."""
 
 import asyncio
 import json
@@ -79,7 +79,7 @@
 
 
 class PlatformHeaders(TestCase):
-    """Settings and header names, read from the platform's environment."""
+    """The platform's settings file and header names."""
 
     def read(self, **changes: Any) -> Settings:
         with tempfile.TemporaryDirectory() as folder:
@@ -87,7 +87,7 @@
             path.write_text(json.dumps({**SETTINGS, **changes}))
             return read_settings(str(path))
 
-    def test_the_pages_example_makes_checked_params(self) -> None:
+    def test_the_platforms_example_gives_valid_settings(self) -> None:
         settings = self.read()
         sidecar = sidecar_settings(settings)
         self.assertThat(check_settings(sidecar), IsInstance(Success))
@@ -99,27 +99,27 @@
         self.assertThat((sidecar.service, sidecar.server), Equals(("huvo11a", "10.1.0.8:8301")))
         self.assertThat((sidecar.further_percent, sidecar.further_margin), Equals((20, 58)))
         self.assertThat((sidecar.grace_seconds, sidecar.drain_seconds), Equals((6.0, 2.0)))
-        # A key is held for at least its window.
+        # A key is kept for at least its window.
         self.assertThat(sidecar.key_seconds >= 60, Equals(True))
         # A server counts as silent only after more than one missing heartbeat.
         self.assertThat(sidecar.health_seconds > 2 * 1.5, Equals(True))
 
     def test_a_core_machines_settings(self) -> None:
-        daemon_settings = controller_settings(self.read(state_dir="/data", ip_addr="10.1.0.12"))
-        self.assertThat(check_settings(daemon_settings), IsInstance(Success))
+        program_settings = controller_settings(self.read(state_dir="/data", ip_addr="10.1.0.12"))
+        self.assertThat(check_settings(program_settings), IsInstance(Success))
         self.assertThat(
-            (daemon_settings.host, daemon_settings.data_folder, daemon_settings.cold_start, daemon_settings.losses),
+            (program_settings.host, program_settings.data_folder, program_settings.cold_start, program_settings.losses),
             Equals(("10.1.0.12", "/data", True, 1)),
         )
-        self.assertThat(daemon_settings.seeds, Equals(["10.1.0.12", "10.2.0.10", "10.3.0.10"]))
-        self.assertThat(daemon_settings.registry_port == daemon_settings.store_port, Equals(False))
+        self.assertThat(program_settings.seeds, Equals(["10.1.0.12", "10.2.0.10", "10.3.0.10"]))
+        self.assertThat(program_settings.registry_port == program_settings.store_port, Equals(False))
         for window, seconds in (("60", 600.0), ("0.1", 600.0), ("300", 3000.0), ("1e9", 86400.0)):
             result = controller_settings(self.read(state_dir="/data", bounds=[f"key_window_s={window}"]))
             self.assertThat((result.resend_seconds, type(check_settings(result))), Equals((seconds, Success)))
-        refused = check_settings(controller_settings(self.read(state_dir=None)))
-        self.assertThat(refused.failure().field, Equals("data_folder"))
+        rejected = check_settings(controller_settings(self.read(state_dir=None)))
+        self.assertThat(rejected.failure().field, Equals("data_folder"))
 
-    def test_fields_nobody_knows_yet_are_passed_over(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         settings = self.read(later={"a": [1]}, tolerance={"machine_loss": 2, "later": 1})
         self.assertThat((settings.tolerance.machine_loss, settings.node_name), Equals((2, "sidecar-mids-a-1")))
 
@@ -139,20 +139,20 @@
             self.assertThat(settings.bound("drain_s", 9), Equals(2.5), str(bounds))
             self.assertThat(settings.bound("grace_s", 6), Equals(6.0), str(bounds))
 
-    def test_fractions_of_a_share_are_not_lost_in_counting(self) -> None:
+    def test_percentages_are_not_rounded_down_by_floating_point_errors(self) -> None:
         for ratio, percent in (("0.29", 29), ("0.57", 57), ("0.2", 20), ("0", 0)):
-            daemon_settings = sidecar_settings(self.read(bounds=[f"budget_ratio={ratio}"]))
-            self.assertThat(daemon_settings.further_percent, Equals(percent), ratio)
+            program_settings = sidecar_settings(self.read(bounds=[f"budget_ratio={ratio}"]))
+            self.assertThat(program_settings.further_percent, Equals(percent), ratio)
 
     def test_a_lease_follows_from_the_bounds(self) -> None:
         for contact, apply, lease in ((3, 2, 1.5), (2, 2, 1.0), (9, 1, 0.75), (60, 60, 1.5), (0.4, 9, 0.6)):
             settings = self.read(state_dir="/data", bounds=[f"contact_s={contact}", f"apply_s={apply}"])
-            for daemon_settings in (sidecar_settings(settings), controller_settings(settings)):
+            for program_settings in (sidecar_settings(settings), controller_settings(settings)):
                 self.assertThat(
-                    (daemon_settings.lease_seconds, type(check_settings(daemon_settings))), Equals((lease, Success))
+                    (program_settings.lease_seconds, type(check_settings(program_settings))), Equals((lease, Success))
                 )
 
-    def test_the_platforms_own_names_of_headers(self) -> None:
+    def test_the_platforms_header_names(self) -> None:
         self.assertThat(
             tuple(HEADER_NAMES),
             Equals(("Attempt-Id", "Deadline-Ms", "Operation-Key", "Caller-Service", "Target-Instance", "Not-Run")),
@@ -165,7 +165,7 @@
     def read(self, body: str | bytes) -> Patch:
         return read_call(body.encode() if isinstance(body, str) else body).unwrap()
 
-    def test_the_pages_first_call(self) -> None:
+    def test_the_platforms_first_example_call(self) -> None:
         patch = self.read(FIRST)
         self.assertThat(check_patch(patch), IsInstance(Success))
         kinds = [(each.kind, each.item.get("name", ""), each.revision) for each in patch.sets]
@@ -191,30 +191,30 @@
         self.assertThat(patch.sets[2].item["connections"], Equals(110))
         self.assertThat(patch.sets[6].item["body_bytes"], Equals(67108864))
 
-    def test_the_pages_second_call(self) -> None:
+    def test_the_platforms_second_example_call(self) -> None:
         patch = self.read(SECOND)
         self.assertThat([(each.kind, each.revision) for each in patch.sets], Equals([(ENTRY, 9)]))
         self.assertThat(patch.drops, Equals([ItemDeletion(ENTRY, 9, "r-old")]))
 
-    def test_what_stands_is_given_back_word_for_word(self) -> None:
+    def test_items_in_force_are_written_back_verbatim(self) -> None:
         patch = self.read(FIRST)
-        stands = [(each.kind, each.item.get("name", LIMITS), each.revision, each.source) for each in patch.sets]
-        result = write_items(stands).decode()
+        in_force = [(each.kind, each.item.get("name", LIMITS), each.revision, each.source) for each in patch.sets]
+        result = write_items(in_force).decode()
         for text in (ROUTE, KEYED, *SERVICES, CONSTRAINTS):
             self.assertThat(result, Contains(text))
         self.assertThat(json.loads(result), Equals(json.loads(FIRST)["apply"]))
-        # What is read back is a first call's set again.
+        # The configuration that is read back can be sent again as a call.
         self.assertThat(self.read(f'{{"apply":{result}}}').sets, Equals(patch.sets))
 
-    def test_fields_of_an_item_that_mean_nothing_here_come_back_too(self) -> None:
-        odd = ROUTE.replace('"rank":2', '"rank" : 2, "note":{"a":[1,2.50]}')
-        patch = self.read(f'{{"apply":{{"route_table":[{odd}]}}}}')
-        self.assertThat(write_items([(ENTRY, "r", 7, patch.sets[0].source)]).decode(), Contains(odd))
+    def test_unknown_fields_of_an_item_are_written_back_too(self) -> None:
+        extended = ROUTE.replace('"rank":2', '"rank" : 2, "note":{"a":[1,2.50]}')
+        patch = self.read(f'{{"apply":{{"route_table":[{extended}]}}}}')
+        self.assertThat(write_items([(ENTRY, "r", 7, patch.sets[0].source)]).decode(), Contains(extended))
 
-    def test_nothing_stands(self) -> None:
+    def test_an_empty_configuration(self) -> None:
         self.assertThat(json.loads(write_items([])), Equals({"route_table": [], "services": []}))
 
-    def test_versions_go_by_their_numbers(self) -> None:
+    def test_generations_become_revision_numbers(self) -> None:
         for tag, revision in (("r0", 0), ("r9", 9), ("r12", 12), ("r100000", 100000)):
             patch = self.read(f'{{"remove":{{"services":[{{"name":"x","generation":"{tag}"}}]}}}}')
             self.assertThat(patch.drops, Equals([ItemDeletion(SERVICE, revision, "x")]))
@@ -229,7 +229,7 @@
             patch = self.read(f'{{"apply":{{"route_table":[{ROUTE.replace("idempotent", text)}]}}}}')
             self.assertThat((patch.sets[0].item["kind"], type(check_patch(patch))), Equals((kind, Success)))
 
-    def test_hosts_are_met_in_any_case(self) -> None:
+    def test_host_names_are_lowercased(self) -> None:
         patch = self.read(f'{{"apply":{{"route_table":[{ROUTE.replace("hulo84", "HuLo84")}]}}}}')
         self.assertThat(patch.sets[0].item["host"], Equals("hulo84.example"))
 
@@ -237,12 +237,12 @@
         for body in ("{}", '{"apply":{}}', '{"apply":{"constraints":null}}', '{"remove":{"route_table":[]}}'):
             self.assertThat(self.read(body), Equals(Patch([], [])), body)
 
-    def test_calls_that_cannot_be_read_whole_are_refused(self) -> None:
+    def test_malformed_calls_are_rejected(self) -> None:
         def route(**changes: Any) -> str:
             return json.dumps({"apply": {"route_table": [{**json.loads(ROUTE), **changes}]}})
 
-        gone = json.loads(ROUTE)
-        del gone["hostname"]
+        without_hostname = json.loads(ROUTE)
+        del without_hostname["hostname"]
         for body in (
             "",
             "[]",
@@ -254,7 +254,7 @@
             '{"appply":{}}',
             '{"apply":{"routes":[]}}',
             '{"apply":[]}',
-            json.dumps({"apply": {"route_table": [gone]}}),
+            json.dumps({"apply": {"route_table": [without_hostname]}}),
             route(generation="7"),
             route(generation="r"),
             route(generation="r-7"),
@@ -277,14 +277,14 @@
             self.assertThat((error.kind, error.remedy != ""), Equals((ErrorKind.ITEM_BROKEN, True)))
         self.assertThat(read_call(b"\xff\xfe{}"), IsInstance(Failure))
 
-    def test_calls_that_make_no_sense_are_refused_by_the_product(self) -> None:
+    def test_calls_with_invalid_values_are_rejected_by_the_products_check(self) -> None:
         for changes in (
             {"route_kind": "sometimes"},
             {"cutoff_s": 0},
             {"split": [{"service": "huvo11a", "gain": -1}]},
             {"target_s": 63.0, "cutoff_s": 3},
             {"split": []},
-            # More than 64 bits: neither the log nor a proxy could hold it.
+            # More than 64 bits, which neither the log nor a proxy can encode.
             {"rank": 10**30},
             {"tries": 2**64},
         ):
@@ -294,7 +294,7 @@
 
 
 class Request:
-    """As much of a request as the handlers read."""
+    """The parts of a request that the handlers read."""
 
     def __init__(self, method: str, path: str, body: bytes = b"") -> None:
         self.method = method
@@ -314,12 +314,12 @@
 
 
 class Node:
-    """A sidecar's node as the handlers see it, with a real core behind it that takes the servers' reports."""
+    """A sidecar's node as the handlers see it; servers' reports go to a real sidecar core."""
 
     def __init__(self) -> None:
         self.core = Core()
         self.reports: list[HealthReported | ServerSignedOff] = []
-        # Whether the log takes what is reported.
+        # Whether reports reach the log.
         self.core_up = True
         self.bench = SidecarBench("s-1")
 
@@ -329,7 +329,7 @@
         return None if self.core_up else MeshError(ErrorKind.NO_LEADER, "not recorded", "again")
 
     def server(self) -> tuple[str, str]:
-        """Instance and state of the server as the core has it."""
+        """Returns the instance and the state of the server in the core."""
         server = self.bench.cores["s-1"].server
         return server.instance, server.state
 
@@ -348,17 +348,17 @@
         return self.items
 
 
-def answered(work: Coroutine[Any, Any, Any]) -> Any:
-    return asyncio.run(work)
+def run_coroutine(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    return asyncio.run(coroutine)
 
 
 class Heartbeats(TestCase):
-    """What a server's heartbeats tell its sidecar."""
+    """A server's heartbeats and sign-offs, and the state they give it in its sidecar."""
 
     def setUp(self) -> None:
         super().setUp()
         self.node = Node()
-        self.door = HeartbeatHandler(node=self.node)
+        self.handler = HeartbeatHandler(node=self.node)
 
     def put(self, instance: str = "i-7f3a91c2", **changes: Any) -> int:
         heartbeat = {
@@ -375,29 +375,29 @@
         return self.call("PUT", instance, json.dumps(heartbeat).encode())
 
     def call(self, method: str, instance: str, body: bytes = b"") -> int:
-        return answered(self.door.handle(Request(method, f"/-/instances/{instance}", body))).status
+        return run_coroutine(self.handler.handle(Request(method, f"/-/instances/{instance}", body))).status
 
-    def test_the_pages_beat(self) -> None:
+    def test_the_platforms_example_heartbeat(self) -> None:
         self.assertThat(self.put(), Equals(200))
         self.assertThat(
             self.node.reports,
             Equals([HealthReported("huvo11a", "i-7f3a91c2", "10.128.0.9:8080", READY, 9, timedelta(), 4)]),
         )
 
-    def test_a_late_beat_says_nothing_new(self) -> None:
+    def test_a_late_heartbeat_changes_nothing(self) -> None:
         self.put(call_seq=7)
         self.put(call_seq=8, phase="decaying", cold_left_s=1.5)
-        # It is acknowledged all the same: its sender needs nothing more.
+        # It is acknowledged all the same, since its sender has nothing left to do.
         self.assertThat(self.put(call_seq=7), Equals(200))
         self.assertThat(self.node.server(), Equals(("i-7f3a91c2", WINDING_DOWN)))
         self.assertThat(self.node.reports[1].warm_up, Equals(timedelta(seconds=1.5)))
 
-    def test_a_new_life_counts_from_its_own_beginning(self) -> None:
+    def test_a_new_instance_numbers_its_heartbeats_anew(self) -> None:
         self.put(call_seq=70)
         self.put("i-next", call_seq=1)
         self.assertThat(self.node.server(), Equals(("i-next", READY)))
 
-    def test_a_late_beat_of_a_former_life_changes_nothing(self) -> None:
+    def test_a_late_heartbeat_of_a_former_instance_changes_nothing(self) -> None:
         self.put(call_seq=70)
         self.put("i-next", call_seq=1)
         self.assertThat(self.put(call_seq=71), Equals(200))
@@ -407,47 +407,47 @@
         self.put(phase="pondering")
         self.assertThat(self.node.server(), Equals(("i-7f3a91c2", WINDING_DOWN)))
 
-    def test_a_leave_of_the_server_that_is_there(self) -> None:
+    def test_a_sign_off_of_the_current_instance(self) -> None:
         self.put()
         self.assertThat(self.call("DELETE", "i-7f3a91c2"), Equals(200))
         self.assertThat(self.node.server(), Equals(("i-7f3a91c2", GONE)))
 
-    def test_a_leave_of_another_life_is_acknowledged_and_changes_nothing(self) -> None:
+    def test_a_sign_off_of_another_instance_is_acknowledged_and_changes_nothing(self) -> None:
         self.assertThat(self.call("DELETE", "i-former"), Equals(200))
         self.put()
         self.assertThat(self.call("DELETE", "i-former"), Equals(200))
         self.assertThat(self.node.server(), Equals(("i-7f3a91c2", READY)))
 
-    def test_a_beat_that_was_overtaken_by_its_own_leave_says_nothing(self) -> None:
+    def test_a_heartbeat_that_arrives_after_its_instances_sign_off_changes_nothing(self) -> None:
         for number in (3, 4, 5, 70):
             self.put(call_seq=4)
             self.call("DELETE", "i-7f3a91c2")
             self.assertThat(self.put(call_seq=number), Equals(200))
             self.assertThat(self.node.server(), Equals(("i-7f3a91c2", GONE)), str(number))
 
-    def test_a_leave_is_acknowledged_only_once_it_is_in_the_log(self) -> None:
+    def test_a_sign_off_is_acknowledged_only_once_it_is_in_the_log(self) -> None:
         self.node.core_up = False
         self.assertThat(self.put(phase="decaying"), Equals(503))
         self.assertThat(self.call("DELETE", "i-7f3a91c2"), Equals(503))
-        # It is in force here all the same.
+        # The sidecar applies it all the same.
         self.assertThat(self.node.server(), Equals(("i-7f3a91c2", GONE)))
 
-    def test_broken_beats_are_refused(self) -> None:
+    def test_malformed_heartbeats_are_rejected(self) -> None:
         for body in (b"", b"{}", b"[1]", b'{"service":"a"}', b'{"service":1,"address":"x","phase":"ready"}'):
             self.assertThat(self.call("PUT", "i-1", body), Equals(400), repr(body))
         for path in ("/-/instances/", "/-/other", "/"):
-            self.assertThat(answered(self.door.handle(Request("PUT", path, b"{}"))).status, Equals(404))
+            self.assertThat(run_coroutine(self.handler.handle(Request("PUT", path, b"{}"))).status, Equals(404))
         self.assertThat(self.node.reports, Equals([]))
 
 
 class Ready(TestCase):
     """The readiness check."""
 
-    def test_200_or_503_with_when_to_come_back(self) -> None:
+    def test_200_or_503_with_retry_after(self) -> None:
         node = Node()
-        self.assertThat(answered(answer_ready(node, Request("GET", "/-/ready"))).status, Equals(200))
+        self.assertThat(run_coroutine(answer_ready(node, Request("GET", "/-/ready"))).status, Equals(200))
         node.core.error = MeshError(ErrorKind.NO_CONFIGURATION, "not yet", "wait")
-        result = answered(answer_ready(node, Request("GET", "/-/ready")))
+        result = run_coroutine(answer_ready(node, Request("GET", "/-/ready")))
         self.assertThat((result.status, "Retry-After" in result.headers), Equals((503, True)))
 
 
@@ -455,32 +455,34 @@
     """Configuration calls of the platform's operators."""
 
     def call(self, controller: Controller, method: str = "PATCH", body: str = FIRST, path: str = "/-/config") -> Any:
-        return answered(ConfigurationHandler(controller=controller).handle(Request(method, path, body.encode())))
+        return run_coroutine(ConfigurationHandler(controller=controller).handle(Request(method, path, body.encode())))
 
-    def test_a_good_call_is_passed_on_whole_and_acknowledged(self) -> None:
+    def test_a_valid_call_is_submitted_complete_and_acknowledged(self) -> None:
         controller = Controller(Success({"number": 1}))
         self.assertThat(self.call(controller).status, Equals(200))
         self.assertThat(controller.patches, Equals([read_call(FIRST.encode()).unwrap()]))
 
-    def test_a_broken_call_is_refused_for_good_and_goes_nowhere(self) -> None:
+    def test_a_malformed_call_is_rejected_and_not_submitted(self) -> None:
         controller = Controller(Success({}))
         self.assertThat((self.call(controller, body="{").status, controller.patches), Equals((400, [])))
 
-    def test_what_the_product_refuses_is_refused_for_good(self) -> None:
+    def test_a_rejection_by_the_product_is_final(self) -> None:
         result = self.call(Controller(Failure(MeshError(ErrorKind.ITEM_BROKEN, "wrong", "mend it", "sets[0].parts"))))
         self.assertThat((result.status, result.text), Equals((400, result.text)))
         self.assertThat(result.text, Contains("sets[0].parts"))
-        taken = MeshError(ErrorKind.ITEM_CONFLICT, "Revision 7 of entry pay has another content.", "higher", "sets[0]")
-        result = self.call(Controller(Failure(taken)))
+        conflict = MeshError(
+            ErrorKind.ITEM_CONFLICT, "Revision 7 of entry pay has another content.", "higher", "sets[0]"
+        )
+        result = self.call(Controller(Failure(conflict)))
         self.assertThat((result.status, result.text), Equals((409, result.text)))
         self.assertThat(result.text, Contains("Revision 7 of entry pay"))
 
-    def test_everything_else_is_unclear_and_worth_another_call(self) -> None:
+    def test_all_other_errors_may_be_retried(self) -> None:
         for kind in (ErrorKind.NO_LEADER, ErrorKind.UNSURE, ErrorKind.RELEASE_LEVEL, ErrorKind.ORDER_UNSURE):
             result = self.call(Controller(Failure(MeshError(kind, "not now", "again"))))
             self.assertThat((result.status, "Retry-After" in result.headers), Equals((503, True)))
 
-    def test_reading_gives_what_stands_or_says_that_it_cannot(self) -> None:
+    def test_a_read_returns_the_items_in_force_or_503(self) -> None:
         items = [(ENTRY, "r-n2ctnfz", 7, ROUTE.encode()), (LIMITS, LIMITS, 7, CONSTRAINTS.encode())]
         result = self.call(Controller(Success({}), Success(items)), "GET", "")
         self.assertThat((result.status, result.content_type), Equals((200, "application/json")))
@@ -488,10 +490,12 @@
             json.loads(result.body),
             Equals({"route_table": [json.loads(ROUTE)], "services": [], "constraints": json.loads(CONSTRAINTS)}),
         )
-        away = self.call(Controller(Success({}), Failure(MeshError(ErrorKind.NO_LEADER, "away", "again"))), "GET", "")
-        self.assertThat((away.status, "Retry-After" in away.headers), Equals((503, True)))
+        unavailable = self.call(
+            Controller(Success({}), Failure(MeshError(ErrorKind.NO_LEADER, "away", "again"))), "GET", ""
+        )
+        self.assertThat((unavailable.status, "Retry-After" in unavailable.headers), Equals((503, True)))
 
-    def test_no_other_calls(self) -> None:
+    def test_other_paths_and_methods_are_rejected(self) -> None:
         controller = Controller(Success({}))
         self.assertThat(self.call(controller, path="/-/other").status, Equals(404))
         self.assertThat(self.call(controller, method="DELETE").status, Equals(405))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: subcommands by their standard names, former names as hidden aliases, refusals and reports."""
+"""The command line: subcommands and their former names as hidden aliases, errors, calls and reports."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 def run_program(*arguments: str) -> tuple[Result, dict]:
-    """The command's result, and with what it would have run its program."""
+    """Invokes a command; returns its result and the arguments with which it would have run its program."""
     run = mock.Mock()
     with mock.patch.object(commands, "_run", run):
         result = CliRunner().invoke(main, list(arguments))
@@ -40,7 +40,7 @@
     def test_each_program_has_one(self) -> None:
         self.assertThat({former: command.name for former, command in FORMER_NAMES.items()}, Equals(CURRENT_NAMES))
 
-    def test_they_are_not_shown(self) -> None:
+    def test_they_are_not_listed_in_the_help(self) -> None:
         shown = [line.split()[0] for line in CliRunner().invoke(main, ["--help"]).output.splitlines() if line.strip()]
         self.assertThat([name for name in CURRENT_NAMES if name in shown], Equals([]))
         self.assertThat([name for name in CURRENT_NAMES.values() if name not in shown], Equals([]))
@@ -66,7 +66,7 @@
 
 
 class Refusals(TestCase):
-    def test_misuse_is_told_with_the_remedy(self) -> None:
+    def test_usage_errors_are_printed_with_a_remedy(self) -> None:
         for arguments, text in (
             (["core"], "refused: no address given. Remedy: give --door IP:PORT or set HOISTSADDLE_DOORS."),
             (["plan"], "refused: nothing to plan. Remedy: give a bundle file, --drain, --undrain, --gone or --server."),
@@ -79,7 +79,7 @@
             result = CliRunner().invoke(main, arguments, env={"HOISTSADDLE_DOORS": "", "HOISTSADDLE_STALLS": ""})
             self.assertThat((result.exit_code, result.stderr), Equals((2, f"{text}\n")))
 
-    def test_a_call_that_nobody_answers_is_refused(self) -> None:
+    def test_a_call_that_no_registry_answers_fails(self) -> None:
         result = CliRunner().invoke(main, ["core", "--door", "127.0.0.1:1"])
         self.assertThat(result.exit_code, Equals(1))
         self.assertThat(
@@ -102,7 +102,7 @@
 
 
 class Calls(TestCase):
-    def test_a_registry_without_a_leader_is_passed_over_with_the_same_request_id(self) -> None:
+    def test_after_a_503_the_next_registry_is_called_with_the_same_request_id(self) -> None:
         seen: list[tuple[str, str]] = []
 
         async def scenario() -> tuple[int, dict]:
@@ -114,18 +114,18 @@
                 seen.append(("second", request.headers["X-Request-Id"]))
                 return web.json_response({"ok": True})
 
-            (one, first), (two, second) = await serve(cut_off), await serve(leading)
+            (first_runner, first), (second_runner, second) = await serve(cut_off), await serve(leading)
             try:
                 return await call_first_available(endpoints=("127.0.0.1:1", first, second), method="GET", path="/core")
             finally:
-                await one.cleanup()
-                await two.cleanup()
+                await first_runner.cleanup()
+                await second_runner.cleanup()
 
         self.assertThat(asyncio.run(scenario()), Equals((200, {"ok": True})))
         self.assertThat([name for name, _ in seen], Equals(["first", "second"]))
         self.assertThat(len({request_id for _, request_id in seen}), Equals(1))
 
-    def test_silent_proxies_are_named(self) -> None:
+    def test_proxies_that_do_not_answer_are_listed(self) -> None:
         async def scenario() -> tuple[list[dict], list[str]]:
             async def report(request: web.Request) -> web.Response:
                 return web.json_response({"path": request.path})
@@ -179,14 +179,14 @@
             ),
         )
 
-    def test_events_are_read_on_from_the_newest_seen(self) -> None:
+    def test_each_poll_asks_for_the_events_after_the_newest_seen(self) -> None:
         def event(number: int) -> dict:
             return {"number": number, "moment": f"2026-12-02T03:00:0{number}", "kind": "x", "owner": "o", "detail": {}}
 
         answers = [
             {"newest": 3, "happenings": [event(2), event(3)]},
             {"newest": 4, "happenings": [event(4)]},
-            # Started anew: the round that finds it shows nothing, the next one all.
+            # The process was restarted: the poll that detects it shows nothing, the next one all events.
             {"newest": 1, "happenings": []},
             {"newest": 1, "happenings": [event(1)]},
         ]
@@ -207,7 +207,7 @@
                 Equals(["-1", "3", "4", "-1"]),
             )
 
-    def test_items_that_are_no_text_are_refused(self) -> None:
+    def test_a_patch_file_that_is_not_utf_8_is_rejected(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "patch.toml"
             path.write_bytes(b"\xff")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -8,7 +8,7 @@
 from testtools.matchers import Equals
 
 DEPLOY = Path(__file__).parent.parent / "deploy"
-# The Debian package that brings each command.
+# The Debian package that contains each command.
 PACKAGE_OF = {
     "bash": "bash",
     "cp": "coreutils",
@@ -27,7 +27,7 @@
 
 
 def commands_of(script: str) -> set[str]:
-    """The external commands that a shell script calls, comments apart."""
+    """Returns the external commands that a shell script calls, without those in comments."""
     code = "\n".join(line for line in script.splitlines() if not line.lstrip().startswith("#"))
     return set(STATEMENT.findall(code)) - SHELL_WORDS
 
@@ -45,5 +45,5 @@
         needed = {PACKAGE_OF[command] for command in commands}
         self.assertThat(needed, Equals(set(self.deployment["packages"])))
 
-    def test_a_further_command_is_seen(self) -> None:
+    def test_a_further_command_is_detected(self) -> None:
         self.assertThat(commands_of("set -e\nfor a in b; do\n  gcc -O2 $a\ndone\n"), Equals({"gcc"}))
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -1,4 +1,8 @@
-"""Real processes of the deploy file's roles that meet trouble while they start."""
+"""Real processes of the deploy file's roles whose port or settings file is not ready yet when they start.
+
+A former process may still hold the port, and the settings file may be only partly written: the new process must wait
+for both and not exit.
+"""
 
 import os
 import signal
@@ -15,20 +19,20 @@
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 
 LAUNCHER = Path(__file__).parent.parent / "platform" / "run.py"
-# An address of its own for each test process: several may run beside each other.
+# A separate address for each test process, since several may run at the same time.
 HOST = f"127.{20 + os.getpid() % 200}.81.1"
-# It only ends a run that hangs.
+# Only limits a test that hangs.
 MAX_SECONDS = 60.0
 
 
 class Starts(TestCase):
-    """Guards against processes that end by themselves while they start (issue 44)."""
+    """Guards against processes that exit by themselves while they start (issue 44)."""
 
     def setUp(self) -> None:
         super().setUp()
-        place = tempfile.TemporaryDirectory()
-        self.addCleanup(place.cleanup)
-        self.folder = Path(place.name)
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = Path(temporary.name)
 
     def settings(self, role: str) -> bytes:
         samples = adapter("samples")
@@ -68,19 +72,19 @@
 
     def test_a_port_that_is_taken_is_waited_for(self) -> None:
         samples = adapter("samples")
-        mesh = samples.PORTS[0]
+        mesh_port = samples.PORTS[0]
         for role, ports in (
-            ("controller", (mesh, mesh + 1, samples.CONTROL)),
-            ("sidecar", (mesh, samples.EGRESS, samples.READINESS, samples.CONTROL)),
+            ("controller", (mesh_port, mesh_port + 1, samples.CONTROL)),
+            ("sidecar", (mesh_port, samples.EGRESS, samples.READINESS, samples.CONTROL)),
         ):
             for port in ports:
-                with socket.socket() as former:
-                    former.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                    former.bind((HOST, port))
-                    former.listen()
+                with socket.socket() as holder:
+                    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                    holder.bind((HOST, port))
+                    holder.listen()
                     process, log = self.start(role, self.settings(role))
                     self.wait_for(process, log, f"{HOST}:{port} is taken")
-                self.check_that_it_comes_up(process, f"{role} {port}")
+                self.check_that_it_starts(process, f"{role} {port}")
 
     def test_settings_that_are_being_written_are_waited_for(self) -> None:
         for role in ("controller", "sidecar"):
@@ -88,9 +92,9 @@
             process, log = self.start(role, settings[: len(settings) // 2])
             self.wait_for(process, log, "can't be read yet")
             (self.folder / "boot.json").write_bytes(settings)
-            self.check_that_it_comes_up(process, role)
+            self.check_that_it_starts(process, role)
 
-    def check_that_it_comes_up(self, process: subprocess.Popen, what: str) -> None:
+    def check_that_it_starts(self, process: subprocess.Popen, what: str) -> None:
         control = adapter("samples").CONTROL
         end = time.monotonic() + MAX_SECONDS
         while not self.accepts(control) and process.poll() is None and time.monotonic() < end:
