--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/__init__.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/__init__.py
@@ -1,1 +1,1 @@
-"""A model check of the raft core: small spaces exhaustively, random walks, sequences of losses."""
+"""Model checks of the raft core, of foundings and of pending requests: exhaustive exploration and random walks."""
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
@@ -1,8 +1,8 @@
 """Model check of foundings: every order of starts, kills, lost disks and lost messages while a mesh is founded.
 
-The decisions are the product's own (`registry/bootstrap.py`); disks, messages, elections and the log are modelled. Two
-things are checked. At every step no two meshes hold anything that was committed. From every state the site comes up
-once it is left alone: all replicas belong to one mesh with a logged record.
+The decisions are made by the production code (`registry/bootstrap.py`); disks, messages, elections and the log are
+modelled. Two properties are checked. After every step, at most one mesh holds committed records. From every state the
+site comes up once faults stop: all replicas belong to one mesh with a logged record.
 """
 
 import copy
@@ -23,21 +23,21 @@
 )
 from hoistsaddle.rpc.messages import BootstrapAnswer, BootstrapCall, FoundingStatusAnswer, FoundingStatusCall
 
-# Of the calm that follows each path: a step of time, and how much of it may pass until the site is up.
-CALM_STEP = milliseconds(50)
-CALM_SPAN = timedelta(seconds=60)
-# Time that passes at once: less than any wait of the bootstrap, and more than each.
-SPANS = (milliseconds(600), milliseconds(3300))
+# The fault-free period after each path: its time step, and the time within which the site must come up.
+RECOVERY_STEP = milliseconds(50)
+RECOVERY_TIMEOUT = timedelta(seconds=60)
+# Time spans of a wait step: one shorter and one longer than every wait of the bootstrap.
+WAIT_SPANS = (milliseconds(600), milliseconds(3300))
 CALL_TIMEOUT = milliseconds(500)
 REFUSED = "refused"
 
 
-class FoundingBroken(Exception):
-    """What must hold of foundings doesn't."""
+class FoundingViolation(Exception):
+    """A property of foundings is violated."""
 
 
 class ModelledDisk:
-    """A replica's disk: its incarnation, the mesh it belongs to, and whether anything is logged."""
+    """A replica's disk: its incarnation, the mesh it belongs to, and whether it holds a logged record."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
@@ -47,26 +47,26 @@
 
     @property
     def mesh(self) -> str:
-        """The mesh's id, empty for a blank disk."""
+        """The id of the mesh, empty for a blank disk."""
         return "" if self.call is None else self.call.mesh
 
 
 class ModelledMachine:
-    """A controller: its disk, and its bootstrap while its process runs."""
+    """The machine of a controller: its disk, and its bootstrap while the process runs."""
 
     def __init__(self, disk: ModelledDisk) -> None:
         self.disk = disk
         self.bootstrap: Bootstrap | None = None
         self.generation = 0
-        # Calls of the round under way that are not answered or given up.
-        self.waiting = 0
-        # The founding that the round under way tells.
-        self.called: BootstrapCall | None = None
+        # Calls of the current round that are neither answered nor timed out.
+        self.pending_calls = 0
+        # The bootstrap call that the current round sends.
+        self.bootstrap_call: BootstrapCall | None = None
         self.was_started = False
 
 
 class Message(NamedTuple):
-    """A call or an answer in flight; an answer belongs to the generation that called."""
+    """A call or an answer in flight; an answer is delivered only to the generation that made the call."""
 
     caller: int
     generation: int
@@ -76,7 +76,7 @@
 
 
 class Step(NamedTuple):
-    """One thing that happens."""
+    """One step of a path, with its replica and its details."""
 
     kind: str
     replica: int = 0
@@ -84,13 +84,13 @@
 
 
 class FoundingSpace(NamedTuple):
-    """What may happen in an exploration."""
+    """The initial state, the budget of faults and the depth of an exploration."""
 
     name: str
     controllers: int
     seeds: tuple[int, ...]
     losses: int
-    # Whether all processes run, and have noted the first start, as it begins.
+    # Whether all processes are running and have recorded the first start at the beginning.
     started: bool
     kills: int
     wipes: int
@@ -99,7 +99,7 @@
 
 
 class FoundingExploration(NamedTuple):
-    """What an exploration came to; `broken` is empty if everything held."""
+    """The result of an exploration; `broken` is empty if no property was violated."""
 
     space: str
     depth: int
@@ -109,7 +109,7 @@
 
 
 class FoundingModel:
-    """All controllers of a first start, and what is in flight between them."""
+    """All controllers of a first start, and the messages in flight between them."""
 
     def __init__(self, space: FoundingSpace) -> None:
         self.space = space
@@ -118,9 +118,9 @@
         self.machines = {replica: ModelledMachine(self._new_disk()) for replica in range(1, space.controllers + 1)}
         self.messages: list[Message] = []
         self.kills, self.wipes, self.cuts = space.kills, space.wipes, space.cuts
-        # Replicas that neither reach another one nor are reached.
+        # Replicas that are partitioned from all others.
         self.isolated: frozenset[int] = frozenset()
-        # Voters of each mesh, and the meshes in which a majority of them logged something.
+        # The voters of each mesh, and the meshes in which a majority of the voters logged a record.
         self.voters: dict[str, dict[int, str]] = {}
         self.committed: set[str] = set()
         if space.started:
@@ -134,13 +134,13 @@
     # -- processes ---------------------------------------------------------------------------------------------------
 
     def start(self, replica: int) -> None:
-        """Starts a process; the first one of its machine is told of the first start and notes it."""
+        """Starts a process; the first process of a machine records the first start on its disk."""
         machine = self.machines[replica]
         if not machine.was_started:
             machine.disk.first_seeds = self.space.seeds
         machine.was_started = True
         machine.generation += 1
-        machine.waiting = 0
+        machine.pending_calls = 0
         machine.bootstrap = Bootstrap(
             replica=replica,
             first_seeds=machine.disk.first_seeds,
@@ -150,11 +150,11 @@
         )
 
     def kill(self, replica: int) -> None:
-        """Ends a process; what it sent goes on."""
+        """Kills a process; messages that it sent stay in flight."""
         self.machines[replica].bootstrap = None
 
     def wipe(self, replica: int) -> None:
-        """Ends a process and loses its disk."""
+        """Kills a process and replaces its disk by a blank one."""
         self.kill(replica)
         self.machines[replica].was_started = True
         self.machines[replica].disk = self._new_disk()
@@ -162,15 +162,15 @@
     # -- rounds and messages -----------------------------------------------------------------------------------------
 
     def own_replica(self, replica: int) -> OwnReplica:
-        """What a bootstrap is told of the replica beside it."""
+        """The state of the replica that is passed to the bootstrap on its machine."""
         disk = self.machines[replica].disk
-        # That something is committed is learnt late, and again after each start: here never.
+        # A replica learns late, and anew after each start, that records are committed; in this model it never does.
         return OwnReplica(disk.mesh, disk.call, disk.logged)
 
     def round(self, replica: int) -> None:
-        """One round of a bootstrap: its calls are in flight afterwards."""
+        """Starts a round of a bootstrap and puts its calls in flight."""
         machine = self.machines[replica]
-        if machine.bootstrap is None or machine.waiting:
+        if machine.bootstrap is None or machine.pending_calls:
             return
         for command in machine.bootstrap.handle(self.own_replica(replica), now=self.now):
             self._execute(replica, command)
@@ -181,24 +181,24 @@
                 self._send(replica, targets, FoundingStatusCall(str(replica)))
             case FoundReplicas(replicas=targets, call=call):
                 self.voters[call.mesh] = dict(call.voters)
-                self.machines[replica].called = call
+                self.machines[replica].bootstrap_call = call
                 self._send(replica, targets, call)
             case LeaveFounding(with_records=with_records):
                 self.leave(self.machines[replica].disk, with_records=with_records)
 
     def leave(self, disk: ModelledDisk, *, with_records: bool) -> None:
-        """What a store does when it is to leave its founding."""
+        """Leaves a founding, as a store does: only without records, unless `with_records` is set."""
         if with_records or not disk.logged:
             disk.call, disk.logged = None, False
 
     def _send(self, caller: int, targets: tuple[int, ...], content: tuple) -> None:
         machine = self.machines[caller]
         for target in targets:
-            machine.waiting += 1
+            machine.pending_calls += 1
             self.messages.append(Message(caller, machine.generation, target, content, True))
 
     def deliver(self, message: Message) -> None:
-        """Takes a message out of flight and lets it arrive."""
+        """Removes a message from those in flight and delivers it."""
         if self.is_cut(message.caller, message.target):
             self.lose(message)
             return
@@ -206,7 +206,7 @@
         if message.is_call:
             answer = self._answer(message.target, message.content)
             if answer is None:
-                self._conclude(message)
+                self._call_ended(message)
             else:
                 self.messages.append(message._replace(content=answer, is_call=False))
             return
@@ -217,23 +217,23 @@
             case FoundingStatusAnswer() as status:
                 machine.bootstrap.inspected(status, now=self.now)
             case BootstrapAnswer() as answer:
-                machine.bootstrap.acknowledged(message.target, machine.called, answer)
-        machine.waiting -= 1
+                machine.bootstrap.acknowledged(message.target, machine.bootstrap_call, answer)
+        machine.pending_calls -= 1
 
     def is_cut(self, one: int, other: int) -> bool:
-        """Whether nothing passes between two replicas."""
+        """Whether two replicas are partitioned from each other."""
         return one != other and not self.isolated.isdisjoint((one, other))
 
     def lose(self, message: Message) -> None:
-        """Loses a message: its caller waits until the time-out."""
+        """Loses a message: its caller waits until the call times out."""
         self.messages.remove(message)
         self.now += CALL_TIMEOUT
-        self._conclude(message)
+        self._call_ended(message)
 
-    def _conclude(self, message: Message) -> None:
+    def _call_ended(self, message: Message) -> None:
         machine = self.machines[message.caller]
         if machine.generation == message.generation:
-            machine.waiting -= 1
+            machine.pending_calls -= 1
 
     def _answer(self, replica: int, call: tuple) -> tuple | None:
         machine = self.machines[replica]
@@ -246,7 +246,7 @@
         return FoundingStatusAnswer(disk.mesh, replica, disk.incarnation, seeds, bool(disk.first_seeds))
 
     def bootstrap_error(self, replica: int, call: BootstrapCall) -> str:
-        """What a store does with a founding: it takes one, under the incarnation that is named."""
+        """The error of a store for a bootstrap call; it accepts one call, and only one that names its incarnation."""
         disk = self.machines[replica].disk
         if disk.call is not None:
             return "" if disk.mesh == call.mesh else REFUSED
@@ -271,7 +271,7 @@
         ]
 
     def can_lead(self, replica: int) -> bool:
-        """Whether a replica would be elected: a majority of its mesh's voters runs, and none of them holds more."""
+        """Whether a replica can be elected: a majority of its mesh's voters runs, and none of them has a longer log."""
         disk = self.machines[replica].disk
         if self.machines[replica].bootstrap is None or disk.call is None:
             return False
@@ -280,25 +280,25 @@
         return replica in voting and len(voting) * 2 > len(disk.call.voters) and not has_more
 
     def lead(self, replica: int) -> None:
-        """Elects a replica: it logs a record."""
+        """Elects a replica, which logs a record."""
         self._log(replica)
 
     def replicate(self, leader: int, follower: int) -> None:
-        """A follower fetches the leader's record; a blank one joins the leader's mesh by it."""
+        """A follower fetches the leader's record; a replica with a blank disk joins the leader's mesh by it."""
         self.machines[follower].disk.call = self.machines[leader].disk.call
         self._log(follower)
 
     def can_replicate(self, leader: int, follower: int) -> bool:
-        """Whether a follower would fetch from a replica that leads."""
-        one, other = self.machines[leader], self.machines[follower]
-        if one.bootstrap is None or other.bootstrap is None or other.disk.logged or not one.disk.logged:
+        """Whether a follower can fetch from a replica that can lead."""
+        source, target = self.machines[leader], self.machines[follower]
+        if source.bootstrap is None or target.bootstrap is None or target.disk.logged or not source.disk.logged:
             return False
         if self.is_cut(leader, follower) or not self.can_lead(leader):
             return False
-        # A blank disk that the mesh doesn't name takes only what is committed.
-        joins = not other.disk.mesh and one.disk.mesh in self.committed
-        named = not other.disk.mesh and self.voters[one.disk.mesh].get(follower) == other.disk.incarnation
-        return other.disk.mesh == one.disk.mesh or joins or named
+        # A blank disk that isn't a voter of the mesh fetches only committed records.
+        joins = not target.disk.mesh and source.disk.mesh in self.committed
+        is_named = not target.disk.mesh and self.voters[source.disk.mesh].get(follower) == target.disk.incarnation
+        return target.disk.mesh == source.disk.mesh or joins or is_named
 
     def _log(self, replica: int) -> None:
         disk = self.machines[replica].disk
@@ -312,34 +312,34 @@
         if len(holders) * 2 > len(voters):
             self.committed.add(disk.mesh)
 
-    # -- what must hold ----------------------------------------------------------------------------------------------
+    # -- properties --------------------------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """Raises FoundingBroken if two meshes hold something committed."""
+        """Raises FoundingViolation if two meshes hold committed records."""
         held = {machine.disk.mesh for machine in self.machines.values() if machine.disk.logged} & self.committed
         if len(held) > 1:
-            raise FoundingBroken(f"two meshes hold committed records: {sorted(held)}")
+            raise FoundingViolation(f"two meshes hold committed records: {sorted(held)}")
 
     def lost_its_majority(self) -> bool:
-        """Whether more disks of a mesh with records went than may be lost: it rightly never comes up again."""
+        """Whether a mesh with records has lost a majority of its voters' disks, so that it can't come up again."""
         for mesh in {machine.disk.mesh for machine in self.machines.values() if machine.disk.logged}:
             voters = self.voters[mesh]
-            there = sum(self.machines[each].disk.incarnation == name for each, name in voters.items())
-            if there * 2 <= len(voters):
+            remaining = sum(self.machines[each].disk.incarnation == name for each, name in voters.items())
+            if remaining * 2 <= len(voters):
                 return True
         return False
 
-    def come_up(self) -> None:
-        """Leaves everything alone for a while; raises FoundingBroken if the site isn't up then."""
+    def check_recovery(self) -> None:
+        """Runs without faults; raises FoundingViolation if the site doesn't come up within RECOVERY_TIMEOUT."""
         if self.lost_its_majority():
             return
         self.isolated = frozenset()
         for replica, machine in self.machines.items():
             if machine.bootstrap is None:
                 self.start(replica)
-        end = self.now + CALM_SPAN
+        end = self.now + RECOVERY_TIMEOUT
         while self.now < end:
-            self.now += CALM_STEP
+            self.now += RECOVERY_STEP
             for replica in self.machines:
                 self.round(replica)
             while self.messages:
@@ -348,7 +348,7 @@
             self.check()
             if self._is_up():
                 return
-        raise FoundingBroken(f"never up: {self.describe()}")
+        raise FoundingViolation(f"never up: {self.describe()}")
 
     def _advance_log(self) -> None:
         leaders = [replica for replica in self.machines if self.can_lead(replica)]
@@ -364,7 +364,7 @@
         return all(disk.logged for disk in disks) and len({disk.mesh for disk in disks}) == 1
 
     def describe(self) -> str:
-        """All disks, for people."""
+        """The disks of all replicas, for error messages."""
         return "; ".join(
             f"{replica}: {machine.disk.incarnation} in {machine.disk.mesh or 'no mesh'}"
             f"{' with records' if machine.disk.logged else ''}"
@@ -372,7 +372,7 @@
         )
 
     def key(self) -> Any:
-        """Something equal for models that are alike."""
+        """A key that is equal for equivalent models."""
         return (
             tuple(self._key_of(machine) for machine in self.machines.values()),
             tuple(self.messages),
@@ -388,23 +388,23 @@
             return disk_key
         times = ("started_at", "last_round_at", "_allowed_since", "_held_since", "_majority_at")
         ages = tuple(None if (at := getattr(bootstrap, name)) is None else self.now - at for name in times)
-        heard = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._answered_at.items()))
-        seen = (tuple(sorted(bootstrap._blank.items())), bootstrap._mesh_seen, bootstrap._proposal, bootstrap.known)
-        told = (
+        answer_ages = tuple(sorted((replica, self.now - at) for replica, at in bootstrap._answered_at.items()))
+        observed = (tuple(sorted(bootstrap._blank.items())), bootstrap._mesh_seen, bootstrap._proposal, bootstrap.known)
+        founding = (
             bootstrap._is_founder,
             frozenset(bootstrap._acknowledged),
             frozenset(bootstrap._in_other_mesh),
-            machine.waiting,
+            machine.pending_calls,
         )
-        return (disk_key, ages, heard, seen, told)
+        return (disk_key, ages, answer_ages, observed, founding)
 
     # -- steps -------------------------------------------------------------------------------------------------------
 
     def steps(self) -> Iterator[Step]:
-        """What may happen next in an exploration: rounds are complete, with the replicas they reach."""
+        """The steps that are possible next in an exploration; rounds are complete and reach a set of replicas."""
         for replica, machine in self.machines.items():
             yield from self._steps_of(replica, machine)
-        for span in SPANS:
+        for span in WAIT_SPANS:
             yield Step("wait", 0, span)
 
     def _steps_of(self, replica: int, machine: ModelledMachine) -> Iterator[Step]:
@@ -431,7 +431,7 @@
                 yield Step("replicate", replica, follower)
 
     def take(self, step: Step) -> None:
-        """Lets one step happen; raises FoundingBroken if what must hold doesn't afterwards."""
+        """Executes one step; raises FoundingViolation if a property is violated afterwards."""
         match step:
             case Step("start", replica):
                 self.start(replica)
@@ -474,16 +474,16 @@
         for message in [each for each in self.messages if each.caller == replica]:
             if message.is_call:
                 self.messages.remove(message)
-                self._conclude(message)
+                self._call_ended(message)
             else:
                 self.deliver(message)
 
-    def fine_steps(self) -> Iterator[Step]:
-        """What may happen next in a walk: each message by itself."""
+    def message_steps(self) -> Iterator[Step]:
+        """The steps that are possible next in a walk; each message is delivered or lost separately."""
         for step in self.steps():
             if step.kind != "round":
                 yield step
-            elif step.detail == "all" and not self.machines[step.replica].waiting:
+            elif step.detail == "all" and not self.machines[step.replica].pending_calls:
                 yield Step("begin round", step.replica)
         for place in range(len(self.messages)):
             yield Step("deliver", 0, place)
@@ -492,8 +492,8 @@
 
 MakeModel = Callable[[FoundingSpace], FoundingModel]
 
-# Three seeds of which one may be lost, from the first process on or with all of them running; one seed more than the
-# three; nothing that may be lost.
+# Three seeds of which one may be lost, with no process or all processes started; five controllers, three of them seeds;
+# two seeds of which none may be lost.
 FOUNDING_SPACES = (
     FoundingSpace("three, none started", 3, (1, 2, 3), 1, False, kills=2, wipes=1, cuts=0, depth=5),
     FoundingSpace("three, all started", 3, (1, 2, 3), 1, True, kills=1, wipes=1, cuts=1, depth=4),
@@ -503,7 +503,7 @@
 
 
 def explore_foundings(space: FoundingSpace, make: MakeModel = FoundingModel) -> FoundingExploration:
-    """Goes through all paths of a space up to its depth, and leaves each state alone until the site is up."""
+    """Explores all paths of a space up to its depth, and checks that the site can come up from each state."""
     seen: set[Any] = set()
     frontier: deque[tuple[FoundingModel, tuple[Step, ...]]] = deque([(make(space), ())])
     while frontier:
@@ -520,20 +520,20 @@
                     following.take(step)
                     frontier.append((following, (*path, step)))
             step = None
-            copy.deepcopy(model).come_up()
-        except FoundingBroken as broken:
+            copy.deepcopy(model).check_recovery()
+        except FoundingViolation as broken:
             return FoundingExploration(
                 space.name, space.depth, len(seen), str(broken), (*path, *([step] if step else []))
             )
     return FoundingExploration(space.name, space.depth, len(seen))
 
 
-# Steps of a walk, at the most.
+# One more than the most steps of a walk.
 WALK_STEPS = 160
-# How much more often than the others some steps come: what goes on by itself, and what strikes.
+# The weights of steps, 1 by default: high for the regular operation, low for faults.
 WEIGHTS = {"begin round": 6.0, "deliver": 10.0, "start": 4.0, "wait": 1.5, "lead": 2.0, "replicate": 2.0}
 WEIGHTS |= dict.fromkeys(("kill", "wipe", "miss", "cut", "join", "lose"), 0.3)
-# Spaces of walks: more may be killed and lost than an exploration bears.
+# Spaces of walks, with more kills and wipes than an exploration could cover.
 WALK_SPACES = (
     FoundingSpace("walk of three", 3, (1, 2, 3), 1, False, kills=5, wipes=2, cuts=3, depth=WALK_STEPS),
     FoundingSpace("walk of five", 5, (1, 2, 3), 1, False, kills=5, wipes=2, cuts=3, depth=WALK_STEPS),
@@ -542,18 +542,18 @@
 
 
 def walk_foundings(space: FoundingSpace, *, seeds: range, make: MakeModel = FoundingModel) -> FoundingExploration:
-    """Goes along random paths, one a seed, message by message; after each the site is left alone until it is up."""
+    """Plays one random walk for each seed, message by message, and checks that the site comes up after each."""
     for seed in seeds:
         rng = random.Random(f"founding {space.name} {seed}")
         model = make(space)
         path: list[Step] = []
         try:
             for _ in range(rng.randrange(WALK_STEPS)):
-                steps = list(model.fine_steps())
+                steps = list(model.message_steps())
                 [step] = rng.choices(steps, [WEIGHTS.get(each.kind, 1.0) for each in steps])
                 path.append(step)
                 model.take(step)
-            model.come_up()
-        except FoundingBroken as broken:
+            model.check_recovery()
+        except FoundingViolation as broken:
             return FoundingExploration(f"{space.name}, seed {seed}", len(path), len(seeds), str(broken), tuple(path))
     return FoundingExploration(space.name, space.depth, len(seeds))
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/pending_requests.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/pending_requests.py
@@ -1,8 +1,7 @@
-"""Model check of a sidecar's pending requests: every order in which calls end, time passes, clients leave, it stops.
+"""Model check of a sidecar's pending requests: every order of ended calls, timeouts, client disconnects and a stop.
 
-The raft checks go through states of the log; here it is the books of one sidecar about its clients' requests. A call
-stands in them from the command that makes it to the event that ends it, and a key counts as working only while its
-request is pending or such a call is under way.
+It checks the records that one sidecar keeps of its clients' requests. A call is recorded from the command that makes it
+to the event that ends it, and a key counts as working only while its request is pending or such a call is in flight.
 """
 
 import random
@@ -60,32 +59,32 @@
 
 SIDECAR, TARGETS = "s-1", ("s-2", "s-3")
 HOST, SERVICE = "shop.example", "ledger"
-# Of the first request and of its repeat, and of another request.
+# The key of the first request and its repeat, and the key of another request.
 KEY, OTHER_KEY = "key", "other key"
 TICK = milliseconds(20)
-# Longer than the first pause between two questions, and than a claim waits to be submitted again.
+# Longer than the first pause between two follow-ups, and than the pause before a claim is submitted again.
 PAUSE = milliseconds(120)
 BUDGET = timedelta(seconds=1)
 KEY_LIFETIME = timedelta(seconds=75)
 CONFLICT = 409
 LARGE_BODY = b"x" * 20_000
-# More rounds than the calls of one request can take to end.
-MAX_ENDING_ROUNDS = 200
+# More rounds than it takes to end all calls of one request.
+MAX_FINISH_ROUNDS = 200
 
 
-class BooksWrong(Exception):
-    """A sidecar's books say something that isn't so."""
+class InconsistentRecords(Exception):
+    """The records of a sidecar contradict the calls in flight."""
 
 
-class CallUnderWay(NamedTuple):
-    """A command whose end hasn't been reported, and the key of the request that it is about; empty for none."""
+class CallInFlight(NamedTuple):
+    """A command whose end hasn't been reported, and the key of its request, empty for none."""
 
     command: Any
     key: str
 
 
 class Step(NamedTuple):
-    """One thing that happens: to the call of this place among those under way, or to the sidecar."""
+    """One step: the end of the call at this position among those in flight, or an event of the sidecar."""
 
     kind: str
     call: int = 0
@@ -93,7 +92,7 @@
 
 
 class RequestSpace(NamedTuple):
-    """A kind of request, and how many steps are explored from its arrival."""
+    """A kind of request, and the depth of its exploration in steps after its arrival."""
 
     name: str
     route_kind: str
@@ -102,7 +101,7 @@
 
 
 class RequestExploration(NamedTuple):
-    """What was seen of a space; `broken` says what is wrong, and `path` how it came about."""
+    """The totals of an exploration; `broken` describes the violation, if any, and `path` leads to it."""
 
     name: str
     depth: int
@@ -126,14 +125,14 @@
     RequestSpace("no repeats", ONCE_PER_ATTEMPT, 6),
     RequestSpace("repeatable", IDEMPOTENT, 6),
 )
-# How each kind of call may end.
+# The ways in which each kind of call may end.
 ENDS: dict[type, tuple[str, ...]] = {
     ForwardRequest: ("answered", "not run", "unknown", "unsent", "broken"),
     Follow: ("answered", "not run", "unknown", "silent", "refused"),
     SubmitHold: ("taken", "unsure", "lost"),
     AnnounceBody: ("granted", "declined", "silent"),
 }
-# Which end each call comes to in the end, where nobody answers any more.
+# The end of each kind of call if nothing answers.
 FAILURES = {ForwardRequest: "broken", Follow: "silent", SubmitHold: "lost", AnnounceBody: "silent"}
 
 
@@ -166,16 +165,16 @@
 
 
 class RequestModel:
-    """One sidecar's core, the log that it claims keys in, and its calls under way."""
+    """The core of one sidecar, the log in which it claims keys, and its calls in flight."""
 
     def __init__(self, space: RequestSpace) -> None:
         self.now = timedelta(seconds=100)
         self.log: State = initial_state(mesh="m", voters={1: "one"}, operators={}, level=LEVEL)
-        self.under_way: dict[int, CallUnderWay] = {}
+        self.calls_in_flight: dict[int, CallInFlight] = {}
         self.replies: dict[int, Reply] = {}
         self.tickets = 0
         self.conflicts = 0
-        self.stopped = self.left = self.repeated = self.joined = False
+        self.stopped = self.client_left = self.repeated = self.other_arrived = False
         self.space = space
         self.core = SidecarCore(
             settings=CoreSettings(SIDECAR, "a", "life", timedelta(hours=1), timedelta(hours=1), 50, 50),
@@ -194,7 +193,7 @@
         self.arrive()
 
     def arrive(self, key: str = KEY) -> None:
-        """A client sends a request with this key, where the route has keys."""
+        """A client sends a request, with this key if the route uses keys."""
         self.tickets += 1
         key = key if self.space.route_kind == ONCE_PER_KEY else ""
         self.feed(
@@ -204,62 +203,62 @@
         )
 
     def feed(self, event: tuple) -> None:
-        """Give the core an event, and note the calls that it makes and the answers that it gives."""
+        """Pass an event to the core, and record the calls and the replies that it returns."""
         requests = self.core.ingress.requests
-        at_work = self.keys_at_work()
-        asked = {ticket: request.event.key for ticket, request in requests.requests.items()}
+        keys_before = self.keys_in_use()
+        keys_by_ticket = {ticket: request.event.key for ticket, request in requests.requests.items()}
         if isinstance(event, RequestArrived):
-            asked[event.ticket] = event.key
+            keys_by_ticket[event.ticket] = event.key
         commands: list[Any] = self.core.handle(event, now=self.now)
         for command in commands:
             if type(command) in ENDS:
                 ticket = requests.tickets.get(command.number, 0)
-                self.under_way[command.number] = CallUnderWay(command, asked.get(ticket, ""))
+                self.calls_in_flight[command.number] = CallInFlight(command, keys_by_ticket.get(ticket, ""))
             elif isinstance(command, Reply):
-                self._replied(command, key_at_work=asked[command.ticket] in at_work | self.keys_at_work())
+                self._replied(command, key_in_use=keys_by_ticket[command.ticket] in keys_before | self.keys_in_use())
         self.check()
 
-    def _replied(self, reply: Reply, *, key_at_work: bool) -> None:
+    def _replied(self, reply: Reply, *, key_in_use: bool) -> None:
         if reply.ticket in self.replies:
-            raise BooksWrong(f"request {reply.ticket} got two answers")
+            raise InconsistentRecords(f"request {reply.ticket} was answered twice")
         self.replies[reply.ticket] = reply
         if reply.status == CONFLICT:
             self.conflicts += 1
-            if not key_at_work:
-                raise BooksWrong("a key was answered 409 with nothing under way")
+            if not key_in_use:
+                raise InconsistentRecords("a key was answered with 409 although no call for it is in flight")
 
-    def keys_at_work(self) -> set[str]:
-        """Return the keys that a pending request holds, or that a call is about by which a request was sent."""
+    def keys_in_use(self) -> set[str]:
+        """Return the keys that are claimed by a pending request or belong to a forward or follow-up call in flight."""
         pending = {request.event.key for request in self.core.ingress.requests.requests.values() if request.claimed}
         return pending | {
-            call.key for call in self.under_way.values() if isinstance(call.command, ForwardRequest | Follow)
+            call.key for call in self.calls_in_flight.values() if isinstance(call.command, ForwardRequest | Follow)
         }
 
     # -- steps -------------------------------------------------------------------------------------------------------
 
     def steps(self) -> Iterator[Step]:
-        """Everything that may happen next."""
-        for place, call in enumerate(self.under_way.values()):
+        """All steps that are possible next."""
+        for position, call in enumerate(self.calls_in_flight.values()):
             for how in ENDS[type(call.command)]:
-                yield Step("end", place, how)
+                yield Step("end", position, how)
         if self.core.ingress.requests.requests:
             yield Step("pause")
             yield Step("deadline")
             yield Step("deadline before the tick")
-        if not self.left:
+        if not self.client_left:
             yield Step("client leaves")
         if not self.stopped:
             yield Step("stop")
         if not self.repeated and self.space.route_kind == ONCE_PER_KEY:
             yield Step("repeat")
-        if not self.joined:
+        if not self.other_arrived:
             yield Step("another request")
 
     def take(self, step: Step) -> None:
-        """Let one thing happen."""
+        """Execute one step."""
         match step.kind:
             case "end":
-                self.end(list(self.under_way)[step.call], step.how)
+                self.end(list(self.calls_in_flight)[step.call], step.how)
             case "pause":
                 self.pass_time(PAUSE)
             case "deadline":
@@ -267,7 +266,7 @@
             case "deadline before the tick":
                 self.now = max(self.now, self.next_deadline())
             case "client leaves":
-                self.left = True
+                self.client_left = True
                 self.feed(ClientDisconnected(1))
             case "stop":
                 self.stopped = True
@@ -277,21 +276,21 @@
                 self.repeated = True
                 self.arrive()
             case "another request":
-                self.joined = True
+                self.other_arrived = True
                 self.arrive(OTHER_KEY)
 
     def next_deadline(self) -> timedelta:
-        """Return when the first of the pending requests must have its answer."""
+        """Return the earliest deadline of the pending requests."""
         return min(request.deadline for request in self.core.ingress.requests.requests.values())
 
-    def pass_time(self, span: timedelta) -> None:
-        """Let time pass, and a tick come after it."""
-        self.now += span
+    def pass_time(self, duration: timedelta) -> None:
+        """Advance the time, then send a tick."""
+        self.now += duration
         self.feed(Ticked())
 
     def end(self, number: int, how: str) -> None:
-        """End a call under way in one of its ways."""
-        call = self.under_way.pop(number).command
+        """End a call in flight in one of its ways."""
+        call = self.calls_in_flight.pop(number).command
         match call:
             case ForwardRequest():
                 self.feed(self._forward_end(call, how))
@@ -315,49 +314,51 @@
         )
         return outcome
 
-    # -- what must be so ---------------------------------------------------------------------------------------------
+    # -- properties --------------------------------------------------------------------------------------------------
 
     def check(self) -> None:
-        """Raise BooksWrong where the books name a call that isn't under way."""
+        """Raise InconsistentRecords if the sidecar has recorded a call that isn't in flight."""
         ingress = self.core.ingress
-        calls = set(self.under_way)
+        calls = set(self.calls_in_flight)
         if unknown := set(ingress.requests.tickets) - calls:
-            raise BooksWrong(f"calls {sorted(unknown)} count as under way and aren't")
+            raise InconsistentRecords(f"calls {sorted(unknown)} are recorded but not in flight")
         late = set(ingress.keys.records.late_calls())
         if unknown := late - calls:
-            raise BooksWrong(f"claims wait for calls {sorted(unknown)}, which aren't under way")
+            raise InconsistentRecords(f"claims wait for calls {sorted(unknown)}, which aren't in flight")
         claimed = sum(request.claimed for request in ingress.requests.requests.values())
         working = ingress.keys.records.count_by_state().get(WORKING, 0)
         if working > claimed + len(late):
-            raise BooksWrong(f"{working} claims are working, {claimed} requests are pending and {len(late)} calls late")
+            raise InconsistentRecords(
+                f"{working} claims are working, {claimed} requests are pending and {len(late)} calls late"
+            )
         in_flight = sum(ingress.servers.load_of(target).in_flight for target in TARGETS)
         sent = sum(
             request.attempt_state in (AttemptState.SENT, AttemptState.ANNOUNCED)
             for request in ingress.requests.requests.values()
         )
         if in_flight != sent:
-            raise BooksWrong(f"{in_flight} attempts count as load, and {sent} are under way")
+            raise InconsistentRecords(f"{in_flight} attempts count as load, and {sent} are in flight")
 
     def finish(self) -> None:
-        """Let every call fail and time pass until nothing is left, and check that nothing is."""
-        for _ in range(MAX_ENDING_ROUNDS):
-            if not self.under_way and not self.core.ingress.requests.requests:
+        """Fail every call and advance the time until no request is pending, and check that none remains."""
+        for _ in range(MAX_FINISH_ROUNDS):
+            if not self.calls_in_flight and not self.core.ingress.requests.requests:
                 break
-            for number in list(self.under_way):
-                self.end(number, FAILURES[type(self.under_way[number].command)])
+            for number in list(self.calls_in_flight):
+                self.end(number, FAILURES[type(self.calls_in_flight[number].command)])
             self.pass_time(PAUSE)
         ingress = self.core.ingress
-        left = (ingress.requests.requests, ingress.requests.tickets, ingress.keys.submitted, self.under_way)
-        if any(left):
-            raise BooksWrong(f"these never end: {left}")
+        remaining = (ingress.requests.requests, ingress.requests.tickets, ingress.keys.submitted, self.calls_in_flight)
+        if any(remaining):
+            raise InconsistentRecords(f"requests or calls never end: {remaining}")
         unanswered = set(range(1, self.tickets + 1)) - set(self.replies)
-        if unanswered - ({1} if self.left else set()):
-            raise BooksWrong(f"requests {sorted(unanswered)} were never answered")
+        if unanswered - ({1} if self.client_left else set()):
+            raise InconsistentRecords(f"requests {sorted(unanswered)} were never answered")
 
     def key(self) -> Any:
-        """Return something equal for models that are alike, whatever the numbers of their calls."""
+        """Return a key that is equal for equivalent models, independent of call numbers."""
         ingress = self.core.ingress
-        places = {number: place for place, number in enumerate(self.under_way)}
+        positions = {number: position for position, number in enumerate(self.calls_in_flight)}
         requests = tuple(
             (
                 request.ticket,
@@ -373,19 +374,19 @@
                 request.large_bodies_sent,
                 bool(request.queried_claim),
                 bool(request.replaces_claim),
-                places.get(request.call_number),
+                positions.get(request.call_number),
             )
             for request in ingress.requests.requests.values()
         )
         calls = tuple(
             (type(call.command).__name__, call.key, number in ingress.requests.tickets)
-            for number, call in self.under_way.items()
+            for number, call in self.calls_in_flight.items()
         )
         records = tuple(sorted(ingress.keys.records.count_by_state().items()))
         replies = tuple(sorted((ticket, reply.status) for ticket, reply in self.replies.items()))
         holds = len(self.log.holds)
-        happened = (self.stopped, self.left, self.repeated, self.joined)
-        return (self.now, requests, calls, records, replies, holds, happened)
+        events = (self.stopped, self.client_left, self.repeated, self.other_arrived)
+        return (self.now, requests, calls, records, replies, holds, events)
 
 
 def _forward_answer(attempt_id: str, how: str) -> ForwardAnswer | None:
@@ -401,7 +402,7 @@
 
 
 def replay(space: RequestSpace, path: tuple[Step, ...]) -> RequestModel:
-    """Return the model after these steps; raises BooksWrong where its books are wrong on the way."""
+    """Return the model after these steps; raises InconsistentRecords if its records are wrong after one of them."""
     model = RequestModel(space)
     for step in path:
         model.take(step)
@@ -411,17 +412,17 @@
 def explore_requests(
     space: RequestSpace, *, depth: int | None = None, make: Callable[..., RequestModel] = replay
 ) -> RequestExploration:
-    """Go through all paths of a space up to its depth, and let each state end.
+    """Explore all paths of a space up to its depth, and check that all requests end from each state.
 
     Args:
-        space: where it begins.
-        depth: of the paths, in steps; the space's own by default.
+        space: the space to explore.
+        depth: the maximum length of paths in steps; that of the space by default.
         make: returns the model after a path.
     """
     depth = space.depth if depth is None else depth
     seen: set[Any] = set()
     steps = conflicts = 0
-    # The shortest paths first: what a state was reached by leaves as many steps as there can be.
+    # Breadth first, so that a state is reached by a shortest path, which leaves the most steps for it.
     frontier: deque[tuple[Step, ...]] = deque([()])
     while frontier:
         path = frontier.popleft()
@@ -434,7 +435,7 @@
             seen.add(key)
             following = list(model.steps()) if len(path) < depth else []
             model.finish()
-        except BooksWrong as wrong:
+        except InconsistentRecords as wrong:
             return RequestExploration(space.name, depth, len(seen), steps, conflicts, str(wrong), path)
         conflicts += model.conflicts
         frontier += [(*path, step) for step in following]
--- a/tests/test_modelcheck_foundings.py
+++ b/tests/test_modelcheck_foundings.py
@@ -1,4 +1,4 @@
-"""The model check of foundings: spaces and walks hold, and each rule finds its injected fault."""
+"""The model check of foundings: no violation in spaces and walks, and each injected fault is detected."""
 
 import os
 from collections.abc import Callable
@@ -33,14 +33,14 @@
         super().leave(disk, with_records=True)
 
 
-class _TakesAnyIncarnation(FoundingModel):
+class _AcceptsAnyIncarnation(FoundingModel):
     def bootstrap_error(self, replica: int, call: Any) -> str:
         disk = self.machines[replica].disk
         disk.call = disk.call or call._replace(voters={**call.voters, replica: disk.incarnation})
         return ""
 
 
-class _KeepsTheRecordOfALostDisk(FoundingModel):
+class _KeepsFirstSeedsAfterWipe(FoundingModel):
     def wipe(self, replica: int) -> None:
         seeds = self.machines[replica].disk.first_seeds
         super().wipe(replica)
@@ -48,7 +48,7 @@
 
 
 class _ForgetsTheFirstStart(FoundingModel):
-    """The fault of issue 44: that it is the first start is in the memory of processes, and one of them may found."""
+    """The fault of issue 44: only processes in memory know that it is the first start, and only one may found."""
 
     def start(self, replica: int) -> None:
         was_started = self.machines[replica].was_started
@@ -60,9 +60,9 @@
 
 
 class InjectedFault(NamedTuple):
-    """A fault, and the first words of what the check says of it."""
+    """A fault, and the start of the message with which the check must report it."""
 
-    says: str
+    message: str
     make: Callable[[FoundingSpace], FoundingModel] = FoundingModel
     patch: Callable[[], Any] = lambda: mock.patch.object(bootstrap, "MESH_ID_DIGITS", bootstrap.MESH_ID_DIGITS)
 
@@ -71,8 +71,8 @@
 INJECTED = {
     "the first start is forgotten": InjectedFault(NEVER, _ForgetsTheFirstStart),
     "a founding is left with records": InjectedFault(TWO, _LeavesWithRecords),
-    "any incarnation takes a founding": InjectedFault(NEVER, _TakesAnyIncarnation),
-    "a lost disk counts as one of the first start": InjectedFault(NEVER, _KeepsTheRecordOfALostDisk),
+    "any incarnation takes a founding": InjectedFault(NEVER, _AcceptsAnyIncarnation),
+    "a lost disk counts as one of the first start": InjectedFault(NEVER, _KeepsFirstSeedsAfterWipe),
     "any seed may be left out": InjectedFault(
         TWO, patch=lambda: mock.patch.object(bootstrap, "may_leave_out", lambda **_: True)
     ),
@@ -100,7 +100,7 @@
 
 
 class Foundings(TestCase):
-    """Guards against sites that never come up, or as two meshes, after faults of their first start (issue 44)."""
+    """Guards against sites that never come up, or come up as two meshes, after faults in the first start (issue 44)."""
 
     def test_every_order_of_starts_kills_and_lost_disks_holds(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
@@ -119,4 +119,4 @@
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(zip(INJECTED, pool.map(found_by, INJECTED), strict=True))
         for name, broken in found.items():
-            self.assertThat(broken.startswith(INJECTED[name].says), Equals(True), f"{name}: {broken!r}")
+            self.assertThat(broken.startswith(INJECTED[name].message), Equals(True), f"{name}: {broken!r}")
--- a/tests/test_modelcheck_pending_requests.py
+++ b/tests/test_modelcheck_pending_requests.py
@@ -1,4 +1,4 @@
-"""The model check of a sidecar's pending requests: the spaces hold, and each rule finds its injected fault."""
+"""The model check of pending requests: no violation in the spaces, and each injected fault is detected."""
 
 import os
 from collections.abc import Callable
@@ -17,19 +17,19 @@
 
 
 class InjectedFault(NamedTuple):
-    """A fault, the first words of what the check says of it, and the space in which it must be found."""
+    """A fault, the space in which it must be detected, and the start of the expected message."""
 
     space: str
-    says: str
+    message: str
     patch: Callable[[], Any]
 
 
 def _unanswered_questions_count_as_under_way() -> Any:
-    """The fault of issue 40."""
-    plain = AttemptFollower._unanswered
+    """The fault of issue 40: an unanswered follow-up stays recorded as a call in flight."""
+    original = AttemptFollower._unanswered
 
     def reopened(self: AttemptFollower, request: PendingRequest) -> AttemptOutcome:
-        outcome = plain(self, request)
+        outcome = original(self, request)
         self._requests.tickets[request.call_number] = request.ticket
         return outcome
 
@@ -37,10 +37,10 @@
 
 
 def _attempts_end_twice() -> Any:
-    plain = IngressCore._forget
+    original = IngressCore._forget
 
     def twice(self: IngressCore, request: PendingRequest) -> None:
-        plain(self, request)
+        original(self, request)
         if request.attempt_state is AttemptState.FOLLOWING:
             self.servers.attempt_ended(request.target)
 
@@ -79,7 +79,7 @@
 
 
 class PendingRequests(TestCase):
-    """Guards against books that name a call which nobody makes: 409 for keys with nothing under way (issue 40)."""
+    """Guards against records of calls that aren't in flight: keys were answered with 409 without a call (issue 40)."""
 
     def test_every_order_of_ends_times_and_departures_holds(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
@@ -90,11 +90,11 @@
     def check(self, explored: RequestExploration) -> None:
         self.assertThat(explored.broken, Equals(""), str(explored))
         if explored.name.startswith("a key"):
-            # A space in which no repeat meets a key at work says nothing of 409.
+            # Without a repeat that meets a key in use, a space doesn't cover 409 answers.
             self.assertThat(explored.conflicts, GreaterThan(0), explored.name)
 
     def test_every_injected_fault_is_found(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(zip(INJECTED, pool.map(found_in, INJECTED), strict=True))
         for name, broken in found.items():
-            self.assertThat(broken.startswith(INJECTED[name].says), Equals(True), f"{name}: {broken!r}")
+            self.assertThat(broken.startswith(INJECTED[name].message), Equals(True), f"{name}: {broken!r}")
