--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/clones.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/clones.py
@@ -1,30 +1,30 @@
-"""Copies and hashable keys of cores, whatever their parts: to go several ways from one state, and to recognise it."""
+"""Copies and hashable keys of cores: to explore several paths from one state, and to recognise equal states."""
 
 import random
 from collections import deque
 from datetime import timedelta
 from typing import Any
 
-# Parts of a core are objects of these modules; everything else in it is a plain container or never changes.
+# Parts of a core are objects of classes in these modules; all other values are plain containers or immutable.
 PART_MODULES = "hoistsaddle.raft."
-_PLAIN = frozenset((int, float, bool, str, bytes, type(None), timedelta))
+_IMMUTABLE = frozenset((int, float, bool, str, bytes, type(None), timedelta))
 
 
-_is_part_by_kind: dict[type, bool] = {}
+_is_part_by_type: dict[type, bool] = {}
 
 
 def _is_part(kind: type) -> bool:
-    if kind not in _is_part_by_kind:
-        # Records and messages of these modules are tuples, which never change.
-        named = any(each.__module__.startswith(PART_MODULES) for each in kind.__mro__)
-        _is_part_by_kind[kind] = named and not issubclass(kind, tuple)
-    return _is_part_by_kind[kind]
+    if kind not in _is_part_by_type:
+        # Records and messages of these modules are tuples, which are immutable.
+        in_modules = any(each.__module__.startswith(PART_MODULES) for each in kind.__mro__)
+        _is_part_by_type[kind] = in_modules and not issubclass(kind, tuple)
+    return _is_part_by_type[kind]
 
 
 def clone(value: Any, known: dict[int, Any] | None = None) -> Any:
-    """A copy of a core and of every part in it; values that never change are shared."""
+    """A copy of a core and all its parts; immutable values are shared."""
     kind = type(value)
-    if kind in _PLAIN:
+    if kind in _IMMUTABLE:
         return value
     known = {} if known is None else known
     if kind is list:
@@ -41,14 +41,14 @@
         copied = known[id(value)] = object.__new__(kind)
         attributes = copied.__dict__
         for name, each in value.__dict__.items():
-            attributes[name] = each if type(each) in _PLAIN else clone(each, known)
+            attributes[name] = each if type(each) in _IMMUTABLE else clone(each, known)
     return known[id(value)]
 
 
 def key_of(value: Any, known: set[int] | None = None) -> Any:
-    """Something hashable that is equal for values that are alike."""
+    """A hashable key that is equal for equivalent values; random generators are ignored."""
     kind = type(value)
-    if kind in _PLAIN:
+    if kind in _IMMUTABLE:
         return value
     known = set() if known is None else known
     if kind is dict:
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/cluster.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/cluster.py
@@ -1,4 +1,4 @@
-"""Replicas of the raft core with a network, disks and a clock that the caller moves; no input or output."""
+"""A cluster of raft cores with a modelled network, modelled disks and a clock that the caller advances; no I/O."""
 
 import random
 from collections.abc import Callable
@@ -37,18 +37,18 @@
 from hoistsaddle.testbed.modelcheck.modeldisk import ChunkRead, ModelDisk
 
 MESH = "modelled"
-# Checkpoints and chunks small enough that a walk of some dozen steps sees them taken, fetched and replaced.
+# Checkpoints and chunks small enough to be taken, fetched and replaced within a walk of a few dozen steps.
 SMALL_TIMINGS = RaftTimings(checkpoint_records=4, chunk_bytes=160, fetch_records=3)
-# Within one step of a run whatever can be delivered is, then every clock ticks once.
+# In each time step of a run all deliverable messages are delivered, then every core gets one tick.
 TIME_STEP = milliseconds(50)
-# So many rounds of messages and disk jobs fit into one step at most.
+# The most rounds of messages and disk jobs in one time step.
 MAX_ROUNDS_PER_STEP = 6
-# Messages in flight between two replicas; the oldest is lost beyond it, as a closed connection loses it.
+# The most messages in flight from one replica to another; beyond it the oldest is lost, as with a closed connection.
 LINK_CAPACITY = 12
 
 
 class Packet(NamedTuple):
-    """One message in flight. An answer belongs to the generation that called and is lost with it."""
+    """One message in flight. An answer is delivered only to the generation that made the call."""
 
     sender: int
     receiver: int
@@ -60,15 +60,15 @@
 
 
 def ticket_of(packet: Packet) -> int:
-    """A call's ticket follows from who called, not from when it arrived: so states reached on other paths are alike.
+    """A call's ticket, derived from its sender and not from its arrival, so that equal states have equal tickets.
 
-    Its last two digits number copies of one call; clients' tickets are below all of these.
+    The last two digits number the copies of one call; all client tickets are lower.
     """
     return ((packet.sender * 1000 + packet.generation) * 10**6 + packet.number) * 100
 
 
 class Cluster:
-    """All machines of one run, what is in flight between them, and the invariants that are checked at every step."""
+    """All machines of one run, the messages in flight, and the invariants that are checked at every step."""
 
     def __init__(
         self,
@@ -95,15 +95,15 @@
         disks = [self._blank_disk(replica) for replica in range(1, size + 1)]
         voters = tuple((disk.replica, disk.incarnation) for disk in disks)
         state = initial_state(mesh=MESH, voters=dict(voters), operators={}, level=LEVEL)
-        self.invariants = Invariants(initial=state, wanted=size)
+        self.invariants = Invariants(initial=state, wanted_voters=size)
         self.machines: dict[int, Machine] = {disk.replica: Machine(disk=disk) for disk in disks}
         for disk in disks:
-            disk.found(mesh=MESH, voters=voters, state=state)
+            disk.bootstrap(mesh=MESH, voters=voters, state=state)
             self.invariants.register_disk(disk)
             self.start(disk.replica)
 
     def copy(self, *, touching: tuple[int, ...]) -> "Cluster":
-        """A copy of the cluster in which the machines named may go another way; all others are shared."""
+        """A copy of the cluster, to continue on another path; it shares the machines that aren't in `touching`."""
         copied = object.__new__(Cluster)
         copied.__dict__.update(self.__dict__)
         copied.machines = dict(self.machines)
@@ -122,7 +122,7 @@
         return ModelDisk(replica=replica, incarnation=f"disk-{self.incarnations}")
 
     def start(self, replica: int) -> None:
-        """Starts the process from what is synced; a folder that can't be trusted is replaced by a blank one first."""
+        """Starts the process from the synced data; a folder that can't be booted is first replaced by a blank one."""
         machine = self.machines[replica]
         boot = machine.disk.boot()
         if boot is None:
@@ -134,10 +134,10 @@
         machine.waiting = []
         machine.pending_calls = {}
         machine.frozen = machine.stalled = machine.leaving = False
-        machine.core = self._core(boot, machine)
+        machine.core = self._make_core(boot, machine)
         self.invariants.started(machine)
 
-    def _core(self, boot: Boot, machine: Machine) -> RaftCore:
+    def _make_core(self, boot: Boot, machine: Machine) -> RaftCore:
         return self.fault.core_class(
             boot=boot,
             replicas=self.seeds(),
@@ -148,14 +148,14 @@
         )
 
     def crash(self, replica: int, *, kept: int) -> None:
-        """Power is lost: so many of the jobs not yet reported still reached the disk."""
+        """Loses power; the first `kept` of the pending disk jobs still reach the disk."""
         machine = self.machines[replica]
         machine.core = None
         machine.disk.lose_power(kept=kept)
         self.invariants.disk_changed(machine)
 
     def wipe(self, replica: int) -> None:
-        """The machine comes back with a blank disk."""
+        """Replaces the disk by a blank one; the process stays stopped."""
         machine = self.machines[replica]
         machine.core = None
         former = machine.disk.incarnation
@@ -165,7 +165,7 @@
         self.invariants.register_disk(machine.disk)
 
     def add_spare(self) -> int:
-        """Adds a machine with a blank disk and starts it; gives its replica."""
+        """Adds a machine with a blank disk and starts it; returns its replica number."""
         replica = max(self.machines) + 1
         machine = self.machines[replica] = Machine(disk=self._blank_disk(replica))
         self.invariants.register_disk(machine.disk)
@@ -174,29 +174,29 @@
         return replica
 
     def seeds(self) -> tuple[int, ...]:
-        """The replicas that a starting replica is given: the machines there are."""
+        """The seeds of a starting replica: all machines that aren't removed."""
         return tuple(sorted(replica for replica, machine in self.machines.items() if not machine.removed))
 
     def _update_seeds(self) -> None:
-        """Settings with new seeds reach every process, as the raft runner does it."""
+        """Adds the new seeds to the settings of every running process, as the raft runner does."""
         for machine in self.machines.values():
             if machine.core is not None:
                 machine.core.seeds = tuple(dict.fromkeys((*self.seeds(), *machine.core.seeds)))
 
     def remove(self, replica: int) -> None:
-        """The machine is gone for good."""
+        """Removes the machine permanently."""
         machine = self.machines[replica]
         machine.core = None
         machine.removed = True
 
     def request_stop(self, replica: int, *, duration: timedelta) -> None:
-        """Asks a process to end, with this long to hand over; the machine is gone for good after it."""
+        """Asks a process to stop, with this grace period to hand over; the machine doesn't return afterwards."""
         self.machines[replica].leaving = True
         self.feed(self.machines[replica], StopRequested(duration))
 
     # -- the network -------------------------------------------------------------------------------------------------
 
-    def can_pass(self, packet: Packet) -> bool:
+    def can_deliver(self, packet: Packet) -> bool:
         """Whether a message can be delivered now."""
         receiver = self.machines[packet.receiver]
         return (packet.sender, packet.receiver) not in self.cuts and not receiver.frozen
@@ -204,12 +204,12 @@
     def post(self, packet: Packet) -> None:
         """Puts a message in flight; the oldest one on the link is lost if there are too many."""
         self.in_flight.append(packet)
-        between = [each for each in self.in_flight if (each.sender, each.receiver) == (packet.sender, packet.receiver)]
-        if len(between) > LINK_CAPACITY:
-            self.in_flight.remove(between[0])
+        on_link = [each for each in self.in_flight if (each.sender, each.receiver) == (packet.sender, packet.receiver)]
+        if len(on_link) > LINK_CAPACITY:
+            self.in_flight.remove(on_link[0])
 
     def deliver(self, packet: Packet) -> None:
-        """Delivers one message, which the caller has removed from those in flight, or left there to arrive again."""
+        """Delivers a message. The caller removes it from `in_flight` first, or leaves it to be delivered again."""
         receiver = self.machines[packet.receiver]
         if packet.is_call:
             sender = self.machines[packet.sender]
@@ -220,7 +220,7 @@
                 receiver.pending_calls[ticket] = (packet.sender, packet.generation, packet.number)
                 self.feed(receiver, CallArrived(ticket, packet.message))
             elif (
-                sender.answers
+                sender.responsive
                 and sender.generation == packet.generation
                 and (packet.receiver, packet.sender) not in self.cuts
             ):
@@ -229,9 +229,9 @@
             self.feed(receiver, AnswerArrived(packet.number, packet.sender, packet.message))
 
     def deliver_next(self) -> bool:
-        """Delivers the oldest message that can pass."""
+        """Delivers the oldest deliverable message; returns whether there was one."""
         for place, packet in enumerate(self.in_flight):
-            if self.can_pass(packet):
+            if self.can_deliver(packet):
                 del self.in_flight[place]
                 self.deliver(packet)
                 return True
@@ -240,7 +240,7 @@
     # -- one core ----------------------------------------------------------------------------------------------------
 
     def feed(self, machine: Machine, event: tuple) -> None:
-        """Gives an event to a core, checks what came of it, and executes its commands."""
+        """Passes an event to a core, checks the invariants, and executes the commands that it returns."""
         self.events += 1
         event = self.fault.filter_event(machine, event)
         before = self.invariants.before(machine)
@@ -257,7 +257,7 @@
             for command in ready:
                 self._execute(machine, command)
         if machine.ended:
-            # What it has sent is in flight; the process is gone.
+            # The process has ended; messages that it sent stay in flight.
             self.remove(machine.replica)
 
     def _execute(self, machine: Machine, command: tuple) -> None:
@@ -281,16 +281,16 @@
                 self.invariants.read_ready(command)
 
     def _answer(self, machine: Machine, ticket: int, message: tuple) -> None:
-        pending_calls = machine.pending_calls.pop(ticket, None)
-        if pending_calls is not None:
+        pending_call = machine.pending_calls.pop(ticket, None)
+        if pending_call is not None:
             self.invariants.answered(machine, message)
-            replica, generation, number = pending_calls
+            replica, generation, number = pending_call
             self.post(Packet(machine.replica, replica, generation, number, message, False))
 
     def do_disk_job(self, replica: int) -> bool:
-        """The disk does its next job and reports it."""
+        """Executes the next disk job and reports it to the core; returns whether there was one."""
         machine = self.machines[replica]
-        if not machine.disk.jobs or not machine.answers:
+        if not machine.disk.jobs or not machine.responsive:
             return False
         report = machine.disk.do_next()
         self.invariants.disk_changed(machine)
@@ -301,7 +301,7 @@
         return True
 
     def sync_disks(self, *replicas: int) -> bool:
-        """Does all jobs of these replicas' disks; whether there were any."""
+        """Executes all disk jobs of these replicas; returns whether there were any."""
         done = False
         for replica in replicas:
             while self.do_disk_job(replica):
@@ -309,49 +309,49 @@
         return done
 
     def tick(self, replica: int) -> None:
-        """Tells a running core the time."""
-        if self.machines[replica].answers:
+        """Sends a tick to a running core."""
+        if self.machines[replica].responsive:
             self.feed(self.machines[replica], Ticked())
 
     # -- clients -----------------------------------------------------------------------------------------------------
 
     def propose(self, replica: int, payload: bytes) -> int:
-        """A client proposes a record at a replica; gives the ticket."""
+        """A client proposes a record at a replica; returns the ticket."""
         self.tickets += 1
         self.invariants.proposed(self.tickets, payload)
         self.feed(self.machines[replica], ProposalArrived(self.tickets, (payload,)))
         return self.tickets
 
     def read(self, replica: int) -> int:
-        """A client asks a replica for a confirmed read; gives the ticket."""
+        """A client requests a confirmed read from a replica; returns the ticket."""
         self.tickets += 1
         self.invariants.read_requested(self.tickets)
         self.feed(self.machines[replica], ReadArrived(self.tickets))
         return self.tickets
 
     def leader(self) -> int | None:
-        """The one of the newest epoch among those that lead and run."""
-        leading = [each for each in self.machines.values() if each.answers and each.core.role == LEADER]
+        """The running leader of the highest epoch, if any."""
+        leading = [each for each in self.machines.values() if each.responsive and each.core.role == LEADER]
         return max(leading, key=lambda each: each.core.epoch).replica if leading else None
 
     # -- time --------------------------------------------------------------------------------------------------------
 
     def run(self, duration: timedelta, *, until: Callable[[], Any] | None = None) -> bool:
-        """Lets everything run for this long; true as soon as the condition holds."""
+        """Runs all machines for this long; returns True as soon as the condition holds, else False."""
         end = self.now + duration
         while self.now < end:
             self.now += self.time_step
             for _ in range(MAX_ROUNDS_PER_STEP):
-                moved = False
-                for packet in [each for each in self.in_flight if self.can_pass(each)]:
+                progressed = False
+                for packet in [each for each in self.in_flight if self.can_deliver(each)]:
                     if packet in self.in_flight:
                         self.in_flight.remove(packet)
                         self.deliver(packet)
-                        moved = True
+                        progressed = True
                 for replica in list(self.machines):
                     while not self.machines[replica].stalled and self.do_disk_job(replica):
-                        moved = True
-                if not moved:
+                        progressed = True
+                if not progressed:
                     break
             for replica in list(self.machines):
                 self.tick(replica)
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of small spaces of states: every order of messages, syncs, timeouts and losses."""
+"""Exhaustive exploration of small state spaces: every order of messages, syncs, timeouts and losses."""
 
 from collections.abc import Callable, Iterator
 from datetime import timedelta
@@ -8,38 +8,38 @@
 from hoistsaddle.testbed.modelcheck.clones import key_of
 from hoistsaddle.testbed.modelcheck.cluster import Cluster, Packet
 from hoistsaddle.testbed.modelcheck.faults import InjectedFault
-from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, order
+from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, upsert_proposal
 from hoistsaddle.testbed.modelcheck.machine import Machine
 
-# Longer than any timeout of a core, so that one such step makes it act.
+# Longer than any timeout of a core, so that one such step makes all its timers expire.
 TIMEOUT = timedelta(seconds=4)
-# How a step may be done in part: its answer stays in flight, or its writes stay unsynced.
+# Variants of a step: its answer stays in flight, or its writes stay unsynced.
 ANSWER_LATE, UNSYNCED = "late", "lazy"
 
 
 class Budget(NamedTuple):
-    """How often each kind of event may happen on a path through a space; messages that never arrive cost nothing."""
+    """How often each kind of event may happen on a path through a space; messages that stay in flight cost nothing."""
 
     timeouts: int = 0
     crashes: int = 0
     wipes: int = 0
     duplicates: int = 0
-    # Answers that come in a step of their own, or never.
+    # Answers that are delivered in a separate step, or never.
     late_answers: int = 0
-    # Events whose writes wait for a step of their own, or are lost with the power.
+    # Events whose writes are synced in a separate step, or lost in a crash.
     unsynced_writes: int = 0
     orders: int = 0
     reads: int = 0
 
 
 class Action(NamedTuple):
-    """One way to go on.
+    """One transition from a state.
 
     Attributes:
         kind: what happens.
-        replica: on which machine.
-        choice: which message, or how many jobs a crash keeps.
-        variant: ANSWER_LATE or UNSYNCED for a step done in part.
+        replica: the machine on which it happens.
+        choice: the position of the message in flight, or the number of disk jobs that survive a crash.
+        variant: ANSWER_LATE, UNSYNCED, or empty for a complete step.
     """
 
     kind: str
@@ -49,16 +49,16 @@
 
 
 class Space(NamedTuple):
-    """Where it begins, how deep it goes, and what may happen in it."""
+    """A state space: its initial cluster, its depth, and the budget of events."""
 
     name: str
-    begin: Callable[[InjectedFault], Cluster]
+    make_cluster: Callable[[InjectedFault], Cluster]
     depth: int
     budget: Budget
 
 
 class ExplorationResult(NamedTuple):
-    """What was seen of a space; the violation, if any, with the path to it."""
+    """The totals of an exploration, and the violation with the path to it, if any."""
 
     name: str
     depth: int
@@ -78,7 +78,7 @@
 
 
 class SearchNode(NamedTuple):
-    """One state reached, with what may still happen and the path to it."""
+    """A reached state, with its remaining budget and the path to it."""
 
     cluster: Cluster
     budget: Budget
@@ -86,7 +86,7 @@
 
 
 def _key_of_machine(machine: Machine) -> int:
-    """The hash of a machine's state; kept on it, for a machine of a former state doesn't change."""
+    """The hash of a machine's state, cached on the machine, because machines of explored states don't change."""
     if not machine.key:
         disk = machine.disk
         machine.key = hash(
@@ -108,7 +108,7 @@
 
 
 def _key(node: SearchNode) -> int:
-    """Equal for nodes that are alike, whatever the path to them."""
+    """A key that is equal for equivalent nodes, independent of the path to them."""
     cluster = node.cluster
     machines = tuple([(replica, _key_of_machine(machine)) for replica, machine in cluster.machines.items()])
     invariants = (tuple(cluster.invariants.committed), tuple(sorted(cluster.invariants.reads.items())))
@@ -116,10 +116,10 @@
 
 
 def _actions(node: SearchNode) -> Iterator[Action]:
-    """Everything that may happen next."""
+    """All actions that are possible next."""
     cluster, budget = node.cluster, node.budget
     for number, packet in enumerate(cluster.in_flight):
-        if not cluster.can_pass(packet):
+        if not cluster.can_deliver(packet):
             continue
         yield Action("deliver", packet.receiver, number)
         if budget.unsynced_writes:
@@ -136,8 +136,8 @@
         if budget.timeouts:
             yield Action("timeout", replica)
         if budget.crashes:
-            for jobs_done in {0, len(machine.disk.jobs)}:
-                yield Action("crash", replica, jobs_done)
+            for kept_jobs in {0, len(machine.disk.jobs)}:
+                yield Action("crash", replica, kept_jobs)
         if budget.wipes:
             yield Action("wipe", replica)
         if machine.core.role == LEADER:
@@ -162,10 +162,10 @@
 
 
 def _apply_action(node: SearchNode, action: Action) -> SearchNode:
-    """The state that an action leads to; the former one stays as it is.
+    """The state that an action leads to; the given node stays unchanged.
 
     Raises:
-        InvariantViolated: the action breaks a rule.
+        InvariantViolated: the action violates an invariant.
     """
     packet = node.cluster.in_flight[action.choice] if action.kind in ("deliver", "double") else None
     touching = {action.replica} | ({packet.sender} if packet is not None else set())
@@ -187,7 +187,8 @@
         case "order":
             number = cluster.tickets
             cluster.propose(
-                action.replica, order(request=number, name="one", revision=number, content=f"content-{number}")
+                action.replica,
+                upsert_proposal(request=number, name="one", revision=number, content=f"content-{number}"),
             )
         case "read":
             cluster.read(action.replica)
@@ -201,7 +202,7 @@
 
 
 def _deliver(cluster: Cluster, packet: Packet, action: Action) -> None:
-    """A call and its answer are one step, unless the answer comes late or waits for a sync that does."""
+    """Delivers a call and its answer in one step, unless the answer is late or waits for a sync."""
     before = set(cluster.in_flight)
     cluster.deliver(packet)
     if action.variant == UNSYNCED:
@@ -217,17 +218,17 @@
 
 
 def explore(space: Space, *, fault: Callable[[], InjectedFault] = InjectedFault, depth: int = 0) -> ExplorationResult:
-    """Goes through the space breadth first, down to its depth; ends at the first violation, which is a shortest one.
+    """Searches the space breadth first down to its depth; stops at the first violation, which has a shortest path.
 
     Args:
-        space: what to explore.
+        space: the space to explore.
         fault: makes the injected fault, if any.
-        depth: instead of the space's own.
+        depth: replaces the depth of the space if it isn't 0.
     """
     depth = depth or space.depth
-    begin = SearchNode(space.begin(fault()), space.budget, ())
-    known = {_key(begin)}
-    frontier = [begin]
+    root = SearchNode(space.make_cluster(fault()), space.budget, ())
+    known = {_key(root)}
+    frontier = [root]
     transitions = commits = 0
     leaders: set[tuple[int, tuple[int, int]]] = set()
     for level in range(depth):
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/faults.py
@@ -1,6 +1,6 @@
-"""Injected faults: each breaks one rule of the raft core in one place, and the checks have to find it.
+"""Injected faults: each makes the raft core violate one rule, and the checks must detect it.
 
-They change the events a core gets, the commands it gives, or one method of its interface; none changes its inner work.
+They change the events that a core receives, the commands that it returns, or one method or attribute of the core.
 """
 
 from hoistsaddle.raft.core import LEADER, RaftCore
@@ -23,36 +23,36 @@
 
 
 class InjectedFault:
-    """Where a fault may change the events and the commands of a core; this one changes nothing."""
+    """Base class: hooks that may change the events and commands of a core; this one changes nothing."""
 
     core_class: type[RaftCore] = RaftCore
     keeps_incarnation = False
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
-        """The event that the core gets instead of this one."""
+        """Returns the event that the core receives instead."""
         return event
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        """The commands that are executed instead of these."""
+        """Returns the commands that are executed instead."""
         return commands
 
 
-class _OneSetOnly(RaftCore):
+class _CountsNewestVoterSet(RaftCore):
     def voter_sets(self) -> list[dict[int, str]]:
         return super().voter_sets()[-1:]
 
 
-class CountsOneSetOnly(InjectedFault):
-    """While a change of voters is open, only the set after it is asked."""
+class CountsNewestSetOnly(InjectedFault):
+    """During an open change of voters, only a majority of the new voter set is required."""
 
-    core_class = _OneSetOnly
+    core_class = _CountsNewestVoterSet
 
 
 class VoteUnsynced(InjectedFault):
     """A vote is answered before it is synced."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        """Lets answers to vote requests leave at once."""
+        """Sends answers to vote requests without waiting for the sync."""
         return [
             command._replace(after=0)
             if isinstance(command, Answer) and isinstance(command.message, VoteAnswer)
@@ -65,7 +65,7 @@
     """A follower claims records that it hasn't synced."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        """Lets fetches leave at once."""
+        """Sends fetches without waiting for the sync."""
         return [
             command._replace(after=0)
             if isinstance(command, Send) and isinstance(command.message, FetchCall)
@@ -85,8 +85,8 @@
         return commands
 
 
-class ReadWithoutRound(InjectedFault):
-    """A leader answers a read from its own state, without asking whether it still leads."""
+class ReadUnconfirmed(InjectedFault):
+    """A leader answers a read from its own state, without confirming its leadership."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         """Adds a result to each read."""
@@ -97,36 +97,36 @@
 
 
 class CommitsOldEpoch(InjectedFault):
-    """A leader commits the records of former epochs by counting."""
+    """A leader commits records of earlier epochs by counting replicas."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
-        """Lets the epoch begin with the first record."""
+        """Sets the start of the leader's epoch to the first record."""
         machine.core.replication.epoch_start_offset = 0
         return event
 
 
-class VotesForAnybody(InjectedFault):
-    """A vote is given without a look at how far the candidate's log goes."""
+class VotesWithoutLogCheck(InjectedFault):
+    """A vote is granted without a check of the candidate's log."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
-        """Makes every candidate's log look the longest."""
+        """Makes every candidate's log appear to be the longest."""
         if isinstance(event, CallArrived) and isinstance(event.message, VoteCall):
             return event._replace(message=event.message._replace(last_offset=2**40, last_epoch=2**40))
         return event
 
 
 class VotesTwice(InjectedFault):
-    """A vote already given in the epoch doesn't bind."""
+    """A replica may vote more than once in an epoch."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
-        """Forgets the vote before each vote request."""
+        """Clears the vote before each vote request."""
         if isinstance(event, CallArrived) and isinstance(event.message, VoteCall) and not event.message.pre_vote:
             machine.core.vote = None
         return event
 
 
 class TruncatesCommitted(InjectedFault):
-    """A follower that hears of a new leader drops its log above the checkpoint, committed or not."""
+    """A follower of a new leader drops its log above the checkpoint, including committed records."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         """Drops the log after a BeginEpoch call."""
@@ -136,13 +136,13 @@
 
 
 class BlankDiskVotes(InjectedFault):
-    """A machine that comes back with a blank disk goes by its former incarnation."""
+    """A machine with a blank disk keeps its former incarnation, and so its vote."""
 
     keeps_incarnation = True
 
 
 class CountsWhileFetchingSnapshot(InjectedFault):
-    """A replica that still fetches a snapshot claims to have the complete state."""
+    """A replica that is still fetching a snapshot claims a complete state."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         """Marks every fetch as that of a complete replica."""
@@ -154,8 +154,8 @@
         ]
 
 
-class AcknowledgesAtOnce(InjectedFault):
-    """An order is acknowledged when it is logged, not when it commits."""
+class AcknowledgesUncommitted(InjectedFault):
+    """A proposal is acknowledged when it is logged, not when it is committed."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         """Adds a result to each proposal."""
@@ -165,19 +165,19 @@
         return commands
 
 
-class CapturesTooMuch(InjectedFault):
-    """A checkpoint is named by the log's end, not by what its state holds."""
+class MisnamesCheckpoints(InjectedFault):
+    """A checkpoint is named after the end of the log instead of the offset of its state."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        """Names checkpoints by the end of the log."""
+        """Names checkpoints after the end of the log."""
         return [
             command._replace(checkpoint_id=machine.core.last) if isinstance(command, Capture) else command
             for command in commands
         ]
 
 
-class BelievesTheAnswer(InjectedFault):
-    """A follower takes the leader's log end for the high-watermark."""
+class UsesLogEndAsHighWatermark(InjectedFault):
+    """A follower uses the leader's log end as the high-watermark."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
         """Raises the high-watermark to the last record of the answer."""
@@ -187,23 +187,23 @@
         return event
 
 
-class LosesRecords(InjectedFault):
-    """A follower skips the first record that it is sent and numbers the rest on."""
+class SkipsRecords(InjectedFault):
+    """A follower skips the first record of an answer and shifts the offsets of the others."""
 
     def filter_event(self, machine: Machine, event: tuple) -> tuple:
         """Removes a record from the answer."""
         if isinstance(event, AnswerArrived) and isinstance(event.message, FetchAnswer):
             records = event.message.records
             if len(records) > 1:
-                moved = tuple(
+                shifted = tuple(
                     after._replace(offset=before.offset) for before, after in zip(records, records[1:], strict=False)
                 )
-                return event._replace(message=event.message._replace(records=moved))
+                return event._replace(message=event.message._replace(records=shifted))
         return event
 
 
-class ForgetsItsVoteOnSync(InjectedFault):
-    """Every write leaves the vote out."""
+class OmitsVoteFromWrites(InjectedFault):
+    """Writes omit the vote."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
         """Removes the vote from writes."""
@@ -211,21 +211,21 @@
 
 
 class DropsNewestCheckpoint(InjectedFault):
-    """Log cleaning also removes the checkpoint that the log begins with, and the leader's log with it."""
+    """Log cleaning also removes the checkpoint that the log begins with, so the folder can't be booted."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        """Drops checkpoints up to one offset more."""
+        """Raises the offset below which checkpoints are dropped by one."""
         return [
             command._replace(below=command.below + 1) if isinstance(command, DropCheckpoints) else command
             for command in commands
         ]
 
 
-class SyncsAreLies(InjectedFault):
+class ReportsSyncEarly(InjectedFault):
     """A sync is reported before the disk has done it."""
 
     def filter_commands(self, machine: Machine, event: tuple, commands: list[tuple]) -> list[tuple]:
-        """Adds the core's reaction to a sync that hasn't happened."""
+        """Adds the core's commands for a sync that hasn't happened."""
         writes = [command for command in commands if isinstance(command, Write)]
         if not writes or isinstance(event, Synced):
             return commands
@@ -234,22 +234,22 @@
 
 
 FAULTS: tuple[type[InjectedFault], ...] = (
-    CountsOneSetOnly,
+    CountsNewestSetOnly,
     VoteUnsynced,
     FetchUnsynced,
     AppendUnsynced,
-    ReadWithoutRound,
+    ReadUnconfirmed,
     CommitsOldEpoch,
-    VotesForAnybody,
+    VotesWithoutLogCheck,
     VotesTwice,
     TruncatesCommitted,
     BlankDiskVotes,
     CountsWhileFetchingSnapshot,
-    AcknowledgesAtOnce,
-    CapturesTooMuch,
-    BelievesTheAnswer,
-    LosesRecords,
-    ForgetsItsVoteOnSync,
+    AcknowledgesUncommitted,
+    MisnamesCheckpoints,
+    UsesLogEndAsHighWatermark,
+    SkipsRecords,
+    OmitsVoteFromWrites,
     DropsNewestCheckpoint,
-    SyncsAreLies,
+    ReportsSyncEarly,
 )
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold after each step, judged from outside: by the disks' content and the messages sent, not by a core."""
+"""Invariants checked after each step, from the content of the disks and the messages sent, not from a core's claims."""
 
 from functools import cache
 from typing import NamedTuple
@@ -16,12 +16,12 @@
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
 
 Voters = dict[int, str]
-# The reason with which a replica ends once nothing depends on it any more.
+# The reason of `Ended` for a replica that handed over everything before it stopped.
 HANDED_OVER = "handed over"
 
 
 class InvariantViolated(AssertionError):
-    """The step just done broke a rule."""
+    """The last step violated an invariant."""
 
     def __init__(self, rule: str, description: str) -> None:
         super().__init__(f"{rule}: {description}")
@@ -29,7 +29,7 @@
 
 
 class CoreSnapshot(NamedTuple):
-    """What a core held before an event."""
+    """The log and high-watermark of a core before an event."""
 
     log: list[Record]
     begin: int
@@ -37,15 +37,15 @@
     high_watermark: int
 
 
-def order(*, request: int, name: str, revision: int, content: str) -> bytes:
-    """One item with its version and content, as a registry proposes it for an operator."""
-    setting = ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
-    return pack_command(PatchItems(f"request-{request}", "desk", "standing", pack_patch(Patch([setting], []))))
+def upsert_proposal(*, request: int, name: str, revision: int, content: str) -> bytes:
+    """An encoded proposal that sets one item, as a registry sends it for an operator."""
+    upsert = ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
+    return pack_command(PatchItems(f"request-{request}", "desk", "standing", pack_patch(Patch([upsert], []))))
 
 
 @cache
-def refuses_other_content() -> bool:
-    """Whether the state machine refuses a second content for a version; found out with a sample."""
+def rejects_changed_content() -> bool:
+    """Whether the state machine rejects a second content for a version, tested with a sample."""
     state = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
     for place, content in enumerate(("this", "that"), start=1):
         state, outcome = apply(
@@ -53,18 +53,18 @@
             offset=place,
             epoch=1,
             stamp=state.mesh_time,
-            payload=order(request=place, name="sample", revision=1, content=content),
+            payload=upsert_proposal(request=place, name="sample", revision=1, content=content),
         )
     return bool(outcome.error)
 
 
 def is_voter_change(record: Record) -> bool:
-    """Whether a record changes the voters; its encoded type is at the beginning of the payload."""
+    """Whether a record changes the voters, by the command type encoded at the start of its payload."""
     return b"Voter" in record.payload[:24]
 
 
 def _voters_after(voters: Voters, record: Record) -> Voters | None:
-    """The voters once this record applies, if it changes them, by the state machine itself."""
+    """The voters after this record is applied by the state machine; None if it doesn't change them."""
     if not is_voter_change(record):
         return None
     state = initial_state(mesh="m", voters=voters, operators={}, level=2**30)
@@ -73,33 +73,33 @@
 
 
 class Invariants:
-    """The committed log as it came to be, and a check of every step against it."""
+    """The committed log as observed so far, and the checks of every step against it."""
 
-    def __init__(self, *, initial: State, wanted: int) -> None:
-        self.wanted = wanted
+    def __init__(self, *, initial: State, wanted_voters: int) -> None:
+        self.wanted_voters = wanted_voters
         self.committed: list[Record] = []
         self.states: list[State] = [initial]
-        # The newest committed record that changed the voters.
+        # Offset of the newest committed record that changed the voters.
         self.voters_changed_at = 0
         self.leaders: dict[int, tuple[int, int]] = {}
         self.disks: dict[tuple[int, str], ModelDisk] = {}
         self.checked_up_to: dict[tuple[int, int], int] = {}
-        self.orders: dict[int, bytes] = {}
+        self.proposals: dict[int, bytes] = {}
         self.acknowledged: dict[tuple[str, int], bytes] = {}
         self.applied: dict[tuple[str, int], tuple[bool, bytes]] = {}
         self.reads: dict[int, int] = {}
-        self.checks_versions = refuses_other_content()
-        # How often each check had something to judge.
+        self.checks_versions = rejects_changed_content()
+        # How often each kind of checked event occurred.
         self.figures: dict[str, int] = {}
 
     def copy(self) -> "Invariants":
-        """A copy of all that is known so far, which may go another way."""
+        """A copy of the history so far, to continue on another path."""
         copied = object.__new__(Invariants)
         for name, value in self.__dict__.items():
             copied.__dict__[name] = value.copy() if isinstance(value, list | dict) else value
         return copied
 
-    # -- what is known ---------------------------------------------------------------------------------------------
+    # -- committed state -----------------------------------------------------------------------------------------------
 
     @property
     def last_committed(self) -> int:
@@ -118,18 +118,18 @@
         return self.committed[offset - 1].epoch if offset > 0 else 0
 
     def register_disk(self, disk: ModelDisk) -> None:
-        """Notes a disk under its incarnation; a former one stays known for what it once held and promised."""
+        """Registers a disk under its incarnation; former incarnations stay registered with their records and votes."""
         self.disks[(disk.replica, disk.incarnation)] = disk
 
     def started(self, machine: Machine) -> None:
-        """Checks the core of a process that was just started."""
+        """Checks the core of a process that has just started."""
         self.checked_up_to[(machine.replica, machine.generation)] = 0
         self._check_core(machine)
 
-    # -- one step ----------------------------------------------------------------------------------------------------
+    # -- one step ------------------------------------------------------------------------------------------------------
 
     def before(self, machine: Machine) -> CoreSnapshot:
-        """What a core holds before an event."""
+        """A snapshot of a core before an event."""
         core = machine.core
         return CoreSnapshot(list(core.log), core.begin.offset, core.complete, core.high_watermark)
 
@@ -140,7 +140,7 @@
         commands: list[tuple],
         machines: dict[int, Machine],
     ) -> None:
-        """Checks a core after an event and the commands that came of it."""
+        """Checks a core and its commands after an event."""
         core = machine.core
         if core.role == LEADER:
             self._check_leading(machine)
@@ -152,27 +152,29 @@
                 self._check_capture(machine, command)
 
     def disk_changed(self, machine: Machine) -> None:
-        """After disk jobs or a loss of power: no election that the disks allow may lose a committed record."""
+        """After disk jobs or a power loss, checks that no possible election loses a committed record."""
         newest = machine.disk.newest
         if newest is not None and (newest.clear or newest.truncate_from >= 0 or machine.core is None):
             self._check_electable()
 
-    # -- leading -----------------------------------------------------------------------------------------------------
+    # -- elections -----------------------------------------------------------------------------------------------------
 
     def _check_leading(self, machine: Machine) -> None:
         core = machine.core
-        me = (machine.replica, machine.generation)
-        known = self.leaders.setdefault(core.epoch, me)
-        if known != me:
-            raise InvariantViolated("one leader an epoch", f"{me} leads epoch {core.epoch}, and so did {known}")
+        process = (machine.replica, machine.generation)
+        known_leader = self.leaders.setdefault(core.epoch, process)
+        if known_leader != process:
+            raise InvariantViolated(
+                "one leader an epoch", f"{process} leads epoch {core.epoch}, and so did {known_leader}"
+            )
         if machine.last_led == (core.epoch, machine.generation):
             return
         machine.last_led = (core.epoch, machine.generation)
         self._count("elections")
         self._check_holds_committed(machine)
         voter = (machine.replica, machine.disk.incarnation)
-        for voters in self._sets_of(core):
-            votes = self._number_of(voters, lambda disk: (core.epoch, voter) in disk.ever_voted)
+        for voters in self._voter_sets(core):
+            votes = self._count_voters(voters, lambda disk: (core.epoch, voter) in disk.ever_voted)
             if votes * 2 <= len(voters):
                 raise InvariantViolated(
                     "leaders by majorities that meet",
@@ -191,11 +193,11 @@
             if core.epoch_at(offset) != self._epoch(offset):
                 raise InvariantViolated(
                     "a leader holds all that is committed",
-                    f"{machine.replica} leads epoch {core.epoch} with another record at {offset}",
+                    f"{machine.replica} leads epoch {core.epoch} with a different record at {offset}",
                 )
 
-    def _sets_of(self, core: RaftCore) -> list[Voters]:
-        """The sets whose majorities must agree by this log: the newest, and beside an open change the one before."""
+    def _voter_sets(self, core: RaftCore) -> list[Voters]:
+        """The voter sets whose majorities must agree: the newest in this log, and the previous one until it commits."""
         voters = dict(self.states[min(core.state.offset, self.last_committed)].voters)
         sets = [voters]
         for record in core.log:
@@ -205,13 +207,13 @@
             voters = after
         return sets
 
-    def _number_of(self, voters: Voters, agrees) -> int:
-        return sum(agrees(self.disks[voter]) for voter in voters.items() if voter in self.disks)
+    def _count_voters(self, voters: Voters, condition) -> int:
+        return sum(condition(self.disks[voter]) for voter in voters.items() if voter in self.disks)
 
     def _check_electable(self) -> None:
-        """Each voter's disk as it would start now: whoever a majority of them could elect holds all committed."""
+        """Checks that every voter that could win an election after a restart from disk holds all committed records."""
         voters = self.voters
-        marks = {}
+        log_ends = {}
         for replica, incarnation in voters.items():
             disk = self.disks.get((replica, incarnation))
             newest = disk.newest if disk is not None else None
@@ -219,42 +221,44 @@
                 continue
             last = max(disk.log, default=newest.begin.offset)
             epoch = disk.log[last].epoch if last in disk.log else newest.begin.epoch
-            marks[replica] = (-1, -1) if newest.catching else (epoch, last)
-        for replica, checkpoint_id in marks.items():
+            log_ends[replica] = (-1, -1) if newest.catching else (epoch, last)
+        for replica, log_end in log_ends.items():
             disk = self.disks[(replica, voters[replica])]
-            behind = sum(other <= checkpoint_id for other in marks.values())
-            if checkpoint_id[1] >= 0 and behind * 2 > len(voters) and not disk.holds_now(self.last_committed):
+            possible_votes = sum(other <= log_end for other in log_ends.values())
+            if log_end[1] >= 0 and possible_votes * 2 > len(voters) and not disk.can_restore(self.last_committed):
                 raise InvariantViolated(
                     "committed records outlive what may be lost",
-                    f"the disks would elect {replica} at {checkpoint_id}, committed is {self.last_committed}",
+                    f"{replica} with its log end at {log_end} could be elected, committed is {self.last_committed}",
                 )
 
-    # -- committing --------------------------------------------------------------------------------------------------
+    # -- commits -------------------------------------------------------------------------------------------------------
 
     def _check_commit(self, core: RaftCore, machines: dict[int, Machine]) -> None:
         open_changes = [
             record.offset for record in core.log if record.offset > self.last_committed and is_voter_change(record)
         ]
         if len(open_changes) > 1:
-            raise InvariantViolated("one change of voters at a time", f"{core.replica} logged those at {open_changes}")
-        checkpoint_id = core.high_watermark
-        if checkpoint_id <= self.last_committed:
+            raise InvariantViolated(
+                "one change of voters at a time", f"{core.replica} logged open changes at {open_changes}"
+            )
+        commit_offset = core.high_watermark
+        if commit_offset <= self.last_committed:
             return
-        epoch = core.epoch_at(checkpoint_id)
+        epoch = core.epoch_at(commit_offset)
         if epoch != core.epoch:
             raise InvariantViolated(
                 "only a record of the leader's epoch commits by counting",
-                f"{core.replica} in epoch {core.epoch} committed up to {checkpoint_id} of epoch {epoch}",
+                f"{core.replica} in epoch {core.epoch} committed up to {commit_offset} of epoch {epoch}",
             )
-        for voters in self._sets_of(core):
-            holders = self._number_of(voters, lambda disk: disk.holds(checkpoint_id, epoch))
+        for voters in self._voter_sets(core):
+            holders = self._count_voters(voters, lambda disk: disk.has_synced(commit_offset, epoch))
             if holders * 2 <= len(voters):
                 raise InvariantViolated(
                     "commits by majorities that meet",
-                    f"{core.replica} committed {checkpoint_id}, synced on {holders} of {sorted(voters.items())}",
+                    f"{core.replica} committed {commit_offset}, synced on {holders} of {sorted(voters.items())}",
                 )
         for record in core.log:
-            if self.last_committed < record.offset <= checkpoint_id:
+            if self.last_committed < record.offset <= commit_offset:
                 self._commit(record)
         for machine in machines.values():
             if machine.core is not None and machine.core.role == LEADER and machine.core.epoch > core.epoch:
@@ -280,10 +284,10 @@
             content = (item.dropped, item.body)
             if self.applied.setdefault((key, item.revision), content) != content:
                 raise InvariantViolated(
-                    "one content for each version", f"{key} at version {item.revision} stands in two forms"
+                    "one content for each version", f"{key} has two contents at version {item.revision}"
                 )
 
-    # -- what each core holds ----------------------------------------------------------------------------------------
+    # -- the state of each core ----------------------------------------------------------------------------------------
 
     def _check_not_truncated(self, machine: Machine, before: CoreSnapshot) -> None:
         core = machine.core
@@ -302,7 +306,7 @@
             if record.offset <= self.last_committed and self._epoch(record.offset) == record.epoch:
                 raise InvariantViolated(
                     "committed records are never truncated",
-                    f"{machine.replica} dropped {record.offset} of epoch {record.epoch}",
+                    f"{machine.replica} truncated the record at {record.offset} of epoch {record.epoch}",
                 )
 
     def _check_core(self, machine: Machine) -> None:
@@ -313,7 +317,7 @@
         if core.high_watermark > self.last_committed:
             raise InvariantViolated(
                 "logs are equal up to the high-watermark",
-                f"{machine.replica} treats {core.high_watermark} as committed, {self.last_committed} is",
+                f"{machine.replica} has a high-watermark of {core.high_watermark}, committed is {self.last_committed}",
             )
         known = self.checked_up_to[(machine.replica, machine.generation)]
         if core.high_watermark > known:
@@ -321,14 +325,16 @@
             self._check_records(machine, after=known)
             if core.state.offset <= self.last_committed and core.state != self.states[core.state.offset]:
                 raise InvariantViolated(
-                    "states are equal at equal offsets", f"{machine.replica} has another one at {core.state.offset}"
+                    "states are equal at equal offsets",
+                    f"{machine.replica} has a different state at {core.state.offset}",
                 )
 
     def _check_records(self, machine: Machine, *, after: int) -> None:
         for record in machine.core.log:
             if after < record.offset <= machine.core.high_watermark and record != self.committed[record.offset - 1]:
                 raise InvariantViolated(
-                    "logs are equal up to the high-watermark", f"{machine.replica} holds another at {record.offset}"
+                    "logs are equal up to the high-watermark",
+                    f"{machine.replica} holds a different record at {record.offset}",
                 )
 
     def _check_capture(self, machine: Machine, capture: Capture) -> None:
@@ -337,69 +343,71 @@
         if checkpoint_id.offset > self.last_committed or capture.state != self.states[checkpoint_id.offset]:
             raise InvariantViolated(
                 "checkpoints hold committed state",
-                f"{machine.replica} takes one at {checkpoint_id}, committed is {self.last_committed}",
+                f"{machine.replica} takes a checkpoint at {checkpoint_id}, committed is {self.last_committed}",
             )
 
-    # -- messages ------------------------------------------------------------------------------------------------
+    # -- messages ------------------------------------------------------------------------------------------------------
 
     def sent(self, machine: Machine, message: tuple) -> None:
-        """A fetch says what its sender holds, a vote request that it votes for itself: both must be synced."""
+        """The records that a fetch claims, and the candidate's own vote in a vote request, must be synced."""
         if isinstance(message, VoteCall) and not message.pre_vote:
             self._check_vote(machine, (message.epoch, (machine.replica, machine.disk.incarnation)))
         if not isinstance(message, FetchCall) or not message.complete or message.fetch_offset < 1:
             return
-        if not machine.disk.holds(message.fetch_offset - 1, message.fetch_epoch):
+        if not machine.disk.has_synced(message.fetch_offset - 1, message.fetch_epoch):
             raise InvariantViolated(
                 "a fetch claims only what is synced",
                 f"{machine.replica} claims {message.fetch_offset - 1} of epoch {message.fetch_epoch}",
             )
 
     def answered(self, machine: Machine, message: tuple) -> None:
-        """A vote that is answered must be synced."""
+        """A granted vote must be synced before it is sent."""
         if not isinstance(message, VoteAnswer) or message.pre_vote or not message.granted:
             return
         if not any(epoch == message.vote_epoch and vote for epoch, vote in machine.disk.ever_voted):
-            self._refuse_vote(machine, message.vote_epoch)
+            self._raise_unsynced_vote(machine, message.vote_epoch)
 
     def _check_vote(self, machine: Machine, vote: tuple[int, tuple[int, str]]) -> None:
         if vote not in machine.disk.ever_voted:
-            self._refuse_vote(machine, vote[0])
+            self._raise_unsynced_vote(machine, vote[0])
 
     @staticmethod
-    def _refuse_vote(machine: Machine, epoch: int) -> None:
-        raise InvariantViolated("a vote leaves only once it is synced", f"{machine.replica} sends one of epoch {epoch}")
+    def _raise_unsynced_vote(machine: Machine, epoch: int) -> None:
+        raise InvariantViolated(
+            "a vote leaves only once it is synced", f"{machine.replica} sends an unsynced vote of epoch {epoch}"
+        )
 
     def ended(self, machine: Machine, why: str) -> None:
-        """A replica that ended with everything handed over leaves all that is committed on a majority without it."""
+        """When a replica ended as handed over, a majority of voters without it must hold all committed records."""
         if why != HANDED_OVER:
             return
         self._count("leaves handed over")
-        me = (machine.replica, machine.disk.incarnation)
+        leaving = (machine.replica, machine.disk.incarnation)
         holders = [
             voter
             for voter in self.voters.items()
-            if voter != me
+            if voter != leaving
             and voter in self.disks
-            and self.disks[voter].holds(self.last_committed, self._epoch(self.last_committed))
+            and self.disks[voter].has_synced(self.last_committed, self._epoch(self.last_committed))
         ]
         if len(holders) * 2 <= len(self.voters):
             raise InvariantViolated(
                 "who leaves hands over first",
-                f"{me} left, {self.last_committed} is committed and on {holders} of {sorted(self.voters.items())}",
+                f"{leaving} left, {self.last_committed} is committed and on {holders} of {sorted(self.voters.items())}",
             )
 
     def proposed(self, ticket: int, payload: bytes) -> None:
-        """Notes the payload that a client proposed."""
-        self.orders[ticket] = payload
+        """Stores the payload that a client proposed."""
+        self.proposals[ticket] = payload
 
     def concluded(self, command: ProposalResult) -> None:
         """An acknowledged proposal must be committed."""
-        payload = self.orders.get(command.ticket)
+        payload = self.proposals.get(command.ticket)
         if command.error or payload is None:
             return
         self._count("orders acknowledged")
         if command.offset > self.last_committed or self.committed[command.offset - 1].payload != payload:
-            raise InvariantViolated("acknowledged records are committed", f"the order of offset {command.offset} isn't")
+            raise InvariantViolated("acknowledged records are committed", f"the record at {command.offset} isn't")
         if self.checks_versions and all(not outcome.error for outcome in command.outcomes):
             self._check_acknowledged(payload)
 
@@ -407,17 +415,17 @@
         proposal = unpack_command(payload)
         if not isinstance(proposal, PatchItems):
             return
-        for setting, item in read_patch(proposal.patch).unwrap().sets:
-            version = (item.name, setting.revision)
-            if self.acknowledged.setdefault(version, setting.source) != setting.source:
+        for upsert, item in read_patch(proposal.patch).unwrap().sets:
+            version = (item.name, upsert.revision)
+            if self.acknowledged.setdefault(version, upsert.source) != upsert.source:
                 raise InvariantViolated("one content for each version", f"two contents of {version} were acknowledged")
 
     def read_requested(self, ticket: int) -> None:
-        """Notes what was committed when a client began to read."""
+        """Stores the last committed offset at the time a client starts a read."""
         self.reads[ticket] = self.last_committed
 
     def read_ready(self, command: ReadResult) -> None:
-        """A confirmed read must show at least what was committed when it began."""
+        """A confirmed read must include everything that was committed when it began."""
         if command.error:
             return
         self._count("reads confirmed")
@@ -425,7 +433,9 @@
         if offset < self.reads[command.ticket]:
             raise InvariantViolated(
                 "confirmed reads are linear",
-                f"one that began at {self.reads[command.ticket]} was given the state at {offset}",
+                f"a read that began at {self.reads[command.ticket]} returned the state at {offset}",
             )
         if command.state != self.states[offset]:
-            raise InvariantViolated("confirmed reads are linear", f"one was given a state that never was at {offset}")
+            raise InvariantViolated(
+                "confirmed reads are linear", f"a read returned a state that never existed at {offset}"
+            )
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/loss_sequences.py
@@ -1,7 +1,7 @@
-"""Losses one after the other, as the platform counts them: by time, on a network without faults.
+"""Sequences of machine losses, counted by time as the platform does, on a network without faults.
 
-A machine counts as lost until its return or successor has been up for the settling time. However the losses follow each
-other, each must have settled by then in the log itself, and the cluster serves all the while.
+A machine counts as lost until it or its successor has been up for the settling time. In any sequence, each loss must
+have settled in the log within that time, and the cluster must serve throughout.
 """
 
 import contextlib
@@ -20,9 +20,9 @@
 from hoistsaddle.testbed.modelcheck.steps import UNIT, Walk
 from hoistsaddle.testbed.modelcheck.walks import StopDrawing
 
-# How often an operator sends an order meanwhile.
-ORDER_INTERVAL = milliseconds(250)
-# A lost machine comes back, or its successor comes up, after at most so many units.
+# The interval between the proposals of an operator during a sequence.
+PROPOSAL_INTERVAL = milliseconds(250)
+# The longest time, in units, until a lost machine returns or its successor starts.
 MAX_UNITS_AWAY = 40
 MAX_LOSSES = 6
 
@@ -43,9 +43,9 @@
 
     Attributes:
         kind: how the machine is lost.
-        victim: which machine; 0 is the leader.
-        units_away: how long nobody is in its place.
-        units_after: how long after its settling time the next loss comes.
+        victim: the index of the machine among the voters; 0 is the leader.
+        units_away: time in units until it returns or its successor starts.
+        units_after: time in units between the end of its settling time and the next loss.
     """
 
     kind: LossKind
@@ -64,61 +64,61 @@
 
 
 class SequenceResult(NamedTuple):
-    """How long each loss took to settle, from the time when its return or successor was up."""
+    """The time that each loss took to settle, from the start of the returned machine or its successor."""
 
     settle_times: tuple[timedelta, ...]
 
 
 class SequenceCounterexample(NamedTuple):
-    """A sequence that violates a rule, and how."""
+    """A sequence that violates a rule, with a description of the violation."""
 
     description: str
     sequence: LossSequence
 
 
 class _Run:
-    """Does one sequence on a cluster of its own."""
+    """Plays one sequence on a new cluster."""
 
     def __init__(self, sequence: LossSequence) -> None:
         self.sequence = sequence
         self.cluster = Cluster(size=sequence.size, seed=sequence.seed, time_step=TICK)
         self.walk = Walk(self.cluster)
-        self.ordered_at = ZERO
-        self.orders = 0
+        self.last_proposal_at = ZERO
+        self.proposals = 0
 
     def run(self) -> SequenceResult:
-        self._pass(timedelta(seconds=2))
+        self._advance(timedelta(seconds=2))
         return SequenceResult(tuple(self._lose(loss) for loss in self.sequence.losses))
 
-    def _pass(self, duration: timedelta, *, until=lambda: False) -> bool:
-        """Time goes by, with an order now and then."""
+    def _advance(self, duration: timedelta, *, until=lambda: False) -> bool:
+        """Advances time, with a proposal every PROPOSAL_INTERVAL; returns True as soon as the condition holds."""
         end = self.cluster.now + duration
         while self.cluster.now < end:
             if self.cluster.run(UNIT, until=until):
                 return True
             leader = self.cluster.leader()
-            if leader is not None and self.cluster.now - self.ordered_at >= ORDER_INTERVAL:
-                self.ordered_at = self.cluster.now
-                self.orders += 1
-                self.walk.order(leader, self.orders)
+            if leader is not None and self.cluster.now - self.last_proposal_at >= PROPOSAL_INTERVAL:
+                self.last_proposal_at = self.cluster.now
+                self.proposals += 1
+                self.walk.propose_item(leader, self.proposals)
         return False
 
     def _lose(self, loss: Loss) -> timedelta:
         victim = self._victim(loss.victim)
         self.walk.lost.add(victim.replica)
-        self._begin(loss.kind, victim, loss.units_away)
-        self._pass(UNIT * loss.units_away)
-        self._end(loss.kind, victim)
-        began = self.cluster.now
-        if not self._pass(self.sequence.settle, until=self.walk.is_settled):
+        self._begin_loss(loss.kind, victim, loss.units_away)
+        self._advance(UNIT * loss.units_away)
+        self._end_loss(loss.kind, victim)
+        started_at = self.cluster.now
+        if not self._advance(self.sequence.settle, until=self.walk.is_settled):
             voters = sorted(self.cluster.invariants.voters.items())
             raise InvariantViolated(
                 "a loss settles within its span",
-                f"{loss.kind} of {victim.replica} has not after {self.sequence.settle}: "
+                f"{loss.kind} of {victim.replica} has not settled after {self.sequence.settle}: "
                 f"leader {self.cluster.leader()}, voters {voters}",
             )
-        settle_time = self.cluster.now - began
-        self._pass(self.sequence.settle - settle_time + UNIT * loss.units_after)
+        settle_time = self.cluster.now - started_at
+        self._advance(self.sequence.settle - settle_time + UNIT * loss.units_after)
         return settle_time
 
     def _victim(self, victim: int) -> Machine:
@@ -126,7 +126,7 @@
         leader = self.cluster.leader()
         return self.cluster.machines[leader if victim == 0 and leader is not None else voters[victim % len(voters)]]
 
-    def _begin(self, kind: LossKind, victim: Machine, units_away: int) -> None:
+    def _begin_loss(self, kind: LossKind, victim: Machine, units_away: int) -> None:
         cluster, replica = self.cluster, victim.replica
         match kind:
             case LossKind.WIPED | LossKind.POWER:
@@ -140,7 +140,7 @@
             case LossKind.CUT_OFF:
                 cluster.cuts |= {pair for each in cluster.machines for pair in ((each, replica), (replica, each))}
 
-    def _end(self, kind: LossKind, victim: Machine) -> None:
+    def _end_loss(self, kind: LossKind, victim: Machine) -> None:
         cluster, replica = self.cluster, victim.replica
         match kind:
             case LossKind.WIPED:
@@ -158,10 +158,10 @@
 
 
 def run_loss_sequence(sequence: LossSequence) -> SequenceResult:
-    """Does the sequence.
+    """Plays the sequence and returns its settling times.
 
     Raises:
-        InvariantViolated: a rule is broken, or a loss doesn't settle in time.
+        InvariantViolated: an invariant is violated, or a loss doesn't settle in time.
     """
     return _Run(sequence).run()
 
@@ -169,7 +169,7 @@
 def draw_loss_sequences(
     *, seed: int, runs: int, settle: timedelta, sizes: tuple[int, ...] = (3, 5)
 ) -> tuple[list[timedelta], SequenceCounterexample | None]:
-    """Draws sequences from a seed and does them; gives how long losses took to settle, and the first violation."""
+    """Plays sequences drawn from a seed; returns the settling times and the first violation."""
     settle_times: list[timedelta] = []
     found: SequenceCounterexample | None = None
     loss = strategies.builds(
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/machine.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/machine.py
@@ -1,4 +1,4 @@
-"""One replica's machine of the model: its disk, its core while the process runs, and calls it has yet to answer."""
+"""The modelled machine of one replica: its disk, its core while the process runs, and its unanswered calls."""
 
 from hoistsaddle.common.clock import ZERO
 from hoistsaddle.raft.core import RaftCore
@@ -7,15 +7,15 @@
 
 
 class Machine:
-    """One replica's machine.
+    """The modelled machine of one replica.
 
     Attributes:
-        disk: its present disk.
+        disk: its current disk.
         core: the raft core; None while no process runs.
-        generation: how often the process was started.
-        synced: the newest write that was reported as synced.
-        waiting: commands that wait for a write to be synced, with its sequence number.
-        pending_calls: calls not answered yet by ticket: sender, its generation and number.
+        generation: the number of starts of the process so far.
+        synced: the sequence number of the newest write reported as synced.
+        waiting: messages that wait for a write to be synced, with the sequence number of the write.
+        pending_calls: unanswered calls by ticket, as sender, generation of the sender and call number.
     """
 
     def __init__(self, *, disk: ModelDisk) -> None:
@@ -23,23 +23,23 @@
         self.core: RaftCore | None = None
         self.generation = 0
         self.frozen = False
-        # The disk does nothing until it is resumed; what was done before stays.
+        # The disk executes no jobs until it is resumed; earlier jobs stay done.
         self.stalled = False
         self.leaving = self.ended = False
-        # Gone for good: it is never started again.
+        # Permanently removed, never started again.
         self.removed = False
-        # How far its clock is ahead of the cluster's: clocks drift, and nothing may depend on them.
+        # Offset of its clock from the cluster's: clocks drift, and correctness must not depend on them.
         self.clock_offset = ZERO
-        # The epoch and generation it was last seen to lead in.
+        # The epoch and generation in which it was last seen as leader.
         self.last_led = (0, 0)
         self.synced = 0
-        # The hash of a copy that doesn't change any more, once it was asked for; 0 before.
+        # Cached hash of a machine that no longer changes; 0 until it is computed.
         self.key = 0
         self.waiting: list[tuple[int, tuple]] = []
         self.pending_calls: dict[int, tuple[int, int, int]] = {}
 
     def copy(self) -> "Machine":
-        """A copy of the machine, which may go another way."""
+        """A copy of the machine, to continue on another path."""
         copied = Machine(disk=self.disk.copy())
         copied.core = clone(self.core)
         copied.generation = self.generation
@@ -54,10 +54,10 @@
 
     @property
     def replica(self) -> int:
-        """The number of the replica."""
+        """The replica number."""
         return self.disk.replica
 
     @property
-    def answers(self) -> bool:
+    def responsive(self) -> bool:
         """Whether its process runs and isn't frozen."""
         return self.core is not None and not self.frozen
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/modeldisk.py
@@ -1,6 +1,6 @@
-"""A disk of the model: what a replica's folder holds once synced, and the jobs that were given and not yet done.
+"""A modelled disk: the synced content of a replica's data folder, and the queue of jobs not done yet.
 
-It follows raft/disk.py and raft/jobs.py without files; a test runs the same jobs on both and compares what boots.
+It mirrors raft/disk.py and raft/jobs.py without files; a test runs the same jobs on both and compares the boots.
 """
 
 from collections import deque
@@ -25,19 +25,19 @@
 from hoistsaddle.rpc.messages import FetchSnapshotAnswer, Record
 from hoistsaddle.statemachine.state import State
 
-# What a boot takes from the newest write under the same name; records are stored apart.
+# Fields that a boot copies from the newest write under the same name; records are stored separately.
 _BOOT_FIELDS = tuple(name for name in Write._fields if name in Boot._fields and name != "records")
 
 
 class ChunkRead(NamedTuple):
-    """A chunk of a checkpoint for the replica that asked with this ticket."""
+    """A chunk of a checkpoint, read for the call with this ticket."""
 
     ticket: int
     answer: FetchSnapshotAnswer
 
 
 class ModelDisk:
-    """One incarnation of one machine's disk."""
+    """One incarnation of a machine's disk."""
 
     def __init__(self, *, replica: int, incarnation: str) -> None:
         self.replica = replica
@@ -48,13 +48,13 @@
         self.checkpoints: dict[OffsetAndEpoch, bytes] = {}
         self.fetched: dict[OffsetAndEpoch, bytes] = {}
         self.jobs: deque = deque()
-        # What this incarnation held or promised at any time; a truncation removes nothing here.
+        # All records and votes that this incarnation ever synced; a truncation removes nothing here.
         self.ever_held: set[tuple[int, int]] = set()
         self.ever_voted: set[tuple[int, tuple[int, str] | None]] = set()
         self.covered = 0
 
     def copy(self) -> "ModelDisk":
-        """A copy of the content, on which other jobs may be done."""
+        """A copy of the disk, to continue on another path."""
         copied = ModelDisk(replica=self.replica, incarnation=self.incarnation)
         copied.newest, copied.bootstrap_facts, copied.covered = self.newest, self.bootstrap_facts, self.covered
         copied.log, copied.checkpoints, copied.fetched = dict(self.log), dict(self.checkpoints), dict(self.fetched)
@@ -62,15 +62,15 @@
         copied.ever_held, copied.ever_voted = set(self.ever_held), set(self.ever_voted)
         return copied
 
-    def found(self, *, mesh: str, voters: tuple[tuple[int, str], ...], state: State) -> None:
-        """What founding leaves: the first checkpoint, the mesh and its voters."""
+    def bootstrap(self, *, mesh: str, voters: tuple[tuple[int, str], ...], state: State) -> None:
+        """Writes what a bootstrap stores: the first checkpoint, the mesh and its voters."""
         self.checkpoints[OffsetAndEpoch(0, 0)] = pack_checkpoint(checkpoint_id=OffsetAndEpoch(0, 0), state=state)
         self.bootstrap_facts = {"mesh": mesh, "voters": voters}
 
     # -- reading -----------------------------------------------------------------------------------------------------
 
     def boot(self) -> Boot | None:
-        """What a start reads; None where the folder has to be replaced by another incarnation."""
+        """The data that a start reads; None if the folder must be replaced by a new incarnation."""
         facts = (
             {name: getattr(self.newest, name) for name in _BOOT_FIELDS} if self.newest else self.bootstrap_facts or {}
         )
@@ -78,7 +78,7 @@
         if not known.mesh or known.catching:
             return known
         records = tuple(self.log[offset] for offset in sorted(self.log) if offset > known.begin.offset)
-        found = self._newest_checkpoint(least=known.begin.offset)
+        found = self._newest_checkpoint(min_offset=known.begin.offset)
         if found is None:
             return None
         checkpoint_id, state = found
@@ -87,21 +87,21 @@
             records, begin = (), checkpoint_id
         return known._replace(begin=begin, records=records, checkpoint=checkpoint_id, state=state)
 
-    def _newest_checkpoint(self, *, least: int) -> tuple[OffsetAndEpoch, State] | None:
+    def _newest_checkpoint(self, *, min_offset: int) -> tuple[OffsetAndEpoch, State] | None:
         for checkpoint_id in sorted(self.checkpoints, reverse=True):
-            if checkpoint_id.offset < least:
+            if checkpoint_id.offset < min_offset:
                 break
             match unpack_checkpoint(checkpoint_id=checkpoint_id, data=self.checkpoints[checkpoint_id]):
                 case Success(state):
                     return checkpoint_id, state
         return None
 
-    def holds(self, offset: int, epoch: int) -> bool:
-        """Whether this record, or a checkpoint made after it, was ever synced here."""
+    def has_synced(self, offset: int, epoch: int) -> bool:
+        """Whether this record, or a checkpoint that covers it, was ever synced here."""
         return offset <= self.covered or (offset, epoch) in self.ever_held
 
-    def holds_now(self, offset: int) -> bool:
-        """Whether a start from what is synced would find everything up to this offset."""
+    def can_restore(self, offset: int) -> bool:
+        """Whether a start from the synced data would restore everything up to this offset."""
         if self.newest is None or self.newest.catching:
             return offset <= 0
         last = max(self.log, default=self.newest.begin.offset)
@@ -112,7 +112,7 @@
     # -- jobs --------------------------------------------------------------------------------------------------------
 
     def do_next(self) -> tuple | None:
-        """Does the first job, all writes in a row as one, and gives its report."""
+        """Executes the first job, or all consecutive writes at once, and returns the report."""
         if not isinstance(self.jobs[0], Write):
             return self._do(self.jobs.popleft())
         while self.jobs and isinstance(self.jobs[0], Write):
@@ -121,14 +121,14 @@
         return Synced(write.sequence)
 
     def lose_power(self, *, kept: int) -> None:
-        """The first so many of the waiting jobs still reached the disk; the rest never did."""
+        """Executes the first `kept` of the queued jobs and loses the rest."""
         for job in list(self.jobs)[:kept]:
             self._write(job) if isinstance(job, Write) else self._do(job)
         self.jobs.clear()
         self.fetched.clear()
 
     def tear(self) -> None:
-        """The newest checkpoint is found torn at the next start."""
+        """Truncates the newest checkpoint, so that the next start finds it torn."""
         if self.checkpoints:
             checkpoint_id = max(self.checkpoints)
             self.checkpoints[checkpoint_id] = self.checkpoints[checkpoint_id][:-1]
@@ -141,9 +141,9 @@
         for record in write.records:
             self.log[record.offset] = record
         if not write.catching:
-            # What lies above a checkpoint that is still being fetched saves nothing, so it isn't held yet.
-            fresh = self.log.values() if self.newest is not None and self.newest.catching else write.records
-            self.ever_held.update((record.offset, record.epoch) for record in fresh)
+            # Records above a checkpoint that is still being fetched can't be restored, so they count only afterwards.
+            newly_held = self.log.values() if self.newest is not None and self.newest.catching else write.records
+            self.ever_held.update((record.offset, record.epoch) for record in newly_held)
         if any(offset <= write.begin.offset for offset in self.log):
             self.log = {offset: record for offset, record in self.log.items() if offset > write.begin.offset}
         self.newest = write
@@ -166,9 +166,9 @@
                         self.checkpoints[checkpoint_id] = complete
                         return CheckpointLoaded(checkpoint_id, state)
                 return CheckpointLoaded(checkpoint_id, None)
-            case ReadChunk(ticket=ticket, epoch=epoch, call=call, max_bytes=most):
+            case ReadChunk(ticket=ticket, epoch=epoch, call=call, max_bytes=limit):
                 checkpoint_id = OffsetAndEpoch(call.checkpoint_offset, call.checkpoint_epoch)
-                error, data, continues = self._read_chunk(checkpoint_id, call.position, most)
+                error, data, continues = self._read_chunk(checkpoint_id, call.position, limit)
                 return ChunkRead(
                     ticket, FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
                 )
@@ -179,11 +179,11 @@
                         del files[checkpoint_id]
         return None
 
-    def _read_chunk(self, checkpoint_id: OffsetAndEpoch, position: int, most: int) -> tuple[str, bytes, bool]:
+    def _read_chunk(self, checkpoint_id: OffsetAndEpoch, position: int, limit: int) -> tuple[str, bytes, bool]:
         if checkpoint_id not in self.checkpoints:
             return SNAPSHOT_NOT_FOUND, b"", False
         data = self.checkpoints[checkpoint_id]
         if not 0 <= position <= len(data):
             return OFFSET_OUT_OF_RANGE, b"", False
-        piece = data[position : position + most]
-        return "", piece, position + len(piece) < len(data)
+        chunk = data[position : position + limit]
+        return "", chunk, position + len(chunk) < len(data)
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/spaces.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/spaces.py
@@ -1,4 +1,4 @@
-"""The spaces that are explored exhaustively: where each begins, how deep it goes, what may happen in it."""
+"""The spaces that are explored exhaustively, with the initial cluster, depth and budget of each."""
 
 import random
 from collections.abc import Callable
@@ -10,27 +10,27 @@
 from hoistsaddle.testbed.modelcheck.cluster import TIME_STEP, Cluster
 from hoistsaddle.testbed.modelcheck.exhaustive import TIMEOUT, Budget, Space
 from hoistsaddle.testbed.modelcheck.faults import InjectedFault
-from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, is_voter_change, order
+from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated, is_voter_change, upsert_proposal
 from hoistsaddle.testbed.modelcheck.machine import Machine
 
-# Twenty seconds, and the moves in one time step: more than a blank disk needs to come back.
-MAX_TIME_STEPS, MAX_MOVES_PER_STEP = 400, 50
+# The most time steps (20 seconds) and events per time step; a blank disk rejoins in less.
+MAX_TIME_STEPS, MAX_EVENTS_PER_STEP = 400, 50
 
 
 class _MidpointRandom(random.Random):
-    """Election timeouts are equal everywhere: which timer expires first is up to the exploration."""
+    """Makes all election timeouts equal, so that the exploration decides which timer expires first."""
 
     def random(self) -> float:
         return 0.5
 
 
 def _new_cluster(fault: InjectedFault) -> Cluster:
-    """Three replicas that were just bootstrapped."""
+    """Three newly bootstrapped replicas."""
     return Cluster(size=3, seed=1, fault=fault, make_random=_MidpointRandom)
 
 
 def _two_candidates(fault: InjectedFault) -> Cluster:
-    """Two replicas became candidates at the same time, and nobody has heard of it yet."""
+    """Two replicas became candidates at the same time, and their vote requests are still in flight."""
     cluster = _new_cluster(fault)
     for replica in (1, 3):
         cluster.machines[replica].clock_offset += TIMEOUT
@@ -39,7 +39,7 @@
 
 
 def _elect_first(fault: InjectedFault) -> Cluster:
-    """Three replicas of which the first leads: only its timer expired."""
+    """Three replicas; the first is the leader, because only its election timer expired."""
     cluster = _new_cluster(fault)
     cluster.machines[1].clock_offset += TIMEOUT
     cluster.run(milliseconds(300))
@@ -48,22 +48,22 @@
 
 
 def _with_leader(fault: InjectedFault) -> Cluster:
-    """The first replica leads, and nothing is in flight."""
+    """The first replica is the leader, and no messages are in flight."""
     cluster = _elect_first(fault)
     cluster.in_flight.clear()
     return cluster
 
 
 def _with_unsynced_record(fault: InjectedFault) -> Cluster:
-    """The leader holds a record that nobody else has, and hasn't synced it itself."""
+    """The leader has logged a record that it hasn't synced or replicated."""
     cluster = _with_leader(fault)
-    cluster.propose(1, order(request=1, name="one", revision=1, content="first"))
+    cluster.propose(1, upsert_proposal(request=1, name="one", revision=1, content="first"))
     cluster.in_flight.clear()
     return cluster
 
 
 def _two_leaders(fault: InjectedFault) -> Cluster:
-    """The second was elected by the third, and the first hasn't heard of it."""
+    """The second replica was elected by the third, and the first still leads its older epoch."""
     cluster = _with_leader(fault)
     cluster.cuts = {(1, 2), (2, 1), (1, 3), (3, 1)}
     cluster.machines[2].clock_offset += TIMEOUT
@@ -80,38 +80,38 @@
 
 
 def _with_open_voter_change(fault: InjectedFault) -> Cluster:
-    """A blank disk has come back and caught up, and the record that swaps it in is logged at the leader alone."""
+    """A replica with a blank disk has caught up, and the record that makes it a voter is logged only at the leader."""
     cluster = _elect_first(fault)
     cluster.crash(3, kept=0)
     cluster.wipe(3)
     cluster.start(3)
     if not _step_until(cluster, lambda: _has_open_change(cluster.machines[1])):
         raise InvariantViolated(
-            "a change of voters is logged", "the leader logged none for a blank disk that came back"
+            "a change of voters is logged", "the leader logged none for a replica that returned with a blank disk"
         )
     cluster.in_flight.clear()
     return cluster
 
 
 def _has_open_change(machine: Machine) -> bool:
-    """Whether the log holds a change of voters that isn't committed."""
+    """Whether the log holds an uncommitted change of voters."""
     core = machine.core
     return any(record.offset > core.high_watermark and is_voter_change(record) for record in core.log)
 
 
 def _step_until(cluster: Cluster, condition: Callable[[], bool]) -> bool:
-    """Goes on event by event until the condition holds; whether it does."""
+    """Runs event by event until the condition holds; returns whether it does within MAX_TIME_STEPS."""
     for _ in range(MAX_TIME_STEPS):
         cluster.now += TIME_STEP
-        for _ in range(MAX_MOVES_PER_STEP):
-            moved = cluster.deliver_next()
+        for _ in range(MAX_EVENTS_PER_STEP):
+            progressed = cluster.deliver_next()
             if condition():
                 return True
             for replica in cluster.machines:
-                moved = cluster.do_disk_job(replica) or moved
+                progressed = cluster.do_disk_job(replica) or progressed
                 if condition():
                     return True
-            if not moved:
+            if not progressed:
                 break
         for replica in cluster.machines:
             cluster.tick(replica)
@@ -121,11 +121,11 @@
 
 
 def _with_lagging_follower(fault: InjectedFault) -> Cluster:
-    """A follower is behind the leader's begin, and its fetch is about to be answered with the checkpoint."""
+    """A follower is behind the begin offset of the leader, so its next fetch is answered with a checkpoint."""
     cluster = _elect_first(fault)
     cluster.crash(3, kept=0)
     for number in range(1, 8):
-        cluster.propose(1, order(request=number, name="one", revision=number, content=f"content-{number}"))
+        cluster.propose(1, upsert_proposal(request=number, name="one", revision=number, content=f"content-{number}"))
         cluster.run(milliseconds(200))
     cluster.run(timedelta(seconds=4), until=lambda: cluster.machines[1].core.begin.offset > 1)
     assert cluster.machines[1].core.begin.offset > 1
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
@@ -1,4 +1,4 @@
-"""Random walks over the modelled cluster, drawn and made smaller by hypothesis."""
+"""Random walks over the modelled cluster, drawn by hypothesis, and the minimization of walks that violate a rule."""
 
 import contextlib
 import time
@@ -14,7 +14,7 @@
 from hoistsaddle.testbed.modelcheck.invariants import InvariantViolated
 from hoistsaddle.testbed.modelcheck.steps import Step, StepKind, Walk
 
-# How often each kind is drawn: losses are rare, so that something that they can undo happens between them.
+# How often each kind is drawn. Losses are rare, so that records are committed between them.
 WEIGHTS = {
     StepKind.RUN: 14,
     StepKind.DELIVER: 14,
@@ -43,18 +43,18 @@
     StepKind.READ: 6,
     StepKind.ALL_LOSE_POWER: 1,
 }
-# A run's first number counts units of 50 ms: up to two seconds.
+# The first number of a RUN step counts units of 50 ms: up to two seconds.
 MAX_UNITS = 39
 MAX_STEPS = 60
 NO_EXCEPTION_RULE = "no core raises"
 
 
 class StopDrawing(unittest.SkipTest):
-    """Ends a run of hypothesis early; it draws no further example after this."""
+    """Stops a hypothesis run; it draws no further examples after this."""
 
 
 class Script(NamedTuple):
-    """A whole walk, enough to do it again."""
+    """A complete walk, sufficient to replay it."""
 
     size: int
     seed: int
@@ -65,7 +65,7 @@
 
 
 class Counterexample(NamedTuple):
-    """A rule that was broken, and a walk that breaks it."""
+    """A violated rule, and a walk that violates it."""
 
     rule: str
     description: str
@@ -84,13 +84,13 @@
     figures: tuple[tuple[str, int], ...] = ()
 
     def with_walk(self, walk: Walk) -> "WalkTotals":
-        """With one more walk."""
+        """These totals and one more walk."""
         steps = len(walk.done)
         figures = tuple(sorted(walk.cluster.invariants.figures.items()))
         return self.merged_with(WalkTotals(1, steps, walk.skipped, walk.cluster.events, steps, walk.settled, figures))
 
     def merged_with(self, other: "WalkTotals") -> "WalkTotals":
-        """Both together."""
+        """The sum of both totals."""
         figures = dict(self.figures)
         for name, number in other.figures:
             figures[name] = figures.get(name, 0) + number
@@ -113,15 +113,15 @@
 
 
 def play(script: Script, *, fault: InjectedFault | None = None) -> Walk:
-    """Does a walk and its ending; raises Broken, also for whatever a core raises."""
+    """Replays a walk and its final checks; raises InvariantViolated, also for any exception of a core."""
     walk = Walk(Cluster(size=script.size, seed=script.seed, fault=fault))
-    _apply_action(walk, script)
+    _play_steps(walk, script)
     return walk
 
 
-def _apply_action(walk: Walk, script: Script) -> None:
+def _play_steps(walk: Walk, script: Script) -> None:
     try:
-        # Most walks begin with a leader: what a first election alone can break, the exhaustive part looks at.
+        # Most walks start with a leader; faults of the first election alone are covered by the exhaustive exploration.
         walk.take(Step(StepKind.RUN, MAX_UNITS))
         for step in script.steps:
             walk.take(step)
@@ -133,7 +133,7 @@
 
 
 def broken_by(script: Script, *, fault: InjectedFault | None = None) -> InvariantViolated | None:
-    """The rule a walk breaks, if any."""
+    """The violation that a walk leads to, if any."""
     try:
         play(script, fault=fault)
     except InvariantViolated as broken:
@@ -142,7 +142,7 @@
 
 
 def steps_of(kinds: Iterable[StepKind]) -> strategies.SearchStrategy[Step]:
-    """Draws one step, the kinds by their weights."""
+    """A strategy that draws one step, with its kind by weight."""
     weighted = [kind for kind in kinds for _ in range(WEIGHTS[kind])]
     return strategies.builds(
         Step, strategies.sampled_from(weighted), strategies.integers(0, MAX_UNITS), strategies.integers(0, 23)
@@ -159,7 +159,7 @@
     max_steps: int = MAX_STEPS,
     until: float = float("inf"),
 ) -> tuple[WalkTotals, Counterexample | None]:
-    """So many walks drawn from this seed, fewer once the monotonic time until is over; ends at the first violation."""
+    """Draws and plays `walks` walks from a seed; stops at the first violation or at the monotonic time `until`."""
     total = WalkTotals()
     found: Counterexample | None = None
 
@@ -184,15 +184,15 @@
     def check(script: Script) -> None:
         nonlocal total, found
         if time.monotonic() > until:
-            raise StopDrawing("no further example is wanted")
+            raise StopDrawing("no further examples are needed")
         walk = Walk(Cluster(size=script.size, seed=script.seed, fault=fault()))
         try:
-            _apply_action(walk, script)
+            _play_steps(walk, script)
         except InvariantViolated as broken:
             found = Counterexample(broken.rule, str(broken), script)
         total = total.with_walk(walk)
         if found is not None:
-            raise StopDrawing("no further example is wanted")
+            raise StopDrawing("no further examples are needed")
 
     with contextlib.suppress(StopDrawing):
         check()
@@ -202,20 +202,20 @@
 def make_smaller(
     found: Counterexample, *, fault: Callable[[], InjectedFault] = InjectedFault, max_attempts: int = 600
 ) -> Counterexample:
-    """Leaves out steps, many at a time and then single ones, and lessens numbers, while the same rule breaks."""
-    tries = 0
+    """Minimizes a walk: removes steps, in blocks and then singly, and zeroes numbers, while the same rule fails."""
+    attempts = 0
 
     def breaks_same_rule(script: Script) -> bool:
-        nonlocal found, tries
-        tries += 1
-        broken = broken_by(script, fault=fault()) if tries <= max_attempts else None
+        nonlocal found, attempts
+        attempts += 1
+        broken = broken_by(script, fault=fault()) if attempts <= max_attempts else None
         if broken is None or broken.rule != found.rule:
             return False
         found = Counterexample(broken.rule, str(broken), script)
         return True
 
     block = max(1, len(found.script.steps) // 2)
-    while tries <= max_attempts:
+    while attempts <= max_attempts:
         before = found.script
         place = len(before.steps)
         while place > 0:
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -50,7 +50,7 @@
 
 
 # What must be so at the end of a walk: which of the three a fault spoils first hangs on the walk.
-AT_THE_END = "a healed cluster serves|losses settle|everybody catches up"
+AT_THE_END = "a healed cluster serves|losses settle|every replica catches up"
 
 
 class FaultCase(NamedTuple):
@@ -63,26 +63,26 @@
 
 
 INJECTED = (
-    FaultCase(faults.CountsOneSetOnly, "commits by majorities that meet"),
-    FaultCase(faults.CountsOneSetOnly, "commits by majorities that meet", space="open change of voters"),
+    FaultCase(faults.CountsNewestSetOnly, "commits by majorities that meet"),
+    FaultCase(faults.CountsNewestSetOnly, "commits by majorities that meet", space="open change of voters"),
     FaultCase(faults.VoteUnsynced, "a vote leaves only once it is synced"),
-    FaultCase(faults.ForgetsItsVoteOnSync, "a vote leaves only once it is synced"),
+    FaultCase(faults.OmitsVoteFromWrites, "a vote leaves only once it is synced"),
     FaultCase(faults.FetchUnsynced, "a fetch claims only what is synced"),
-    FaultCase(faults.SyncsAreLies, "a vote leaves only once it is synced"),
+    FaultCase(faults.ReportsSyncEarly, "a vote leaves only once it is synced"),
     FaultCase(faults.CountsWhileFetchingSnapshot, "a fetch claims only what is synced"),
     FaultCase(faults.AppendUnsynced, "commits by majorities that meet", STALLING),
     FaultCase(faults.AppendUnsynced, "commits by majorities that meet", space="order unsynced"),
     FaultCase(faults.CommitsOldEpoch, "only a record of the leader's epoch commits by counting"),
-    FaultCase(faults.ReadWithoutRound, "confirmed reads are linear", space="reads at two leaders"),
-    FaultCase(faults.VotesForAnybody, "a leader holds all that is committed", CRASHES_AND_PARTITIONS),
+    FaultCase(faults.ReadUnconfirmed, "confirmed reads are linear", space="reads at two leaders"),
+    FaultCase(faults.VotesWithoutLogCheck, "a leader holds all that is committed", CRASHES_AND_PARTITIONS),
     FaultCase(faults.VotesTwice, "one leader an epoch"),
     FaultCase(faults.VotesTwice, "one leader an epoch", space="two candidates"),
     FaultCase(faults.TruncatesCommitted, "committed records are never truncated"),
     FaultCase(faults.BlankDiskVotes, "commits by majorities that meet", space="a lost disk"),
-    FaultCase(faults.AcknowledgesAtOnce, "acknowledged records are committed"),
-    FaultCase(faults.CapturesTooMuch, "checkpoints hold committed state"),
-    FaultCase(faults.BelievesTheAnswer, "logs are equal up to the high-watermark"),
-    FaultCase(faults.LosesRecords, "logs are equal up to the high-watermark"),
+    FaultCase(faults.AcknowledgesUncommitted, "acknowledged records are committed"),
+    FaultCase(faults.MisnamesCheckpoints, "checkpoints hold committed state"),
+    FaultCase(faults.UsesLogEndAsHighWatermark, "logs are equal up to the high-watermark"),
+    FaultCase(faults.SkipsRecords, "logs are equal up to the high-watermark"),
     FaultCase(faults.DropsNewestCheckpoint, AT_THE_END),
 )
 
