--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/__init__.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/__init__.py
@@ -1,1 +1,1 @@
-"""Crash check of a replica's data folder: what a loss of power may leave at any point, and whether that boots."""
+"""Crash check of a replica's data folder: whether every state that a power loss can leave at any point boots."""
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/check.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/check.py
@@ -1,7 +1,7 @@
-"""Records a scenario on a data folder, loses the power at every point of it, and boots every state that may be left.
+"""Records a scenario on a data folder, and boots every folder state that a power loss at any point may leave.
 
-What a call wrote before it returned must be there; what a call in progress writes may be there or not, but not in part.
-A blank folder is right only before the first start has told its incarnation to the other replicas.
+The writes of a call that returned must be kept; those of a call in progress may be kept or lost, but only as a whole.
+A blank folder is allowed only until the first start has announced its incarnation to the other replicas.
 """
 
 import hashlib
@@ -15,19 +15,19 @@
 from hoistsaddle.raft.disk import Disk
 from hoistsaddle.raft.events import Boot
 from hoistsaddle.raft.files import Files
-from hoistsaddle.testbed.diskmodel.model import MAX_FOLDER_STATES, FolderModel, FolderState, lay_out
+from hoistsaddle.testbed.diskmodel.model import MAX_FOLDER_STATES, FolderModel, FolderState, write_folder_state
 from hoistsaddle.testbed.diskmodel.operations import FileSynced, FolderSynced, Operation, Returned
 from hoistsaddle.testbed.diskmodel.recorder import Recorder
 
 REPLICA = 1
-# Small, so that write-ahead pages are moved into the database often in a short scenario.
+# Small, so that sqlite3 checkpoints its write-ahead log often even in a short scenario.
 WRITE_AHEAD_PAGES = 6
-# Stands for the call before the first one.
+# The name of the last returned call while no call has returned.
 NO_CALL = "nothing"
 
 
-class Broken(NamedTuple):
-    """A folder state that boots into a state that never was; files with their sizes, -1 for a folder."""
+class BrokenState(NamedTuple):
+    """A folder state that doesn't boot correctly; `files` has the size of each file, -1 for a folder."""
 
     crash_point: int
     after: str
@@ -36,15 +36,15 @@
 
 
 class Findings(NamedTuple):
-    """How many crash points and folder states were checked, and the broken ones."""
+    """The numbers of crash points and folder states that were checked, and the broken states."""
 
     crash_points: int
     folder_states: int
-    broken: tuple[Broken, ...]
+    broken: tuple[BrokenState, ...]
 
 
 class RecordedDisk:
-    """A replica's disk whose calls are recorded, with the points at which they returned."""
+    """A replica's disk whose file operations are recorded, with the points at which its methods returned."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         return result
 
     def start_again(self, *, cleanly: bool) -> Boot:
-        """Boots a new disk on the folder; cleanly closes the former one first."""
+        """Boots a new disk on the folder; if `cleanly` is set, the former one is closed first."""
         if cleanly:
             self.do("close")
         self.disk = self._new_disk()
@@ -85,11 +85,16 @@
 
 
 def record(
-    scenario: Callable[[RecordedDisk], None], *, folder: Path, seed: int, start: FolderState | None = None, **how: Any
+    scenario: Callable[[RecordedDisk], None],
+    *,
+    folder: Path,
+    seed: int,
+    start: FolderState | None = None,
+    **options: Any,
 ) -> list[Operation]:
-    """What a scenario does to its folder; how: another recorder or synchronous mode, to inject a fault."""
-    lay_out(start or {}, folder)
-    recorded = RecordedDisk(folder=folder, seed=seed, **how)
+    """The operations of a scenario on its folder; `options` may set a recorder or synchronous mode with a fault."""
+    write_folder_state(start or {}, folder)
+    recorded = RecordedDisk(folder=folder, seed=seed, **options)
     with recorded.recorder.recording():
         scenario(recorded)
         operations = list(recorded.recorder.operations)
@@ -98,7 +103,7 @@
 
 
 class _NoSync(Files):
-    """For a boot that is only inspected: its own syncs would take most of the time."""
+    """Omits syncs for a boot that is only inspected, because they would take most of the time."""
 
     def sync(self, path: Path) -> None:
         pass
@@ -108,7 +113,7 @@
 
 
 def _boot(folder_state: FolderState, folder: Path) -> Boot:
-    lay_out(folder_state, folder)
+    write_folder_state(folder_state, folder)
     disk = Disk(folder=folder, replica=REPLICA, token=lambda size: "blank", synchronous="OFF", files=_NoSync())
     try:
         return disk.boot()
@@ -118,8 +123,8 @@
 
 
 def _crash_points(operations: list[Operation]) -> Iterator[int]:
-    # What is pending only grows between two syncs, and any part of it may be missing: the points before a sync, and
-    # those at which a call returned, cover all others.
+    # Pending changes only grow between two syncs, and any subset of them may be lost, so the points before a sync and
+    # those at which a call returned cover all others.
     for position, operation in enumerate(operations):
         if isinstance(operation, FileSynced | FolderSynced | Returned):
             yield position
@@ -134,8 +139,8 @@
     return digest.hexdigest()
 
 
-class _Milestones:
-    """The states that a boot has to find: one for each call that returned."""
+class _AllowedBoots:
+    """The states that a boot must find: one after each call that returned."""
 
     def __init__(self, *, operations: list[Operation], start: FolderState, folder: Path) -> None:
         model = _model_of(start)
@@ -150,12 +155,12 @@
                 self.boots.append(_boot(model.fully_written(), folder / "milestone"))
 
     def at(self, crash_point: int) -> tuple[str, list[Boot]]:
-        """The last call that had returned, and what may be booted: its state, or that after the next call."""
+        """The last returned call, and the allowed boots: the state after it, or after the next call."""
         last = max(number for number, position in enumerate(self.positions) if position <= crash_point)
         return self.calls[last], self.boots[last : last + 2]
 
-    def founded(self, crash_point: int) -> bool:
-        """Whether a blank folder would be a loss of data by now."""
+    def in_mesh(self, crash_point: int) -> bool:
+        """Whether the folder belonged to a mesh by this point, so that a blank folder would be a loss of data."""
         return any(
             boot.mesh for position, boot in zip(self.positions, self.boots, strict=True) if position <= crash_point
         )
@@ -173,18 +178,18 @@
     """Boots every folder state of every crash point.
 
     Args:
-        operations: what was done to the folder.
-        folder: where the states are laid out.
-        seed: of the draw where a crash point has more states than `most`.
+        operations: the recorded operations on the folder.
+        folder: the parent folder for the states that are booted.
+        seed: the seed for the sample where a crash point has more states than `most`.
         start: the folder before the operations.
-        most: the most folder states of one crash point; where there are more, a part of them is drawn.
-        max_broken: the check ends after so many broken states; 0 goes on to the end.
+        most: the number of folder states of one crash point above which they are sampled.
+        max_broken: the check stops at the first crash point after this many broken states; 0 for no limit.
     """
     rng = random.Random(seed)
-    milestones = _Milestones(operations=operations, start=start or {}, folder=folder)
+    allowed_boots = _AllowedBoots(operations=operations, start=start or {}, folder=folder)
     model = _model_of(start or {})
     seen: set[tuple[int, str]] = set()
-    broken: list[Broken] = []
+    broken: list[BrokenState] = []
     applied = crash_points = 0
     for crash_point in _crash_points(operations):
         for operation in operations[applied:crash_point]:
@@ -193,17 +198,17 @@
         crash_points += 1
         if max_broken and len(broken) >= max_broken:
             break
-        after, allowed = milestones.at(crash_point)
+        after, allowed = allowed_boots.at(crash_point)
         acknowledged = after != NO_CALL
-        founded = milestones.founded(crash_point)
+        in_mesh = allowed_boots.in_mesh(crash_point)
         for folder_state in model.folder_states(seed=rng, most=most):
             key = (id(allowed[0]), _digest(folder_state))
             if key in seen:
                 continue
             seen.add(key)
-            problem = _problem(folder_state, folder / "mix", allowed, acknowledged, founded)
+            problem = _problem(folder_state, folder / "mix", allowed, acknowledged, in_mesh)
             if problem:
-                broken.append(Broken(crash_point, after, _sizes(folder_state), problem))
+                broken.append(BrokenState(crash_point, after, _sizes(folder_state), problem))
     return Findings(crash_points, len(seen), tuple(broken))
 
 
@@ -215,23 +220,23 @@
     return tuple((name, -1 if content is None else len(content)) for name, content in folder_state.items())
 
 
-def _problem(folder_state: FolderState, folder: Path, allowed: list[Boot], acknowledged: bool, founded: bool) -> str:
+def _problem(folder_state: FolderState, folder: Path, allowed: list[Boot], acknowledged: bool, in_mesh: bool) -> str:
     try:
         found = _boot(folder_state, folder)
     except Exception as error:  # noqa: BLE001
         shutil.rmtree(folder, ignore_errors=True)
         return f"it does not start: {error!r}"
-    if unsound := _unsound(found):
-        return f"{unsound}: {summary(found)}"
-    if not found.mesh and (founded or (acknowledged and found not in allowed)):
-        return "a blank folder, though its incarnation was told"
+    if inconsistency := _inconsistency(found):
+        return f"{inconsistency}: {summary(found)}"
+    if not found.mesh and (in_mesh or (acknowledged and found not in allowed)):
+        return "a blank folder, although its incarnation was announced"
     if found in allowed or not found.mesh:
         return ""
-    return f"a state that never was: {summary(found)}; right were {[summary(boot) for boot in allowed]}"
+    return f"a state that never existed: {summary(found)}; allowed were {[summary(boot) for boot in allowed]}"
 
 
-def _unsound(boot: Boot) -> str:
-    """What no boot may ever find, whatever was written before."""
+def _inconsistency(boot: Boot) -> str:
+    """Describes a violation that no boot may have, independent of the operations; empty if there is none."""
     if boot.state is None:
         return ""
     epochs = [boot.begin.epoch, *(record.epoch for record in boot.records)]
@@ -241,14 +246,14 @@
         if stored.offset != boot.begin.offset + number:
             return "a log with a gap"
         if stored.offset == boot.checkpoint.offset and stored.epoch != boot.checkpoint.epoch:
-            return "a log that parts from its checkpoint"
+            return "a log that diverges from its checkpoint"
     if boot.checkpoint.offset < boot.begin.offset or boot.checkpoint.offset > boot.begin.offset + len(boot.records):
-        return "a checkpoint beside a log that doesn't reach it"
+        return "a checkpoint outside the range of its log"
     return ""
 
 
 def folder_states_of(operations: list[Operation], *, seed: int) -> Iterator[FolderState]:
-    """One drawn folder state for each crash point, to go on from."""
+    """One random folder state for each crash point, to start another scenario from."""
     rng = random.Random(seed)
     model = FolderModel()
     applied = 0
@@ -260,7 +265,7 @@
 
 
 def summary(boot: Boot) -> tuple:
-    """What of a boot is worth printing."""
+    """The fields of a boot that are shown in reports."""
     offsets = [record.offset for record in boot.records]
     return (
         boot.incarnation,
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/model.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/model.py
@@ -1,7 +1,7 @@
-"""What may be left of a data folder after a loss of power, from the operations done to it before.
+"""The states of a data folder that a power loss can leave, derived from the operations before it.
 
-A file holds what its last sync covered, and each later write is there, missing or torn, independently of the others. A
-name that was created, changed or removed is durable once its folder was synced; until then each is kept or lost.
+A file keeps everything up to its last sync; each later write is kept, lost or torn, independently of the others. A
+created, changed or removed name is durable once its folder is synced; until then each change is kept or lost.
 """
 
 import itertools
@@ -12,36 +12,36 @@
 from hoistsaddle.testbed.diskmodel.operations import (
     Created,
     FileSynced,
-    FolderMade,
+    FolderCreated,
     FolderSynced,
     Operation,
     Removed,
     Renamed,
+    Resized,
     Returned,
-    Shortened,
     Written,
 )
 
-# Up to so many writes after a file's last sync, every subset of them is tried; above, about so many prefixes, and all
-# writes but one.
+# Up to MAX_WRITES_FOR_SUBSETS writes since a file's last sync, every subset is tried; above that, about MAX_PREFIXES
+# prefixes, and as many sets with a single write missing.
 MAX_WRITES_FOR_SUBSETS, MAX_PREFIXES = 5, 12
-# The most states of one crash point; where there are more, some chosen ones and a drawn part of the others.
+# The number of states of one crash point up to which all are tried; above it, chosen ones and a random sample.
 MAX_FOLDER_STATES = 220
-# Stands for a folder where a name leads to a file's number.
+# The value of a folder in the maps from names to file numbers.
 FOLDER = -1
 
-# Names with contents; None is a folder.
+# The contents of files by name; None for a folder.
 FolderState = dict[str, bytes | None]
 
 
 class _File:
     def __init__(self) -> None:
         self.durable = b""
-        self.pending: list[Written | Shortened] = []
+        self.pending: list[Written | Resized] = []
 
 
-def _apply(content: bytes, change: Written | Shortened, *, torn: bool = False) -> bytes:
-    if isinstance(change, Shortened):
+def _apply(content: bytes, change: Written | Resized, *, torn: bool = False) -> bytes:
+    if isinstance(change, Resized):
         return content[: change.size].ljust(change.size, b"\0")
     data = change.data[: len(change.data) // 2] if torn else change.data
     content = content.ljust(change.position, b"\0")
@@ -49,38 +49,38 @@
 
 
 def _contents(file: _File) -> list[bytes]:
-    """Every content that the file may be left with, the complete one first and the durable one second."""
+    """The contents that the file may have after a power loss, the complete one first and the durable one second."""
     count = len(file.pending)
-    everything = frozenset(range(count))
+    all_writes = frozenset(range(count))
     if count <= MAX_WRITES_FOR_SUBSETS:
         chosen = [
             frozenset(subset) for size in range(count + 1) for subset in itertools.combinations(range(count), size)
         ]
     else:
         chosen = [frozenset(range(end)) for end in range(0, count, max(1, count // MAX_PREFIXES))]
-        chosen += [everything - {number} for number in range(0, count, max(1, count // MAX_PREFIXES))]
+        chosen += [all_writes - {number} for number in range(0, count, max(1, count // MAX_PREFIXES))]
     found: dict[bytes, None] = {}
-    for subset in [everything, frozenset(), *chosen]:
+    for subset in [all_writes, frozenset(), *chosen]:
         for torn in [None, *(sorted(subset)[-2:] if count > MAX_WRITES_FOR_SUBSETS else sorted(subset))]:
             content = file.durable
             for number in sorted(subset):
                 content = _apply(content, file.pending[number], torn=number == torn)
             found[content] = None
-            if torn is None and subset == everything:
+            if torn is None and subset == all_writes:
                 found.setdefault(file.durable)
     return list(found)
 
 
 class FolderModel:
-    """A folder as operations change it, and what of it is durable."""
+    """A folder with all operations applied, and its durable part."""
 
     def __init__(self, *, files: dict[str, bytes] | None = None) -> None:
         self.files: dict[int, _File] = {}
         self.numbers = itertools.count()
         self.names: dict[str, int | None] = {}
-        # By name: the file that it durably leads to, and those that it led to since.
+        # By name: the durable file number, and the file numbers set since the last sync of the folder.
         self.durable: dict[str, int | None] = {}
-        self.since: dict[str, list[int | None]] = {}
+        self.unsynced: dict[str, list[int | None]] = {}
         for name, content in (files or {}).items():
             number = self._new_file()
             self.files[number].durable = content
@@ -96,19 +96,19 @@
 
     def _set(self, name: str, number: int | None) -> None:
         self.names[name] = number
-        self.since.setdefault(name, []).append(number)
+        self.unsynced.setdefault(name, []).append(number)
 
     def do(self, operation: Operation) -> None:
-        """Carries out one operation."""
+        """Applies one operation."""
         match operation:
             case Created(name=name):
                 if self.names.get(name) is None:
                     self._set(name, self._new_file())
                 else:
-                    self.files[self.names[name]].pending.append(Shortened(name, 0))
-            case FolderMade(name=name):
+                    self.files[self.names[name]].pending.append(Resized(name, 0))
+            case FolderCreated(name=name):
                 self._set(name, FOLDER)
-            case Written(name=name) | Shortened(name=name):
+            case Written(name=name) | Resized(name=name):
                 self.files[self.names[name]].pending.append(operation)
             case FileSynced(name=name):
                 file = self.files[self.names[name]]
@@ -116,9 +116,9 @@
                     file.durable = _apply(file.durable, change)
                 file.pending = []
             case FolderSynced(name=folder):
-                for name in [changed for changed in self.since if _folder_of(changed) == folder]:
+                for name in [changed for changed in self.unsynced if _folder_of(changed) == folder]:
                     self.durable[name] = self.names[name]
-                    del self.since[name]
+                    del self.unsynced[name]
             case Renamed(name=name, new=new):
                 number = self.names[name]
                 self._set(name, None)
@@ -129,7 +129,7 @@
                 pass
 
     def fully_written(self) -> FolderState:
-        """The folder with everything kept, as when only the process died."""
+        """The folder with all operations kept, as after a crash of the process alone."""
         return self._folder_state(self.names, {number: _contents(file)[0] for number, file in self.files.items()})
 
     def _folder_state(self, names: dict[str, int | None], contents: dict[int, bytes]) -> FolderState:
@@ -142,10 +142,10 @@
         return folder_state
 
     def folder_states(self, *, seed: random.Random, most: int = MAX_FOLDER_STATES) -> Iterator[FolderState]:
-        """What a loss of power may leave now: every state where these are few, else single changes and a drawn part."""
+        """The states that a power loss may leave now: all if these are few, else single changes and a random sample."""
         names = sorted(set(self.names) | set(self.durable))
         name_choices = [
-            list(dict.fromkeys((self.names.get(name), self.durable.get(name), *self.since.get(name, ()))))
+            list(dict.fromkeys((self.names.get(name), self.durable.get(name), *self.unsynced.get(name, ()))))
             for name in names
         ]
         numbers = sorted(self.files)
@@ -155,18 +155,18 @@
         for options in choices:
             total *= len(options)
         if total <= most:
-            picks: Iterator[tuple] = itertools.product(*choices)
+            combinations: Iterator[tuple] = itertools.product(*choices)
         else:
-            picks = iter(self._some(choices, seed, most))
-        for pick in picks:
+            combinations = iter(self._sample(choices, seed, most))
+        for combination in combinations:
             yield self._folder_state(
-                dict(zip(names, pick[: len(names)], strict=True)),
-                dict(zip(numbers, pick[len(names) :], strict=True)),
+                dict(zip(names, combination[: len(names)], strict=True)),
+                dict(zip(numbers, combination[len(names) :], strict=True)),
             )
 
     @staticmethod
-    def _some(choices: list[list], seed: random.Random, most: int) -> list[tuple]:
-        """Each single option with all else newest and with all else durable, and so many drawn ones."""
+    def _sample(choices: list[list], seed: random.Random, most: int) -> list[tuple]:
+        """Each option with all others newest and with all others durable, and up to `most` random combinations."""
         newest = tuple(options[0] for options in choices)
         durable = tuple(options[min(1, len(options) - 1)] for options in choices)
         found: dict[tuple, None] = {newest: None, durable: None}
@@ -184,8 +184,8 @@
     return "" if folder == "." else folder
 
 
-def lay_out(folder_state: FolderState, folder: Path) -> None:
-    """Writes the state into a real folder."""
+def write_folder_state(folder_state: FolderState, folder: Path) -> None:
+    """Writes the state into a folder of the file system."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, content in sorted(folder_state.items()):
         if content is None:
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/operations.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/operations.py
@@ -1,4 +1,4 @@
-"""The operations on a data folder: a list of them can be replayed by a model up to any point.
+"""The operations on a data folder, which a model can replay up to any point.
 
 Names are paths relative to the folder; positions and sizes are in bytes.
 """
@@ -7,12 +7,12 @@
 
 
 class Created(NamedTuple):
-    """An empty file was created under a new name, or an old one was truncated to nothing."""
+    """An empty file was created, or an existing file was truncated to zero bytes."""
 
     name: str
 
 
-class FolderMade(NamedTuple):
+class FolderCreated(NamedTuple):
     """A folder was created."""
 
     name: str
@@ -26,8 +26,8 @@
     data: bytes
 
 
-class Shortened(NamedTuple):
-    """A file was truncated, or extended with zeros, to this size."""
+class Resized(NamedTuple):
+    """A file was truncated to this size, or extended to it with zeros."""
 
     name: str
     size: int
@@ -46,7 +46,7 @@
 
 
 class Renamed(NamedTuple):
-    """A file got another name, which may have been another file's."""
+    """A file was renamed, possibly over another file."""
 
     name: str
     new: str
@@ -59,9 +59,9 @@
 
 
 class Returned(NamedTuple):
-    """A call of the disk returned: from here on what it wrote must be durable."""
+    """A method of the disk returned; its writes must be durable from this point on."""
 
     call: str
 
 
-Operation = Created | FolderMade | Written | Shortened | FileSynced | FolderSynced | Renamed | Removed | Returned
+Operation = Created | FolderCreated | Written | Resized | FileSynced | FolderSynced | Renamed | Removed | Returned
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/recorder.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/recorder.py
@@ -1,7 +1,7 @@
-"""Records what the disk's code and sqlite3 do to the files of a data folder, in order, while they do it.
+"""Records the file operations of the disk code and of sqlite3 on a data folder, in order.
 
-sqlite3 is recorded through its VFS interface: a copy of the default one, whose calls that change files pass through
-here first. It is the library that Python's module uses, so what is recorded is what runs in production.
+sqlite3 is recorded through a copy of its default VFS, whose calls that change files are routed through this module. It
+is the library that Python's sqlite3 module uses, so the recorded operations are those of production.
 """
 
 import ctypes
@@ -14,13 +14,13 @@
 from hoistsaddle.testbed.diskmodel.operations import (
     Created,
     FileSynced,
-    FolderMade,
+    FolderCreated,
     FolderSynced,
     Operation,
     Removed,
     Renamed,
+    Resized,
     Returned,
-    Shortened,
     Written,
 )
 
@@ -45,7 +45,7 @@
         ("data", _Pointer),
         ("open", _Pointer),
         ("delete", _Pointer),
-        # access, full path, four of dynamic libraries, randomness, sleep, time, last error, time in milliseconds.
+        # access, full path, four for dynamic libraries, randomness, sleep, time, last error, time in milliseconds.
         ("others", _Pointer * 11),
         ("set_call", _Pointer),
         ("get_call", _Pointer),
@@ -61,13 +61,13 @@
         ("write", _Pointer),
         ("shorten", _Pointer),
         ("sync", _Pointer),
-        # size, three of locks, control, sector size, characteristics; four of the shared index, two of mapped pages.
+        # size, three for locks, control, sector size, characteristics; four for shared memory, two for memory mapping.
         ("others", _Pointer * 13),
     ]
 
 
 class _SqliteRecorder:
-    """Registered as sqlite3's default VFS while it records."""
+    """The VFS that is sqlite3's default during a recording."""
 
     def __init__(self, *, recorder: "Recorder") -> None:
         self.recorder = recorder
@@ -76,18 +76,18 @@
         self.library.sqlite3_vfs_find.argtypes = [ctypes.c_char_p]
         self.library.sqlite3_vfs_register.argtypes = [_Pointer, ctypes.c_int]
         self.library.sqlite3_vfs_unregister.argtypes = [_Pointer]
-        self.usual = self.library.sqlite3_vfs_find(None)
-        usual = _Vfs.from_address(self.usual)
-        self.real_open = _Open(usual.open)
-        self.real_delete = _Delete(usual.delete)
-        self.set_call = _SetCall(usual.set_call)
-        folder_call = _GetCall(usual.get_call)(self.usual, b"openDirectory")
+        self.default_vfs = self.library.sqlite3_vfs_find(None)
+        default_vfs = _Vfs.from_address(self.default_vfs)
+        self.real_open = _Open(default_vfs.open)
+        self.real_delete = _Delete(default_vfs.delete)
+        self.set_call = _SetCall(default_vfs.set_call)
+        folder_call = _GetCall(default_vfs.get_call)(self.default_vfs, b"openDirectory")
         self.real_open_folder = _OpenFolder(folder_call)
         self.folder_call = folder_call
         self.names: dict[int, Path] = {}
-        # sqlite3 keeps only addresses: whatever it may still call has to outlive the recording.
+        # sqlite3 keeps only addresses, so all callbacks that it may still call must outlive the recording.
         self.references: list[object] = []
-        self.vfs = _Vfs.from_buffer_copy(usual)
+        self.vfs = _Vfs.from_buffer_copy(default_vfs)
         self.vfs.next = None
         self.vfs.name = b"recorded"
         self.vfs.open = self._address(_Open(self._open))
@@ -99,20 +99,20 @@
         return ctypes.cast(function, _Pointer).value
 
     def begin(self) -> None:
-        """Takes the place of the default VFS."""
-        self.set_call(self.usual, b"openDirectory", ctypes.cast(self.open_folder, _Pointer))
+        """Installs this VFS as the default."""
+        self.set_call(self.default_vfs, b"openDirectory", ctypes.cast(self.open_folder, _Pointer))
         self.library.sqlite3_vfs_register(ctypes.byref(self.vfs), 1)
 
     def end(self) -> None:
-        """Gives the default VFS its place back."""
+        """Restores the former default VFS."""
         self.library.sqlite3_vfs_unregister(ctypes.byref(self.vfs))
-        self.library.sqlite3_vfs_register(self.usual, 1)
-        self.set_call(self.usual, b"openDirectory", self.folder_call)
+        self.library.sqlite3_vfs_register(self.default_vfs, 1)
+        self.set_call(self.default_vfs, b"openDirectory", self.folder_call)
 
     def _open(self, vfs: int, name: int, file: int, flags: int, out: int) -> int:
         path = Path(ctypes.string_at(name).decode()) if name else None
         fresh = path is not None and not path.exists()
-        result = self.real_open(self.usual, name, file, flags, out)
+        result = self.real_open(self.default_vfs, name, file, flags, out)
         if result == 0 and path is not None:
             if fresh and path.exists():
                 self.recorder.record(Created(self.recorder.name(path)))
@@ -122,9 +122,9 @@
 
     def _wrap(self, file: int) -> None:
         methods_pointer = _Pointer.from_address(file)
-        usual = _Methods.from_address(methods_pointer.value)
-        methods = _Methods.from_buffer_copy(usual)
-        real_write, real_shorten, real_sync = _Write(usual.write), _Shorten(usual.shorten), _Sync(usual.sync)
+        original = _Methods.from_address(methods_pointer.value)
+        methods = _Methods.from_buffer_copy(original)
+        real_write, real_shorten, real_sync = _Write(original.write), _Shorten(original.shorten), _Sync(original.sync)
 
         def write(handle: int, data: int, size: int, position: int) -> int:
             name = self.recorder.name(self.names[handle])
@@ -132,11 +132,11 @@
             return real_write(handle, data, size, position)
 
         def shorten(handle: int, size: int) -> int:
-            self.recorder.record(Shortened(self.recorder.name(self.names[handle]), size))
+            self.recorder.record(Resized(self.recorder.name(self.names[handle]), size))
             return real_shorten(handle, size)
 
         def sync(handle: int, flags: int) -> int:
-            # Recorded first: the library syncs the folder of a new file inside this call, after the file.
+            # Recorded before the call: sqlite3 syncs the folder of a new file inside this call, after the file.
             self.recorder.record(FileSynced(self.recorder.name(self.names[handle])))
             return real_sync(handle, flags)
 
@@ -150,16 +150,16 @@
         path = Path(name.decode())
         if path.exists():
             self.recorder.record(Removed(self.recorder.name(path)))
-        return self.real_delete(self.usual, name, sync_folder)
+        return self.real_delete(self.default_vfs, name, sync_folder)
 
     def _open_folder(self, name: bytes, out: int) -> int:
-        # The library opens the folder of a file only to sync it.
+        # sqlite3 opens the folder of a file only to sync it.
         self.recorder.record(FolderSynced(self.recorder.name(Path(name.decode()).parent)))
         return self.real_open_folder(name, out)
 
 
 class Recorder(Files):
-    """The file operations of one folder, each recorded with names relative to that folder."""
+    """File operations that are recorded, with names relative to one folder."""
 
     def __init__(self, *, folder: Path) -> None:
         self.root = folder
@@ -175,12 +175,12 @@
         self.operations.append(operation)
 
     def returned(self, call: str) -> None:
-        """Records that a call of the disk returned."""
+        """Records that a method of the disk returned."""
         self.record(Returned(call))
 
     @contextmanager
     def recording(self) -> Iterator[None]:
-        """Within this context sqlite3's operations are recorded, too."""
+        """A context in which the operations of sqlite3 are recorded too."""
         sqlite = _SqliteRecorder(recorder=self)
         sqlite.begin()
         try:
@@ -193,7 +193,7 @@
         missing = [path for path in (folder, *folder.parents) if not path.is_dir() and path != self.root]
         for path in reversed(missing):
             path.mkdir()
-            self.record(FolderMade(self.name(path)))
+            self.record(FolderCreated(self.name(path)))
             self.sync_folder(path.parent)
 
     def sync_folder(self, folder: Path) -> None:
@@ -207,7 +207,7 @@
         if not position:
             self.record(Created(self.name(path)))
         self.record(Written(self.name(path), position, data))
-        self.record(Shortened(self.name(path), position + len(data)))
+        self.record(Resized(self.name(path), position + len(data)))
         super().write(path, data, position=position)
 
     def sync(self, path: Path) -> None:
--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on a data folder that together make every call of the disk, in the orders in which the core makes them."""
+"""Scenarios on a data folder that together cover all methods of the disk, in the order of the core's calls."""
 
 from datetime import timedelta
 
@@ -11,10 +11,10 @@
 from hoistsaddle.testbed.diskmodel.check import REPLICA, RecordedDisk
 
 MESH = "m"
-# Bytes of one chunk of a fetched checkpoint.
+# Size in bytes of one chunk of a fetched checkpoint.
 CHUNK = 700
-# Large enough that a handful of records fills the write-ahead file of the model.
-FILLING = "f" * 900
+# Large enough that a few records fill the write-ahead log of WRITE_AHEAD_PAGES.
+PADDING = "f" * 900
 
 
 def records(first: int, last: int, *, epoch: int) -> tuple[Record, ...]:
@@ -24,7 +24,7 @@
             offset,
             epoch,
             timedelta(seconds=offset),
-            pack_command(ClaimKey(f"scope-{epoch}-{offset}", f"claim-{offset}", "node", FILLING)),
+            pack_command(ClaimKey(f"scope-{epoch}-{offset}", f"claim-{offset}", "node", PADDING)),
         )
         for offset in range(first, last + 1)
     )
@@ -39,7 +39,7 @@
 
 
 class Writer:
-    """Makes the writes that a core would make."""
+    """Makes the writes of a core."""
 
     def __init__(self, *, recorded: RecordedDisk, boot: Boot) -> None:
         self.recorded = recorded
@@ -49,7 +49,7 @@
         self.begin, self.committed = boot.begin, boot.committed
 
     def write(self, *batches: tuple[Record, ...], truncate_from: int = -1, clear: bool = False) -> None:
-        """One call with a write for each batch; without a batch only the replica's own state is written."""
+        """Calls the disk once with a write for each batch; without a batch, with one write without records."""
         writes = []
         for batch in batches or ((),):
             self.sequence += 1
@@ -84,7 +84,7 @@
 
 
 def trimming(recorded: RecordedDisk) -> None:
-    """A new voter votes and writes; two checkpoints with the log trimmed to each; a clean stop and a new start."""
+    """A new voter votes, writes, stores two checkpoints with the log trimmed to each, and restarts in between."""
     writer = _found(recorded)
     writer.vote_for(2, "two", epoch=1)
     writer.write(records(1, 3, epoch=1), records(4, 6, epoch=1))
@@ -104,15 +104,15 @@
 
 
 def catching_up(recorded: RecordedDisk) -> None:
-    """A follower with uncommitted records fetches a checkpoint twice, then replaces its log by it."""
+    """A follower with uncommitted records abandons one checkpoint fetch, completes another, and replaces its log."""
     writer = _found(recorded)
     writer.vote_for(2, "two", epoch=1)
     writer.write(records(1, 9, epoch=1))
     writer.epoch, writer.vote = 3, None
     writer.write()
-    given_up, checkpoint_id = OffsetAndEpoch(5, 3), OffsetAndEpoch(6, 3)
-    data = pack_checkpoint(checkpoint_id=given_up, state=state_at(given_up))
-    recorded.do("store_chunk", checkpoint_id=given_up, position=0, data=data[:CHUNK], last=False)
+    abandoned, checkpoint_id = OffsetAndEpoch(5, 3), OffsetAndEpoch(6, 3)
+    data = pack_checkpoint(checkpoint_id=abandoned, state=state_at(abandoned))
+    recorded.do("store_chunk", checkpoint_id=abandoned, position=0, data=data[:CHUNK], last=False)
     data = pack_checkpoint(checkpoint_id=checkpoint_id, state=state_at(checkpoint_id))
     positions = range(0, len(data), CHUNK)
     for position in positions:
@@ -132,7 +132,7 @@
 
 
 def going_on(recorded: RecordedDisk) -> None:
-    """A boot after a loss of power, and a vote and some records after it."""
+    """A boot after a power loss, followed by a vote and two records."""
     boot = recorded.do("boot")
     writer = Writer(recorded=recorded, boot=boot)
     if not boot.mesh:
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -108,7 +108,7 @@
 
     def test_a_log_that_is_not_synced_when_the_write_returns(self) -> None:
         findings = self.check_scenario(SCENARIOS["trimming"], synchronous="NORMAL")
-        self.assertThat(self.problems(findings), Contains("a state that never was"))
+        self.assertThat(self.problems(findings), Contains("a state that never existed"))
 
     def test_a_begin_offset_that_is_durable_before_its_checkpoint(self) -> None:
         self.assertThat(
@@ -121,7 +121,7 @@
 
         with mock.patch.object(disk, "_log_matches_checkpoint", former_rule):
             findings = self.check_scenario(SCENARIOS["catching up"], max_broken=MAX_BROKEN)
-        self.assertThat(self.problems(findings), Contains("a log that parts from its checkpoint"))
+        self.assertThat(self.problems(findings), Contains("a log that diverges from its checkpoint"))
 
 
 class FileSystemModel(TestCase):
