--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -1,4 +1,4 @@
-"""The model checker: walks and small spaces hold, each rule finds its injected fault, the modelled disk is faithful."""
+"""The model check of raft finds no violation, detects each injected fault, and models the real disk faithfully."""
 
 import tempfile
 from collections import defaultdict
@@ -32,8 +32,8 @@
 
 SEED = 630
 WALKS = 60
-TURNS = 10
-# Walks in which a fault must show itself.
+LOSS_SEQUENCES = 10
+# The number of walks within which an injected fault must be detected.
 FAULT_WALKS = 150
 FAULT_SIZES = (3,)
 
@@ -49,12 +49,12 @@
 )
 
 
-# What must be so at the end of a walk: which of the three a fault spoils first hangs on the walk.
-AT_THE_END = "a healed cluster serves|losses settle|every replica catches up"
+# The three final checks of a walk; which of them a fault violates first depends on the walk.
+FINAL_CHECKS = "a healed cluster serves|losses settle|every replica catches up"
 
 
 class FaultCase(NamedTuple):
-    """A fault, the rule (or one of several) it must break, and where: on walks of some kinds, or in a space."""
+    """A fault, the rule (or one of several) that it must violate, and the kinds of steps or the space to run."""
 
     fault: type[InjectedFault]
     rule: str
@@ -83,7 +83,7 @@
     FaultCase(faults.MisnamesCheckpoints, "checkpoints hold committed state"),
     FaultCase(faults.UsesLogEndAsHighWatermark, "logs are equal up to the high-watermark"),
     FaultCase(faults.SkipsRecords, "logs are equal up to the high-watermark"),
-    FaultCase(faults.DropsNewestCheckpoint, AT_THE_END),
+    FaultCase(faults.DropsNewestCheckpoint, FINAL_CHECKS),
 )
 
 
@@ -93,7 +93,7 @@
         print(f"seed {SEED}: {total}")
         self.assertThat(found, Is(None), str(found and make_smaller(found)))
         figures = dict(total.figures)
-        # A walk in which nothing happens proves nothing.
+        # Walks without these events would pass without any check.
         for what in ("elections", "records committed", "reads confirmed", "checkpoints", "voter changes committed"):
             self.assertThat(figures.get(what, 0), GreaterThan(WALKS // 10), what)
         self.assertThat(total.losses_settled, GreaterThan(WALKS // 4))
@@ -113,16 +113,16 @@
         walk = Walk(Cluster(size=3, seed=1))
         walk.take(Step(StepKind.RUN, 39))
         self.assertThat([walk.take(Step(StepKind.WIPE, place)) for place in (0, 1)], Equals([True, False]))
-        # Once the first has its vote back, the second may go.
+        # Once the first is a voter again, the second may be lost.
         walk.cluster.run(timedelta(seconds=60), until=walk.is_settled)
         self.assertThat(walk.take(Step(StepKind.WIPE, 1)), Equals(True))
 
 
 class RegressionWalks(TestCase):
-    """Walks that once broke a rule, as small as they could be made; later code may go another way on them."""
+    """Minimized walks that once violated a rule; later changes of the code may change their course."""
 
     def test_a_successor_votes_before_it_has_the_record_that_makes_it_a_voter(self) -> None:
-        """The old set and the new were both open, and the one vote that was missing was refused for ever."""
+        """Guards against endless elections: both voter sets had to agree, and the missing vote was always refused."""
         self.hold(
             Script(
                 5,
@@ -148,7 +148,7 @@
         )
 
     def test_a_committed_change_of_voters_is_known_after_a_loss_of_power(self) -> None:
-        """Known in memory alone, it was forgotten, and elections asked the set before it, whose disks were gone."""
+        """A change known only in memory was forgotten, and elections needed the previous set, whose disks were lost."""
         steps = (
             Step(StepKind.WIPE),
             Step(StepKind.RUN, 31),
@@ -160,7 +160,7 @@
         self.hold(Script(5, 4014, steps))
 
     def test_a_log_that_parts_below_the_leaders_begin_catches_up(self) -> None:
-        """The leader named a place that both couldn't share, and the follower asked again without end."""
+        """The leader returned an offset at which the logs couldn't agree, and the follower repeated fetches forever."""
         losses = (Loss(LossKind.WIPED, 4, 7, 15), Loss(LossKind.CUT_OFF, 0, 25, 4))
         run_loss_sequence(LossSequence(3, 9999, SETTLE_TIMEOUT, losses))
 
@@ -170,11 +170,11 @@
 
 class LossesInTurn(TestCase):
     def test_each_loss_settles_within_its_span(self) -> None:
-        """The shortest span the platform gives; whoever is lost next may be anybody, the leader too."""
-        spans, found = draw_loss_sequences(seed=SEED, runs=TURNS, settle=SETTLE_TIMEOUT)
-        print(f"seed {SEED}, losses settled: {format_durations(spans)}")
+        """Uses the shortest settling time of the platform; any machine may be lost next, also the leader."""
+        settle_times, found = draw_loss_sequences(seed=SEED, runs=LOSS_SEQUENCES, settle=SETTLE_TIMEOUT)
+        print(f"seed {SEED}, losses settled: {format_durations(settle_times)}")
         self.assertThat(found, Is(None), str(found))
-        self.assertThat(len(spans), GreaterThan(TURNS))
+        self.assertThat(len(settle_times), GreaterThan(LOSS_SEQUENCES))
 
 
 class Faults(TestCase):
@@ -217,19 +217,19 @@
 
 class Disks(TestCase):
     def jobs_of(self, script: Script) -> tuple[Walk, dict[str, list[tuple]]]:
-        """A walk, and what each of its disks did in order, by incarnation."""
+        """A walk, and the jobs of its disks in order, by incarnation."""
         done: dict[str, list[tuple]] = defaultdict(list)
         write, do = ModelDisk._write, ModelDisk._do
 
-        def kept_write(disk: ModelDisk, job: Write) -> None:
+        def recording_write(disk: ModelDisk, job: Write) -> None:
             done[disk.incarnation].append(job)
             write(disk, job)
 
-        def kept_do(disk: ModelDisk, job: tuple) -> tuple | None:
+        def recording_do(disk: ModelDisk, job: tuple) -> tuple | None:
             done[disk.incarnation].append(job)
             return do(disk, job)
 
-        with mock.patch.object(ModelDisk, "_write", kept_write), mock.patch.object(ModelDisk, "_do", kept_do):
+        with mock.patch.object(ModelDisk, "_write", recording_write), mock.patch.object(ModelDisk, "_do", recording_do):
             return play(script), done
 
     def test_the_modelled_disk_boots_like_the_real_one(self) -> None:
@@ -255,12 +255,12 @@
                 self.assertThat(self.real_boot(machine.disk, done, Path(folder)), Equals(machine.disk.boot()))
 
     def real_boot(self, model: ModelDisk, done: dict[str, list[tuple]], folder: Path):
-        """What our disk reads after the same jobs."""
+        """The boot of the real disk after the same jobs."""
 
-        def opened() -> Disk:
+        def open_disk() -> Disk:
             return Disk(folder=folder, replica=model.replica, token=lambda _: model.incarnation, synchronous="OFF")
 
-        disk = opened()
+        disk = open_disk()
         disk.boot()
         if model.bootstrap_facts is not None:
             disk.bootstrap(mesh=MESH, voters=dict(model.bootstrap_facts["voters"]), operators={}, level=LEVEL)
@@ -275,7 +275,7 @@
                 case DropCheckpoints(below=below):
                     disk.drop_checkpoints(below=below)
         disk.close()
-        again = opened()
+        again = open_disk()
         boot = again.boot()
         again.close()
         return boot
