--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -1,4 +1,4 @@
-"""Raft cores over a modelled network, disk and processor in modelled time: fault histories in milliseconds."""
+"""Raft cores on a modelled network, disk and processor in modelled time, so that long fault histories run quickly."""
 
 import heapq
 import itertools
@@ -39,33 +39,33 @@
 from hoistsaddle.statemachine.state import State, initial_state
 
 TICK = milliseconds(15)
-# Processor time of one event: a fetch that arrives, is unpacked, handled and answered, with some to spare.
+# Processor time of one event: receiving, decoding, handling and answering a fetch, with a margin.
 EVENT_COST = milliseconds(1.2)
 TICK_COST = milliseconds(0.15)
-# Processor time of a start: interpreter, imports and opening the disk.
+# Processor time of a process start: interpreter, imports and opening the disk.
 START_COST = milliseconds(300)
 SETTLE = timedelta(seconds=4)
 
 
 class MemoryDisk:
-    """What a replica's folder holds; power takes what no sync has covered, a wipe takes all."""
+    """The synced content of a replica's data folder."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
         self.latest: Write | None = None
         self.log: dict[int, tuple] = {}
         self.checkpoints: dict[OffsetAndEpoch, bytes] = {}
-        self.pulled = b""
+        self.fetched_data = b""
 
-    def found(self, state: State) -> None:
-        """What bootstrap writes: the first checkpoint, and the facts that make it count."""
+    def bootstrap(self, state: State) -> None:
+        """Writes what a bootstrap stores: the first checkpoint, and the replica's facts with the mesh."""
         self.checkpoints[OffsetAndEpoch(0, 0)] = pack_state(state)
         self.latest = Write(
             0, 0, None, tuple(state.voters.items()), state.mesh, OffsetAndEpoch(0, 0), False, False, -1, ()
         )
 
     def write(self, write: Write) -> None:
-        """One synced write."""
+        """Applies a synced write."""
         self.latest = write
         if write.clear:
             self.log = {}
@@ -75,7 +75,7 @@
         self.log = {offset: record for offset, record in self.log.items() if offset > write.begin.offset}
 
     def boot(self, replica: int) -> Boot:
-        """What a start reads back."""
+        """The data that a start reads."""
         facts = self.latest
         if facts is None or not facts.mesh:
             return Boot(replica, self.incarnation)
@@ -100,7 +100,7 @@
 
 
 class Node:
-    """A replica's process on one machine: it starts, is killed and starts again over the same disk."""
+    """A replica's machine with its disk, and its process, which can be killed and restarted."""
 
     def __init__(self, mesh: "CoreMesh", replica: int, disk: MemoryDisk) -> None:
         self.mesh, self.replica, self.disk = mesh, replica, disk
@@ -109,7 +109,7 @@
         self.busy = self.disk_busy = timedelta()
         self.frozen_until = timedelta()
         self.ended = ""
-        # As the operator's list had them when its settings were written.
+        # The seeds in its settings, as of the time when these were written.
         self.seeds = mesh.seeds
         self.begin_run()
 
@@ -118,7 +118,7 @@
         self.synced = 0
         self.waiting: list[tuple] = []
         self.tickets: dict[int, Callable[[tuple], None]] = {}
-        self.concluded: dict[int, ProposalResult] = {}
+        self.proposal_results: dict[int, ProposalResult] = {}
         self.next_ticket = 0
 
     @property
@@ -148,7 +148,7 @@
         mesh.later(START_COST / mesh.processor, booted)
 
     def kill(self) -> None:
-        """What the disk was handed is written; messages not yet sent are lost with the process."""
+        """Kills the process; unsynced writes and unsent messages are lost."""
         self.core = None
         self.begin_run()
 
@@ -158,7 +158,7 @@
             self.mesh.later(TICK, lambda: self.tick(run_number))
 
     def feed(self, event: tuple, *, cost: timedelta = EVENT_COST) -> None:
-        """Queues an event behind the processor's earlier work; a tick that would come too late is skipped."""
+        """Queues an event behind the earlier work of the processor; a tick delayed by more than TICK is skipped."""
         run_number = self.run_number
         begin = max(self.mesh.now, self.busy, self.frozen_until)
         if isinstance(event, Ticked) and begin - self.mesh.now > TICK:
@@ -172,15 +172,15 @@
         if isinstance(event, Synced):
             self.synced = max(self.synced, event.sequence)
         for command in self.core.handle(event, now=self.mesh.now):
-            self.carry_out(command)
+            self.execute(command)
         if isinstance(event, Synced):
             ready = [each for each in self.waiting if each.after <= self.synced]
             self.waiting = [each for each in self.waiting if each.after > self.synced]
             for command in ready:
-                self.carry_out(command)
+                self.execute(command)
 
-    def carry_out(self, command: tuple) -> None:
-        """Does what a command of the core asks for; messages wait for the sync that they name."""
+    def execute(self, command: tuple) -> None:
+        """Executes a command of the core; messages wait for the sync that they depend on."""
         mesh, disk, run_number = self.mesh, self.disk, self.run_number
         match command:
             case Send(after=after) | Answer(after=after) if after > self.synced:
@@ -213,10 +213,10 @@
                         FetchSnapshotAnswer(error, epoch, *checkpoint_id, call.position, data, continues)
                     )
             case StoreChunk(checkpoint_id=checkpoint_id, position=position, data=data, last=last):
-                disk.pulled = disk.pulled[:position] + data
+                disk.fetched_data = disk.fetched_data[:position] + data
                 if last:
-                    disk.checkpoints[checkpoint_id] = disk.pulled
-                    self.feed(CheckpointLoaded(checkpoint_id, unpack_state(disk.pulled)))
+                    disk.checkpoints[checkpoint_id] = disk.fetched_data
+                    self.feed(CheckpointLoaded(checkpoint_id, unpack_state(disk.fetched_data)))
             case DropCheckpoints(below=below):
                 disk.checkpoints = {
                     checkpoint_id: data
@@ -224,7 +224,7 @@
                     if checkpoint_id.offset >= below
                 }
             case ProposalResult(ticket=ticket):
-                self.concluded[ticket] = command
+                self.proposal_results[ticket] = command
             case Ended(why=why):
                 self.ended = why
             case Announce(kind=kind, detail=detail):
@@ -232,7 +232,7 @@
 
 
 class CoreMesh:
-    """Machines 1 to n; the first `voters` of them were founded, the others are spares."""
+    """Machines 1 to n; the first `voters` of them are bootstrapped as voters, the others are spares."""
 
     def __init__(
         self,
@@ -261,7 +261,7 @@
         for replica in range(1, machines + 1):
             disk = MemoryDisk(f"life-{replica}")
             if replica <= voters:
-                disk.found(state)
+                disk.bootstrap(state)
             self.nodes[replica] = Node(self, replica, disk)
             self.nodes[replica].start()
 
@@ -274,7 +274,7 @@
         self.at(self.now + span, work)
 
     def run(self, span: timedelta) -> "CoreMesh":
-        """Plays everything that is due within the span."""
+        """Runs everything that is due within the span."""
         end = self.now + span
         while self.queue and self.queue[0][0] <= end:
             self.now, _, work = heapq.heappop(self.queue)
@@ -282,21 +282,21 @@
         self.now = end
         return self
 
-    def until(self, holds: Callable[[], bool], *, most: timedelta) -> timedelta:
-        """Runs until it holds; gives how long that took, or raises after `most`."""
-        began = self.now
-        while not holds():
-            if self.now - began > most:
+    def until(self, condition: Callable[[], bool], *, most: timedelta) -> timedelta:
+        """Runs until the condition holds; returns the elapsed time, or raises AssertionError after `most`."""
+        started_at = self.now
+        while not condition():
+            if self.now - started_at > most:
                 raise AssertionError(f"not within {most}: {self.describe()}")
             self.run(milliseconds(5))
-        return self.now - began
+        return self.now - started_at
 
     def latency(self) -> timedelta:
-        """A drawn one-way delay."""
+        """A random one-way delay."""
         return milliseconds(self.random.uniform(0.5, 8))
 
     def call(self, caller: Node, number: int, replica: int, message: tuple) -> None:
-        """Sends a call; its answer is lost with a cut link or with the run of the process that sent it."""
+        """Sends a call; its answer is lost if the link is cut or the process that made the call has ended."""
         run_number = caller.run_number
         link = frozenset((caller.replica, replica))
 
@@ -323,7 +323,7 @@
     # -- faults ------------------------------------------------------------------------------------------------------
 
     def add(self, replica: int) -> Node:
-        """A machine at a new address, with a blank disk; its settings name three of those there are."""
+        """Adds a machine with a blank disk; its seeds are up to three random existing machines."""
         others = sorted(self.nodes)
         node = self.nodes[replica] = Node(self, replica, MemoryDisk(f"life-{replica}"))
         node.seeds = tuple(self.random.sample(others, min(3, len(others))))
@@ -331,11 +331,11 @@
         return node
 
     def remove(self, replica: int) -> None:
-        """The machine is gone for good."""
+        """Removes the machine permanently."""
         self.nodes.pop(replica).kill()
 
     def wipe(self, replica: int) -> None:
-        """Kills the process and replaces its disk by a blank one; it isn't started again."""
+        """Kills the process and replaces its disk by a blank one; the process stays stopped."""
         node = self.nodes[replica]
         node.kill()
         node.disk = MemoryDisk(f"life-{replica}-{self.random.randrange(10**9)}")
@@ -344,18 +344,18 @@
         self.nodes[replica].frozen_until = self.now + span
 
     def stop(self, replica: int, *, grace: timedelta = timedelta(seconds=3)) -> timedelta:
-        """SIGTERM; the process ends once nothing keeps it, and is silent from then on. Gives how long it stayed."""
+        """Stops the process as on SIGTERM, and kills it once it has handed over; returns the time until then."""
         node = self.nodes[replica]
         node.feed(StopRequested(grace))
-        stayed = self.until(lambda: node.ended != "", most=grace + timedelta(seconds=1))
+        duration = self.until(lambda: node.ended != "", most=grace + timedelta(seconds=1))
         self.run(milliseconds(100))
         node.kill()
-        return stayed
+        return duration
 
     # -- observation ------------------------------------------------------------------------------------------------
 
     def leader(self) -> Node | None:
-        """The leader of the highest epoch among those that lead."""
+        """The running leader of the highest epoch, if any."""
         leading = [node for node in self.nodes.values() if node.up and node.core.role == LEADER]
         return max(leading, key=lambda node: node.core.epoch, default=None)
 
@@ -364,7 +364,7 @@
         return {} if node is None else dict(sorted(node.core.state.voters.items()))
 
     def votes(self, replica: int) -> bool:
-        """Whether this replica's present disk is a voter by a committed record, and no change is open."""
+        """Whether the current disk of this replica is a committed voter, and no change of voters is open."""
         node, leader = self.nodes.get(replica), self.leader()
         return (
             node is not None
@@ -379,11 +379,11 @@
         return node is not None and node.core.high_watermark >= node.core.replication.epoch_start_offset > 0
 
     def write(self, *, most: timedelta = timedelta(seconds=5)) -> int:
-        """One record committed through whoever leads; gives its offset."""
+        """Commits one record through the current leader; returns its offset."""
         self.sequence = getattr(self, "sequence", 0) + 1
         payload = pack_command(ClaimKey(f"scope-{self.sequence}", f"claim-{self.sequence}", "stall", "digest"))
-        began = self.now
-        while self.now - began < most:
+        started_at = self.now
+        while self.now - started_at < most:
             node = self.leader()
             if node is None:
                 self.run(milliseconds(20))
@@ -391,15 +391,21 @@
             node.next_ticket += 1
             ticket, run_number = node.next_ticket, node.run_number
             node.feed(ProposalArrived(ticket, (payload,)))
-            while self.now - began < most and node.run_number == run_number and ticket not in node.concluded:
+            while (
+                self.now - started_at < most and node.run_number == run_number and ticket not in node.proposal_results
+            ):
                 self.run(milliseconds(5))
-            if node.run_number == run_number and ticket in node.concluded and not node.concluded[ticket].error:
-                return node.concluded[ticket].offset
+            if (
+                node.run_number == run_number
+                and ticket in node.proposal_results
+                and not node.proposal_results[ticket].error
+            ):
+                return node.proposal_results[ticket].offset
             self.run(milliseconds(20))
-        raise AssertionError(f"nothing is committed any more: {self.describe()}")
+        raise AssertionError(f"no record is committed any more: {self.describe()}")
 
     def describe(self) -> str:
-        """Every replica's state in one line, for failures."""
+        """The state of every replica in one line, for failure messages."""
         parts = []
         for replica, node in sorted(self.nodes.items()):
             if not node.up:
@@ -408,7 +414,7 @@
             core = node.core
             sets = [sorted(each) for each in core.voter_sets()]
             parts.append(
-                f"{replica} {core.role} epoch {core.epoch} leader {core.leader} whole {core.complete}"
+                f"{replica} {core.role} epoch {core.epoch} leader {core.leader} complete {core.complete}"
                 f" last {core.last.offset} high {core.high_watermark} voters {sets}"
             )
         return "; ".join(parts)
