--- a/tests/injected_faults.py
+++ b/tests/injected_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into the code, one for each line of "What must never happen", and where each must be caught."""
+"""Faults injected into the code, at least one for each checked line of "What must never happen"."""
 
 import contextlib
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class InjectedFault(NamedTuple):
-    """A deliberate breakage: the line that must catch it, and where it is played."""
+    """An injected fault: the line whose checker must detect it, and the deployment, scenario and seeds to run."""
 
     name: str
     line: str
@@ -41,13 +41,15 @@
     patch: Callable[[], object]
 
 
-def _newest_revision_alone():
-    plain = revision_history.compare_revision
+def _only_newest_revision_compared():
+    original = revision_history.compare_revision
 
     def patched(memory, *, revision: int, digest: bytes):
         overtaken = memory is not None and revision < memory.accepted[-1].revision
         return (
-            revision_history.RevisionStatus.SUPERSEDED if overtaken else plain(memory, revision=revision, digest=digest)
+            revision_history.RevisionStatus.SUPERSEDED
+            if overtaken
+            else original(memory, revision=revision, digest=digest)
         )
 
     return mock.patch("hoistsaddle.statemachine.deduplication.compare_revision", patched)
@@ -69,13 +71,13 @@
 
 def _answers_swapped():
     kept: dict[str, object] = {}
-    plain = UpstreamCore.server_answered
+    original = UpstreamCore.server_answered
 
     def swapped(self: UpstreamCore, event) -> None:
-        # Every second answer is the one before it.
+        # Each answer gets the body of the previous one.
         before = kept.get("event")
         kept["event"] = event
-        plain(self, event._replace(body=before.body) if before is not None else event)
+        original(self, event._replace(body=before.body) if before is not None else event)
 
     return mock.patch.object(UpstreamCore, "server_answered", swapped)
 
@@ -84,24 +86,24 @@
     return mock.patch.object(UpstreamCore, "_admission_error", lambda self, event: None)
 
 
-def _inner_calls_as_clients():
-    plain = IngressCore.request_arrived
+def _inner_calls_without_caller():
+    original = IngressCore.request_arrived
 
-    def unnamed(self: IngressCore, event: RequestArrived) -> None:
-        plain(self, event._replace(caller="") if event.path == "/readings" else event)
+    def without_caller(self: IngressCore, event: RequestArrived) -> None:
+        original(self, event._replace(caller="") if event.path == "/readings" else event)
 
-    return mock.patch.object(IngressCore, "request_arrived", unnamed)
+    return mock.patch.object(IngressCore, "request_arrived", without_caller)
 
 
-def _leaving_goes_unseen():
+def _leaving_state_hidden():
     return mock.patch.object(ProxyCore, "server_state", lambda self: "ready" if self.server else "gone")
 
 
 def _accepted_without_waiting():
-    async def at_once(self: AppliedVersions, *, revision, proxies, committed) -> dict[str, str]:
+    async def return_immediately(self: AppliedVersions, *, revision, proxies, committed) -> dict[str, str]:
         return dict.fromkeys(proxies(), "taken up")
 
-    return mock.patch.object(AppliedVersions, "wait_for_all", at_once)
+    return mock.patch.object(AppliedVersions, "wait_for_all", return_immediately)
 
 
 def _bundles_unchecked():
@@ -109,29 +111,29 @@
 
 
 def _stop_without_finishing():
-    async def at_once(self: ProxyNode) -> None:
+    async def return_immediately(self: ProxyNode) -> None:
         return None
 
-    return mock.patch.object(ProxyNode, "finish", at_once)
+    return mock.patch.object(ProxyNode, "finish", return_immediately)
 
 
 def _further_sends_unbounded():
     return mock.patch.object(RetryBudget, "try_spend", lambda self, service, *, now: "share")
 
 
-def _margin_of_one_each():
-    plain = ingress.retry_quota_of
-    return mock.patch.object(ingress, "retry_quota_of", lambda **needs: max(1, plain(**needs)))
+def _retry_quota_of_at_least_one():
+    original = ingress.retry_quota_of
+    return mock.patch.object(ingress, "retry_quota_of", lambda **needs: max(1, original(**needs)))
 
 
-def _claims_by_name():
+def _claims_by_scope():
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch.object(idempotency, "claim", idempotency._claim_by_scope))
     patches.enter_context(mock.patch.object(bundles, "_renames_route_of_held_key", lambda state, number: False))
     return patches
 
 
-def _other_credentials_other_client():
+def _clients_compared_by_credentials():
     return mock.patch.object(
         idempotency,
         "_are_distinct_clients",
@@ -141,76 +143,76 @@
     )
 
 
-def _judged_by_the_target_alone():
+def _selection_ignores_bundle():
     return mock.patch.object(server_selection, "number_of", lambda bundle: 0)
 
 
-def _newer_records_passed_over():
-    plain = applying.apply
+def _newer_records_skipped():
+    original = applying.apply
 
-    def passing(state, **needs):
-        return plain(state, **{**needs, "supported": 99})
+    def skip_unsupported(state, **needs):
+        return original(state, **{**needs, "supported": 99})
 
     patches = contextlib.ExitStack()
-    patches.enter_context(mock.patch.object(applying, "apply", passing))
+    patches.enter_context(mock.patch.object(applying, "apply", skip_unsupported))
     patches.enter_context(mock.patch.object(RaftCore, "halt", lambda self, why: None))
     return patches
 
 
-def _copies_taken_as_sent():
-    plain = Relay.accept_answer
+def _copies_unchecked():
+    original = Relay.accept_answer
 
-    def blind(self: Relay, answer, *, sent) -> bool:
-        return plain(self, answer._replace(expected_digests=()), sent=sent)
+    def unverified(self: Relay, answer, *, sent) -> bool:
+        return original(self, answer._replace(expected_digests=()), sent=sent)
 
-    return mock.patch.multiple(Relay, accept_answer=blind, is_intact=lambda self: True)
+    return mock.patch.multiple(Relay, accept_answer=unverified, is_intact=lambda self: True)
 
 
-def _waits_for_ever():
+def _unlimited_core_outage():
     return mock.patch.object(ingress, "MAX_CORE_OUTAGE", milliseconds(100000))
 
 
 def _inner_listener_names_last_caller():
-    plain = IngressCore.request_arrived
+    original = IngressCore.request_arrived
 
-    def trusting(self: IngressCore, event: RequestArrived) -> None:
+    def with_server_instance(self: IngressCore, event: RequestArrived) -> None:
         server = self._state.server
-        plain(self, event._replace(instance=server.instance) if event.caller and server else event)
+        original(self, event._replace(instance=server.instance) if event.caller and server else event)
 
-    return mock.patch.object(IngressCore, "request_arrived", trusting)
+    return mock.patch.object(IngressCore, "request_arrived", with_server_instance)
 
 
-def _late_reports_taken():
+def _late_reports_accepted():
     return mock.patch.multiple(
         fleet, _predates_purge=lambda state, command: False, _is_stale_report=lambda *needs: False
     )
 
 
-def _a_byte_of_the_text_lost():
-    plain = state_parts.state_report
+def _text_truncated():
+    original = state_parts.state_report
 
     def short(state) -> dict:
-        report = plain(state)
+        report = original(state)
         return {**report, "texts": {number: text[:-1] for number, text in report["texts"].items()}}
 
     return mock.patch.object(state_parts, "state_report", short)
 
 
-def _status_altered_on_the_way():
-    plain = IngressCore.forward_answered
+def _status_altered_in_transit():
+    original = IngressCore.forward_answered
 
     def altered(self: IngressCore, number: int, answer) -> None:
-        plain(self, number, answer._replace(status=201) if answer.status == 200 else answer)
+        original(self, number, answer._replace(status=201) if answer.status == 200 else answer)
 
     return mock.patch.object(IngressCore, "forward_answered", altered)
 
 
-def _read_back_kept():
-    plain = state_parts.state_report
+def _stale_read_back():
+    original = state_parts.state_report
     kept: list[dict] = []
 
     def first(state) -> dict:
-        kept.append(plain(state))
+        kept.append(original(state))
         return next((report for report in kept if report["in_force"]), kept[-1])
 
     return mock.patch.object(state_parts, "state_report", first)
@@ -220,7 +222,7 @@
     starts: list[int] = []
 
     def timings(settings) -> RaftTimings:
-        # The first start is left as it is, so that there is a service to lose.
+        # The first start keeps fast elections, so that the service comes up before it is interrupted.
         starts.append(settings.replica)
         slow = milliseconds(16000) if len(starts) > len(settings.core) else milliseconds(500)
         return RaftTimings(
@@ -231,41 +233,41 @@
 
 
 def _blank_disks_vote():
-    """As if there were no incarnations: a wiped replica goes on voting and counting in its predecessor's place."""
-    plain_vote, plain_lay = Elections.vote_call, Disk._begin_incarnation
+    """Disables incarnations: a wiped replica still votes and counts as the voter that it replaced."""
+    original_vote_call, original_begin_incarnation = Elections.vote_call, Disk._begin_incarnation
 
-    def vote(self: Elections, ticket, call) -> None:
+    def unchecked_vote_call(self: Elections, ticket, call) -> None:
         self.core.mesh = self.core.mesh or call.mesh
-        plain_vote(self, ticket, call)
+        original_vote_call(self, ticket, call)
 
-    def lay(self: Disk) -> None:
+    def begin_incarnation(self: Disk) -> None:
         self.token = lambda size: f"replica-{self.replica}"
-        plain_lay(self)
+        original_begin_incarnation(self)
 
     patches = contextlib.ExitStack()
     patches.enter_context(mock.patch.object(RaftCore, "is_voter", lambda self: True))
-    patches.enter_context(mock.patch.object(Elections, "vote_call", vote))
-    patches.enter_context(mock.patch.object(Disk, "_begin_incarnation", lay))
+    patches.enter_context(mock.patch.object(Elections, "vote_call", unchecked_vote_call))
+    patches.enter_context(mock.patch.object(Disk, "_begin_incarnation", begin_incarnation))
     return patches
 
 
 def _answered_before_synced():
-    plain = RaftCore.handle
+    original = RaftCore.handle
 
     def unsynced(self: RaftCore, event, *, now):
         return [
             command._replace(after=0) if isinstance(command, Send | Answer) else command
-            for command in plain(self, event, now=now)
+            for command in original(self, event, now=now)
         ]
 
     return mock.patch.object(RaftCore, "handle", unsynced)
 
 
 def _leader_alone_commits():
-    plain = RaftCore.append
+    original = RaftCore.append
 
     def counted(self: RaftCore, records) -> None:
-        plain(self, records)
+        original(self, records)
         self.durable = self.last.offset
 
     def single(self: Replication) -> None:
@@ -319,7 +321,7 @@
         "thimble",
         find_scenario("calm"),
         (1,),
-        _inner_calls_as_clients,
+        _inner_calls_without_caller,
     ),
     InjectedFault(
         "leaving goes unseen",
@@ -327,7 +329,7 @@
         "thimble",
         find_scenario("servers_change"),
         (1,),
-        _leaving_goes_unseen,
+        _leaving_state_hidden,
     ),
     InjectedFault(
         "accepted without waiting",
@@ -367,7 +369,7 @@
         "thimble",
         find_scenario("retry_margins_kept"),
         (1, 2),
-        _margin_of_one_each,
+        _retry_quota_of_at_least_one,
     ),
     InjectedFault(
         "claims by name",
@@ -375,7 +377,7 @@
         "thimble",
         find_scenario("keys_travel"),
         (1,),
-        _claims_by_name,
+        _claims_by_scope,
     ),
     InjectedFault(
         "other credentials, other client",
@@ -383,7 +385,7 @@
         "thimble",
         find_scenario("keys_travel"),
         (1,),
-        _other_credentials_other_client,
+        _clients_compared_by_credentials,
     ),
     InjectedFault(
         "judged by the target's stage",
@@ -391,7 +393,7 @@
         "thimble",
         find_scenario("rules_change"),
         (1,),
-        _judged_by_the_target_alone,
+        _selection_ignores_bundle,
     ),
     InjectedFault(
         "newer records are passed over",
@@ -399,7 +401,7 @@
         "thimble",
         find_scenario("releases_side_by_side"),
         (1,),
-        _newer_records_passed_over,
+        _newer_records_skipped,
     ),
     InjectedFault(
         "only the newest revision is compared",
@@ -407,7 +409,7 @@
         "three",
         find_scenario("orders_sent_again"),
         (1,),
-        _newest_revision_alone,
+        _only_newest_revision_compared,
     ),
     InjectedFault(
         "copies are taken as sent",
@@ -415,10 +417,15 @@
         "thimble",
         find_scenario("copies_damaged"),
         (1, 2, 3),
-        _copies_taken_as_sent,
+        _copies_unchecked,
     ),
     InjectedFault(
-        "waits for ever", "given up means answered at once", "thimble", find_scenario("isolated"), (1,), _waits_for_ever
+        "waits for ever",
+        "given up means answered at once",
+        "thimble",
+        find_scenario("isolated"),
+        (1,),
+        _unlimited_core_outage,
     ),
     InjectedFault(
         "the inner door names whoever came last",
@@ -434,21 +441,19 @@
         "thimble",
         find_scenario("replaced_machines_forgotten"),
         (1,),
-        _late_reports_taken,
-    ),
-    InjectedFault(
-        "a byte is lost", "read-back is true", "thimble", find_scenario("calm"), (1,), _a_byte_of_the_text_lost
+        _late_reports_accepted,
     ),
+    InjectedFault("a byte is lost", "read-back is true", "thimble", find_scenario("calm"), (1,), _text_truncated),
     InjectedFault(
         "the status is altered",
         "every answer is its caller's own and whole",
         "thimble",
         find_scenario("calm"),
         (1,),
-        _status_altered_on_the_way,
+        _status_altered_in_transit,
     ),
     InjectedFault(
-        "read-back is kept", "read-back is true", "thimble", find_scenario("servers_change"), (1,), _read_back_kept
+        "read-back is kept", "read-back is true", "thimble", find_scenario("servers_change"), (1,), _stale_read_back
     ),
     InjectedFault(
         "elections are slow",
