--- a/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
+++ b/packages/testbed/src/hoistsaddle/testbed/diskmodel/scenarios.py
@@ -131,7 +131,7 @@
     recorded.start_again(cleanly=True)
 
 
-def going_on(recorded: RecordedDisk) -> None:
+def restart_and_write(recorded: RecordedDisk) -> None:
     """A boot after a power loss, followed by a vote and two records."""
     boot = recorded.do("boot")
     writer = Writer(recorded=recorded, boot=boot)
--- a/tests/test_raft_disk_model.py
+++ b/tests/test_raft_disk_model.py
@@ -16,7 +16,7 @@
 from hoistsaddle.testbed.diskmodel.model import FolderModel
 from hoistsaddle.testbed.diskmodel.operations import Created, FileSynced, FolderSynced, Renamed, Written
 from hoistsaddle.testbed.diskmodel.recorder import Recorder
-from hoistsaddle.testbed.diskmodel.scenarios import SCENARIOS, Writer, going_on, records, state_at
+from hoistsaddle.testbed.diskmodel.scenarios import SCENARIOS, Writer, records, restart_and_write, state_at
 
 SEED = 1
 
@@ -52,7 +52,7 @@
             # A random state of every sixth crash point, and a sample of the states that a loss in the boot may leave.
             for number, start in enumerate(itertools.islice(folder_states_of(operations, seed=SEED), 0, None, 6)):
                 folder = self.folder()
-                again = record(going_on, folder=folder / "life", seed=SEED, start=start)
+                again = record(restart_and_write, folder=folder / "life", seed=SEED, start=start)
                 findings = check(again, folder=folder, seed=SEED, start=start, most=4)
                 folder_states += findings.folder_states
                 self.assertThat([*findings.broken[:3]], Equals([]), f"{name} {number}")
