--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -373,7 +373,7 @@
             and not leader.core.pending_voter_changes
         )
 
-    def led(self) -> bool:
+    def has_active_leader(self) -> bool:
         """Whether a leader has committed a record of its own epoch."""
         node = self.leader()
         return node is not None and node.core.high_watermark >= node.core.replication.epoch_start_offset > 0
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -34,7 +34,7 @@
 
 def started_mesh(seed: int, **details) -> CoreMesh:
     mesh = CoreMesh(seed=seed, **details)
-    mesh.until(mesh.led, most=10 * SECOND)
+    mesh.until(mesh.has_active_leader, most=10 * SECOND)
     return mesh.run(SECOND)
 
 
@@ -215,7 +215,7 @@
             mesh.run(SECOND)
             for node in mesh.nodes.values():
                 node.start()
-            mesh.until(mesh.led, most=10 * SECOND)
+            mesh.until(mesh.has_active_leader, most=10 * SECOND)
             mesh.write()
 
 
@@ -247,7 +247,9 @@
             mesh.until(lambda: mesh.nodes[old].ended != "", most=SECOND)
             # The successor was elected by leadership transfer, without an election timeout.
             self.assertThat([kind for _, kind, _ in mesh.announcements], Contains("called to stand"))
-            self.assertThat((mesh.nodes[old].ended, mesh.led()), Equals(("handed over", True)), f"seed {seed}")
+            self.assertThat(
+                (mesh.nodes[old].ended, mesh.has_active_leader()), Equals(("handed over", True)), f"seed {seed}"
+            )
 
     def test_records_only_on_the_leaving_replica_and_one_more_are_replicated_to_the_third_first(self) -> None:
         """Guards against the loss of a committed record that is on the leaving replica and one more only.
@@ -344,7 +346,7 @@
         mesh.run(SECOND)
         for node in mesh.nodes.values():
             node.start()
-        mesh.until(mesh.led, most=10 * SECOND)
+        mesh.until(mesh.has_active_leader, most=10 * SECOND)
 
     def test_four_replacements_and_a_loss_of_power_at_the_end(self) -> None:
         for seed in SEEDS:
