--- a/tests/coremesh.py
+++ b/tests/coremesh.py
@@ -363,7 +363,7 @@
         node = self.leader()
         return {} if node is None else dict(sorted(node.core.state.voters.items()))
 
-    def votes(self, replica: int) -> bool:
+    def is_voter(self, replica: int) -> bool:
         """Whether the current disk of this replica is a committed voter, and no change of voters is open."""
         node, leader = self.nodes.get(replica), self.leader()
         return (
--- a/tests/test_raft_losses.py
+++ b/tests/test_raft_losses.py
@@ -40,7 +40,7 @@
 
 def follower(mesh: CoreMesh) -> Node:
     leader = mesh.leader()
-    return next(node for replica, node in sorted(mesh.nodes.items()) if node is not leader and mesh.votes(replica))
+    return next(node for replica, node in sorted(mesh.nodes.items()) if node is not leader and mesh.is_voter(replica))
 
 
 def has_all_committed(mesh: CoreMesh, replica: int) -> bool:
@@ -68,7 +68,7 @@
             mesh.wipe(lost)
             mesh.run(milliseconds(mesh.random.uniform(100, 3000)))
             mesh.nodes[lost].start()
-            spans.append(mesh.until(lambda: mesh.votes(lost), most=SETTLE))
+            spans.append(mesh.until(lambda: mesh.is_voter(lost), most=SETTLE))
         print("from the wiped machine's start to its counted vote:", min(spans), max(spans), "seeds", list(SEEDS))
         return spans
 
@@ -100,7 +100,7 @@
             mesh.run(milliseconds(mesh.random.uniform(0, 2000)))
             mesh.add(4)
             mesh.until(lambda: has_all_committed(mesh, 4), most=SETTLE)
-            span = mesh.until(lambda: mesh.votes(4), most=SETTLE)
+            span = mesh.until(lambda: mesh.is_voter(4), most=SETTLE)
             self.assertThat(span, LessThan(SETTLE / 2), f"seed {seed}")
             kinds = [kind for _, kind, _ in mesh.announcements]
             self.assertThat(kinds, Contains("voter replaced"))
@@ -132,7 +132,9 @@
             mesh.add(6)
             mesh.add(7)
             mesh.run(SETTLE)
-            self.assertThat((mesh.votes(6), mesh.votes(7), len(mesh.voters())), Equals((True, True, 5)), f"seed {seed}")
+            self.assertThat(
+                (mesh.is_voter(6), mesh.is_voter(7), len(mesh.voters())), Equals((True, True, 5)), f"seed {seed}"
+            )
 
     def test_a_frozen_voter_becomes_a_spare_and_may_become_a_voter_again(self) -> None:
         for seed in SEEDS:
@@ -140,15 +142,15 @@
             frozen = follower(mesh).replica
             mesh.freeze(frozen, 3 * SECOND)
             mesh.run(2 * SECOND)
-            self.assertThat((mesh.votes(frozen), mesh.votes(4)), Equals((False, True)), f"seed {seed}")
+            self.assertThat((mesh.is_voter(frozen), mesh.is_voter(4)), Equals((False, True)), f"seed {seed}")
             mesh.run(2 * SECOND)
             # There is only one replacement: the voters don't change again once the frozen replica is back.
             self.assertThat([kind for _, kind, _ in mesh.announcements].count("voter replaced"), LessThan(5))
             self.assertThat(
-                (mesh.votes(frozen), has_all_committed(mesh, frozen)), Equals((False, True)), f"seed {seed}"
+                (mesh.is_voter(frozen), has_all_committed(mesh, frozen)), Equals((False, True)), f"seed {seed}"
             )
             mesh.remove(4)
-            mesh.until(lambda: mesh.votes(frozen), most=SETTLE)
+            mesh.until(lambda: mesh.is_voter(frozen), most=SETTLE)
             mesh.write()
 
     def test_a_voter_frozen_for_seconds_with_no_spare_keeps_its_vote(self) -> None:
@@ -158,13 +160,13 @@
         mesh.run(5 * SECOND)
         self.assertThat((sorted(mesh.voters()), mesh.announcements[-1][1]), Equals(([1, 2, 3], "following")))
         mesh.run(3 * SECOND)
-        self.assertThat((mesh.votes(frozen), len(mesh.voters())), Equals((True, 3)))
+        self.assertThat((mesh.is_voter(frozen), len(mesh.voters())), Equals((True, 3)))
 
     def test_below_the_level_with_replacement_it_takes_two_steps(self) -> None:
         mesh = started_mesh(2, level=LEVEL_OF[ReplaceVoter] - 1)
         mesh.remove(follower(mesh).replica)
         mesh.add(4)
-        mesh.until(lambda: mesh.votes(4), most=SETTLE * 2)
+        mesh.until(lambda: mesh.is_voter(4), most=SETTLE * 2)
         kinds = [kind for _, kind, _ in mesh.announcements if "voter" in kind]
         self.assertThat(list(dict.fromkeys(kinds)), Equals(["voter dropped", "voter added"]))
 
@@ -282,7 +284,7 @@
             mesh.until(lambda: any(replica == 4 for replica, _ in mesh.leader().core.replication.progress), most=SETTLE)
             mesh.stop(old)
             self.assertThat(
-                (mesh.votes(4), mesh.votes(old), len(mesh.voters())), Equals((True, False, 3)), f"seed {seed}"
+                (mesh.is_voter(4), mesh.is_voter(old), len(mesh.voters())), Equals((True, False, 3)), f"seed {seed}"
             )
             mesh.remove(old)
             mesh.write()
