--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/check.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/check.py
@@ -11,7 +11,7 @@
 from hoistsaddle.testbed.modelcheck.loss_sequences import SequenceCounterexample, draw_loss_sequences
 from hoistsaddle.testbed.modelcheck.pending_requests import REQUEST_SPACES, RequestExploration, explore_requests
 from hoistsaddle.testbed.modelcheck.spaces import SPACES
-from hoistsaddle.testbed.modelcheck.walks import Counterexample, WalkTotals, make_smaller, walk_randomly
+from hoistsaddle.testbed.modelcheck.walks import Counterexample, WalkTotals, minimize, walk_randomly
 
 # Walks from one seed: few enough that workers check the time often, many enough to outweigh the cost of a job.
 WALKS_PER_SEED = 40
@@ -35,7 +35,7 @@
     """Plays the walks and loss sequences of one seed, and minimizes the first walk that violates a rule."""
     total, found = walk_randomly(seed=seed, walks=WALKS_PER_SEED, until=until)
     settle_times, unsettled = draw_loss_sequences(seed=seed, runs=SEQUENCES_PER_SEED, settle=SETTLE_TIMEOUT)
-    return Batch(seed, total, make_smaller(found) if found is not None else None, settle_times, unsettled)
+    return Batch(seed, total, minimize(found) if found is not None else None, settle_times, unsettled)
 
 
 def format_durations(durations: list[timedelta]) -> str:
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/clones.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/clones.py
@@ -21,53 +21,53 @@
     return _is_part_by_type[kind]
 
 
-def clone(value: Any, known: dict[int, Any] | None = None) -> Any:
+def clone(value: Any, visited: dict[int, Any] | None = None) -> Any:
     """A copy of a core and all its parts; immutable values are shared."""
     kind = type(value)
     if kind in _IMMUTABLE:
         return value
-    known = {} if known is None else known
+    visited = {} if visited is None else visited
     if kind is list:
-        return [clone(each, known) for each in value]
+        return [clone(each, visited) for each in value]
     if kind is dict:
-        return {key: clone(each, known) for key, each in value.items()}
+        return {key: clone(each, visited) for key, each in value.items()}
     if kind is tuple:
-        return tuple([clone(each, known) for each in value])
+        return tuple([clone(each, visited) for each in value])
     if kind is set or kind is deque:
         return value.copy()
     if not _is_part(kind):
         return value
-    if id(value) not in known:
-        copied = known[id(value)] = object.__new__(kind)
+    if id(value) not in visited:
+        copied = visited[id(value)] = object.__new__(kind)
         attributes = copied.__dict__
         for name, each in value.__dict__.items():
-            attributes[name] = each if type(each) in _IMMUTABLE else clone(each, known)
-    return known[id(value)]
+            attributes[name] = each if type(each) in _IMMUTABLE else clone(each, visited)
+    return visited[id(value)]
 
 
-def key_of(value: Any, known: set[int] | None = None) -> Any:
+def key_of(value: Any, visited: set[int] | None = None) -> Any:
     """A hashable key that is equal for equivalent values; random generators are ignored."""
     kind = type(value)
     if kind in _IMMUTABLE:
         return value
-    known = set() if known is None else known
+    visited = set() if visited is None else visited
     if kind is dict:
-        return frozenset([(key, key_of(each, known)) for key, each in value.items()])
+        return frozenset([(key, key_of(each, visited)) for key, each in value.items()])
     if kind is set:
         return frozenset(value)
     if kind is list or kind is deque or kind is tuple:
-        return tuple([key_of(each, known) for each in value])
+        return tuple([key_of(each, visited) for each in value])
     if isinstance(value, random.Random):
         return None
     if isinstance(value, tuple):
         try:
             hash(value)
         except TypeError:
-            return (kind.__name__, *[key_of(each, known) for each in value])
+            return (kind.__name__, *[key_of(each, visited) for each in value])
         return value
     if not _is_part(kind):
         return value
-    if id(value) in known:
+    if id(value) in visited:
         return "known"
-    known.add(id(value))
-    return tuple([(name, key_of(each, known)) for name, each in value.__dict__.items()])
+    visited.add(id(value))
+    return tuple([(name, key_of(each, visited)) for name, each in value.__dict__.items()])
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/exhaustive.py
@@ -227,7 +227,7 @@
     """
     depth = depth or space.depth
     root = SearchNode(space.make_cluster(fault()), space.budget, ())
-    known = {_key(root)}
+    visited = {_key(root)}
     frontier = [root]
     transitions = commits = 0
     leaders: set[tuple[int, tuple[int, int]]] = set()
@@ -241,15 +241,15 @@
                 except InvariantViolated as broken:
                     path = (*node.path, action)
                     return ExplorationResult(
-                        space.name, level + 1, len(known), transitions, len(leaders), commits, str(broken), path
+                        space.name, level + 1, len(visited), transitions, len(leaders), commits, str(broken), path
                     )
                 key = _key(after)
-                if key in known:
+                if key in visited:
                     continue
-                known.add(key)
+                visited.add(key)
                 following.append(after)
                 invariants = after.cluster.invariants
                 commits = max(commits, invariants.last_committed)
                 leaders.update(invariants.leaders.items())
         frontier = following
-    return ExplorationResult(space.name, depth, len(known), transitions, len(leaders), commits)
+    return ExplorationResult(space.name, depth, len(visited), transitions, len(leaders), commits)
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/foundings.py
@@ -276,8 +276,8 @@
         if self.machines[replica].bootstrap is None or disk.call is None:
             return False
         voting = [other for other in self._voting(disk.mesh) if not self.is_cut(replica, other)]
-        has_more = [other for other in voting if self.machines[other].disk.logged and not disk.logged]
-        return replica in voting and len(voting) * 2 > len(disk.call.voters) and not has_more
+        with_more_records = [other for other in voting if self.machines[other].disk.logged and not disk.logged]
+        return replica in voting and len(voting) * 2 > len(disk.call.voters) and not with_more_records
 
     def lead(self, replica: int) -> None:
         """Elects a replica, which logs a record."""
@@ -316,11 +316,11 @@
 
     def check(self) -> None:
         """Raises FoundingViolation if two meshes hold committed records."""
-        held = {machine.disk.mesh for machine in self.machines.values() if machine.disk.logged} & self.committed
-        if len(held) > 1:
-            raise FoundingViolation(f"two meshes hold committed records: {sorted(held)}")
+        meshes = {machine.disk.mesh for machine in self.machines.values() if machine.disk.logged} & self.committed
+        if len(meshes) > 1:
+            raise FoundingViolation(f"two meshes hold committed records: {sorted(meshes)}")
 
-    def lost_its_majority(self) -> bool:
+    def has_lost_majority(self) -> bool:
         """Whether a mesh with records has lost a majority of its voters' disks, so that it can't come up again."""
         for mesh in {machine.disk.mesh for machine in self.machines.values() if machine.disk.logged}:
             voters = self.voters[mesh]
@@ -331,7 +331,7 @@
 
     def check_recovery(self) -> None:
         """Runs without faults; raises FoundingViolation if the site doesn't come up within RECOVERY_TIMEOUT."""
-        if self.lost_its_majority():
+        if self.has_lost_majority():
             return
         self.isolated = frozenset()
         for replica, machine in self.machines.items():
@@ -459,10 +459,10 @@
                 self.lead(replica)
             case Step("replicate", replica, follower):
                 self.replicate(replica, follower)
-            case Step("deliver", _, place):
-                self.deliver(self.messages[place])
-            case Step("lose", _, place):
-                self.lose(self.messages[place])
+            case Step("deliver", _, position):
+                self.deliver(self.messages[position])
+            case Step("lose", _, position):
+                self.lose(self.messages[position])
         self.check()
 
     def _full_round(self, replica: int, reach: str) -> None:
@@ -485,9 +485,9 @@
                 yield step
             elif step.detail == "all" and not self.machines[step.replica].pending_calls:
                 yield Step("begin round", step.replica)
-        for place in range(len(self.messages)):
-            yield Step("deliver", 0, place)
-            yield Step("lose", 0, place)
+        for position in range(len(self.messages)):
+            yield Step("deliver", 0, position)
+            yield Step("lose", 0, position)
 
 
 MakeModel = Callable[[FoundingSpace], FoundingModel]
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/invariants.py
@@ -296,7 +296,7 @@
         if core.high_watermark < before.high_watermark:
             raise InvariantViolated(
                 "a high-watermark never goes back",
-                f"{machine.replica} went from {before.high_watermark} to {core.high_watermark}",
+                f"{machine.replica} moved it back from {before.high_watermark} to {core.high_watermark}",
             )
         if not before.log or core.epoch_at(before.log[-1].offset) == before.log[-1].epoch:
             return
@@ -319,10 +319,10 @@
                 "logs are equal up to the high-watermark",
                 f"{machine.replica} has a high-watermark of {core.high_watermark}, committed is {self.last_committed}",
             )
-        known = self.checked_up_to[(machine.replica, machine.generation)]
-        if core.high_watermark > known:
+        checked_before = self.checked_up_to[(machine.replica, machine.generation)]
+        if core.high_watermark > checked_before:
             self.checked_up_to[(machine.replica, machine.generation)] = core.high_watermark
-            self._check_records(machine, after=known)
+            self._check_records(machine, after=checked_before)
             if core.state.offset <= self.last_committed and core.state != self.states[core.state.offset]:
                 raise InvariantViolated(
                     "states are equal at equal offsets",
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/pending_requests.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/pending_requests.py
@@ -88,7 +88,7 @@
 
     kind: str
     call: int = 0
-    how: str = ""
+    ending: str = ""
 
 
 class RequestSpace(NamedTuple):
@@ -239,8 +239,8 @@
     def steps(self) -> Iterator[Step]:
         """All steps that are possible next."""
         for position, call in enumerate(self.calls_in_flight.values()):
-            for how in ENDS[type(call.command)]:
-                yield Step("end", position, how)
+            for ending in ENDS[type(call.command)]:
+                yield Step("end", position, ending)
         if self.core.ingress.requests.requests:
             yield Step("pause")
             yield Step("deadline")
@@ -258,7 +258,7 @@
         """Execute one step."""
         match step.kind:
             case "end":
-                self.end(list(self.calls_in_flight)[step.call], step.how)
+                self.end(list(self.calls_in_flight)[step.call], step.ending)
             case "pause":
                 self.pass_time(PAUSE)
             case "deadline":
@@ -288,25 +288,27 @@
         self.now += duration
         self.feed(Ticked())
 
-    def end(self, number: int, how: str) -> None:
+    def end(self, number: int, ending: str) -> None:
         """End a call in flight in one of its ways."""
         call = self.calls_in_flight.pop(number).command
         match call:
             case ForwardRequest():
-                self.feed(self._forward_end(call, how))
+                self.feed(self._forward_end(call, ending))
             case Follow():
-                answer = _forward_answer(call.call.attempt_id, how)
-                self.feed(Followed(number, answer, refused=how == "refused"))
+                answer = _forward_answer(call.call.attempt_id, ending)
+                self.feed(Followed(number, answer, refused=ending == "refused"))
             case SubmitHold():
-                outcome = self._write(call.command) if how != "lost" else None
-                self.feed(HoldAnswered(number, outcome if how == "taken" else None))
+                outcome = self._write(call.command) if ending != "lost" else None
+                self.feed(HoldAnswered(number, outcome if ending == "taken" else None))
             case AnnounceBody():
                 answers = {"granted": AnnounceBodyAnswer("", 10**9), "declined": AnnounceBodyAnswer("link-full", 0)}
-                self.feed(BodyAnnouncementAnswered(number, answers.get(how)))
+                self.feed(BodyAnnouncementAnswered(number, answers.get(ending)))
 
-    def _forward_end(self, call: ForwardRequest, how: str) -> tuple:
-        answer = _forward_answer(call.call.attempt_id, how)
-        return ForwardFailed(call.number, how == "unsent") if answer is None else ForwardAnswered(call.number, answer)
+    def _forward_end(self, call: ForwardRequest, ending: str) -> tuple:
+        answer = _forward_answer(call.call.attempt_id, ending)
+        return (
+            ForwardFailed(call.number, ending == "unsent") if answer is None else ForwardAnswered(call.number, answer)
+        )
 
     def _write(self, command: Any) -> Any:
         self.log, outcome = apply(
@@ -389,15 +391,15 @@
         return (self.now, requests, calls, records, replies, holds, events)
 
 
-def _forward_answer(attempt_id: str, how: str) -> ForwardAnswer | None:
+def _forward_answer(attempt_id: str, ending: str) -> ForwardAnswer | None:
     outcomes = {
         "answered": (ANSWERED, ""),
         "not run": (NOT_RUN, str(ErrorKind.QUEUE_FULL)),
         "unknown": (UNKNOWN, str(ErrorKind.SILENT)),
     }
-    if how not in outcomes:
+    if ending not in outcomes:
         return None
-    outcome, error = outcomes[how]
+    outcome, error = outcomes[ending]
     return ForwardAnswer(attempt_id, outcome, error, 200 if outcome == ANSWERED else 0, b"", b"done", capacity=4)
 
 
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/steps.py
@@ -83,8 +83,8 @@
     # -- selection -----------------------------------------------------------------------------------------------------
 
     def _choose(self, number: int, *, condition) -> Machine | None:
-        found = [each for each in self.cluster.machines.values() if not each.removed and condition(each)]
-        return found[number % len(found)] if found else None
+        matching = [each for each in self.cluster.machines.values() if not each.removed and condition(each)]
+        return matching[number % len(matching)] if matching else None
 
     def _choose_responsive(self, number: int) -> Machine | None:
         return self._choose(number, condition=lambda each: each.responsive)
@@ -402,8 +402,8 @@
             for each in cluster.machines.values()
             if each.core is not None
         ]
-        known = cluster.invariants
-        return f"leader {cluster.leader()}, voters {known.voters}, committed {known.last_committed}, {cores}"
+        observed = cluster.invariants
+        return f"leader {cluster.leader()}, voters {observed.voters}, committed {observed.last_committed}, {cores}"
 
 
 def _has_leader_role(machine: Machine) -> bool:
--- a/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
+++ b/packages/testbed/src/hoistsaddle/testbed/modelcheck/walks.py
@@ -199,7 +199,7 @@
     return total, found
 
 
-def make_smaller(
+def minimize(
     found: Counterexample, *, fault: Callable[[], InjectedFault] = InjectedFault, max_attempts: int = 600
 ) -> Counterexample:
     """Minimizes a walk: removes steps, in blocks and then singly, and zeroes numbers, while the same rule fails."""
@@ -217,21 +217,21 @@
     block = max(1, len(found.script.steps) // 2)
     while attempts <= max_attempts:
         before = found.script
-        place = len(before.steps)
-        while place > 0:
+        position = len(before.steps)
+        while position > 0:
             steps = found.script.steps
-            place = min(place, len(steps))
-            breaks_same_rule(found.script._replace(steps=steps[: max(0, place - block)] + steps[place:]))
-            place -= block
+            position = min(position, len(steps))
+            breaks_same_rule(found.script._replace(steps=steps[: max(0, position - block)] + steps[position:]))
+            position -= block
         if block > 1:
             block //= 2
         elif found.script == before:
             break
-    for place, step in enumerate(found.script.steps):
+    for position, step in enumerate(found.script.steps):
         for smaller in (step._replace(first=0, second=0), step._replace(second=0), step._replace(first=0)):
             steps = found.script.steps
             if smaller != step and breaks_same_rule(
-                found.script._replace(steps=(*steps[:place], smaller, *steps[place + 1 :]))
+                found.script._replace(steps=(*steps[:position], smaller, *steps[position + 1 :]))
             ):
                 break
     return found
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -28,7 +28,7 @@
 from hoistsaddle.testbed.modelcheck.modeldisk import ModelDisk
 from hoistsaddle.testbed.modelcheck.spaces import SPACES
 from hoistsaddle.testbed.modelcheck.steps import Step, StepKind, Walk
-from hoistsaddle.testbed.modelcheck.walks import Script, broken_by, make_smaller, play, walk_randomly
+from hoistsaddle.testbed.modelcheck.walks import Script, broken_by, minimize, play, walk_randomly
 
 SEED = 630
 WALKS = 60
@@ -91,7 +91,7 @@
     def test_every_rule_holds_on_walks_of_three_and_five(self) -> None:
         total, found = walk_randomly(seed=SEED, walks=WALKS)
         print(f"seed {SEED}: {total}")
-        self.assertThat(found, Is(None), str(found and make_smaller(found)))
+        self.assertThat(found, Is(None), str(found and minimize(found)))
         figures = dict(total.figures)
         # Walks without these events would pass without any check.
         for what in ("elections", "records committed", "reads confirmed", "checkpoints", "voter changes committed"):
@@ -199,11 +199,11 @@
         _, found = walk_randomly(
             seed=SEED, walks=FAULT_WALKS, sizes=FAULT_SIZES, kinds=STALLING, fault=faults.AppendUnsynced
         )
-        smaller = make_smaller(found, fault=faults.AppendUnsynced, max_attempts=60)
-        print(f"seed {SEED}: {smaller.script}")
-        self.assertThat(len(found.script.steps), GreaterThan(len(smaller.script.steps)))
-        self.assertThat(broken_by(smaller.script, fault=faults.AppendUnsynced()).rule, Equals(found.rule))
-        self.assertThat(broken_by(smaller.script), Is(None))
+        minimized = minimize(found, fault=faults.AppendUnsynced, max_attempts=60)
+        print(f"seed {SEED}: {minimized.script}")
+        self.assertThat(len(found.script.steps), GreaterThan(len(minimized.script.steps)))
+        self.assertThat(broken_by(minimized.script, fault=faults.AppendUnsynced()).rule, Equals(found.rule))
+        self.assertThat(broken_by(minimized.script), Is(None))
 
 
 class Spaces(TestCase):
