--- a/packages/testbed/src/hoistsaddle/testbed/simulation/__init__.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Whole deployments in simulated time: each run of one seed is the same."""
+"""Whole deployments in simulated time: runs with the same seed are identical."""
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/catalogue.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/catalogue.py
@@ -1,4 +1,4 @@
-"""Every scenario by its name, as the command line takes it."""
+"""The scenarios by the names that the command line accepts."""
 
 from hoistsaddle.testbed.simulation.deployment import Scenario
 from hoistsaddle.testbed.simulation.scenarios import (
@@ -19,7 +19,7 @@
     storage,
 )
 
-# On core machines alone; these run with the deployments "three" and "five".
+# Scenarios without proxies; they run on the deployments "three" and "five".
 CORE_SCENARIOS: dict[str, Scenario] = {
     scenario.__name__: scenario
     for scenario in (
@@ -67,7 +67,7 @@
         operator_changes.operators_at_once,
     )
 }
-# Names that scenarios had in earlier releases; the command line still takes them.
+# Former names of scenarios by their names in earlier releases; the command line still accepts them.
 FORMER_NAMES = {
     "days_end": "all_fail_together",
     "gone_forgotten": "replaced_machines_forgotten",
@@ -80,6 +80,6 @@
 
 
 def find_scenario(name: str) -> Scenario | None:
-    """The scenario of this name or former name; None if there is none."""
+    """Returns the scenario with this name or former name; None if there is none."""
     present = FORMER_NAMES.get(name, name)
     return SCENARIOS.get(present) or CORE_SCENARIOS.get(present)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -1,4 +1,7 @@
-"""A whole deployment in simulated time: the nodes' own code, servers, clients and operators around it, one history."""
+"""A whole deployment in simulated time: the production nodes, with simulated servers, clients and operators.
+
+All of them write to one history, which the checkers read.
+"""
 
 import asyncio
 import gc
@@ -28,21 +31,21 @@
 START_TIMEOUT_SECONDS = 10
 WAIT_POLL_SECONDS = 0.01
 OBSERVE_INTERVAL_SECONDS = 0.02
-# A proxy that still acts under the same bundle is written down this often.
+# The probability that an observation is recorded when a proxy still applies the same bundle.
 UNCHANGED_PROBABILITY = 0.05
-# Events of processes that an expired wait shows.
+# The number of newest events that the error of an expired wait shows.
 LAST_EVENTS = 12
 
 
 class SimulatedDeployment:
-    """The parts of one simulated deployment, and what all of them share.
+    """One simulated deployment: its processes, servers, clients and operators, and the history that they share.
 
     Attributes:
-        processes: stores, registries and proxies.
-        servers: the servers beside the proxies.
-        clients: sends requests.
-        operators: works at the registries.
-        counter: numbers whatever needs a name of its own.
+        processes: the stores, registries and proxies.
+        servers: the local servers of the proxies.
+        clients: send requests to the proxies.
+        operators: send calls to the registries.
+        counter: numbers everything that needs a unique name.
     """
 
     def __init__(self, *, deployment: Deployment, world: World, checkpoint_records: int = CHECKPOINT_RECORDS) -> None:
@@ -84,11 +87,11 @@
         world.on_call = self._record_attempt
 
     def now(self) -> float:
-        """Seconds of simulated time."""
+        """Returns the simulated time in seconds."""
         return self.world.loop.time()
 
     def expect(self, description: str, met: bool) -> None:
-        """Writes down whether something expected came true; the checker reads it afterwards."""
+        """Records whether an expectation was met; a checker reads it afterwards."""
         self.history.add(ExpectationChecked(self.now(), description, bool(met)))
 
     def _record_attempt(self, process: SimulatedProcess, address: str, message: tuple) -> None:
@@ -96,7 +99,7 @@
             self.history.add(AttemptSeen(self.now(), message.service_name, message.ordinal > 1))
 
     def create_task(self, work: Coroutine) -> asyncio.Task:
-        """Runs something beside the scenario until the simulation ends."""
+        """Runs a coroutine concurrently with the scenario, at the longest until the simulation ends."""
         task = self.world.loop.create_task(work)
         self.background_tasks.add(task)
         return task
@@ -104,7 +107,7 @@
     # -- starting ----------------------------------------------------------------------------------------------------
 
     async def start(self, *, bundle: bool = True) -> None:
-        """Starts and bootstraps everything; without a bundle, proxies and servers serve nothing yet."""
+        """Starts and bootstraps the deployment; without `bundle`, the proxies serve no requests yet."""
         for name in self.processes.core_names():
             self.processes.start(name)
         await asyncio.sleep(0.05)
@@ -138,13 +141,13 @@
         return view.revision > 0 and len(view.nodes) >= len(self.processes.proxies)
 
     def add_proxy(self, name: str, *, zone: str, service: str) -> None:
-        """A machine that wasn't there before, with a server beside it."""
+        """Adds a new machine with a proxy and a local server."""
         self.processes.proxies[name] = ProxySite(zone, service)
         self.processes.start(name)
         self.servers.replace(name, service=service)
 
     def remove_proxy(self, name: str) -> None:
-        """A machine that never comes back."""
+        """Removes a proxy and its local server for good."""
         self.servers[name].vanish()
         self.processes.forget(name)
         del self.servers.by_proxy[name]
@@ -152,7 +155,7 @@
     # -- waiting -----------------------------------------------------------------------------------------------------
 
     async def _observe_bundles(self) -> None:
-        """Writes down which bundle each proxy acts under, whenever it could act."""
+        """Records the bundle that each proxy applies while it is ready."""
         known: dict[str, tuple[int, str]] = {}
         while True:
             for name in self.processes.running(PROXY):
@@ -167,7 +170,7 @@
             await asyncio.sleep(OBSERVE_INTERVAL_SECONDS)
 
     def is_serving(self) -> bool:
-        """Whether every proxy is ready, and every present server open in the configuration that each of them holds."""
+        """Returns whether all running proxies are ready and the configuration lists their ready servers as available."""
         running = self.processes.running(PROXY)
         proxies = [self.processes.nodes[name] for name in running]
         for node in proxies:
@@ -182,33 +185,35 @@
         )
 
     async def wait_until(self, condition: Callable[[], bool], *, seconds: float, description: str) -> float:
-        """Waits until a condition holds and gives the seconds that took.
+        """Waits until a condition holds and returns the seconds that this took.
 
         Raises:
-            AssertionError: it doesn't hold in time.
+            AssertionError: the condition doesn't hold in time.
         """
         began = self.now()
         while not condition():
             if self.now() - began > seconds:
                 events = self.processes.events[-LAST_EVENTS:]
-                raise AssertionError(f"{description}: not within {seconds} simulated seconds; lately: {events}")
+                raise AssertionError(f"{description}: not within {seconds} simulated seconds; last events: {events}")
             await asyncio.sleep(WAIT_POLL_SECONDS)
         return self.now() - began
 
     async def wait_for_leader(self, *, seconds: float) -> str:
-        """Waits until somebody leads the log, and gives that store."""
+        """Waits until there is a leader, and returns the name of its store."""
         await self.wait_until(lambda: self.processes.leader() is not None, seconds=seconds, description="a leader")
         return str(self.processes.leader())
 
     async def wait_for_release_level(self, *, seconds: float) -> None:
-        """Waits until the release level is this release's own."""
+        """Waits until the mesh has reached this release's own release level."""
         nodes, name = self.processes.nodes, self.processes.core[0].registry
         await self.wait_until(lambda: nodes[name].view.level == LEVEL, seconds=seconds, description="the release level")
 
     async def wait_for_vote(self, replica: int, *, seconds: float) -> None:
-        """Waits until a replica that was away or wiped votes again."""
+        """Waits until a replica that was unavailable or wiped is a voter again."""
         await self.wait_until(
-            lambda: self.processes.has_rejoined(replica), seconds=seconds, description=f"replica {replica} votes again"
+            lambda: self.processes.has_rejoined(replica),
+            seconds=seconds,
+            description=f"replica {replica} is a voter again",
         )
 
 
@@ -222,10 +227,10 @@
     scenario: Scenario,
     checkpoint_records: int = CHECKPOINT_RECORDS,
 ) -> SimulatedDeployment:
-    """Runs one scenario in simulated time and gives the deployment with its history.
+    """Runs one scenario in simulated time and returns the deployment with its history.
 
     Raises:
-        AssertionError: an exception that nobody caught ended something in the simulated processes.
+        AssertionError: an exception in a simulated process was not handled.
     """
     logger.disable("hoistsaddle")
     loop = SimulatedTimeLoop()
@@ -238,7 +243,7 @@
                 loop.run_until_complete(scenario(simulation))
                 errors = list(loop.errors)
             finally:
-                _end(simulation)
+                _tear_down(simulation)
         if errors:
             raise AssertionError(f"seed {seed}: {errors[0]}")
         return simulation
@@ -248,12 +253,12 @@
         logger.enable("hoistsaddle")
 
 
-def _end(simulation: SimulatedDeployment) -> None:
+def _tear_down(simulation: SimulatedDeployment) -> None:
     for name in list(simulation.processes.by_name):
         simulation.processes.kill(name)
     for task in simulation.background_tasks:
         task.cancel()
-    # What killed processes left unfinished is collected here, while its complaints mean nothing.
+    # Collects the unfinished coroutines of killed processes here, where their "never awaited" warnings are suppressed.
     with warnings.catch_warnings():
         warnings.simplefilter("ignore", RuntimeWarning)
         simulation.processes.by_name.clear()
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/event_loop.py
@@ -1,4 +1,7 @@
-"""An event loop whose time is simulated: nothing waits, every run of one seed is the same, processes freeze and die."""
+"""An event loop in simulated time, with processes that can be frozen and killed.
+
+The loop never blocks, and runs with the same seed are identical.
+"""
 
 import asyncio
 import contextvars
@@ -9,19 +12,19 @@
 
 
 class SimulatedProcess:
-    """One run of a simulated process: what it scheduled runs only while it is alive and not frozen."""
+    """One incarnation of a simulated process: its callbacks run only while it is alive and not frozen."""
 
     def __init__(self, *, name: str, loop: "SimulatedTimeLoop") -> None:
         self.name = name
         self.loop = loop
         self.dead = False
         self.frozen = False
-        # When it was frozen last, in simulated seconds.
+        # The time of the last freeze, in simulated seconds.
         self.frozen_at = 0.0
         self.deferred: list[tuple] = []
         self.context = contextvars.copy_context()
         self.context.run(CURRENT_PROCESS.set, self)
-        # Kept on purpose: a task collected in the middle of a run would run its last lines at a random time.
+        # Holds references until the run ends: a task garbage-collected during it would run cleanup at a random time.
         self.tasks: list[asyncio.Task] = []
 
     def spawn(self, work) -> asyncio.Task:
@@ -31,17 +34,17 @@
         return task
 
     def kill(self) -> None:
-        """Nothing that the process scheduled runs any more."""
+        """Kills the process: none of its scheduled callbacks runs any more."""
         self.dead = True
         self.deferred.clear()
 
     def freeze(self) -> None:
-        """Whatever comes due from now on waits."""
+        """Freezes the process: callbacks that become due are deferred until it wakes."""
         self.frozen = True
         self.frozen_at = self.loop.time()
 
     def wake(self) -> None:
-        """Runs what came due meanwhile, in the order in which it did."""
+        """Wakes the process and schedules the deferred callbacks in the order in which they became due."""
         self.frozen = False
         deferred, self.deferred = self.deferred, []
         for handle_slot, callback, arguments, context in deferred:
@@ -49,13 +52,13 @@
 
     @staticmethod
     def _resume_callback(handle_slot: list, callback, arguments: tuple) -> None:
-        # What was cancelled before its turn came must not run, however long it was due.
+        # A callback that was cancelled while it was deferred must not run.
         if not handle_slot[0].cancelled():
             callback(*arguments)
 
 
 class _InstantSelector(selectors.BaseSelector):
-    """Never waits: a wait is a step of simulated time."""
+    """A selector that never blocks: it advances simulated time by the timeout."""
 
     def __init__(self) -> None:
         self.loop: SimulatedTimeLoop | None = None
@@ -74,7 +77,7 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("the simulation stands still: nothing is scheduled and nothing is ready")
+            raise RuntimeError("the simulation is deadlocked: no callback is scheduled or ready")
         self.loop.current_seconds += max(0.0, timeout)
         return []
 
@@ -84,7 +87,7 @@
 
     Attributes:
         current_seconds: simulated time.
-        errors: contexts of exceptions that nobody caught.
+        errors: the contexts of unhandled exceptions.
     """
 
     def __init__(self) -> None:
@@ -97,16 +100,16 @@
         self.set_exception_handler(self._record_error)
 
     def _record_error(self, loop, context) -> None:
-        # A process that was killed leaves tasks behind; everything else is a fault of ours and fails the run.
+        # A killed process leaves pending tasks behind; any other error is a fault of the code and fails the run.
         if "was destroyed but it is pending" not in context.get("message", ""):
             self.errors.append(context)
 
     def time(self) -> float:
-        """Simulated seconds, as asyncio asks for them."""
+        """Returns the simulated time in seconds, for asyncio."""
         return self.current_seconds
 
     def now(self) -> timedelta:
-        """Simulated time, as the nodes ask for it."""
+        """Returns the simulated time, for the nodes."""
         return timedelta(seconds=self.current_seconds)
 
     @staticmethod
@@ -119,7 +122,7 @@
         callback(*arguments)
 
     def call_soon(self, callback, *args, context=None):
-        """Schedules a callback; one of a simulated process runs only while that process does."""
+        """Schedules a callback; a callback of a simulated process runs only while that process runs."""
         process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_soon(callback, *args, context=context)
@@ -130,7 +133,7 @@
         return handle_slot[0]
 
     def call_at(self, when, callback, *args, context=None):
-        """Schedules a callback for a time; one of a simulated process runs only while that process does."""
+        """Schedules a callback for a time; a callback of a simulated process runs only while that process runs."""
         process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
@@ -141,6 +144,6 @@
         return handle_slot[0]
 
     def call_soon_threadsafe(self, callback, *args, context=None):
-        """The same as call_soon: there are no threads here."""
-        # There are no threads here, and the pipe that wakes a real loop would only fill.
+        """Calls `call_soon`: the simulation has a single thread."""
+        # The pipe that wakes a real loop from another thread would only fill up here.
         return self.call_soon(callback, *args, context=context)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/operators.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/operators.py
@@ -1,4 +1,4 @@
-"""The operators of a simulated deployment: bundles, drains and read-backs at its registries."""
+"""The operators of a simulated deployment, who roll out bundles, drain servers and read the configuration back."""
 
 import asyncio
 import itertools
@@ -24,14 +24,14 @@
 from hoistsaddle.testbed.simulation.world import World
 
 POLL_SECONDS = 0.02
-# The number of a bundle that can't be read.
+# The number recorded for a bundle that can't be parsed.
 UNREADABLE = -1
 
 Action = Callable[[OperatorActions, str], Coroutine]
 
 
 class Operators:
-    """Does what operators do, at any registry, and writes down the answers."""
+    """Sends the calls of operators to any registry and records the answers in the history."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         return self.world.loop.time()
 
     async def perform(self, action: Action, *, registry: str | None = None) -> Result[dict, MeshError]:
-        """Does an operator's call at one registry; if that process dies, the operator sees the connection break.
+        """Makes an operator's call at one registry; the call fails as SILENT if that process dies.
 
         Args:
-            action: given the registry's actions and the id of the request.
-            registry: the name of the registry; any running one by default.
+            action: makes the call, given the registry's actions and the id of the request.
+            registry: the name of the registry; a random running one by default.
         """
         name = registry or self.random.choice(self.processes.running(REGISTRY))
         request = f"call-{next(self.counter)}"
@@ -74,14 +74,14 @@
     async def submit(
         self, text: str, *, author: str = "ada", registry: str | None = None, broken: bool = False
     ) -> Result[dict, MeshError]:
-        """Submits a bundle; broken says that it must be refused."""
+        """Submits a bundle; `broken` records that it is invalid and must be rejected."""
         result = await self.perform(
             lambda actions, request: actions.submit(author=author, text=text, request=request), registry=registry
         )
         checked = read_bundle(text)
         number = checked.unwrap().number if isinstance(checked, Success) else UNREADABLE
         if isinstance(checked, Success):
-            # It can't be in force before it is signed, and nobody signs before this.
+            # The bundle can only be in force once it is signed, and it is signed only after this event is recorded.
             self.history.add(BundleWritten(self._now(), number, text))
         error = "" if isinstance(result, Success) else str(result.failure().kind)
         self.history.add(BundleSubmitted(self._now(), number, broken, error))
@@ -105,7 +105,7 @@
     async def sign(
         self, number: int, digest: str, *, signer: str = "ben", registry: str | None = None
     ) -> Result[dict, MeshError]:
-        """Signs a submitted bundle, which puts its first stage in force."""
+        """Signs a submitted bundle, which puts its first stage into force."""
         return await self._enter_stage(
             lambda actions, request: actions.sign(operator=signer, number=number, digest=digest, request=request),
             registry=registry,
@@ -114,7 +114,7 @@
     async def advance(
         self, number: int, from_stage: int, *, operator: str = "ben", registry: str | None = None
     ) -> Result[dict, MeshError]:
-        """Puts a bundle's next stage in force."""
+        """Puts a bundle's next stage into force."""
         return await self._enter_stage(
             lambda actions, request: actions.advance(
                 operator=operator, number=number, from_stage=from_stage, request=request
@@ -142,16 +142,16 @@
     async def read_back(
         self, *, in_force: int, drained: tuple[str, ...] = (), settled: bool = False, removed: tuple[str, ...] = ()
     ) -> dict:
-        """Reads the configuration back at every registry, for a checker to compare.
+        """Reads the configuration from every running registry and records it for a checker to compare.
 
         Args:
             in_force: the number of the bundle that must be in force.
-            drained: the proxies whose servers must show as drained.
-            settled: whether servers and nodes must show as they are, too.
-            removed: names that must not show at all.
+            drained: the proxies whose servers must be reported as drained.
+            settled: whether the servers and nodes must be reported as they are at present, too.
+            removed: names that must not appear at all.
 
         Returns:
-            What the last registry showed.
+            The configuration that the last registry returned.
         """
         texts = {event.number: event.text for event in self.history.of(BundleWritten)}
         servers = self.servers.present_members(self.processes.running(PROXY)) if settled else None
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/processes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a simulated deployment: started, killed, frozen and stopped by name."""
+"""The processes of a simulated deployment, which are started, stopped, killed and frozen by name."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -26,26 +26,26 @@
 from hoistsaddle.testbed.simulation.world import SimulatedDiskWorker, SimulatedRuntime, World, wipe
 
 OPERATORS = {"ada": hashlib.sha256(b"token-of-ada").hexdigest(), "ben": hashlib.sha256(b"token-of-ben").hexdigest()}
-# Small chunks and checkpoints, so that a run of seconds sees many of them.
+# Small, so that a run of a few seconds transfers many chunks.
 CHUNK_BYTES = 8192
 LAG_WAIT_SECONDS = 4.0
-# Every node starts from the addresses of so many registries.
+# The number of registries whose addresses a proxy is configured with.
 SEED_COUNT = 3
-# Clients notice that a connection was cut a little after it; a planned stop takes that in.
+# Clients notice a closed connection with this delay, which a planned interruption includes.
 CUT_NOTICED_SECONDS = 0.2
 
 RunServer = Callable[[str, RunOnServer], Awaitable[tuple]]
 
 
 class ProxySite(NamedTuple):
-    """Where a proxy stands, and the service of the server beside it."""
+    """The zone of a proxy, and the service of its local server."""
 
     zone: str
     service: str
 
 
 class ProcessEvent(NamedTuple):
-    """An event that a process recorded about itself."""
+    """An event that a process recorded with its counters."""
 
     timestamp: float
     owner: str
@@ -54,14 +54,14 @@
 
 
 class ProcessTable:
-    """Every process of the deployment by its name, and the nodes that run in them.
+    """The processes of the deployment by name, and the nodes that run in them.
 
     Attributes:
         by_name: the newest process of each name, dead or alive.
-        nodes: the Store, Registry or ProxyNode that runs in it.
-        proxies: where each proxy stands.
-        release_levels: the highest release level a process says it supports, where that isn't all it knows.
-        events: what processes recorded about themselves, in order.
+        nodes: by process name, the Store, Registry or ProxyNode that runs in it.
+        proxies: the zone and the local service of each proxy.
+        release_levels: the highest release level that a process announces, where it is below this release's own.
+        events: the events that processes recorded, in order.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
     # -- starting ----------------------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        """Starts a process from its settings and what its disk holds."""
+        """Starts a process with its settings and the present contents of its disk."""
         process = self.by_name[name] = SimulatedProcess(name=name, loop=self.world.loop)
         runtime = SimulatedRuntime(world=self.world, process=process)
         match kind_of(name):
@@ -133,8 +133,8 @@
         )
         disk = Disk(folder=folder, replica=replica, token=runtime.token, synchronous="OFF")
 
-        def make_worker(**needs: Any) -> SimulatedDiskWorker:
-            return SimulatedDiskWorker(world=self.world, process=process, **needs)
+        def make_worker(**options: Any) -> SimulatedDiskWorker:
+            return SimulatedDiskWorker(world=self.world, process=process, **options)
 
         return process.context.run(
             lambda: Store(settings=settings, runtime=runtime, disk=disk, make_worker=make_worker)
@@ -198,34 +198,34 @@
             self.start(name)
 
     def forget(self, name: str) -> None:
-        """Kills a proxy's process that never comes back."""
+        """Kills a proxy's process for good and removes it from the table."""
         self.kill(name)
         del self.proxies[name], self.by_name[name], self.nodes[name]
 
     async def stop_proxy(self, name: str) -> None:
-        """A planned stop, as SIGTERM does it."""
+        """Stops a proxy gracefully, as SIGTERM does."""
         began = self._now()
         await self.by_name[name].spawn(self.nodes[name].finish())
         self.kill(name)
         self.history.add(PlannedInterruption(began, self._now() + CUT_NOTICED_SECONDS, f"planned stop of {name}"))
 
     async def stop_core_process(self, name: str) -> None:
-        """A planned stop of a store or a registry."""
+        """Stops a store or a registry gracefully."""
         await self.by_name[name].spawn(self.nodes[name].stop())
         self.kill(name)
 
     def wipe(self, replica: int) -> None:
-        """The replica's disk is blank from now on."""
+        """Erases the replica's disk."""
         wipe(self.world.folder / f"data-{replica}")
 
     def freeze(self, *names: str) -> None:
-        """The processes stand still, as by SIGSTOP."""
+        """Freezes the processes, as SIGSTOP does."""
         for name in names:
             self.by_name[name].freeze()
             self._frozen_at.setdefault(name, self._now())
 
     def wake(self, *names: str) -> None:
-        """Frozen processes go on, with all that was due meanwhile."""
+        """Wakes frozen processes, which then run the callbacks that became due meanwhile."""
         for name in names:
             self.by_name[name].wake()
             if name in self._frozen_at:
@@ -234,19 +234,19 @@
     # -- state -------------------------------------------------------------------------------------------------------
 
     def names(self, kind: str) -> list[str]:
-        """All processes of a kind, dead ones included."""
+        """Returns the names of all processes of a kind, including dead ones."""
         return [name for name in self.by_name if kind_of(name) == kind]
 
     def running(self, kind: str) -> list[str]:
-        """The processes of a kind that neither died nor are frozen."""
+        """Returns the names of the processes of a kind that are neither dead nor frozen."""
         return [name for name in self.names(kind) if not self.by_name[name].dead and not self.by_name[name].frozen]
 
     def core_names(self) -> list[str]:
-        """Stores and registries, machine by machine."""
+        """Returns the names of the stores and registries, machine by machine."""
         return [name for machine in self.core for name in (machine.store, machine.registry)]
 
     def leader(self) -> str | None:
-        """The running store that leads the newest epoch."""
+        """Returns the running store that leads in the newest epoch, if any."""
         leading = [
             (self.nodes[name].runner.core.epoch, name)
             for name in self.running(STORE)
@@ -255,11 +255,11 @@
         return max(leading)[1] if leading else None
 
     def has_rejoined(self, replica: int) -> bool:
-        """Whether a replica's present disk votes and holds everything."""
+        """Returns whether a replica is a voter with its present disk and has a complete state."""
         core = self.nodes[store_name(replica)].runner.core
         return core is not None and core.complete and core.state.voters.get(replica) == core.incarnation
 
     def expected_members(self) -> tuple[tuple[str, str], ...]:
-        """Running registries and proxies with their incarnations, sorted."""
+        """Returns the running registries and proxies with their incarnations, sorted."""
         nodes = [(name, self.nodes[name].incarnation) for kind in (REGISTRY, PROXY) for name in self.running(kind)]
         return tuple(sorted(nodes))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/results.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/results.py
@@ -1,4 +1,4 @@
-"""What a caller of a simulated proxy got, as a history keeps it."""
+"""Converts the answers of simulated proxies to results in the history."""
 
 import msgspec
 
@@ -9,15 +9,15 @@
 def result_of(
     answer: AnswerClient, *, now: float, request: str, proxy: str, asked: float, caller: str = ""
 ) -> RequestResult:
-    """The record of a proxy's answer.
+    """Returns the result that the history records for a proxy's answer.
 
     Args:
-        answer: what the proxy gave.
-        now: when it came.
-        request: the name of the request.
-        proxy: the proxy that was asked.
+        answer: the answer of the proxy.
+        now: when the answer arrived.
+        request: the nonce of the request.
+        proxy: the proxy that received the request.
         asked: when the request was sent.
-        caller: the service whose server asked; empty for a client.
+        caller: the service whose server sent the request; empty for a client.
     """
     has_body = answer.outcome == ANSWERED and answer.body
     content = msgspec.json.decode(answer.body) if has_body else {}
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/runs.py
@@ -1,4 +1,4 @@
-"""Many seeds of many scenarios, spread over the machine's cores; each run is the same wherever it lands."""
+"""Runs scenarios with many seeds in parallel processes; the outcome of a run does not depend on its process."""
 
 import hashlib
 import os
@@ -14,7 +14,7 @@
 
 
 class Run(NamedTuple):
-    """One scenario on one deployment from one seed."""
+    """One scenario on one deployment with one seed."""
 
     deployment: str
     scenario: str
@@ -22,16 +22,16 @@
 
 
 class Outcome(NamedTuple):
-    """What a run came to.
+    """The outcome of a run.
 
     Attributes:
-        run: which run it was.
+        run: the run.
         asked: how many requests were sent.
         answered: how many of them were answered.
-        retry_share: the part of the retries allowed that the fullest ten seconds used.
-        digest: of the whole history, so that two runs can be told apart in their last detail.
-        broken: what broke each rule of the checkers.
-        failed: what stopped the run before its end; empty for one that came through.
+        retry_share: the largest share of the allowed retries that any ten seconds used.
+        digest: the digest of the whole history, which differs if two runs differ in any detail.
+        broken: the violations of each rule of the checkers.
+        failed: the error that ended the run early; empty for a complete run.
     """
 
     run: Run
@@ -47,17 +47,17 @@
 
 
 def carry_out(run: Run) -> Outcome:
-    """Does one run and checks its history.
+    """Carries out one run and checks its history.
 
     Raises:
-        KeyError: there is no scenario of this name.
+        KeyError: no scenario has this name.
     """
     scenario = find_scenario(run.scenario)
     if scenario is None:
         raise KeyError(run.scenario)
     deployment = DEPLOYMENTS[run.deployment]
     with warnings.catch_warnings():
-        # Killed processes leave coroutines behind that nobody will ever await.
+        # Killed processes leave coroutines behind that are never awaited.
         warnings.simplefilter("ignore", RuntimeWarning)
         simulation = simulate(deployment=deployment, seed=run.seed, scenario=scenario)
     history = simulation.history
@@ -69,12 +69,12 @@
         answered=sum(result.outcome == "answered" for result in results),
         retry_share=round(retry_share, 3),
         digest=hashlib.sha256(repr(history.events).encode()).hexdigest(),
-        broken={rule: found for rule, found in check(history, deployment).items() if found},
+        broken={rule: violations for rule, violations in check(history, deployment).items() if violations},
     )
 
 
 def _carry_out_or_report(run: Run) -> Outcome:
-    """Does one run; an exception is reported in the outcome, so that it doesn't hide what the other runs found."""
+    """Carries out one run; an exception becomes part of the outcome, so that the other runs are still reported."""
     try:
         return carry_out(run)
     except Exception as error:
@@ -82,6 +82,6 @@
 
 
 def carry_out_all(runs: list[Run], *, workers: int | None = None) -> list[Outcome]:
-    """Does many runs on so many processes, by default one for each processor; outcomes come in the runs' order."""
+    """Carries out runs in parallel, by default with one process per processor; outcomes have the order of the runs."""
     with ProcessPoolExecutor(workers or os.cpu_count()) as pool:
         return list(pool.map(_carry_out_or_report, runs))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/servers.py
@@ -1,4 +1,4 @@
-"""The servers beside the proxies of a simulated deployment, and the calls that they make themselves."""
+"""The local servers of the proxies in a simulated deployment, and the nested calls that they make."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from hoistsaddle.testbed.simulation.world import World
 
 READY = "ready"
-# States that a history knows and no server reports.
+# States that only the history records; no server reports them.
 DRAINED, VANISHED = "drained", "vanished"
 HEALTH_INTERVAL_SECONDS = 0.8
-# What a server does instead of answering well.
+# Faults of a server: it runs the request, but no complete and valid answer reaches the proxy.
 LOSE_ANSWER, GARBAGE, TRUNCATE = "lose answer", "garbage", "truncate"
-# Shortest and longest time that a server takes for an answer.
+# The shortest and longest time that a server takes to answer.
 ANSWER_SECONDS = (0.002, 0.03)
 
 
 class SimulatedServer:
-    """A server beside a proxy; tests change its state, its speed and how it misbehaves."""
+    """The local server of a proxy; scenarios change its state, its answer time and its fault."""
 
     def __init__(self, *, pool: ServerPool, proxy: str, service: str) -> None:
         self.pool = pool
@@ -40,13 +40,13 @@
         self.seconds = ANSWER_SECONDS
 
     def change_state(self, state: str) -> None:
-        """Takes another state and reports it at once."""
+        """Changes the state and reports it immediately."""
         self.state = state
         self.pool.record_state(self, state)
         self.report_health()
 
     def report_health(self) -> None:
-        """Sends one health report to the proxy, if the server is there and the proxy hears it."""
+        """Sends one health report to the proxy, if the server is present and the proxy is running."""
         process = self.pool.processes.get(self.proxy)
         node = self.pool.nodes.get(self.proxy)
         if self.present and process is not None and not process.dead and not process.frozen:
@@ -54,16 +54,16 @@
             process.context.run(node.feed, report)
 
     def vanish(self) -> None:
-        """The server is gone and says nothing."""
+        """Removes the server without a report."""
         self.present = False
         self.pool.record_state(self, VANISHED)
 
 
 class ServerPool:
-    """The present server beside each proxy.
+    """The current local server of each proxy.
 
     Attributes:
-        by_proxy: the servers by the name of the proxy they stand beside.
+        by_proxy: the servers by the name of their proxy.
         processes: the simulated processes by name.
         nodes: the nodes that run in them.
     """
@@ -90,20 +90,20 @@
         return self.by_proxy[proxy]
 
     def all(self) -> list[SimulatedServer]:
-        """Every server, whether it is there or vanished."""
+        """Returns every server, whether present or vanished."""
         return list(self.by_proxy.values())
 
     def replace(self, proxy: str, *, service: str) -> SimulatedServer:
-        """Puts a new instance of a service beside a proxy; it serves once it has reported its health."""
+        """Starts a new instance of a service beside a proxy; it serves once it has reported its health."""
         server = self.by_proxy[proxy] = SimulatedServer(pool=self, proxy=proxy, service=service)
         return server
 
     def record_state(self, server: SimulatedServer, state: str) -> None:
-        """Writes down a server's new state."""
+        """Records a server's new state in the history."""
         self.history.add(ServerStateChanged(self.world.loop.time(), server.service, server.instance, state))
 
     def present_members(self, running: list[str]) -> tuple[tuple[str, str, str, str], ...]:
-        """Proxy, service, instance and state of every present server beside one of the running proxies, sorted."""
+        """Returns proxy, service, instance and state of every present server of a running proxy, sorted."""
         members = [
             (name, server.service, server.instance, server.state)
             for name, server in self.by_proxy.items()
@@ -112,14 +112,14 @@
         return tuple(sorted(members))
 
     async def report_all(self) -> None:
-        """Every server reports its health again and again, for ever."""
+        """Reports the health of every server periodically until cancelled."""
         while True:
             for server in self.all():
                 server.report_health()
             await asyncio.sleep(HEALTH_INTERVAL_SECONDS)
 
     async def run(self, proxy: str, command: RunOnServer) -> tuple:
-        """The way from a proxy to its server, and the server itself; both may be gone or misbehave."""
+        """Runs a request on the local server of a proxy; the server may be absent or faulty."""
         call = command.call
         server = self.by_proxy[proxy]
         if not server.present:
@@ -156,20 +156,20 @@
         return ServerAnswered(command.number, 200, {"Content-Type": "application/json"}, body)
 
     async def call_nested(self, proxy: str, server: SimulatedServer, nested: NestedCall, nonce: str) -> None:
-        """A server's own call through its proxy.
+        """Makes a server's nested call through its proxy.
 
-        The proxy knows which service stands beside it; the server says which instance it is.
+        The proxy knows the service of its local server; the call names the instance of the server that makes it.
         """
         node = self.nodes[proxy]
-        beside = node.core.server
-        if beside is None:
+        local_server = node.core.server
+        if local_server is None:
             return
         asked = self.world.loop.time()
         answer = await node.request(
             lambda ticket: RequestArrived(
                 ticket,
-                beside.service,
-                f"service {beside.service}",
+                local_server.service,
+                f"service {local_server.service}",
                 nested.method,
                 nested.path,
                 f"nonce={nonce}",
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/world.py
@@ -1,4 +1,7 @@
-"""The simulated world around the nodes: a network that loses, delays, repeats and is cut, and disks that forget."""
+"""The simulated network and disks of the nodes, with injected faults.
+
+The network loses, delays and duplicates messages and can be partitioned; a disk loses what was not synced.
+"""
 
 import asyncio
 import random
@@ -29,24 +32,23 @@
 
 NO_CONNECTION = Failure(MeshError(ErrorKind.UNREACHABLE, "no connection", "simulated"))
 NO_ANSWER = Failure(MeshError(ErrorKind.SILENT, "no answer", "simulated"))
-# These may reach their target twice: their receivers claim to know a copy when they see one.
+# Calls of these classes may be delivered twice: their receivers must detect duplicates.
 _DUPLICABLE_CALLS = (FetchCall, FetchSnapshotCall, VoteCall, BeginEpochCall, BundleForwardCall, WriteCall)
 
-
-# How a disk may fail: it does nothing, or has no room for more.
+# Disk faults: no job completes, or every job fails with ENOSPC.
 DISK_STALLED, DISK_FULL = "stalled", "full"
 
 
 class World:
-    """The network between simulated processes and the disks below them, as scenarios set them.
+    """The network between simulated processes and their disks, with the faults that the scenarios set.
 
     Attributes:
-        listeners: who listens at an address, and the handler of calls.
-        cuts: pairs (from, to) of process names between which nothing passes.
-        loss_probability: how often a call, or an answer, never arrives.
-        duplicate_probability: how often a call that may arrive twice does.
-        delay_probability: how often a message takes long enough to arrive after later ones.
-        on_call: told of each call as it is sent.
+        listeners: by address, the process that listens there and its handler of calls.
+        cuts: pairs (from, to) of process names between which no message is delivered.
+        loss_probability: the probability that a call, or an answer, is lost.
+        duplicate_probability: the probability that a call of a duplicable class is delivered twice.
+        delay_probability: the probability that a message is delayed so long that later ones overtake it.
+        on_call: a callback invoked with each call as it is sent.
         disk_faults: DISK_STALLED or DISK_FULL by the name of the process.
         sync_seconds: shortest and longest time that a sync of a disk takes.
     """
@@ -56,30 +58,29 @@
         self.random = random.Random(seed)
         self.folder = folder
         self.listeners: dict[str, tuple[SimulatedProcess, Handler]] = {}
-        # Pairs (from, to) of process names between which nothing passes.
         self.cuts: set[tuple[str, str]] = set()
         self.loss_probability = 0.0
         self.duplicate_probability = 0.01
         self.delay_probability = 0.01
-        # In the order of their calls: a set of futures would be walked in a random one.
+        # A dict keeps the order of the calls: the iteration order of a set would differ from run to run.
         self.pending: dict[SimulatedProcess, dict[asyncio.Future, None]] = {}
         self.on_call: Callable[[SimulatedProcess, str, tuple], None] = lambda process, address, message: None
         self.disk_faults: dict[str, str] = {}
         self.sync_seconds = (0.0005, 0.004)
 
     def latency(self) -> float:
-        """Draws how many seconds one message is under way."""
-        # Mostly fast; now and then a message takes long enough to arrive after later ones.
+        """Draws the latency of one message in seconds."""
+        # Most messages are fast; some are delayed so long that later ones overtake them.
         if self.random.random() < self.delay_probability:
             return self.random.uniform(0.02, 0.25)
         return self.random.uniform(0.0002, 0.002)
 
     def cut_off(self, sender: str, receiver: str) -> bool:
-        """Whether messages from the sender to the receiver are cut off."""
+        """Returns whether messages from the sender to the receiver are dropped by a partition."""
         return (sender, receiver) in self.cuts
 
     def cut(self, one_side: list[str], other_side: list[str], *, one_way: bool = False) -> None:
-        """From now on nothing passes between two sides, or, one way, nothing from the first to the second."""
+        """Partitions two sides from each other or, with `one_way`, drops only messages from the first to the second."""
         for one in one_side:
             for other in other_side:
                 if one != other:
@@ -88,15 +89,15 @@
                         self.cuts.add((other, one))
 
     def heal(self) -> None:
-        """Everything passes again."""
+        """Ends all partitions."""
         self.cuts.clear()
 
     def kill(self, process: SimulatedProcess) -> None:
-        """Ends a process; whoever waits for its answer sees the connection break."""
+        """Kills a process; calls that wait for its answer fail as their connections break."""
         process.kill()
         for address in [address for address, (owner, _) in self.listeners.items() if owner is process]:
             del self.listeners[address]
-        # Whoever waited for an answer sees its connection break.
+        # The callers that wait for an answer see their connections break.
         for future in self.pending.pop(process, {}):
             self.loop.call_later(self.latency(), self._settle, future, NO_ANSWER)
 
@@ -115,9 +116,9 @@
         *,
         rate: int = 0,
     ) -> None:
-        """Takes a call under way; the future gets the answer or the error, or nothing if the call is lost.
+        """Sends a call; the future gets the answer or the error, and is never resolved if the call is lost.
 
-        `rate`, the bytes a second at which it is sent, counts only where links have a bandwidth.
+        `rate`, in bytes per second, has an effect only where links have a bandwidth.
         """
         caller = process.context
 
@@ -129,12 +130,13 @@
             return settle(NO_CONNECTION)
         target, handler = listener
         if self.cut_off(process.name, target.name):
-            # Half the time the connection stood already: then the bytes wait, and may arrive once the cut heals.
+            # In half of the cases the connection was already established: then the bytes stay queued, and may arrive
+            # after the partition.
             if self.random.random() < 0.5:
                 wait = min(within * 0.98, CONNECT_TIMEOUT.total_seconds())
                 self.loop.call_later(wait, self._settle, future, NO_CONNECTION, context=caller)
             else:
-                self._arrive_late(process, address, message, until=self.loop.time() + 4)
+                self._deliver_after_heal(process, address, message, until=self.loop.time() + 4)
             return None
         if self.random.random() < self.loss_probability:
             return None
@@ -155,13 +157,13 @@
                 context=target.context,
             )
 
-    def _arrive_late(self, process: SimulatedProcess, address: str, message: tuple, *, until: float) -> None:
+    def _deliver_after_heal(self, process: SimulatedProcess, address: str, message: tuple, *, until: float) -> None:
         listener = self.listeners.get(address)
         if listener is None or self.loop.time() > until:
             return
         target, handler = listener
         if self.cut_off(process.name, target.name):
-            self.loop.call_later(0.05, lambda: self._arrive_late(process, address, message, until=until))
+            self.loop.call_later(0.05, lambda: self._deliver_after_heal(process, address, message, until=until))
             return
         self.loop.call_later(
             self.latency(), self._deliver, process, target, handler, message, None, context=target.context
@@ -170,9 +172,9 @@
     def _deliver(
         self, caller: SimulatedProcess, target: SimulatedProcess, handler: Handler, message: tuple, settle
     ) -> None:
-        async def carry() -> None:
+        async def handle() -> None:
             answer = await handler(message)
-            # The way back has cuts and losses of its own.
+            # The answer is subject to partitions and losses of its own direction.
             if (
                 settle is not None
                 and answer is not None
@@ -181,11 +183,11 @@
             ):
                 settle(Success(answer))
 
-        target.spawn(carry())
+        target.spawn(handle())
 
 
 class SimulatedRpcClient:
-    """The calls of one process to others."""
+    """Sends the calls of one process to others."""
 
     def __init__(self, *, world: World, process: SimulatedProcess) -> None:
         self.world = world
@@ -200,16 +202,16 @@
         still: Callable[[], bool] = lambda: True,
         rate: int = 0,
     ) -> Result[tuple, MeshError]:
-        """Makes a call and gives its answer, or UNREACHABLE or SILENT.
+        """Makes a call and returns its answer, or an error of kind UNREACHABLE or SILENT.
 
         Args:
-            address: where the other process listens.
+            address: the address at which the other process listens.
             message: the call.
             within: how long to wait for the answer.
-            still: whether the call is still wanted once there is a connection.
-            rate: bytes a second at which it is sent; 0 for all at once.
+            still: called once the connection is established; the call is dropped if it returns False.
+            rate: the bytes per second at which the call is sent; 0 for no limit.
         """
-        # A connection may have to be made first, and a freeze may fall right there.
+        # Stands for establishing the connection, during which the process may be frozen.
         await asyncio.sleep(self.world.latency())
         if not still():
             return NO_CONNECTION
@@ -223,11 +225,11 @@
             return NO_ANSWER
 
     def close(self) -> None:
-        """Nothing is open that would have to be closed."""
+        """Does nothing: a simulated client holds no open connections."""
 
 
-class _Serving:
-    """A listener that can be stopped, as the rpc package's server can."""
+class _SimulatedListener:
+    """A listener with the `stop` of the rpc package's server."""
 
     def __init__(self, *, world: World, address: str) -> None:
         self.world = world
@@ -238,7 +240,7 @@
 
 
 class SimulatedRuntime:
-    """What a node gets from its surroundings: time, random numbers, calls and a listener."""
+    """The runtime that a node is given: time, random numbers, an RPC client and a listener."""
 
     def __init__(self, *, world: World, process: SimulatedProcess) -> None:
         self.world = world
@@ -247,21 +249,21 @@
         self.rpc_client = SimulatedRpcClient(world=world, process=process)
 
     def now(self) -> timedelta:
-        """Simulated time."""
+        """Returns the simulated time."""
         return self.world.loop.now()
 
     def token(self, size: int) -> str:
-        """So many random bytes in hexadecimal."""
+        """Returns `size` random bytes in hexadecimal."""
         return self.random.randbytes(size).hex()
 
-    async def serve(self, address: str, handler: Handler) -> _Serving:
+    async def serve(self, address: str, handler: Handler) -> _SimulatedListener:
         """Listens for calls at an address until the process ends or the listener is stopped."""
         self.world.listeners[address] = (self.process, handler)
-        return _Serving(world=self.world, address=address)
+        return _SimulatedListener(world=self.world, address=address)
 
 
 class SimulatedDiskWorker:
-    """Does the disk's jobs after simulated syncs. What a killed process had not synced is lost."""
+    """Runs the disk's jobs after simulated syncs. Jobs that a killed process had not synced are lost."""
 
     def __init__(
         self,
@@ -280,25 +282,25 @@
         self.busy = False
 
     def put(self, job: tuple) -> None:
-        """Queues a job; it is done after the next sync that begins."""
+        """Queues a job; it is run at the end of the next sync that begins."""
         self.waiting.append(job)
         if not self.busy:
-            self._begin()
+            self._begin_sync()
 
-    def _begin(self) -> None:
+    def _begin_sync(self) -> None:
         self.busy = True
-        self.taken = len(self.waiting)
+        self.jobs_in_sync = len(self.waiting)
         self.world.loop.call_later(
-            self.world.random.uniform(*self.world.sync_seconds), self._end, context=self.process.context
+            self.world.random.uniform(*self.world.sync_seconds), self._end_sync, context=self.process.context
         )
 
-    def _end(self) -> None:
+    def _end_sync(self) -> None:
         fault = self.world.disk_faults.get(self.process.name, "")
         if fault == DISK_STALLED:
-            self.world.loop.call_later(0.05, self._end, context=self.process.context)
+            self.world.loop.call_later(0.05, self._end_sync, context=self.process.context)
             return
-        # Only what was queued when the sync began is in it.
-        batch = deque(self.waiting.popleft() for _ in range(min(self.taken, len(self.waiting))))
+        # A sync covers only the jobs that were queued when it began.
+        batch = deque(self.waiting.popleft() for _ in range(min(self.jobs_in_sync, len(self.waiting))))
         while batch:
             try:
                 if fault == DISK_FULL:
@@ -306,21 +308,21 @@
                 report = self.jobs.do_next(batch)
             except (OSError, sqlite3.Error):
                 self.waiting.extendleft(reversed(batch))
-                self.taken = len(self.waiting)
-                self.world.loop.call_later(DISK_RETRY.total_seconds(), self._end, context=self.process.context)
+                self.jobs_in_sync = len(self.waiting)
+                self.world.loop.call_later(DISK_RETRY.total_seconds(), self._end_sync, context=self.process.context)
                 return
             if report is not None:
                 self.report(report)
         self.busy = False
         if self.waiting:
-            self._begin()
+            self._begin_sync()
 
     def stop(self) -> bool:
-        """Gives up all jobs that wait."""
+        """Drops all queued jobs."""
         self.waiting.clear()
         return True
 
 
 def wipe(folder: Path) -> None:
-    """Removes a folder with all that is in it."""
+    """Removes a folder and its contents."""
     shutil.rmtree(folder, ignore_errors=True)
