--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -170,7 +170,7 @@
             await asyncio.sleep(OBSERVE_INTERVAL_SECONDS)
 
     def is_serving(self) -> bool:
-        """Returns whether all running proxies are ready and the configuration lists their ready servers as available."""
+        """Returns whether all running proxies are ready and their ready servers are available in the configuration."""
         running = self.processes.running(PROXY)
         proxies = [self.processes.nodes[name] for name in running]
         for node in proxies:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/__init__.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""What is done to a simulated deployment: one module for each family of scenarios."""
+"""The scenarios of simulated deployments, with one module per family."""
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/bundles.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/bundles.py
@@ -1,4 +1,4 @@
-"""Bundles race and arrive broken."""
+"""Conflicting and invalid bundles."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from hoistsaddle.testbed.simulation.scenarios.common import RATE, next_bundle, restart_later, under_load
 
 ROUNDS = 4
-# The number of a broken bundle is so far above the others that it can't be one of theirs.
+# Added to the number of a broken bundle, so that no valid bundle has the same number.
 BROKEN_NUMBER_OFFSET = 50
 
 
 async def _submit_rivals(simulation: SimulatedDeployment, *, number: int, in_force: int) -> tuple[dict, dict]:
-    """Submits a broken, an old and two rival bundles at once; gives the two, of which only one can be signed."""
+    """Submits a broken, an old and two rival bundles at once; returns the rivals, of which only one can be signed."""
     operators = simulation.operators
     broken = (
         next_bundle(simulation, number=number + BROKEN_NUMBER_OFFSET, based_on=in_force)
@@ -26,7 +26,7 @@
     second_text = next_bundle(simulation, number=number + 2, based_on=in_force, note="other desk")
     results = await asyncio.gather(
         operators.submit(broken, broken=True),
-        # Another operator's, so that it isn't confirmed as a repeated call.
+        # Submitted by another operator, as it would be confirmed as a repeated call otherwise.
         operators.submit(simulation.deployment.first_bundle(), author="ben"),
         operators.submit(first_text, author="ada", registry=registries[0]),
         operators.submit(second_text, author="ben", registry=registries[-1]),
@@ -37,11 +37,11 @@
 
 
 async def _sign_both(simulation: SimulatedDeployment, first: dict, second: dict, *, lose_leader: bool) -> dict:
-    """Signs two rivals at once, perhaps while the leader is lost; gives the answer to the one that is accepted."""
+    """Signs two rivals at once, optionally while the leader fails; returns the answer to the accepted signature."""
     operators, processes = simulation.operators, simulation.processes
     registries = processes.running(REGISTRY)
-    own = await operators.sign(first["number"], first["digest"], signer="ada")
-    assert isinstance(own, Failure) and own.failure().kind == "bundle-self-signed", own
+    self_signed = await operators.sign(first["number"], first["digest"], signer="ada")
+    assert isinstance(self_signed, Failure) and self_signed.failure().kind == "bundle-self-signed", self_signed
     signing = [
         simulation.create_task(operators.sign(first["number"], first["digest"], signer="ben", registry=registries[0])),
         simulation.create_task(
@@ -61,7 +61,7 @@
 
 
 async def bundles_race(simulation: SimulatedDeployment) -> None:
-    """Two operators submit at once, broken and old bundles come, the leader is lost between sign-off and acceptance."""
+    """Two operators submit at once, also broken and old bundles; the leader fails between sign-off and acceptance."""
     operators = simulation.operators
     await simulation.start()
 
@@ -73,7 +73,7 @@
             while answer["stage"] < answer["stages"]:
                 answer = (await operators.advance(answer["number"], answer["stage"])).unwrap()
             in_force = answer["number"]
-            # The other is still a draft on a base that was replaced: it can't be signed any more.
+            # The other rival is a draft based on a bundle that is no longer in force, so it can't be signed any more.
             rejected, signer = (first, "ben") if in_force == second["number"] else (second, "ada")
             late = await operators.sign(rejected["number"], rejected["digest"], signer=signer)
             assert isinstance(late, Failure), late
@@ -85,7 +85,7 @@
 
 
 async def broken_bundle(simulation: SimulatedDeployment) -> None:
-    """A broken bundle is sent, and signed if it is accepted."""
+    """A broken bundle is submitted, and signed in case it is accepted."""
     operators = simulation.operators
     await simulation.start()
     broken = next_bundle(simulation, number=2, based_on=1).replace('callers = ["visitors"]', 'callers = ["anybody"]')
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/core.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/core.py
@@ -1,4 +1,4 @@
-"""Core machines alone: the log under losses of power, disks and connections."""
+"""Core machines without proxies: the log under losses of power, disks and connections."""
 
 import asyncio
 import hashlib
@@ -15,7 +15,7 @@
 
 
 async def write_claims(simulation: SimulatedDeployment, *, until: float) -> None:
-    """Writes claims of keys through any registry, one after the other, and writes down each that was concluded."""
+    """Writes key claims through random registries, one after the other, and records each acknowledged claim."""
     processes = simulation.processes
     random = simulation.random
     while simulation.now() < until:
@@ -36,15 +36,15 @@
 
 
 async def compare_replicas(simulation: SimulatedDeployment) -> None:
-    """Waits until all replicas hold the same, and writes down what each holds for a checker to compare."""
+    """Waits until all replicas have the same state, and records the state of each for a checker to compare."""
     processes = simulation.processes
     simulation.world.heal()
 
-    def alike() -> bool:
+    def replicas_equal() -> bool:
         leader = processes.leader()
         if leader is None:
             return False
-        # The leader must have committed in its own epoch: before that, equal offsets say nothing of the log's end.
+        # The leader must have committed in its own epoch: before that, equal offsets don't show equal logs.
         core = processes.nodes[leader].runner.core
         return core.high_watermark >= core.replication.epoch_start_offset and all(
             (replica := processes.nodes[machine.store].runner.core) is not None
@@ -53,9 +53,9 @@
         )
 
     try:
-        await simulation.wait_until(alike, seconds=20, description="all replicas alike")
+        await simulation.wait_until(replicas_equal, seconds=20, description="all replicas have the same state")
     except AssertionError:
-        # Then they are written down as they stand, and the checker says what is wrong with them.
+        # The states are recorded as they are, and the checker reports the differences.
         pass
     for machine in processes.core:
         state = processes.nodes[machine.store].runner.core.state
@@ -70,7 +70,7 @@
 
 
 async def power_lost(simulation: SimulatedDeployment) -> None:
-    """Slow disks; all core machines lose power together, again and again, in the middle of their syncs."""
+    """All core machines repeatedly lose power together, in the middle of syncs on slow disks."""
     processes = simulation.processes
     await simulation.start(bundle=False)
     simulation.world.sync_seconds = (0.02, 0.08)
@@ -88,7 +88,7 @@
 
 
 async def agreed_then_wiped(simulation: SimulatedDeployment) -> None:
-    """Two machines agree while others are cut off; one of the two is wiped, its partner cut off as the rest return."""
+    """A majority commits while the rest is cut off; its leader is wiped, its followers cut off as the rest returns."""
     processes = simulation.processes
     await simulation.start(bundle=False)
     random = simulation.random
@@ -98,39 +98,39 @@
         leader = processes.leader()
         followers = [machine.store for machine in processes.core if machine.store != leader]
         random.shuffle(followers)
-        lagging = followers[: len(processes.core) // 2]
-        partners = followers[len(processes.core) // 2 :]
-        everyone = list(processes.by_name)
-        simulation.world.cut(lagging, [name for name in everyone if name not in lagging])
+        cut_off_followers = followers[: len(processes.core) // 2]
+        up_to_date_followers = followers[len(processes.core) // 2 :]
+        all_names = list(processes.by_name)
+        simulation.world.cut(cut_off_followers, [name for name in all_names if name not in cut_off_followers])
         await asyncio.gather(*(write_claims(simulation, until=simulation.now() + 1.0) for _ in range(3)))
         replica = replica_of(leader)
         processes.kill(leader)
         processes.wipe(replica)
         simulation.world.heal()
-        simulation.world.cut(partners, [name for name in everyone if name not in partners])
+        simulation.world.cut(up_to_date_followers, [name for name in all_names if name not in up_to_date_followers])
         processes.restart(leader)
         await asyncio.sleep(4)
-        # Too few voters hold their disks now, so nobody may lead, however long it lasts.
+        # Too few voters still have their data now, so no replica may become leader during the whole partition.
         simulation.world.heal()
         await simulation.wait_for_vote(replica, seconds=30)
     await compare_replicas(simulation)
 
 
 async def inject_core_faults(simulation: SimulatedDeployment, *, end: float) -> None:
-    """One fault of a core machine after the other until then: of any, the leader, all, a disk or a connection."""
+    """Injects one fault after another until `end`: in one core machine, the leader, all machines, a disk or links."""
     processes = simulation.processes
     random = simulation.random
     while simulation.now() < end:
         machine = random.choice(processes.core)
-        mine = [machine.store, machine.registry]
-        rest = [name for name in processes.by_name if name not in mine]
+        machine_names = [machine.store, machine.registry]
+        other_names = [name for name in processes.by_name if name not in machine_names]
         match random.choice(
             ("kill", "kill leader", "wipe", "wipe leader", "freeze", "cut", "one way", "other way", "all", "disk")
         ):
             case "kill":
-                processes.kill(*mine)
+                processes.kill(*machine_names)
                 await asyncio.sleep(random.uniform(0.05, 2))
-                processes.restart(*mine)
+                processes.restart(*machine_names)
             case "kill leader" if processes.leader():
                 name = processes.leader()
                 processes.kill(name)
@@ -141,15 +141,15 @@
             case "wipe leader" if processes.leader():
                 await _wipe_core(simulation, replica_of(processes.leader()))
             case "freeze":
-                processes.freeze(*mine)
+                processes.freeze(*machine_names)
                 await asyncio.sleep(random.uniform(0.2, 3))
-                processes.wake(*mine)
+                processes.wake(*machine_names)
             case "cut":
-                simulation.world.cut(mine, rest)
+                simulation.world.cut(machine_names, other_names)
             case "one way":
-                simulation.world.cut(mine, rest, one_way=True)
+                simulation.world.cut(machine_names, other_names, one_way=True)
             case "other way":
-                simulation.world.cut(rest, mine, one_way=True)
+                simulation.world.cut(other_names, machine_names, one_way=True)
             case "all":
                 names = list(processes.by_name)
                 processes.kill(*names)
@@ -164,7 +164,7 @@
 
 
 async def _wipe_core(simulation: SimulatedDeployment, replica: int) -> None:
-    """Wipes a replica's disk, perhaps twice, and perhaps the leader restarts meanwhile; waits until it votes again."""
+    """Wipes a replica's disk once or twice, at times restarts the leader, and waits until the replica votes again."""
     processes = simulation.processes
     random = simulation.random
     processes.kill(store_name(replica))
@@ -187,7 +187,7 @@
 
 
 async def core_chaos(simulation: SimulatedDeployment) -> None:
-    """Claims are written while core machines fail; whatever was concluded must be there at the end."""
+    """Claims are written while core machines fail; every acknowledged claim must be in the final state."""
     await simulation.start(bundle=False)
     end = simulation.now() + 25
     writers = [simulation.create_task(write_claims(simulation, until=end)) for _ in range(6)]
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/losses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/losses.py
@@ -1,4 +1,4 @@
-"""Processes, machines and disks are lost, singly and together."""
+"""Losses of single processes, machines and disks, and of several at once."""
 
 import asyncio
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 async def core_machine_lost(simulation: SimulatedDeployment) -> None:
-    """One core machine after the other loses power and comes back with its disk."""
+    """The core machines lose power in turn; each returns with its disk intact."""
     processes = simulation.processes
     await simulation.start()
 
@@ -31,7 +31,7 @@
 
 
 async def disk_wiped(simulation: SimulatedDeployment) -> None:
-    """The leader's machine loses its whole disk and returns blank; then the next, once the first rejoined."""
+    """The leader's machine loses its disk and returns blank; the next leader's follows once the first has rejoined."""
     processes = simulation.processes
     await simulation.start()
 
@@ -51,7 +51,7 @@
 
 
 async def all_processes_killed(simulation: SimulatedDeployment) -> None:
-    """Every process at once, the core included; then everything comes back."""
+    """All processes, including the core, are killed at once and restarted."""
     processes = simulation.processes
     await simulation.start()
 
@@ -61,7 +61,7 @@
         processes.kill(*names)
         await asyncio.sleep(2)
         processes.restart(*names)
-        # Awaited: a service that never comes back must not end the run unseen.
+        # Waits for the service here, so that a run in which it never recovers doesn't end unnoticed.
         await simulation.clients.wait_for_service("all processes killed")
 
     await under_load(simulation, inject_faults(), seconds=20)
@@ -70,7 +70,7 @@
 
 
 async def all_fail_together(simulation: SimulatedDeployment) -> None:
-    """Every process fails at once, one core machine loses its disk, the others' disks are slow; then the read-back."""
+    """All processes fail at once, one core machine loses its disk, and disks are slow; the configuration survives."""
     processes = simulation.processes
     operators = simulation.operators
     await simulation.start()
@@ -92,13 +92,13 @@
     await simulation.wait_until(
         lambda: all(processes.has_rejoined(machine.replica) for machine in processes.core),
         seconds=20,
-        description="all votes back",
+        description="all replicas are voters again",
     )
     await operators.read_back(in_force=2, drained=(proxy_name(2),))
 
 
 async def proxies_killed(simulation: SimulatedDeployment) -> None:
-    """All proxies die together, three times; the keys they held must not run again."""
+    """All proxies are killed together, three times; requests whose keys they held must not run again."""
     processes = simulation.processes
     await simulation.start()
 
@@ -115,14 +115,14 @@
 
 
 async def zone_lost(simulation: SimulatedDeployment) -> None:
-    """One zone loses its power: core machine, proxies and servers; clients of the others must hardly notice."""
+    """One zone loses power, with its core machines, proxies and servers; clients elsewhere are hardly affected."""
     processes = simulation.processes
     await simulation.start()
     zones = simulation.deployment.zones
-    lost = simulation.random.choice(zones)
-    machines = [machine for place, machine in enumerate(processes.core) if zones[place % len(zones)] == lost]
-    proxies = [name for name, (zone, _) in processes.proxies.items() if zone == lost]
-    # With five core machines in three zones a zone may hold two: still a majority is left.
+    lost_zone = simulation.random.choice(zones)
+    machines = [machine for index, machine in enumerate(processes.core) if zones[index % len(zones)] == lost_zone]
+    proxies = [name for name, (zone, _) in processes.proxies.items() if zone == lost_zone]
+    # With five core machines in three zones, a zone may hold two of them: the rest is still a majority.
     names = [name for machine in machines for name in (machine.store, machine.registry)] + proxies
 
     async def inject_faults() -> None:
@@ -142,7 +142,7 @@
 
 
 async def control_lost(simulation: SimulatedDeployment) -> None:
-    """Every core process dies at once and comes back; what was passed on is still answered."""
+    """All core processes are killed at once and restarted; requests that were already forwarded are still answered."""
     processes = simulation.processes
     await simulation.start()
 
@@ -160,7 +160,7 @@
 
 
 async def wiped_after_acknowledgement(simulation: SimulatedDeployment) -> None:
-    """The leader's machine loses its disk right after an acknowledgement: accepted, drained, settled."""
+    """The leader's machine loses its disk right after it acknowledged a bundle, a drain and a settled key."""
     processes = simulation.processes
     operators = simulation.operators
     await simulation.start()
@@ -200,7 +200,7 @@
 
 
 class _LateReport(NamedTuple):
-    """A health report that a proxy sent before it was removed."""
+    """A health report that a proxy sent before its removal and that arrives after it."""
 
     proxy: str
     incarnation: str
@@ -227,7 +227,7 @@
 
 
 async def replaced_machines_forgotten(simulation: SimulatedDeployment) -> None:
-    """Machines are replaced by others that never were; their names go, and late reports don't bring them back."""
+    """Machines are replaced under new names; the old names are forgotten, and late reports don't restore them."""
     processes = simulation.processes
     await simulation.start()
     await simulation.wait_for_release_level(seconds=30)
@@ -244,10 +244,10 @@
         simulation.add_proxy(proxy_name(number + 50), zone=zone, service=service)
         await asyncio.sleep(3)
     await simulation.clients.load(seconds=3, rate=RATE)
-    # Mesh time goes on only while the node monitor runs; some minutes of it must pass.
+    # Mesh time advances only while the node monitor runs, and the retention time must pass in it.
     await asyncio.sleep(GONE_RETENTION.total_seconds() + 60)
     await simulation.operators.read_back(in_force=1, settled=True, removed=tuple(removed))
-    # A report that was under way all the while comes in at last, at every registry.
+    # A report that was in flight all this time now arrives at every registry.
     for report in reports:
         for registry in processes.running(REGISTRY):
             call = report.call()
@@ -255,8 +255,10 @@
     await asyncio.sleep(1)
     await simulation.clients.load(seconds=3, rate=RATE)
     await simulation.operators.read_back(in_force=1, settled=True, removed=tuple(removed))
-    # The same name with a new incarnation is another machine, and is registered.
+    # The same name with a new incarnation is a different machine and is registered.
     zone, service = simulation.deployment.zones[0], simulation.deployment.services[0]
     simulation.add_proxy(proxy_name(1), zone=zone, service=service)
-    await simulation.wait_until(simulation.is_serving, seconds=15, description="the new machine of an old name serves")
+    await simulation.wait_until(
+        simulation.is_serving, seconds=15, description="the new machine with an old name serves"
+    )
     await simulation.operators.read_back(in_force=1, settled=True, removed=tuple(removed[1:]))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/many_orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/many_orders.py
@@ -1,6 +1,7 @@
-"""Hundreds of large orders with a checkpoint every few dozen records, while core machines go and come back.
+"""Hundreds of large orders with a checkpoint every few dozen records, while core machines fail and return.
 
-Whoever comes back has to catch up within a bound, by a bounded number of snapshots, and no state ever goes back.
+An order is a change of configuration items by an operator. A replica that returns must catch up within a time limit and
+with a bounded number of snapshot fetches, and the state of a replica must never go back to an older offset.
 """
 
 import asyncio
@@ -16,21 +17,21 @@
 from hoistsaddle.testbed.simulation.scenarios.core import compare_replicas
 
 ORDERS = 330
-# With a page of text each, the state comes to about a megabyte: dozens of chunks to fetch.
+# With the padding of each item, the state is about a megabyte: a fetch takes dozens of chunks.
 NAMES = tuple(f"service-{number}" for number in range(110))
-PAGE = "route " * 1500
+PADDING = "route " * 1500
 ORDERS_IN_FLIGHT = 8
 CHECKPOINT_RECORDS = 40
-# Half of the default settling time of the settings.
+# Half of the default of the setting `settle_seconds`.
 CATCH_UP_SECONDS = 2.0
 WRITE_TIMEOUT = timedelta(milliseconds=500)
 RESEND_SECONDS = 600
-# A new leader makes a fetch of the snapshot start over, and so may a timeout of the follower; nothing else does.
+# A snapshot fetch starts over only after a change of leader or a timeout of the follower.
 MAX_FETCHES_PER_RETURN = 2
 
 
 class _ReplicaMonitor:
-    """Inspects every replica again and again: what one process applied must never shrink."""
+    """Inspects all replicas periodically: the applied offset of a process must never decrease."""
 
     def __init__(self, *, simulation: SimulatedDeployment) -> None:
         self.simulation = simulation
@@ -53,20 +54,20 @@
             return
         key = self.simulation.processes.by_name[name]
         if core.state.offset < self.applied.get(key, 0):
-            self.simulation.expect(f"{name} never goes back", False)
+            self.simulation.expect(f"{name}: the applied offset never decreases", False)
         self.applied[key] = core.state.offset
         if core.role == "leader" and core.epoch >= self.epoch:
-            # The newest leader: all that was ever committed lies in its log. One of an older
-            # epoch that doesn't know yet commits nothing any more.
+            # The log of the newest leader contains every committed record. A leader of an older epoch
+            # that hasn't learned of the newer one commits nothing any more.
             if core.last.offset < self.committed:
-                self.simulation.expect(f"{name} never leads with old state", False)
+                self.simulation.expect(f"{name}: a leader has all committed records", False)
             self.epoch = core.epoch
             self.committed = max(self.committed, core.high_watermark)
         self.longest_log = max(self.longest_log, len(core.log))
 
 
 class _OrderSender:
-    """Sends all orders, several at a time."""
+    """Sends all orders; several tasks share it to send concurrently."""
 
     def __init__(self, *, simulation: SimulatedDeployment) -> None:
         self.simulation = simulation
@@ -74,12 +75,12 @@
         self.confirmed = 0
 
     async def send(self) -> None:
-        """Sends its share of the orders, each until it is confirmed."""
+        """Sends the next unsent order until it is confirmed, and so on until none is left."""
         while self.sent < ORDERS:
             self.sent += 1
             number = self.sent
             name = NAMES[number % len(NAMES)]
-            # The order first, its answer after any number of attempts; the same revision is the same order.
+            # Each attempt sends the same order again, as it has the same revision, until one is confirmed.
             while not await self._attempt(name, number):
                 await asyncio.sleep(self.simulation.random.uniform(0.02, 0.1))
             self.confirmed += 1
@@ -90,7 +91,7 @@
             return False
         registry = self.simulation.random.choice(registries)
         body = {"name": name, "vitals_path": f"/{number}"}
-        patch = Patch([ItemUpsert(SERVICE, number, body, f"{number} {PAGE}".encode())], [])
+        patch = Patch([ItemUpsert(SERVICE, number, body, f"{number} {PADDING}".encode())], [])
         command = PatchItems(f"order-{number}", "desk", "standing", pack_patch(patch), RESEND_SECONDS, 0)
         process = self.simulation.processes.by_name[registry]
         task = process.spawn(self.simulation.processes.nodes[registry].writer.write(command, within=WRITE_TIMEOUT))
@@ -99,13 +100,13 @@
         return task.done() and not task.cancelled() and isinstance(task.result(), Success)
 
 
-async def _lose_for_a_while(simulation: SimulatedDeployment, name: str, loss: str) -> None:
+async def _interrupt_replica(simulation: SimulatedDeployment, name: str, fault: str) -> None:
     processes = simulation.processes
     random = simulation.random
     replica = replica_of(name)
     others = [each for each in processes.by_name if each != name]
     seconds = random.uniform(0.5, 5)
-    match loss:
+    match fault:
         case "restart":
             processes.kill(name)
             await asyncio.sleep(seconds)
@@ -126,7 +127,7 @@
 
 
 async def _expect_catch_up(simulation: SimulatedDeployment, name: str) -> None:
-    """Counts from the time when it is back and somebody leads, until it has all that was committed then."""
+    """Measures how long a returned replica takes, once there is a leader, to apply all that was committed by then."""
     processes = simulation.processes
     await simulation.wait_for_leader(seconds=10)
     committed = processes.nodes[processes.leader()].runner.core.high_watermark
@@ -140,12 +141,13 @@
     fetches = Counter(kind for _, each, kind, _ in processes.events if each == name)["catching up"] - fetches_before
     simulation.expect(f"{name} caught up within {CATCH_UP_SECONDS} s: {elapsed:.2f}", elapsed <= CATCH_UP_SECONDS)
     simulation.expect(
-        f"{name} fetched {MAX_FETCHES_PER_RETURN} times at the most: {fetches}", fetches <= MAX_FETCHES_PER_RETURN
+        f"{name} fetched a snapshot at most {MAX_FETCHES_PER_RETURN} times: {fetches}",
+        fetches <= MAX_FETCHES_PER_RETURN,
     )
 
 
 async def many_orders(simulation: SimulatedDeployment) -> None:
-    """Hundreds of large orders, while core machines go and come back: each catches up within a bound."""
+    """Hundreds of large orders are written while core machines fail and return; each catches up within a time limit."""
     processes = simulation.processes
     processes.checkpoint_records = CHECKPOINT_RECORDS
     await simulation.start(bundle=False)
@@ -154,11 +156,11 @@
     sender = _OrderSender(simulation=simulation)
     senders = [simulation.create_task(sender.send()) for _ in range(ORDERS_IN_FLIGHT)]
     while sender.sent < ORDERS:
-        for loss in simulation.random.sample(("restart", "wipe", "cut", "freeze"), 4):
+        for fault in simulation.random.sample(("restart", "wipe", "cut", "freeze"), 4):
             name = simulation.random.choice(processes.core).store
             if simulation.random.random() < 0.4 and processes.leader():
                 name = processes.leader()
-            await _lose_for_a_while(simulation, name, loss)
+            await _interrupt_replica(simulation, name, fault)
             await _expect_catch_up(simulation, name)
             await simulation.wait_for_vote(replica_of(name), seconds=30)
     await asyncio.gather(*senders)
@@ -168,7 +170,9 @@
     for machine in processes.core:
         state = processes.nodes[machine.store].runner.core.state
         revisions = [state.items[f"{SERVICE}:{name}"].revision for name in NAMES]
-        simulation.expect(f"{machine.store} holds the newest of every item", min(revisions) > ORDERS - len(NAMES))
+        simulation.expect(
+            f"{machine.store} has the newest revision of every item", min(revisions) > ORDERS - len(NAMES)
+        )
         checkpoints = list((simulation.world.folder / f"data-{machine.replica}" / "checkpoints").iterdir())
         simulation.expect(
             f"{machine.store} keeps few checkpoints: {len(checkpoints)}", len(checkpoints) <= 3 + len(processes.core)
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/operator_changes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/operator_changes.py
@@ -1,4 +1,4 @@
-"""Operators work at the same time, and operators change."""
+"""Concurrent calls of operators, and changes of the operators themselves."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 from hoistsaddle.testbed.simulation.deployment import SimulatedDeployment
 from hoistsaddle.testbed.simulation.operators import Action
 
-# Proposer, signer, operator and token digest ("" removes) of each change, and the error it must meet ("" for none).
+# Proposer, signer, operator and token digest ("" removes) of each change, and the expected error ("" for none).
 CHANGES = (
     (("ada", "ben", "ben", ""), "operator-last"),
     (("ada", "ben", "eve", "e" * 64), ""),
@@ -50,34 +50,34 @@
 
 
 async def _share_request_ids(simulation: SimulatedDeployment) -> tuple[str, ...]:
-    """Sends one call to two registries, then two calls under one id; gives the proxies whose servers are drained."""
+    """Sends one call to two registries, then two calls with one id; returns the proxies whose servers are drained."""
     registries = simulation.processes.running(REGISTRY)
     first, last = registries[0], registries[-1]
     same = await asyncio.gather(
         *(_perform_at(simulation, registry, "r1", _drain("ada", proxy_name(1))) for registry in (first, last))
     )
     simulation.expect(
-        "one call at two registries is one call", same[0].unwrap()["offset"] == same[1].unwrap()["offset"]
+        "one call sent to two registries is applied once", same[0].unwrap()["offset"] == same[1].unwrap()["offset"]
     )
     mixed = await asyncio.gather(
         _perform_at(simulation, first, "r2", _drain("ada", proxy_name(2))),
         _perform_at(simulation, last, "r2", _drain("ben", proxy_name(3))),
     )
     kinds = sorted(_kind_of(each) for each in mixed)
-    simulation.expect(f"two calls that share an id aren't one: {kinds}", kinds == ["", "request-reused"])
+    simulation.expect(f"one of two calls that share an id is rejected: {kinds}", kinds == ["", "request-reused"])
     return (proxy_name(1), proxy_name(2) if isinstance(mixed[0], Success) else proxy_name(3))
 
 
 async def _propose_and_sign(simulation: SimulatedDeployment, proposer: str, signer: str, name: str, digest: str) -> str:
-    """One change of the operators by two of them; gives the error it met, or nothing."""
+    """Changes the operators by a proposal and a signature; returns the kind of error, or ""."""
     operators, processes = simulation.operators, simulation.processes
     proposed = await operators.perform(_change(proposer, name, digest))
     if isinstance(proposed, Failure):
         return _kind_of(proposed)
     change = proposed.unwrap()["change"]
-    own = await operators.perform(_sign(proposer, name, change))
-    simulation.expect("nobody signs alone", own.failure().kind == "operator-self-signed")
-    # The leader's machine dies between the two halves.
+    self_signed = await operators.perform(_sign(proposer, name, change))
+    simulation.expect("a proposer can't sign its own change", self_signed.failure().kind == "operator-self-signed")
+    # The leader is killed between the proposal and the signature.
     leader = processes.leader()
     processes.kill(leader)
     processes.restart(leader)
@@ -85,22 +85,22 @@
 
 
 async def operators_at_once(simulation: SimulatedDeployment) -> None:
-    """Two calls share a request id at two registries; an operator is added, renewed, removed; the last two stay."""
+    """Calls share a request id at two registries; operators are added, renewed and removed, but never the last two."""
     processes, operators = simulation.processes, simulation.operators
     await simulation.start()
     await simulation.wait_for_release_level(seconds=30)
     drained = await _share_request_ids(simulation)
     await operators.read_back(in_force=1, drained=drained)
     for call, kind in CHANGES:
-        met = await _propose_and_sign(simulation, *call)
-        simulation.expect(f"{call} gives {kind!r}, not {met!r}", met == kind)
+        actual = await _propose_and_sign(simulation, *call)
+        simulation.expect(f"{call}: expected {kind!r}, got {actual!r}", actual == kind)
     shown = (await operators.read_back(in_force=1, drained=drained))["operators"]
-    simulation.expect("the operators are those agreed on", shown == OPERATORS_AFTER)
-    # Whatever was accepted in a removed operator's name and comes to the log later has no effect.
+    simulation.expect("the operators are the ones that were agreed on", shown == OPERATORS_AFTER)
+    # A call that was accepted for an operator and reaches the log after its removal has no effect.
     late = await operators.perform(_drain("ada", proxy_name(1), drain=False))
-    simulation.expect("who was removed is refused", late.failure().kind == "operator-unknown")
+    simulation.expect("a call of a removed operator is rejected", late.failure().kind == "operator-unknown")
     last = await _propose_and_sign(simulation, "ben", "eve", "eve", "")
-    simulation.expect("the last two stay", last == "operator-last")
+    simulation.expect("the last two operators can't be removed", last == "operator-last")
     for registry in processes.running(REGISTRY):
         answer = await processes.by_name[registry].spawn(processes.nodes[registry].read_configuration(part="operators"))
         known = sorted(msgspec.json.decode(answer.unwrap().content))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
@@ -1,7 +1,8 @@
-"""Operators' orders in a core under faults: eight in flight at once, two under one revision, each sent again and again.
+"""Orders of operators while the core is under faults: eight in flight at once, two of them with the same revision.
 
-An operator here sends an order unchanged, to any core machine, until there is a clear answer, and once more at any
-later time: what was confirmed must be confirmed again, and the refused one of two rivals must stay refused.
+An order is a change of configuration items. An operator sends it unchanged, to any core machine, until there is a clear
+answer, and again at any later time: a confirmed order must be confirmed again, and the rejected one of two rivals must
+stay rejected.
 """
 
 import asyncio
@@ -21,23 +22,23 @@
 NAMES = tuple(f"service-{number}" for number in range(5))
 FAULT_SECONDS = 20.0
 WRITE_TIMEOUT = timedelta(milliseconds=500)
-# Longer than the run: nothing is forgotten in it.
+# Longer than the run, so that no order is forgotten during it.
 RESEND_WINDOW_SECONDS = 600
-CONFIRMED, REFUSED, UNCLEAR = "confirmed", "refused", "unclear"
+CONFIRMED, REJECTED, UNCLEAR = "confirmed", "refused", "unclear"
 
 
 class SentOrder(NamedTuple):
-    """One order, and its content under each name's revision: None is a drop."""
+    """One order: the name, revision and content of each item, with None as the content of a deleted item."""
 
     name: str
     items: tuple[tuple[str, int, str | None], ...]
 
     def command(self, *, request: str, seen: int) -> PatchItems:
-        """The record that proposes this order.
+        """Returns the command that proposes this order.
 
         Args:
             request: the id of this copy of the order.
-            seen: the offset up to which the sender had read.
+            seen: the offset up to which the sender had read the log.
         """
         sets = [
             ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
@@ -49,7 +50,7 @@
 
 
 class OrderBook:
-    """All orders that were sent and every clear answer to them."""
+    """The orders that were sent and all clear answers to them."""
 
     def __init__(self, *, simulation: SimulatedDeployment) -> None:
         self.simulation = simulation
@@ -58,7 +59,7 @@
         self.answers: dict[str, set[str]] = {}
 
     def draw(self) -> list[SentOrder]:
-        """One order, or two rivals with the same revision of one item."""
+        """Draws one order, or two rivals with the same revision of one item."""
         random = self.simulation.random
         self.revision += random.randint(1, 3)
         rivals = 2 if random.random() < 0.5 else 1
@@ -77,7 +78,7 @@
         return drawn
 
     async def send(self, order: SentOrder) -> str:
-        """One call at one core machine; an answer may be lost on its way back."""
+        """Sends an order to one core machine once; the answer is lost in half of the cases."""
         simulation = self.simulation
         registries = simulation.processes.running(REGISTRY)
         if not registries:
@@ -96,7 +97,7 @@
         return UNCLEAR if simulation.random.random() < 0.5 else answer
 
     async def until_clear(self, order: SentOrder, *, end: float) -> str:
-        """Sends an order again and again until there is a clear answer or the time is over."""
+        """Sends an order repeatedly until there is a clear answer or `end` has passed."""
         answer = UNCLEAR
         while answer == UNCLEAR and self.simulation.now() < end:
             answer = await self.send(order)
@@ -109,14 +110,14 @@
         case Success(Outcome(error="")):
             return CONFIRMED
         case Success(Outcome(error="item-conflict")):
-            return REFUSED
+            return REJECTED
         case Success(_) | Failure(_):
             return UNCLEAR
-    raise AssertionError(f"no answer: {result}")
+    raise AssertionError(f"not a result of a write: {result}")
 
 
-async def _operate(book: OrderBook, *, end: float) -> None:
-    """One pair of operators: new orders, and old ones sent again at any later time."""
+async def _act_for_operators(book: OrderBook, *, end: float) -> None:
+    """Acts for a pair of operators: sends new orders, and old ones again at random later times."""
     random = book.simulation.random
     while book.simulation.now() < end:
         if book.orders and random.random() < 0.4:
@@ -126,32 +127,36 @@
         await asyncio.sleep(random.uniform(0.0, 0.1))
 
 
-def _contradictions(book: OrderBook, state: State) -> list[str]:
-    """Clear answers that contradict each other, or the state."""
+def _find_contradictions(book: OrderBook, state: State) -> list[str]:
+    """Returns descriptions of clear answers that contradict each other or the state."""
     found = []
     confirmed: dict[tuple[str, int], set[str | None]] = {}
-    refused: set[str] = set()
+    rejected_orders: set[str] = set()
     for order in book.orders:
         answers_given = book.answers.get(order.name, set())
         if len(answers_given) > 1:
-            found.append(f"{order.name} was confirmed and refused")
+            found.append(f"{order.name} was confirmed and rejected")
         if CONFIRMED in answers_given:
             for name, revision, content in order.items:
                 confirmed.setdefault((name, revision), set()).add(content)
-        if REFUSED in answers_given:
-            refused.add(order.name)
-    found += [f"{name} at {revision} has two contents" for (name, revision), each in confirmed.items() if len(each) > 1]
+        if REJECTED in answers_given:
+            rejected_orders.add(order.name)
+    found += [
+        f"{name} at revision {revision} was confirmed with two contents"
+        for (name, revision), each in confirmed.items()
+        if len(each) > 1
+    ]
     newest: dict[str, int] = {}
     for name, revision in confirmed:
         newest[name] = max(revision, newest.get(name, -1))
     for name, revision in newest.items():
         item = state.items.get(key_of(SERVICE, name))
         if item is None or item.revision < revision:
-            found.append(f"{name} at {revision} was confirmed and is lost")
+            found.append(f"{name} at revision {revision} was confirmed and is lost")
         elif item.revision == revision and confirmed[(name, revision)] != {_content(item)}:
-            found.append(f"{name} at {revision} has another content than was confirmed")
-        if item is not None and _content(item) in refused:
-            found.append(f"{name} at {item.revision} has the content {_content(item)}, which was refused")
+            found.append(f"{name} at revision {revision} has a different content from the confirmed one")
+        if item is not None and _content(item) in rejected_orders:
+            found.append(f"{name} at revision {item.revision} has the content {_content(item)}, which was rejected")
     return found
 
 
@@ -160,25 +165,25 @@
 
 
 async def orders_sent_again(simulation: SimulatedDeployment) -> None:
-    """Orders race, their answers are lost, their copies come at any later time: each clear answer stays true."""
+    """Orders race, answers are lost and copies arrive at any later time; every clear answer stays valid."""
     await simulation.start(bundle=False)
     book = OrderBook(simulation=simulation)
     end = simulation.now() + FAULT_SECONDS
-    # A pair of rivals for each two that may be in flight.
-    operators = [simulation.create_task(_operate(book, end=end)) for _ in range(ORDERS_IN_FLIGHT // 2)]
+    # Each task has at most two orders in flight, the two rivals.
+    operators = [simulation.create_task(_act_for_operators(book, end=end)) for _ in range(ORDERS_IN_FLIGHT // 2)]
     await inject_core_faults(simulation, end=end)
     await asyncio.gather(*operators)
     await compare_replicas(simulation)
     leader = await simulation.wait_for_leader(seconds=20)
-    for found in _contradictions(book, simulation.processes.nodes[leader].runner.core.state):
-        simulation.expect(f"a clear answer stays true: {found}", False)
-    # Without faults every order that was ever sent gets a clear answer, wherever it is sent, and the one it had.
+    for found in _find_contradictions(book, simulation.processes.nodes[leader].runner.core.state):
+        simulation.expect(f"clear answers stay valid: {found}", False)
+    # Without faults every order gets a clear answer from any registry, the same as any earlier one.
     end = simulation.now() + 30
     resent = [book.until_clear(order, end=end) for order in book.orders]
     for start in range(0, len(resent), ORDERS_IN_FLIGHT):
         answers = await asyncio.gather(*resent[start : start + ORDERS_IN_FLIGHT])
-        simulation.expect("without faults each order gets a clear answer", UNCLEAR not in answers)
-    for found in _contradictions(book, simulation.processes.nodes[leader].runner.core.state):
-        simulation.expect(f"a clear answer stays true: {found}", False)
+        simulation.expect("without faults, each order gets a clear answer", UNCLEAR not in answers)
+    for found in _find_contradictions(book, simulation.processes.nodes[leader].runner.core.state):
+        simulation.expect(f"clear answers stay valid: {found}", False)
     answers_given = [answer for each in book.answers.values() for answer in each]
-    simulation.expect("some orders are confirmed and some refused", {CONFIRMED, REFUSED} == set(answers_given))
+    simulation.expect("some orders are confirmed and some rejected", {CONFIRMED, REJECTED} == set(answers_given))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/partitions.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/partitions.py
@@ -1,4 +1,4 @@
-"""Processes are cut off from each other."""
+"""Network partitions between processes."""
 
 import asyncio
 
@@ -8,27 +8,27 @@
 
 
 async def cut_apart(simulation: SimulatedDeployment) -> None:
-    """The core is split every way, one way and both, and single proxies are isolated from core, peers, or all."""
+    """Each core machine is cut off, in both directions or one; proxies are cut off from the core, peers or all."""
     processes = simulation.processes
     await simulation.start()
     core = processes.core_names()
     proxies = list(processes.proxies)
-    everyone = core + proxies
+    all_names = core + proxies
 
     async def inject_faults() -> None:
         for machine in processes.core:
-            mine = [machine.store, machine.registry]
-            simulation.world.cut(mine, [name for name in everyone if name not in mine])
+            machine_names = [machine.store, machine.registry]
+            simulation.world.cut(machine_names, [name for name in all_names if name not in machine_names])
             await asyncio.sleep(2.5)
             simulation.world.heal()
             await asyncio.sleep(1)
-            simulation.world.cut(mine, [name for name in everyone if name not in mine], one_way=True)
+            simulation.world.cut(machine_names, [name for name in all_names if name not in machine_names], one_way=True)
             await asyncio.sleep(2.5)
             simulation.world.heal()
             await asyncio.sleep(1)
-        for others in (core, proxies, everyone):
-            one = simulation.random.choice(proxies)
-            simulation.world.cut([one], [name for name in others if name != one])
+        for others in (core, proxies, all_names):
+            isolated_proxy = simulation.random.choice(proxies)
+            simulation.world.cut([isolated_proxy], [name for name in others if name != isolated_proxy])
             await asyncio.sleep(2.5)
             simulation.world.heal()
             await asyncio.sleep(1)
@@ -39,14 +39,16 @@
 
 
 async def bundle_while_cut_off(simulation: SimulatedDeployment) -> None:
-    """A proxy is cut off while bundles are accepted without it: it must stop acting on the old one in time."""
+    """A proxy is cut off while bundles are accepted without it: it must stop applying the old bundle in time."""
     await simulation.start()
 
     async def inject_faults() -> None:
         for number in (2, 3):
-            one = simulation.random.choice(list(simulation.processes.proxies))
+            isolated_proxy = simulation.random.choice(list(simulation.processes.proxies))
             await asyncio.sleep(simulation.random.uniform(0.2, 0.6))
-            simulation.world.cut([one], [name for name in simulation.processes.by_name if name != one])
+            simulation.world.cut(
+                [isolated_proxy], [name for name in simulation.processes.by_name if name != isolated_proxy]
+            )
             await simulation.operators.roll_out(next_bundle(simulation, number=number, based_on=number - 1))
             await asyncio.sleep(1)
             simulation.world.heal()
@@ -57,7 +59,7 @@
 
 
 async def isolated(simulation: SimulatedDeployment) -> None:
-    """One proxy is cut off from all others, then the core is gone, then a service: each request is answered at once."""
+    """A proxy is cut off, then the stores are down, then a service: each request is answered without delay."""
     processes = simulation.processes
     await simulation.start()
     proxies = list(processes.proxies)
@@ -78,13 +80,13 @@
             await asyncio.sleep(0.2)
         await asyncio.gather(*tasks)
 
-    one = simulation.random.choice(proxies)
-    simulation.world.cut([one], [name for name in processes.by_name if name != one])
-    await send_for(one, 6)
+    isolated_proxy = simulation.random.choice(proxies)
+    simulation.world.cut([isolated_proxy], [name for name in processes.by_name if name != isolated_proxy])
+    await send_for(isolated_proxy, 6)
     simulation.world.heal()
     await simulation.wait_until(simulation.is_serving, seconds=10, description="serving again")
     core = processes.core_names()
-    # The registries are reached but can't write: keys can't be claimed, while leases are still renewed for a moment.
+    # The registries can be reached but can't write: keys can't be claimed, but leases are still renewed for a moment.
     processes.kill(*[name for name in core if kind_of(name) == STORE])
     await asyncio.gather(*(send_for(proxy, 6) for proxy in proxies[:2]))
     processes.restart(*[name for name in core if kind_of(name) == STORE])
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/pauses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/pauses.py
@@ -1,4 +1,4 @@
-"""Processes stand still, and clocks jump."""
+"""Frozen processes and jumping clocks."""
 
 import asyncio
 from datetime import datetime, timedelta
@@ -13,7 +13,7 @@
 
 
 async def frozen(simulation: SimulatedDeployment) -> None:
-    """Processes freeze and wake, singly and in groups, also the leader's machine; a bundle is rolled out meanwhile."""
+    """Processes are frozen singly and in groups, also the leader's machine, while bundles are rolled out."""
     processes = simulation.processes
     operators = simulation.operators
     await simulation.start()
@@ -48,7 +48,7 @@
 
 
 async def leader_frozen(simulation: SimulatedDeployment) -> None:
-    """The leading machine stands still, again and again; the others must take over within a lease."""
+    """The leader's machine is repeatedly frozen; the others must take over within the duration of a lease."""
     processes = simulation.processes
     await simulation.start()
 
@@ -66,7 +66,7 @@
 
 
 async def clocks_jump(simulation: SimulatedDeployment) -> None:
-    """Every process reads a wall clock that jumps hours either way at each read; nothing may depend on it."""
+    """The wall clock of all processes jumps at each read, forward or backward; no result may depend on it."""
     processes = simulation.processes
     random = simulation.random
 
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/random_faults.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/random_faults.py
@@ -1,4 +1,4 @@
-"""Faults drawn at random, one after another and some at once, while bundles are rolled out."""
+"""Random faults, successive and concurrent, while bundles are rolled out."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -16,14 +16,14 @@
 RUN_SECONDS = 20
 REJOIN_TIMEOUT_SECONDS = 25
 SLOW_ANSWER_SECONDS = (0.2, 2.0)
-# How often an operator whose call broke goes on with a roll-out, and how often the phase is read at the end.
+# How many times an operator continues a rollout after a failed call, and how many times the phase is read at the end.
 MAX_ROLL_OUT_ATTEMPTS = 40
 MAX_PHASE_READS = 60
 READ_TIMEOUT_SECONDS = 3
 
 
 class _RandomFaults:
-    """Draws faults of core machines and of proxies, from the simulation's own random numbers."""
+    """Injects random faults into core machines, proxies and servers, drawn with the random generator of the run."""
 
     def __init__(self, simulation: SimulatedDeployment) -> None:
         self.simulation = simulation
@@ -33,11 +33,11 @@
     async def _sleep(self, shortest: float, longest: float) -> None:
         await asyncio.sleep(self.random.uniform(shortest, longest))
 
-    async def strike_core(self) -> None:
-        """One fault of one core machine, and its end."""
+    async def inject_core_fault(self) -> None:
+        """Injects one fault into one core machine and ends it."""
         machine = self.random.choice(self.processes.core)
         names = [machine.store, machine.registry]
-        everyone = list(self.processes.by_name)
+        all_names = list(self.processes.by_name)
         match self.random.choice(("kill", "wipe", "freeze", "cut", "one-way", "disk")):
             case "kill":
                 self.processes.kill(*names)
@@ -48,29 +48,29 @@
                 self.processes.wipe(machine.replica)
                 await self._sleep(0.1, 2)
                 self.processes.restart(*names)
-                # The next loss comes only once this one is made good: one core machine at a time.
+                # At most one core machine may be lost at a time, so the next fault waits for its return.
                 await self.simulation.wait_for_vote(machine.replica, seconds=REJOIN_TIMEOUT_SECONDS)
             case "freeze":
                 self.processes.freeze(*names)
                 await self._sleep(0.3, 4)
                 self.processes.wake(*names)
             case "cut":
-                await self._cut(names, everyone, one_way=False)
+                await self._cut(names, all_names, one_way=False)
             case "one-way":
-                await self._cut(names, everyone, one_way=True)
+                await self._cut(names, all_names, one_way=True)
             case "disk":
                 self.simulation.world.disk_faults[machine.store] = self.random.choice((DISK_STALLED, DISK_FULL))
                 await self._sleep(0.5, 3)
                 self.simulation.world.disk_faults.clear()
         await self._sleep(0.5, 2)
 
-    async def _cut(self, names: list[str], everyone: list[str], *, one_way: bool) -> None:
-        self.simulation.world.cut(names, [name for name in everyone if name not in names], one_way=one_way)
+    async def _cut(self, names: list[str], all_names: list[str], *, one_way: bool) -> None:
+        self.simulation.world.cut(names, [name for name in all_names if name not in names], one_way=one_way)
         await self._sleep(0.3, 3)
         self.simulation.world.heal()
 
-    async def strike_proxies(self) -> None:
-        """One fault of some proxies or of the servers beside them, and its end."""
+    async def inject_proxy_fault(self) -> None:
+        """Injects one fault into some proxies or their local servers and ends it."""
         proxies = list(self.processes.proxies)
         names = self.random.sample(proxies, self.random.randint(1, max(1, len(proxies) // 2)))
         match self.random.choice(("kill", "freeze", "slow", "lose answer")):
@@ -98,7 +98,7 @@
 
 
 class _Bundles:
-    """Rolls out one bundle after the other, whatever happens meanwhile.
+    """Rolls out one bundle after the other during the faults.
 
     Attributes:
         in_force: the number of the bundle that is in force everywhere.
@@ -112,7 +112,7 @@
         self.newest = 1
 
     async def roll_out_until(self, end: float) -> None:
-        """Submits bundles and rolls them out until then."""
+        """Submits bundles and rolls them out until `end`."""
         simulation = self.simulation
         while simulation.now() < end:
             await asyncio.sleep(simulation.random.uniform(0.5, 3))
@@ -124,7 +124,7 @@
                 await self._roll_out(submitted.unwrap()["submitted"])
 
     async def _roll_out(self, submitted: dict) -> None:
-        """Signs and advances a bundle; an operator whose call broke reads the bundle's phase and goes on from there."""
+        """Signs and advances a bundle; after a failed call the operator reads the phase and continues from it."""
         answer: Result[dict, MeshError] = await self.operators.sign(submitted["number"], submitted["digest"])
         for _ in range(MAX_ROLL_OUT_ATTEMPTS):
             if isinstance(answer, Success) and answer.unwrap()["stage"] == answer.unwrap()["stages"]:
@@ -141,19 +141,19 @@
                     answer = await self.operators.advance(self.newest, stage)
 
     async def read_phase(self) -> None:
-        """Finds out whether the newest bundle is in force."""
+        """Reads whether the newest bundle is in force."""
         phase = None
         for _ in range(MAX_PHASE_READS):
             phase = await _phase_of(self.simulation, self.newest)
             if phase is not None:
                 break
-        assert phase is not None, "no registry showed the newest bundle"
+        assert phase is not None, "no registry returned the phase of the newest bundle"
         if phase[0] == "in force":
             self.in_force = self.newest
 
 
 async def _phase_of(simulation: SimulatedDeployment, number: int) -> tuple[str, int] | None:
-    """The phase and the stage of a bundle, as any registry shows them; None if none answers."""
+    """Returns the phase and the stage of a bundle as a random registry reports them; None if it doesn't answer."""
     processes = simulation.processes
     registries = processes.running(REGISTRY)
     if not registries:
@@ -171,7 +171,7 @@
 
 
 async def anything(simulation: SimulatedDeployment) -> None:
-    """Whatever chance picks, one fault after another and some at once; at the end a true read-back."""
+    """Random faults in core machines and proxies, some at once; the configuration at the end must be correct."""
     await simulation.start()
     faults = _RandomFaults(simulation)
     bundles = _Bundles(simulation)
@@ -179,11 +179,11 @@
     load = simulation.create_task(simulation.clients.load(seconds=RUN_SECONDS, rate=RATE))
     rolling = simulation.create_task(bundles.roll_out_until(end))
 
-    async def repeat(strike: Callable[[], Coroutine]) -> None:
+    async def repeat(inject_fault: Callable[[], Coroutine]) -> None:
         while simulation.now() < end:
-            await strike()
+            await inject_fault()
 
-    await asyncio.gather(repeat(faults.strike_core), repeat(faults.strike_proxies))
+    await asyncio.gather(repeat(faults.inject_core_fault), repeat(faults.inject_proxy_fault))
     await load
     await rolling
     await simulation.clients.wait_for_service("anything")
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/releases.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/releases.py
@@ -1,4 +1,4 @@
-"""Planned restarts, and two releases side by side."""
+"""Planned restarts, and two releases that run at the same time."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 async def rolling_restart(simulation: SimulatedDeployment) -> None:
-    """Every machine is stopped in the planned way and started again, under load, with slow servers."""
+    """All machines are stopped gracefully and restarted in turn, under load and with slow servers."""
     processes = simulation.processes
     await simulation.start()
     for server in simulation.servers.all():
@@ -42,7 +42,7 @@
 
 
 async def releases_side_by_side(simulation: SimulatedDeployment) -> None:
-    """Every process begins at release level 1; they are upgraded one by one under load, and the level rises at last."""
+    """All processes start at release level 1 and are upgraded one by one under load; at the end the level is raised."""
     processes = simulation.processes
     names = processes.core_names() + list(processes.proxies)
     processes.release_levels = dict.fromkeys(names, 1)
@@ -71,19 +71,23 @@
                 processes.restart(name)
                 await asyncio.sleep(1.5)
             if index == len(order) // 2:
-                simulation.expect("newer commands wait for the level", await change_operator() == "release-level")
+                simulation.expect(
+                    "newer commands are rejected below their release level", await change_operator() == "release-level"
+                )
                 await simulation.operators.roll_out(next_bundle(simulation, number=2, based_on=1))
         await simulation.wait_for_release_level(seconds=20)
-        simulation.expect("newer commands are accepted at the level", await change_operator() == "")
-        # A former release comes back by mistake: it is kept out, and reports it.
+        simulation.expect("newer commands are accepted at their release level", await change_operator() == "")
+        # Processes of the former release are started by mistake: they must not take part, and the store reports it.
         follower = next(name for name in processes.running(STORE) if name != processes.leader())
         processes.release_levels = {follower: 1, proxy_name(1): 1}
         processes.restart(follower, proxy_name(1))
         await asyncio.sleep(2)
         core = processes.nodes[follower].runner.core
-        simulation.expect("a former release stops and says so", core.halted != "" and core.role == "follower")
         simulation.expect(
-            "a former release's proxy doesn't serve", not processes.nodes[proxy_name(1)].core.is_registered()
+            "a store of a former release halts and reports it", core.halted != "" and core.role == "follower"
+        )
+        simulation.expect(
+            "a proxy of a former release isn't registered", not processes.nodes[proxy_name(1)].core.is_registered()
         )
         processes.release_levels = {}
         processes.restart(follower, proxy_name(1))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/rule_changes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/rule_changes.py
@@ -1,4 +1,4 @@
-"""Bundles that truly change the rules, rolled out under load."""
+"""Bundles that change routes, callers and limits, rolled out under load."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -23,14 +23,14 @@
 
 
 class Change(NamedTuple):
-    """One change of the declarations, and what must be answered and what refused once it is in force."""
+    """One change of the declarations, and the kinds of requests that must be answered once it is in force."""
 
     description: str
     change: Callable[[dict], None]
     served: tuple[RequestKind, ...] = ()
 
 
-# A little more than the two seconds within which an accepted bundle must be in force.
+# Slightly more than the two seconds within which an accepted bundle must be in force.
 IN_FORCE_SECONDS = 2.05
 ARTICLES = RequestKind("GET", "/news", False, 1)
 NOTES = RequestKind("POST", "/notes", True, 1)
@@ -38,7 +38,7 @@
 
 
 def changes_of(simulation: SimulatedDeployment) -> tuple[Change, ...]:
-    """The changes of one run, each on top of the ones before."""
+    """Returns the changes of one run, each of which builds on the previous ones."""
     first, second = simulation.deployment.services[0], another_service(simulation, simulation.deployment.services[0])
     reading = next(request_kind for request_kind in simulation.deployment.request_kinds if not request_kind.once)
 
@@ -57,38 +57,43 @@
         )
 
     return (
-        Change("an entry added", add("news", ARTICLES, first, ["visitors"]), (ARTICLES,)),
-        Change("two more, one for servers only", add("notes", NOTES, second, ["visitors"]), (NOTES, ARTICLES)),
+        Change("a route added", add("news", ARTICLES, first, ["visitors"]), (ARTICLES,)),
+        Change("a route with a body added", add("notes", NOTES, second, ["visitors"]), (NOTES, ARTICLES)),
+        Change("a route renamed", lambda declared: reading_route(declared).update(name="renamed"), (reading, ARTICLES)),
         Change(
-            "an entry renamed", lambda declared: reading_route(declared).update(name="renamed"), (reading, ARTICLES)
-        ),
-        Change(
-            "one moved to another service",
+            "a route moved to another service",
             lambda declared: _route(declared, "news").update(service=second),
             (ARTICLES,),
         ),
-        Change("one for servers only", add("inner-only", INNER, first, [second])),
+        Change("a route for servers only added", add("inner-only", INNER, first, [second])),
         Change(
-            "its callers widened",
+            "its callers widened to visitors",
             lambda declared: _route(declared, "inner-only").update(callers=["visitors"]),
             (INNER,),
         ),
-        Change("and withdrawn", lambda declared: _route(declared, "inner-only").update(callers=[second])),
         Change(
-            "once switched on",
+            "its callers restricted to servers again",
+            lambda declared: _route(declared, "inner-only").update(callers=[second]),
+        ),
+        Change(
+            "`once` switched on",
             lambda declared: _route(declared, "notes").update(once=True, answer_bytes=4096),
             (NOTES,),
         ),
         Change("a limit lowered", lambda declared: _route(declared, "notes").update(body_bytes=60)),
-        Change("an entry removed", lambda declared: _drop(declared, "news")),
-        Change("and put back elsewhere", add("news", ARTICLES, first, ["visitors"]), (ARTICLES, reading)),
+        Change("a route removed", lambda declared: _drop(declared, "news")),
+        Change(
+            "the removed route restored at its first service",
+            add("news", ARTICLES, first, ["visitors"]),
+            (ARTICLES, reading),
+        ),
     )
 
 
 async def _send_until(
     simulation: SimulatedDeployment, request_kinds: tuple[RequestKind, ...], until: Callable[[], bool]
 ) -> None:
-    """Requests for what changes, at every proxy, whether it is allowed at the time or not."""
+    """Sends requests for the changing routes to random proxies, whether they are allowed at the time or not."""
     tasks = []
     while not until():
         request_kind = simulation.random.choice(request_kinds)
@@ -103,30 +108,30 @@
 
 
 async def _require_answer(simulation: SimulatedDeployment, proxy: str, request_kind: RequestKind) -> None:
-    """Sends a request that must be answered there: the bundle that allows it has been in force for two seconds."""
+    """Sends a request that the proxy must answer, as the bundle that allows it has been in force for two seconds."""
     key = f"{next(simulation.counter)}" if request_kind.once else ""
     response = await simulation.clients.send_request(request_kind, client="newcomer", key=key, proxy=proxy)
     simulation.history.add(AnswerRequired(response.request))
 
 
-async def _roll(simulation: SimulatedDeployment, *, inject_faults: Callable[[], Coroutine] | None) -> None:
+async def _roll_out_changes(simulation: SimulatedDeployment, *, inject_faults: Callable[[], Coroutine] | None) -> None:
     changes: list[Callable[[dict], None]] = []
 
-    def changed(declared: dict) -> None:
+    def apply_changes(declared: dict) -> None:
         for each in changes:
             each(declared)
 
     in_force = 1
     for number, change in enumerate(changes_of(simulation), start=2):
         changes.append(change.change)
-        text = simulation.deployment.changed_bundle(changed, number=number, based_on=in_force)
+        text = simulation.deployment.changed_bundle(apply_changes, number=number, based_on=in_force)
         submitted = await _retry_submit(simulation, lambda text=text: simulation.operators.submit(text))
         detail = submitted.unwrap()["submitted"]
         fault_task = simulation.create_task(inject_faults()) if inject_faults is not None else None
         answer = (await simulation.operators.sign(number, detail["digest"])).value_or(None)
         while answer is None or answer["stage"] < answer["stages"]:
             if answer is not None and inject_faults is None and change.served:
-                # Between stages: the machines reached so far serve what is new, under the load of all the others.
+                # Between stages, the machines reached so far must already serve the change, under the full load.
                 await asyncio.sleep(IN_FORCE_SECONDS)
                 for proxy in answer["machines"]:
                     await _require_answer(simulation, proxy, simulation.random.choice(change.served))
@@ -143,21 +148,21 @@
     await simulation.operators.read_back(in_force=in_force, settled=inject_faults is None)
 
 
-async def _retry_submit(simulation: SimulatedDeployment, work: Callable[[], Coroutine]):
-    """An operator whose call broke sends it again."""
+async def _retry_submit(simulation: SimulatedDeployment, submit: Callable[[], Coroutine]):
+    """Submits a bundle, and again after a failed call."""
     for _ in range(20):
-        result = await work()
+        result = await submit()
         if isinstance(result, Success) or str(result.failure().kind) == "bundle-duplicate":
             break
         await asyncio.sleep(0.3)
     if isinstance(result, Failure):
-        # It was accepted, and only the answer was lost.
-        return Success({"submitted": {"digest": (await _bundle(simulation, -1))["digest"]}})
+        # The bundle was accepted, and only the answer was lost.
+        return Success({"submitted": {"digest": (await _read_bundle(simulation, -1))["digest"]}})
     return result
 
 
-async def _bundle(simulation: SimulatedDeployment, number: int) -> dict:
-    """A bundle as the configuration shows it; the newest for -1."""
+async def _read_bundle(simulation: SimulatedDeployment, number: int) -> dict:
+    """Reads a bundle from the configuration; the newest one for number -1."""
     processes = simulation.processes
     while True:
         name = simulation.random.choice(processes.running(REGISTRY))
@@ -170,7 +175,7 @@
 
 
 async def _next_stage(simulation: SimulatedDeployment, number: int, digest: str) -> dict | None:
-    bundle = await _bundle(simulation, number)
+    bundle = await _read_bundle(simulation, number)
     match bundle["phase"]:
         case "draft":
             answer = await simulation.operators.sign(number, digest)
@@ -182,19 +187,19 @@
 
 
 async def rules_change(simulation: SimulatedDeployment) -> None:
-    """Bundles add, rename, move, widen, withdraw, lower and remove, in stages, under load."""
+    """Bundles add, rename, move and remove routes and change their callers and limits, in stages and under load."""
     await simulation.start()
     done = False
     load = simulation.create_task(_send_until(simulation, (ARTICLES, NOTES, INNER), lambda: done))
     background = simulation.create_task(simulation.clients.load(seconds=30, rate=RATE / 2))
-    await _roll(simulation, inject_faults=None)
+    await _roll_out_changes(simulation, inject_faults=None)
     done = True
     await load
     await background
 
 
 async def rules_change_under_faults(simulation: SimulatedDeployment) -> None:
-    """The same, while proxies and core machines are killed, frozen and cut off."""
+    """The same changes as rules_change, while proxies and core machines are killed, frozen and cut off."""
     processes = simulation.processes
     await simulation.start()
     done = False
@@ -219,7 +224,7 @@
                 simulation.world.heal()
 
     load = simulation.create_task(_send_until(simulation, (ARTICLES, NOTES, INNER), lambda: done))
-    await _roll(simulation, inject_faults=inject_faults)
+    await _roll_out_changes(simulation, inject_faults=inject_faults)
     done = True
     await load
     await simulation.clients.wait_for_service("rules changed")
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/servers.py
@@ -1,4 +1,4 @@
-"""Servers come, go and misbehave."""
+"""Servers start, stop, are replaced, or answer incorrectly."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 async def servers_change(simulation: SimulatedDeployment) -> None:
-    """Servers wind down, vanish, are replaced, drained, and swapped for another service at the same address."""
+    """Servers wind down, vanish, are drained, or are replaced, also by another service at the same address."""
     processes = simulation.processes
     operators = simulation.operators
     await simulation.start()
@@ -33,16 +33,16 @@
             simulation.servers[swapping].vanish()
             assert isinstance(await operators.drain(draining), Success)
             simulation.servers.record_state(simulation.servers[draining], DRAINED)
-            # One address passes to another service at once; the newcomer reports before it serves.
-            hasty = simulation.random.choice(
+            # One address is taken over by another service immediately; the new server reports before it serves.
+            reused_proxy = simulation.random.choice(
                 [name for name in names if name not in (winding, vanishing, swapping, draining)]
             )
-            for service in (other_service(hasty), processes.proxies[hasty].service):
+            for service in (other_service(reused_proxy), processes.proxies[reused_proxy].service):
                 for _ in range(3):
-                    simulation.servers[hasty].vanish()
-                    simulation.servers.replace(hasty, service=service).report_health()
+                    simulation.servers[reused_proxy].vanish()
+                    simulation.servers.replace(reused_proxy, service=service).report_health()
                     await asyncio.sleep(0.3)
-            # Another passes on a little over two seconds after its server left.
+            # Another address is taken over slightly more than two seconds after its server vanished.
             await asyncio.sleep(2.1)
             simulation.servers.replace(swapping, service=other_service(swapping)).report_health()
             await asyncio.sleep(4)
@@ -54,7 +54,7 @@
                 simulation.servers.replace(name, service=processes.proxies[name].service)
             simulation.servers.replace(swapping, service=processes.proxies[swapping].service)
             assert isinstance(await operators.drain(draining, drain=False), Success)
-            # A drain belongs to its instance, so the same server goes on once it is lifted.
+            # A drain applies to one instance, so the same server serves again once the drain is lifted.
             simulation.servers[draining].change_state(READY)
             await asyncio.sleep(2)
 
@@ -64,7 +64,7 @@
 
 
 async def servers_misbehave(simulation: SimulatedDeployment) -> None:
-    """Servers run requests and lose the answers, send garbage, cut answers short, or are slow."""
+    """Servers run requests but lose the answers, send garbage, truncate answers, or are slow."""
     await simulation.start()
 
     async def inject_faults() -> None:
@@ -85,7 +85,7 @@
 
 
 async def retry_margins_kept(simulation: SimulatedDeployment) -> None:
-    """Margins smaller than the fleet, changed by bundles, while proxies come and go and servers lose answers."""
+    """Retry margins below the number of proxies change by bundles; proxies join and leave, and servers lose answers."""
     processes = simulation.processes
     await simulation.start()
     random = simulation.random
@@ -103,7 +103,7 @@
             await simulation.operators.roll_out(text)
             for server in random.sample(simulation.servers.all(), len(simulation.servers.all()) // 2):
                 server.misbehaviour = LOSE_ANSWER
-            # Long enough for the shares of the margin to be in force, and used up.
+            # Long enough for the shares of the margin to be in force and to be used up.
             await asyncio.sleep(14)
             for _ in range(2):
                 name = random.choice(list(processes.proxies))
@@ -126,16 +126,16 @@
 
 
 async def old_process_lives(simulation: SimulatedDeployment) -> None:
-    """A server is replaced by another service's, and the old process goes on calling through the same proxy."""
+    """A server of another service replaces a server whose process still makes calls through the same proxy."""
     await simulation.start()
 
-    def everybody(declared: dict) -> None:
-        # Whoever it is taken for may call: only the name it is called by can be wrong.
+    def allow_all_services(declared: dict) -> None:
+        # Any service may make the calls: so only the caller that is recorded for them can be wrong.
         names = [service["name"] for service in declared["services"]]
         for route in declared["entries"]:
             route["callers"] = sorted({*route["callers"], *names})
 
-    await simulation.operators.roll_out(simulation.deployment.changed_bundle(everybody, number=2, based_on=1))
+    await simulation.operators.roll_out(simulation.deployment.changed_bundle(allow_all_services, number=2, based_on=1))
     callers = {service for service, _ in simulation.deployment.nested_calls}
 
     async def inject_faults() -> None:
@@ -148,7 +148,7 @@
                 path = next(path for service, path in simulation.deployment.nested_calls if service == old.service)
                 replacement = simulation.servers.replace(proxy, service=other)
                 replacement.report_health()
-                # The old process is in the middle of its work and calls on, once before it is noticed and later.
+                # The old process still runs requests: it makes calls before and after the replacement is detected.
                 for pause in (0.0, 0.5, 1.5):
                     await asyncio.sleep(pause)
                     nonce = f"old-{next(simulation.counter)}"
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/storage.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/storage.py
@@ -1,4 +1,4 @@
-"""Disks fail, and copies of the configuration are corrupted."""
+"""Failing disks and corrupted copies of the configuration."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 async def disks_fail(simulation: SimulatedDeployment) -> None:
-    """Full and stalled disks on a follower and on the leader."""
+    """The disk of a follower, then of the leader, is stalled or full."""
     processes = simulation.processes
     await simulation.start()
 
@@ -38,7 +38,7 @@
 
 
 async def _compare_copies(simulation: SimulatedDeployment) -> None:
-    """Writes down every time at which a running node's copy isn't what the log has at that revision."""
+    """Records each time that the copy of a running node differs from the state of the log at that revision."""
     processes = simulation.processes
     expected: dict[int, tuple[int, ...]] = {}
     while True:
@@ -54,7 +54,7 @@
 
 
 async def copies_damaged(simulation: SimulatedDeployment) -> None:
-    """One node's copy of the configuration is corrupted in place, also a root's; then two at once, parent and child."""
+    """Copies of the configuration are corrupted one at a time at three nodes, then at a registry and a proxy at once."""
     processes = simulation.processes
     await simulation.start()
     simulation.create_task(_compare_copies(simulation))
@@ -83,7 +83,7 @@
             await asyncio.sleep(2.5)
         corrupt(random.choice(processes.running(REGISTRY)))
         corrupt(random.choice(processes.running(PROXY)))
-        # An update on top of corrupted items: the copies that result must still be right.
+        # An update of the corrupted copies: the resulting copies must still be correct.
         await simulation.operators.drain(proxy_name(1))
         await asyncio.sleep(2.5)
         await simulation.operators.drain(proxy_name(1), drain=False)
