--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/storage.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/storage.py
@@ -54,7 +54,7 @@
 
 
 async def copies_damaged(simulation: SimulatedDeployment) -> None:
-    """Copies of the configuration are corrupted one at a time at three nodes, then at a registry and a proxy at once."""
+    """Copies of the configuration are corrupted at single nodes in turn, then at a registry and a proxy at once."""
     processes = simulation.processes
     await simulation.start()
     simulation.create_task(_compare_copies(simulation))
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes for one test, with clients that send load."""
+"""A small deployment of real processes for one test, with clients that can send load."""
 
 import asyncio
 import random
@@ -13,11 +13,11 @@
 THIMBLE = DEPLOYMENTS["thimble"]
 
 
-def on_fleet(scenario: Callable[[Fleet, Load], Coroutine], **needs) -> Fleet:
-    """Plays a scenario on the deployment "thimble"; needs are the fleet's options. Gives the fleet, stopped."""
+def on_fleet(scenario: Callable[[Fleet, Load], Coroutine], **options) -> Fleet:
+    """Runs a scenario on the deployment "thimble" and returns the stopped fleet; `options` go to the Fleet."""
 
     async def run(folder: Path) -> Fleet:
-        async with Fleet(deployment=THIMBLE, folder=folder, **needs) as fleet:
+        async with Fleet(deployment=THIMBLE, folder=folder, **options) as fleet:
             await fleet.start()
             async with Load(
                 deployment=THIMBLE, addresses=fleet.client_addresses(), history=fleet.history, seed=random.Random(3)
--- a/tests/orders_model.py
+++ b/tests/orders_model.py
@@ -1,9 +1,9 @@
-"""Operators' changes of items as a model, independent of the state machine that it checks.
+"""An exhaustive model of operators' changes of items, whose checks are independent of the state machine under test.
 
-A small space is explored exhaustively: two operators' changes in every sequence of copies, with resends, drops, copies
-sent before a refusal, resend windows that pass, and a snapshot before each record. Which of them the log gets, and in
-which order, is what lost answers, cut-off leaders and changes of the leader come to: a copy is logged, again, or never.
-Every answer counts as received, so whatever holds of all of them holds when some are lost.
+The model explores all sequences, up to a length, of copies of two operators' orders: with resends, deletions, copies
+sent before a rejection, resend windows that expire, and a snapshot before each record. A sequence stands for what lost
+answers, cut-off leaders and changes of the leader can do: a copy is logged once, several times or never. Every answer
+counts as received, so whatever holds for all answers also holds when some are lost.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,29 +17,29 @@
 from hoistsaddle.statemachine.snapshots import pack_state, unpack_state
 from hoistsaddle.statemachine.state import State, initial_state
 
-# Seconds of mesh time for which an order may be sent again, and between two records.
-SPAN = 60
-STEP = 1
-CONFIRMED, REFUSED, UNSURE = "confirmed", "refused", "unsure"
-REFUSALS = ("item-conflict", "item-broken")
+# The resend window of an order, and the interval between two records, in seconds of mesh time.
+RESEND_SECONDS = 60
+STEP_SECONDS = 1
+CONFIRMED, REJECTED, UNSURE = "confirmed", "refused", "unsure"
+REJECTIONS = ("item-conflict", "item-broken")
 
 
 class ModelOrder(NamedTuple):
-    """One order: what each item's revision is set to, None where it is dropped."""
+    """One order: the key, revision and content of each item, with None as the content of a deleted item."""
 
     name: str
     items: tuple[tuple[str, int, str | None], ...]
-    # A copy that set out before all else, or one that its sender made a moment ago.
+    # Whether the copy was sent before all records; otherwise its sender has just read the newest state.
     early: bool = True
 
     def payload(self, *, seen: int) -> bytes:
-        sets, drops = [], []
+        upserts, deletions = [], []
         for key, revision, content in self.items:
             kind, _, name = key.partition(":")
             if content is None:
-                drops.append(ItemDeletion(SERVICE if kind == SERVICE else ENTRY, revision, name))
+                deletions.append(ItemDeletion(SERVICE if kind == SERVICE else ENTRY, revision, name))
             elif kind == SERVICE:
-                sets.append(
+                upserts.append(
                     ItemUpsert(SERVICE, revision, {"name": name, "vitals_path": f"/{content}"}, content.encode())
                 )
             else:
@@ -52,16 +52,16 @@
                     "hold_seconds": 2.0,
                     "aim_seconds": 0.5,
                 }
-                sets.append(ItemUpsert(ENTRY, revision, item, content.encode()))
-        patch = pack_patch(Patch(sets, drops))
-        return pack_command(PatchItems("request", "desk", "standing", patch, SPAN, 0 if self.early else seen))
+                upserts.append(ItemUpsert(ENTRY, revision, item, content.encode()))
+        patch = pack_patch(Patch(upserts, deletions))
+        return pack_command(PatchItems("request", "desk", "standing", patch, RESEND_SECONDS, 0 if self.early else seen))
 
 
 X, Y, Z, W = (key_of(SERVICE, name) for name in "xyzw")
 E = key_of(ENTRY, "e")
 ORDERS = (
     ModelOrder("first", ((X, 1, "a"), (Y, 1, "a"))),
-    # The other operator's, under the same revision of one item.
+    # The other operator's order, with the same revision of one item.
     ModelOrder("rival", ((X, 1, "b"), (Z, 1, "b"))),
     ModelOrder("later", ((X, 2, "c"),)),
     ModelOrder("drop", ((X, 2, None),)),
@@ -70,49 +70,49 @@
     ModelOrder("its service", ((W, 1, "w"),)),
     ModelOrder("service dropped", ((W, 2, None),)),
 )
-# Every resend window is long over by then.
+# Advances mesh time until all resend windows have expired.
 WAIT = ModelOrder("wait", ())
 
 
 class PatchAnswer(NamedTuple):
-    """What a change was answered, and at which offset."""
+    """The answer to an order, and the offset of its record."""
 
     offset: int
     answer: str
 
 
 class Path(NamedTuple):
-    """One sequence of records: the state it leads to, and all answers on the way."""
+    """One sequence of records: the resulting state and all answers."""
 
     state: State
     answers: tuple[tuple[ModelOrder, PatchAnswer], ...] = ()
-    # The offset of the newest wait.
+    # The offset of the newest WAIT record.
     waited: int = 0
 
 
 def answer_of(outcome: Outcome) -> str:
-    """What an operator makes of an outcome."""
+    """Returns how an operator interprets an outcome."""
     if not outcome.error:
         return CONFIRMED
-    return REFUSED if outcome.error in REFUSALS else UNSURE
+    return REJECTED if outcome.error in REJECTIONS else UNSURE
 
 
 def start(*, level: int) -> Path:
-    """The path without records, at a release level."""
+    """Returns the path without records, at a release level."""
     return Path(initial_state(mesh="m", voters={1: "one"}, operators={}, level=level))
 
 
 def follow(path: Path, order: ModelOrder) -> Path:
-    """One more record, applied to the state as a snapshot brought it."""
+    """Returns the path extended by a record, which is applied to the state as restored from a snapshot."""
     state = unpack_state(pack_state(path.state))
     if state != path.state:
-        raise AssertionError("a snapshot is another state")
+        raise AssertionError("the state restored from a snapshot differs")
     offset = state.offset + 1
     if order is WAIT:
-        later = state.mesh_time + timedelta(seconds=10 * SPAN)
+        later = state.mesh_time + timedelta(seconds=10 * RESEND_SECONDS)
         state, _ = apply(state, offset=offset, epoch=1, stamp=later, payload=pack_command(Tick(1)))
         return path._replace(state=state, waited=offset)
-    stamp = state.mesh_time + timedelta(seconds=STEP)
+    stamp = state.mesh_time + timedelta(seconds=STEP_SECONDS)
     payload = order.payload(seen=path.state.offset)
     state, outcome = apply(state, offset=offset, epoch=1, stamp=stamp, payload=payload)
     return path._replace(state=state, answers=(*path.answers, (order, PatchAnswer(offset, answer_of(outcome)))))
@@ -122,7 +122,7 @@
 
 
 def one_content(path: Path, before: Path) -> str:
-    """One revision of an item is confirmed with one content."""
+    """Checks that each revision of an item is confirmed with one content only."""
     contents: dict[tuple[str, int], set[str | None]] = {}
     for order, answer in path.answers:
         if answer.answer == CONFIRMED:
@@ -133,46 +133,46 @@
 
 
 def accepted_never_refused(path: Path, before: Path) -> str:
-    """What was confirmed once is confirmed again, or, when all resend windows are over, left without a clear answer."""
+    """Checks that a confirmed order is confirmed again, or is left unclear after its resend window has expired."""
     if len(path.answers) == len(before.answers):
         return ""
     order, answer = path.answers[-1]
     confirmed = [each.offset for other, each in before.answers if other.name == order.name and each.answer == CONFIRMED]
-    if confirmed and answer.answer == REFUSED:
-        return f"{order.name} was confirmed and is refused"
+    if confirmed and answer.answer == REJECTED:
+        return f"{order.name} was confirmed and is rejected"
     if confirmed and max(confirmed) > path.waited and answer.answer != CONFIRMED:
-        return f"{order.name} was confirmed a moment ago and is {answer.answer}"
+        return f"{order.name} was confirmed within its resend window and is {answer.answer}"
     return ""
 
 
 def refused_never_counts(path: Path, before: Path) -> str:
-    """What was refused isn't confirmed by a copy that had set out before; an order made anew may be."""
+    """Checks that a rejected order isn't confirmed by an earlier copy; a renewed copy of it may be confirmed."""
     if len(path.answers) == len(before.answers):
         return ""
     order, answer = path.answers[-1]
     earlier = [each for other, each in before.answers if other.name == order.name]
-    # A copy of one that was taken since, by an order made anew, is that order's.
-    refused = bool(earlier) and earlier[-1].answer == REFUSED
+    # If a renewed copy was confirmed since the rejection, an early copy may be too: only the last answer counts.
+    rejected = bool(earlier) and earlier[-1].answer == REJECTED
     renewed = not order.early and order.name == "entry"
-    # For as long as its copies may be under way.
-    lately = bool(earlier) and (order.name != "entry" or earlier[-1].offset > path.waited)
-    if refused and lately and answer.answer == CONFIRMED and not renewed:
-        return f"{order.name} was refused and is confirmed"
+    # A rejection of "entry" must hold only as long as copies may be in flight.
+    still_binding = bool(earlier) and (order.name != "entry" or earlier[-1].offset > path.waited)
+    if rejected and still_binding and answer.answer == CONFIRMED and not renewed:
+        return f"{order.name} was rejected and is confirmed"
     return ""
 
 
 def highest_stands(path: Path, before: Path) -> str:
-    """Of each name stands the highest revision that was confirmed, as it was sent; nothing of what was not."""
-    wanted: dict[str, tuple[int, str | None]] = {}
+    """Checks that the state has only the highest confirmed revision of each item, with the content that was sent."""
+    expected: dict[str, tuple[int, str | None]] = {}
     for order, answer in path.answers:
         if answer.answer == CONFIRMED:
             for key, revision, content in order.items:
-                if revision > wanted.get(key, (-1, None))[0]:
-                    wanted[key] = (revision, content)
-    stands = {
+                if revision > expected.get(key, (-1, None))[0]:
+                    expected[key] = (revision, content)
+    actual = {
         key: (item.revision, None if item.dropped else item.source.decode()) for key, item in path.state.items.items()
     }
-    return "" if stands == wanted else f"stands {stands}, confirmed was {wanted}"
+    return "" if actual == expected else f"the state has {actual}, confirmed was {expected}"
 
 
 CHECKS: tuple[Callable[[Path, Path], str], ...] = (
@@ -184,7 +184,7 @@
 
 
 class Explored(NamedTuple):
-    """How much was gone through, and the first sequence that broke each check."""
+    """The extent of an exploration, and the first sequence that violates each check."""
 
     depth: int
     states: int
@@ -192,7 +192,7 @@
 
 
 def explore(*, orders: tuple[ModelOrder, ...], depth: int, level: int) -> Explored:
-    """Every sequence of these orders up to a length."""
+    """Explores every sequence of these orders up to a length."""
     broken: dict[str, str] = {}
     states = 0
     for before, path in _paths(start(level=level), orders, depth):
@@ -200,7 +200,8 @@
         for each in CHECKS:
             if each.__name__ not in broken and (found := each(path, before)):
                 steps = ", ".join(
-                    f"{order.name}{'' if order.early else ' anew'}: {answer.answer}" for order, answer in path.answers
+                    f"{order.name}{'' if order.early else ' renewed'}: {answer.answer}"
+                    for order, answer in path.answers
                 )
                 broken[each.__name__] = f"{found} [{steps}; waited at {path.waited}]"
     return Explored(depth, states, broken)
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -1,4 +1,4 @@
-"""An event loop on real sockets whose clock stands still: time passes only where a test steps it."""
+"""An event loop on real sockets with a manual clock, which advances only when a test steps it."""
 
 import asyncio
 import selectors
@@ -6,12 +6,12 @@
 from collections.abc import Coroutine
 from typing import Any
 
-# Real time. It only ends a run that hangs, with no more events on its sockets.
+# A limit in real time, which ends a run that hangs without events on its sockets.
 MAX_SILENT_SECONDS = 30.0
 
 
 class _Selector(selectors.DefaultSelector):
-    """Waits for sockets and never for a timer: a timer becomes due by a step."""
+    """A selector that waits for sockets and never for timers, which become due only by a step."""
 
     def select(self, timeout: float | None = None) -> list:
         if timeout is not None and timeout <= 0:
@@ -20,14 +20,14 @@
         while (left := end - time.monotonic()) > 0:
             if ready := super().select(left):
                 return ready
-        raise AssertionError(f"nothing happened for {MAX_SILENT_SECONDS} s, and only a step would make a timer due")
+        raise AssertionError(f"no socket event for {MAX_SILENT_SECONDS} s, and timers become due only by a step")
 
 
 class SteppedLoop(asyncio.SelectorEventLoop):
-    """Real sockets, and a clock that only `step` moves."""
+    """An event loop with real sockets and a clock that only `step` advances."""
 
     def __init__(self) -> None:
-        # A whole number, so that sums with whole seconds and halves are exact.
+        # An integer, so that sums with whole and half seconds are exact.
         self.current_seconds = 1000.0
         super().__init__(_Selector())
         self._clock_resolution = 1e-9
@@ -37,15 +37,15 @@
 
 
 async def step(seconds: float) -> None:
-    """Time passes in one leap. What became due by it has run on return."""
+    """Advances the clock by `seconds` at once; every timer that this makes due has run on return."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, SteppedLoop)
     loop.current_seconds += seconds
-    # This timer is the last one due, so the others' turn is over when it wakes us.
-    over = loop.create_future()
-    loop.call_at(loop.current_seconds, over.set_result, None)
-    await over
-    # A future that was settled by then wakes its task, and that one whoever waits for it.
+    # This timer is the last one due, so all others have run when it fires.
+    last_timer = loop.create_future()
+    loop.call_at(loop.current_seconds, last_timer.set_result, None)
+    await last_timer
+    # Tasks that wait for futures resolved by these timers run next, and then the tasks that wait for those.
     for _ in range(4):
         await asyncio.sleep(0)
 
@@ -57,7 +57,7 @@
 
 
 class EventCounter:
-    """Counts events, and lets a test wait until so many were counted."""
+    """Counts events, and lets a test wait for a number of them."""
 
     def __init__(self) -> None:
         self.count = 0
--- a/tests/test_brief.py
+++ b/tests/test_brief.py
@@ -1,4 +1,8 @@
-"""docs/brief.md names scenarios, tests and injected faults; each of them must be there."""
+"""Guards against a brief that no longer matches the code.
+
+Every scenario, test and injected fault that docs/brief.md names must exist, and every scenario, injected fault and
+checked line must be named there.
+"""
 
 import ast
 import re
@@ -29,19 +33,19 @@
 
 class Brief(TestCase):
     def test_what_it_names_exists(self) -> None:
-        there = {
+        existing = {
             "sim": set(SCENARIOS) | set(CORE_SCENARIOS),
             "test": all_tests(),
             "fault": {injected_fault.name for injected_fault in INJECTED_FAULTS},
         }
         named = re.findall(r"`(sim|test|fault):([^`]+)`", BRIEF)
-        self.assertThat([f"{kind}:{name}" for kind, name in named if name not in there[kind]], Equals([]))
+        self.assertThat([f"{kind}:{name}" for kind, name in named if name not in existing[kind]], Equals([]))
         self.assertThat(len(named), GreaterThan(100))
 
     def test_every_scenario_and_injected_fault_is_named(self) -> None:
         named = {name for _, name in re.findall(r"`(sim|fault):([^`]+)`", BRIEF)}
-        there = set(SCENARIOS) | set(CORE_SCENARIOS) | {injected_fault.name for injected_fault in INJECTED_FAULTS}
-        self.assertThat(sorted(there - named), Equals([]))
+        existing = set(SCENARIOS) | set(CORE_SCENARIOS) | {injected_fault.name for injected_fault in INJECTED_FAULTS}
+        self.assertThat(sorted(existing - named), Equals([]))
 
     def test_every_line_that_is_checked_has_a_row(self) -> None:
         rows = [line for line in BRIEF.split("## The product")[0].splitlines() if "`fault:" in line]
--- a/tests/test_injected_faults.py
+++ b/tests/test_injected_faults.py
@@ -1,4 +1,4 @@
-"""Each checker is seen to fail: a fault injected into the code must be caught by the line it breaks."""
+"""Tests the checkers: each fault that is injected into the code must be caught by the checker of the line it breaks."""
 
 import os
 import sys
@@ -17,8 +17,8 @@
 from injected_faults import INJECTED_FAULTS  # noqa: E402
 
 
-def caught(place: int) -> bool | str:
-    injected_fault = INJECTED_FAULTS[place]
+def is_caught(index: int) -> bool | str:
+    injected_fault = INJECTED_FAULTS[index]
     warnings.simplefilter("ignore", RuntimeWarning)
     for seed in injected_fault.seeds:
         try:
@@ -26,9 +26,9 @@
                 simulation = simulate(
                     deployment=DEPLOYMENTS[injected_fault.deployment], seed=seed, scenario=injected_fault.scenario
                 )
-        except Exception as problem:
-            # A run that can't go on shows the fault, but not that its checker sees it.
-            return f"{type(problem).__name__}: {str(problem)[:300]}"
+        except Exception as error:
+            # A run that ends with an error reveals the fault, but doesn't show that the checker detects it.
+            return f"{type(error).__name__}: {str(error)[:300]}"
         if check(simulation.history, simulation.deployment)[injected_fault.line]:
             return True
     return False
@@ -40,11 +40,11 @@
 
     def test_every_injected_fault_is_caught(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
-            found = dict(
+            caught = dict(
                 zip(
                     (injected_fault.name for injected_fault in INJECTED_FAULTS),
-                    pool.map(caught, range(len(INJECTED_FAULTS))),
+                    pool.map(is_caught, range(len(INJECTED_FAULTS))),
                     strict=True,
                 )
             )
-        self.assertThat(dict.fromkeys(found, True), Equals(found))
+        self.assertThat(dict.fromkeys(caught, True), Equals(caught))
--- a/tests/test_simulated_failures.py
+++ b/tests/test_simulated_failures.py
@@ -1,6 +1,7 @@
-"""Every failure that docs/brief.md names, in simulated time under load; every line of "What must never happen" checked.
+"""Runs the scenario of every failure that docs/brief.md names, in simulated time and under load.
 
-The seeds are fixed here; a longer run takes more of them: `hoistsaddle fleet simulate --seeds 1-100`.
+The checkers test the history of each run against every line of "What must never happen" in the brief. The seeds are
+fixed here; `hoistsaddle fleet simulate --seeds 1-100` runs more of them.
 """
 
 import os
@@ -14,28 +15,31 @@
 from hoistsaddle.testbed.simulation.runs import Run, carry_out_all
 
 SEEDS = (1, 2, 3)
-NO_SERVICE = ("servers_misbehave", "servers_change", "retry_margins_kept", "isolated", "keys_travel")
-# Ten minutes and more of simulated time: one seed is enough here.
-LONG = ("replaced_machines_forgotten",)
+# Scenarios that leave many requests without an answer.
+MANY_UNANSWERED = ("servers_misbehave", "servers_change", "retry_margins_kept", "isolated", "keys_travel")
+# These simulate ten minutes or more, so they run with one seed only.
+LONG_RUNS = ("replaced_machines_forgotten",)
 
 
 class SimulatedFailures(TestCase):
-    def check(self, runs: list[Run], *, answers: bool = True) -> None:
+    def check(self, runs: list[Run], *, expect_answers: bool = True) -> None:
         print("runs:", *(f"{run.deployment}/{run.scenario}/{run.seed}" for run in runs))
         for outcome in carry_out_all(runs):
             self.assertThat((outcome.broken, outcome.failed), Equals(({}, "")), str(outcome.run))
-            if answers:
-                # A mesh that refuses everything would break no line either.
+            if expect_answers:
+                # A mesh that rejects every request would also violate no line.
                 self.assertThat(outcome.answered * 2, GreaterThan(outcome.asked), str(outcome.run))
 
     def test_small_deployment(self) -> None:
-        names = [name for name in SCENARIOS if name not in NO_SERVICE]
-        self.check([Run("thimble", name, seed) for name in names for seed in (SEEDS[:1] if name in LONG else SEEDS)])
+        names = [name for name in SCENARIOS if name not in MANY_UNANSWERED]
+        self.check(
+            [Run("thimble", name, seed) for name in names for seed in (SEEDS[:1] if name in LONG_RUNS else SEEDS)]
+        )
 
     def test_misbehaving_servers(self) -> None:
-        # A third of the servers loses every answer here, so many outcomes are truly unknown; or a service has no
-        # server for seconds, and whoever asks is told so at once, as often as it asks.
-        self.check([Run("thimble", name, seed) for name in NO_SERVICE for seed in SEEDS], answers=False)
+        # A third of the servers loses every answer, so many outcomes are unknown; or a service has no server for
+        # seconds, and every request to it is answered at once with that error.
+        self.check([Run("thimble", name, seed) for name in MANY_UNANSWERED for seed in SEEDS], expect_answers=False)
 
     def test_core_machines_alone(self) -> None:
         self.check(
@@ -45,7 +49,7 @@
                 for name in CORE_SCENARIOS
                 for seed in SEEDS
             ],
-            answers=False,
+            expect_answers=False,
         )
 
     def test_brindlefield(self) -> None:
@@ -61,19 +65,19 @@
         self.assertThat(first, Equals(again))
 
     def test_a_seed_gives_the_same_run_in_every_process(self) -> None:
-        """Each process hashes names with a secret of its own, so an order taken from a set or a map shows here."""
+        """Guards against an order that depends on the hashes of strings, which differ between processes."""
         code = (
             "from hoistsaddle.testbed.simulation.runs import Run, carry_out\n"
             "print(*(carry_out(Run('brindlefield', name, 1)).digest for name in ('frozen', 'servers_change')))"
         )
-        said = [
+        outputs = [
             subprocess.run(
                 [sys.executable, "-c", code],
-                env={**os.environ, "PYTHONHASHSEED": secret},
+                env={**os.environ, "PYTHONHASHSEED": hash_seed},
                 capture_output=True,
                 text=True,
                 check=True,
             ).stdout
-            for secret in ("1", "2", "3")
+            for hash_seed in ("1", "2", "3")
         ]
-        self.assertThat(set(said), Equals({said[0]}))
+        self.assertThat(set(outputs), Equals({outputs[0]}))
--- a/tests/test_thin_path.py
+++ b/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The shortest path through real processes: bootstrap, a bundle signed by a second person, a client's request."""
+"""The shortest path through real processes: bootstrap, a bundle signed by a second operator, requests of clients."""
 
 import asyncio
 import random
@@ -29,28 +29,33 @@
                     history=fleet.history,
                     seed=random.Random(7),
                 ) as load:
-                    for ask in deployment.request_kinds:
+                    for kind in deployment.request_kinds:
                         for listener in fleet.client_addresses():
                             await load.ask_until_run(
-                                request_kind=ask,
+                                request_kind=kind,
                                 client="someone",
-                                key=f"{ask.path}-{listener}" if ask.once else "",
+                                key=f"{kind.path}-{listener}" if kind.once else "",
                                 listener=listener,
                             )
             return fleet
 
         with tempfile.TemporaryDirectory() as folder:
             fleet = asyncio.run(scenario(Path(folder)))
-        # On a busy machine some get a Retry-After first; then they are answered, and nothing runs twice.
+        # On a busy machine some requests get a Retry-After first; later they are answered, and none runs twice.
         outcomes = [
-            got.outcome for got in fleet.history.of(RequestResult) if not got.caller and got.outcome != "not-run"
+            result.outcome
+            for result in fleet.history.of(RequestResult)
+            if not result.caller and result.outcome != "not-run"
         ]
         self.assertThat(outcomes, Equals(["answered"] * 18))
-        # Six statements, six payments, six uploads; and two nested calls of each statement that got no Retry-After.
-        runs = Counter(ran.caller for ran in fleet.history.of(RunStarted))
-        inner = [got.outcome for got in fleet.history.of(RequestResult) if got.caller]
-        self.assertThat((runs["visitors"], len(inner)), Equals((18, 12)))
-        self.assertThat(runs["portal"], Equals(inner.count("answered")))
-        broken = {line: found for line, found in check(fleet.history, deployment, timed=False).items() if found}
+        # Six statements, six payments and six uploads were run; each statement made two nested calls. A request that
+        # got a Retry-After was not run and made none.
+        runs = Counter(started_run.caller for started_run in fleet.history.of(RunStarted))
+        nested_outcomes = [result.outcome for result in fleet.history.of(RequestResult) if result.caller]
+        self.assertThat((runs["visitors"], len(nested_outcomes)), Equals((18, 12)))
+        self.assertThat(runs["portal"], Equals(nested_outcomes.count("answered")))
+        broken = {
+            line: violations for line, violations in check(fleet.history, deployment, timed=False).items() if violations
+        }
         self.assertThat(broken, Equals({}))
         self.assertThat([process.returncode is not None for process in fleet.processes.values()], Equals([True] * 12))
