--- a/packages/testbed/src/hoistsaddle/testbed/emulator/clients.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/clients.py
@@ -24,14 +24,14 @@
 MAX_REPEATED_KEYS = 25
 # Shortest and longest delay before a served request is repeated with its key.
 REPEAT_DELAY_SECONDS = (0.05, 8.0)
-# The share of keyed requests without success that are sent again to a random machine, and the shortest and longest delay
-# after their last attempt.
+# The share of keyed requests without success that are sent again to a random machine, and the shortest and longest
+# delay after their last attempt.
 RESUBMISSION_SHARE = 0.5
 RESUBMISSION_DELAY_SECONDS = (2.0, 20.0)
 # How long a client waits for a connection to a machine without power.
 CONNECT_TIMEOUT_SECONDS = 1.0
 DEFAULT_BACKOFF_SECONDS = 0.02
-# The share of retries that wait for `Retry-After` or the default backoff; the others are sent immediately.
+# The share of retries that wait for `Retry-After` or the default backoff; the others are sent at once.
 BACKOFF_SHARE = 0.9
 # The client of a repeatable request gives up if the proxy hasn't read it for this long.
 UNREAD_TIMEOUT_SECONDS = 1.0
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into the product, one or more for each rule of the emulator, and the day that must show each."""
+"""Faults injected into the product, at least one for each rule of the emulator, and the days that must reveal them."""
 
 import random
 from collections.abc import Callable
@@ -61,7 +61,7 @@
 
 SERVICES = tuple(service_spec.name for service_spec in draw_site(1, small=True).services)
 CALM = small_day(seconds=6.0)
-# What is planned: new routes, moves, an invalid order, a server's leaving and a machine's stop.
+# Planned events: added and moved routes, an invalid change, restarted servers and a machine's stop.
 PLANNED = small_day(
     Change(0.5, "add", 1),
     Change(1.0, "move", 7),
@@ -71,10 +71,10 @@
     Stop(4.0, "side-03", 0.3),
     RestartServer(4.0, "side-02"),
 )
-# Long enough that the margin for retries has come up and is used many times over.
+# Long enough that the retry margin accumulates and is used up many times.
 LOSSES = small_day(Misbehave(0.5, SERVICES[1], 0.6, 14.0, "cut"), seconds=16.0)
 FAILURES = small_day(Misbehave(0.5, SERVICES[0], 0.8, 9.0, "failure"))
-# Many requests, so that some are under way wherever a machine stops.
+# A high request rate, so that some requests are in flight whenever a machine stops.
 STOPS = Day(
     1,
     draw_site(1, small=True)._replace(rate=40.0),
@@ -82,11 +82,11 @@
     5.0,
 )
 ENDED = small_day(FinalFault(3.0, "kill", 0.5), seconds=3.0)
-# A core machine loses its disk and is taken in again; then, in calm, another one's disk goes and all power with it.
+# A core machine loses its disk and rejoins; in calm, another disk is lost, and the other core loses power.
 SWAPPED = small_day(
     Kill(0.5, ("core-1",), 0.5, power=True, wipe=True), FinalFault(7.0, "wipe and power", 0.5), seconds=7.0
 )
-# Eight orders at once, a large one, answers lost and connections reset, and orders that come again long after.
+# Eight changes at once, a large one, lost answers, reset connections, and changes that are repeated much later.
 REPEATED = small_day(
     LostAnswers(0.5, 0.7, 6.0),
     Change(0.6, "move", 7),
@@ -101,7 +101,7 @@
     RepeatChange(7.0, 5),
     RepeatChange(7.5, 9),
 )
-# Power goes as a snapshot is written, then everywhere, and at last everywhere again as one is written.
+# Power is lost during a snapshot, then on all core machines, and finally everywhere during another snapshot.
 SNAPSHOTS = Day(
     1,
     draw_site(1, small=True)._replace(snapshot_records=30),
@@ -113,7 +113,7 @@
     ),
     11.0,
 )
-# Operators with other contents under one version, their answers lost half of the time, and old changes again.
+# Operators submit different contents at one revision, half of their answers are lost, and old changes are repeated.
 CONTESTED = small_day(
     LostAnswers(0.4, 0.5, 5.0),
     Change(0.5, "move", 7, operators=2, contested=True),
@@ -123,11 +123,12 @@
     Change(4.0, "move", 10, operators=2, contested=True),
     RepeatChange(6.0, 3),
 )
-# Two core machines are gone for good, one after the other, and empty ones come at other addresses.
+# Two core machines are permanently lost, one after the other, and replaced by empty ones at other addresses.
 REPLACED = small_day(
     ReplaceCore(0.5, "core-1", 0.5), Change(3.0, "times", 3), ReplaceCore(6.0, "core-0", 0.5), seconds=9.0
 )
-# Servers sign off and serve on: two whose last heartbeats come after it, two whose sidecars are killed right after it.
+# Servers deregister and keep serving: the last heartbeats of two arrive afterwards, and the sidecars of the other two
+# are killed right afterwards.
 LEAVING = small_day(
     LateHeartbeats(0.2, "side-00", 6.0, 3.0),
     LateHeartbeats(0.2, "side-01", 6.0, 3.0),
@@ -139,8 +140,8 @@
     RestartServer(7.1, "side-03", announced=False),
     seconds=14.0,
 )
-# Both servers of the keyed requests stand still for longer than these have (4 s at this seed's site), and some of
-# their clients come back later.
+# Both servers of the keyed requests freeze for longer than the requests' deadline (4 s at this seed's site), and some
+# clients send their requests again later.
 FROZEN = small_day(Freeze(1.0, ("side-02", "side-03"), 5.0), seconds=14.0, seed=5)
 DAYS = {
     "frozen": FROZEN,
@@ -160,10 +161,10 @@
 
 
 class InjectedFault(NamedTuple):
-    """A deliberate breakage: the rules that must find it, and the day on which it is played."""
+    """A deliberate fault in the product, the rules that must detect it, and the day on which it is played."""
 
     name: str
-    # All of them have to see it.
+    # Each of them must detect the fault.
     rules: tuple[str, ...]
     day: str
     patch: Callable[[], object]
@@ -182,7 +183,7 @@
 
 
 def _key_answers_forgotten():
-    """A repeat of a key gets whatever answer its ingress gave last."""
+    """A repeated key gets the last answer of its ingress, whichever request that belonged to."""
     plain, kept = IngressHandler._respond, {}
 
     def other(self: IngressHandler, answer: Reply):
@@ -194,14 +195,14 @@
     return mock.patch.object(IngressHandler, "_respond", other)
 
 
-def _unanswered_questions_count_as_under_way():
-    """The fault of issue 40: between two questions a call stands in the books that nobody makes."""
+def _unanswered_follow_calls_count_as_in_flight():
+    """The fault of issue 40: between two follow calls, a call that isn't being made counts as in flight."""
     plain = AttemptFollower._unanswered
 
     def reopened(self: AttemptFollower, request: PendingRequest) -> AttemptOutcome:
         outcome = plain(self, request)
         if outcome is AttemptOutcome.UNKNOWN:
-            # As before: the tick that follows ends the request.
+            # As before the fix: the next tick ends the request.
             outcome = AttemptOutcome.PENDING
         request.attempt_state = AttemptState.BETWEEN_FOLLOW_CALLS
         self._requests.tickets[request.call_number] = request.ticket
@@ -239,7 +240,7 @@
     )
 
 
-def _uncertain_is_sent_again():
+def _uncertain_attempts_are_repeated():
     def again(self: IngressCore, request: PendingRequest, error: MeshError) -> None:
         request.uncertain, request.last_error = True, error
         request.excluded.add(request.target)
@@ -248,7 +249,7 @@
     return mock.patch.object(IngressCore, "_attempt_uncertain", again)
 
 
-def _unknown_is_called_not_run():
+def _unknown_outcome_is_reported_as_not_run():
     def unknown(self: IngressCore, request: PendingRequest) -> None:
         self._reply(request, 503, error=MeshError(ErrorKind.SILENT, "planted", "planted"), retry_after=milliseconds(50))
 
@@ -262,14 +263,14 @@
     )
 
 
-def _any_service_will_do():
+def _route_to_any_service():
     def any_service(self: IngressCore, route) -> str:
         return self._state.random.choice(sorted(self._state.view.items.services))
 
     return mock.patch.object(IngressCore, "_pick_service", any_service)
 
 
-def _leaving_is_ready():
+def _leaving_counts_as_ready():
     return mock.patch.dict(adapter("handlers").STATES, {adapter("samples").LEAVING: READY})
 
 
@@ -297,7 +298,7 @@
     return mock.patch.object(SidecarNode, "wind_down", at_once)
 
 
-def _stops_break_off():
+def _stops_cancel_requests():
     plain = SidecarNode.wind_down
 
     async def at_once(self: SidecarNode, **needs) -> None:
@@ -318,8 +319,8 @@
     return mock.patch.object(SidecarCore, "_configuration_changed", first)
 
 
-def _items_waver():
-    """Each second request is judged by the first items that its proxy took up."""
+def _items_alternate():
+    """Every second request is handled by the first configuration that its proxy applied."""
     plain = IngressCore.request_arrived
 
     def wavering(self: IngressCore, event) -> None:
@@ -347,7 +348,7 @@
     plain = Controller.patch
 
     async def first_alone(self: Controller, patch):
-        # The first configuration goes through, so that there is a day.
+        # The first configuration is accepted, because the day depends on it.
         return await plain(self, patch) if len(patch.sets) > 4 else await Controller.planted(self, patch)
 
     return mock.patch.multiple(Controller, patch=first_alone, planted=patch, create=True)
@@ -357,12 +358,12 @@
     return mock.patch.object(Files, "sync_folder", lambda self, folder: None)
 
 
-def _nobody_is_replaced():
+def _voters_are_never_replaced():
     return mock.patch.object(VoterChanges, "_growth_or_replacement", lambda self: None)
 
 
-def _repeats_are_refused():
-    """What was taken is refused when it comes again."""
+def _repeated_changes_are_rejected():
+    """A confirmed change is rejected when it is submitted again."""
     plain, taken = Controller.patch, set()
 
     async def once(self: Controller, patch):
@@ -381,11 +382,11 @@
     return mock.patch("hoistsaddle.statemachine.items.check_duplicate", lambda *needs: PatchCheck(None))
 
 
-def _valid_orders_are_refused():
+def _valid_changes_are_rejected():
     plain = Controller.patch
 
     async def refusing(self: Controller, patch):
-        # The first configuration goes through, so that there is a day.
+        # The first configuration is accepted, because the day depends on it.
         if len(patch.sets) > 4:
             return await plain(self, patch)
         return Failure(MeshError(ErrorKind.ITEM_BROKEN, "planted", "planted"))
@@ -393,7 +394,7 @@
     return mock.patch.object(Controller, "patch", refusing)
 
 
-def _an_item_is_not_read():
+def _an_item_is_missing_when_read():
     plain = Controller.read_items
 
     async def short(self: Controller, **needs):
@@ -402,7 +403,7 @@
     return mock.patch.object(Controller, "read_items", short)
 
 
-def _further_sends_unbounded():
+def _retries_are_unbounded():
     return mock.patch.object(RetryBudget, "try_spend", lambda self, service, *, now: "share")
 
 
@@ -428,38 +429,40 @@
     return mock.patch.object(IngressHandler, "_respond", raising)
 
 
-def _nobody_is_selected():
+def _no_server_is_selected():
     return mock.patch.object(ServerSelection, "select", lambda self, request: None)
 
 
 INJECTED_FAULTS = (
     InjectedFault("answers are swapped", ("MIXED",), "calm", _answers_swapped),
     InjectedFault("answers of other keys", ("MIXED",), "calm", _key_answers_forgotten),
-    InjectedFault("unanswered questions count", ("MIXED at work",), "frozen", _unanswered_questions_count_as_under_way),
+    InjectedFault(
+        "unanswered questions count", ("MIXED at work",), "frozen", _unanswered_follow_calls_count_as_in_flight
+    ),
     InjectedFault("callers go untold", ("UNASKED",), "calm", _callers_unnamed),
     InjectedFault("paths are changed", ("UNASKED",), "calm", _paths_changed),
     InjectedFault("every claim is granted", ("TWICE",), "calm", _every_claim_granted),
-    InjectedFault("uncertain sends are repeated", ("TWICE",), "losses", _uncertain_is_sent_again),
-    InjectedFault("unknown is called not run", ("REFUSED",), "losses", _unknown_is_called_not_run),
+    InjectedFault("uncertain sends are repeated", ("TWICE",), "losses", _uncertain_attempts_are_repeated),
+    InjectedFault("unknown is called not run", ("REFUSED",), "losses", _unknown_outcome_is_reported_as_not_run),
     InjectedFault("some entries are unknown", ("DENIED",), "calm", _some_entries_unknown),
-    InjectedFault("any service will do", ("ROUTE",), "calm", _any_service_will_do),
-    InjectedFault("leaving is ready", ("DRAIN",), "planned", _leaving_is_ready),
+    InjectedFault("any service will do", ("ROUTE",), "calm", _route_to_any_service),
+    InjectedFault("leaving is ready", ("DRAIN",), "planned", _leaving_counts_as_ready),
     InjectedFault("late heartbeats count", ("DRAIN",), "leaving", _late_heartbeats_count),
     InjectedFault("leaves are not recorded", ("DRAIN",), "leaving", _leaves_are_not_recorded),
     InjectedFault("a stop answers for its servers", ("LOST",), "stops", _stops_answer_for_servers),
-    InjectedFault("a stop breaks off", ("LOST",), "stops", _stops_break_off),
+    InjectedFault("a stop breaks off", ("LOST",), "stops", _stops_cancel_requests),
     InjectedFault("the first items are kept", ("CONFIG",), "planned", _first_items_kept),
-    InjectedFault("items waver", ("CONFIG back",), "planned", _items_waver),
+    InjectedFault("items waver", ("CONFIG back",), "planned", _items_alternate),
     InjectedFault("entries are unchecked", ("CONFIG orders",), "planned", _entries_unchecked),
     InjectedFault("patches go unanswered", ("CONFIG orders",), "planned", _patches_unanswered),
-    InjectedFault("an item is not read", ("CONFIG read-back",), "calm", _an_item_is_not_read),
+    InjectedFault("an item is not read", ("CONFIG read-back",), "calm", _an_item_is_missing_when_read),
     InjectedFault("folders are not synced", ("CONFIG read-back",), "snapshots", _folders_unsynced),
     InjectedFault("contents are not compared", ("CONFIG one content",), "contested", _contents_are_not_compared),
-    InjectedFault("valid orders are refused", ("CONFIG one content",), "planned", _valid_orders_are_refused),
-    InjectedFault("nobody is replaced", ("CONFIG majority",), "replaced", _nobody_is_replaced),
-    InjectedFault("repeats are refused", ("CONFIG taken",), "repeated", _repeats_are_refused),
-    InjectedFault("further sends are unbounded", ("BUDGET",), "failures", _further_sends_unbounded),
+    InjectedFault("valid orders are refused", ("CONFIG one content",), "planned", _valid_changes_are_rejected),
+    InjectedFault("nobody is replaced", ("CONFIG majority",), "replaced", _voters_are_never_replaced),
+    InjectedFault("repeats are refused", ("CONFIG taken",), "repeated", _repeated_changes_are_rejected),
+    InjectedFault("further sends are unbounded", ("BUDGET",), "failures", _retries_are_unbounded),
     InjectedFault("elections are slow", ("RECOVER", "CONFIG majority"), "ended", _slow_elections_after_the_first),
     InjectedFault("some answers raise", ("FAULT",), "calm", _some_answers_raise),
-    InjectedFault("nobody is selected", ("GATE",), "calm", _nobody_is_selected),
+    InjectedFault("nobody is selected", ("GATE",), "calm", _no_server_is_selected),
 )
--- a/tests/emulator_witness.py
+++ b/tests/emulator_witness.py
@@ -1,4 +1,4 @@
-"""Days of the emulator with a witness: what each machine hands out is compared with what was committed by then."""
+"""Days of the emulator with a witness that compares the copies that machines hand out with the committed state."""
 
 import asyncio
 import bisect
@@ -22,12 +22,12 @@
 from hoistsaddle.testbed.simulation.event_loop import SimulatedTimeLoop
 
 WITNESS_INTERVAL_SECONDS = 0.02
-# What a sample of the committed state may lag behind an answer that falls between two samples.
+# How far a sample of the committed state may lag behind an answer given between two samples.
 SLACK_SECONDS = 0.001
 
 
 class CommittedRevisions:
-    """When each revision of the configuration was committed: by what any core machine has applied."""
+    """When each revision was first seen committed, based on the applied state of any core machine."""
 
     def __init__(self) -> None:
         self.timestamps: list[float] = []
@@ -44,13 +44,13 @@
 
 
 class WitnessReport(NamedTuple):
-    """What the emulator's rules and the witness found on one day."""
+    """The findings of the emulator's rules and of the witness on one day."""
 
     broken: dict[str, list[str]]
-    # Copies handed out as fresher than they were, and machines that went back to an older one.
+    # Copies reported as more recent than they were, and machines that reverted to an older copy.
     overstated: list[str]
     back: list[str]
-    # Sidecar to the longest time for which its copy was stale, with nothing wrong with its own machine.
+    # By sidecar, the longest time for which its copy was stale while its own machine had no fault.
     longest: dict[str, float]
     calls: Counter[str]
     octets: Counter[str]
@@ -62,8 +62,8 @@
 class WatchedEmulator(Emulator):
     """An emulator that samples the committed revision and counts calls from `count_from` seconds on."""
 
-    def __init__(self, *, count_from: float, **needs: Any) -> None:
-        super().__init__(**needs)
+    def __init__(self, *, count_from: float, **named: Any) -> None:
+        super().__init__(**named)
         self.committed_revisions = CommittedRevisions()
         self.overstated: list[str] = []
         self.back: list[str] = []
@@ -89,7 +89,7 @@
         return answer
 
     def check_answer(self, relay: Relay, answer: PollAnswer, *, now: float) -> None:
-        """A relay's answer says how old its copy is: nothing newer may have been committed by then."""
+        """A relay's answer states the age of its copy: no newer revision may have been committed at that time."""
         if answer.error:
             return
         at = relay.lease_start.total_seconds() - SLACK_SECONDS
@@ -100,7 +100,7 @@
             )
 
     async def witness(self) -> None:
-        """Samples every process for as long as the day lasts."""
+        """Samples every process throughout the day."""
         while True:
             for process in self.processes.values():
                 if process.simulated.dead or not process.open:
@@ -118,7 +118,7 @@
         position = (relay.copy.revision, getattr(relay, "epoch", 0))
         before = self.positions.get(process.number, position)
         if position[0] < before[0] or position[1] < before[1]:
-            self.back.append(f"{process.machine.name} went back from {before} to {position}")
+            self.back.append(f"{process.machine.name} reverted from {before} to {position}")
         self.positions[process.number] = position
         if (
             not process.simulated.frozen
@@ -131,15 +131,15 @@
     async def play(self) -> None:
         witnessing = self.create_task(self.witness())
         await super().play()
-        # A witness that ended early saw nothing: its day shows nothing either.
+        # If the witness ended early, its exception is raised here, since the day was not observed.
         if witnessing.done():
             witnessing.result()
 
 
 def watch(day: Day, *, count_from: float = 0.0) -> WitnessReport:
-    """Plays one day and gives what the rules and the witness found."""
+    """Plays one day and returns the findings of the rules and the witness."""
     logger.disable("hoistsaddle")
-    # For good: what a killed incarnation never awaited may be found long after.
+    # Not restored afterwards: coroutines of killed processes may be collected much later.
     warnings.filterwarnings("ignore", message="coroutine '.*' was never awaited", category=RuntimeWarning)
     loop, cleanup_loop = SimulatedTimeLoop(), SimulatedTimeLoop()
     asyncio.set_event_loop(loop)
@@ -161,7 +161,7 @@
             for task in emulator.tasks:
                 task.cancel()
             loop.close()
-            # What killed incarnations left unfinished is collected now, so that it disturbs no later test.
+            # Collects the unfinished coroutines of killed processes now, so that they don't affect later tests.
             asyncio.set_event_loop(cleanup_loop)
             gc.collect()
         emulator.processes.clear()
--- a/tests/test_benchdays.py
+++ b/tests/test_benchdays.py
@@ -1,4 +1,4 @@
-"""Generated days for the users' bench: what a day contains, and that a seed always gives the same one."""
+"""Generated days for the users' bench: the content of a day, and that a seed always gives the same day."""
 
 import tempfile
 import tomllib
@@ -58,7 +58,7 @@
                     self.assertTrue(0 < entry["at"] < KNOWN.length, f"{day['name']}: {entry}")
                     self.assertTrue(0 < entry.get("for_s", 1.0) <= KNOWN.length, f"{day['name']}: {entry}")
 
-    def test_each_point_brings_about_what_it_is_for(self) -> None:
+    def test_each_point_generates_its_kinds_of_events(self) -> None:
         needed = {
             "cutoff": {"core_cut", "node_freeze", "config_change"},
             "orders": {"ack_lost", "config_race", "bad_config", "config_storm", "after_ack_kill"},
@@ -102,7 +102,7 @@
         self.addCleanup(temporary.cleanup)
         self.folder = Path(temporary.name)
 
-    def test_it_fits_the_site_and_writes_a_file_for_each_day(self) -> None:
+    def test_it_reads_the_site_and_writes_a_file_for_each_day(self) -> None:
         path = self.folder / "somewhere.toml"
         path.write_text(SITE)
         known = read_site(path)
@@ -124,7 +124,7 @@
                     entry.get("service", "first"), MatchesAny(Equals("first"), Equals("second")), str(entry)
                 )
 
-    def test_another_file_is_refused_with_the_remedy(self) -> None:
+    def test_an_invalid_site_file_is_rejected_with_a_remedy(self) -> None:
         path = self.folder / "other.toml"
         path.write_text("name = 1")
         result = CliRunner().invoke(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,6 +1,6 @@
-"""The users' platform in simulated time: days without a violation, and for each rule an injected fault that it finds.
+"""Days of the emulated platform must break no rule, and every rule must detect a fault injected for it.
 
-The seeds are fixed here; more of them: `hoistsaddle fleet hunt --seeds 1-40`.
+The seeds are fixed here; `hoistsaddle fleet hunt --seeds 1-40` plays more of them.
 """
 
 import os
@@ -27,7 +27,7 @@
 sys.path.insert(0, str(Path(__file__).parent))
 from emulator_faults import DAYS, INJECTED_FAULTS  # noqa: E402
 
-# Plain days, and two about the control side with replaced machines, contested versions and repeated orders.
+# Ordinary days, and two control-plane days with replaced machines, contested revisions and repeated changes.
 SEEDS = (1, 2, 5)
 
 
@@ -42,22 +42,22 @@
 
 
 class EmulatorDays(TestCase):
-    def test_days_of_the_injected_faults_hold_without_them(self) -> None:
+    def test_days_of_the_injected_faults_break_no_rule_without_them(self) -> None:
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(zip(DAYS, pool.map(broken, DAYS.values()), strict=True))
         self.assertThat(found, Equals({name: {} for name in DAYS}))
 
-    def test_drawn_days_hold(self) -> None:
+    def test_drawn_days_break_no_rule(self) -> None:
         print("small days of seeds", SEEDS)
         for verdict in hunt([DayCase(seed, small=True) for seed in SEEDS]):
             self.assertThat((verdict.broken, verdict.failed), Equals(({}, "")), str(verdict.day_case))
-            # A day that serves nothing would break few rules.
+            # A day that serves almost nothing would break few rules.
             self.assertThat(verdict.served * 2, GreaterThan(verdict.sent), str(verdict.day_case))
 
     def test_a_seed_gives_the_same_day_again(self) -> None:
         first, again = hunt([DayCase(1, small=True, only=(0, 1, 2))] * 2)
         self.assertThat(first, Equals(again))
-        # Each process hashes names with a secret of its own, so an order taken from a set or a map shows here.
+        # Hash seeds differ between processes, so any dependence on the iteration order of a set changes the digest.
         code = (
             "from hoistsaddle.testbed.emulator.hunt import DayCase, carry_out\n"
             "print(carry_out(DayCase(1, small=True, only=(0, 1, 2))).digest)"
@@ -88,7 +88,7 @@
 
 class PlatformChanges(TestCase):
     def test_a_service_named_beside_a_split_is_checked_too(self) -> None:
-        """The emulator's seed 52: such a change was acknowledged, though nobody had declared the service."""
+        """Regression, found with seed 52: such a change was acknowledged although the service was not declared."""
         samples = adapter("samples")
         route = samples.route(
             name="r",
@@ -115,7 +115,7 @@
 
 
 class Shrinking(TestCase):
-    def test_a_failing_day_is_left_with_what_it_needs(self) -> None:
+    def test_a_failing_day_is_reduced_to_the_events_it_needs(self) -> None:
         day_case = next(
             each
             for each in (DayCase(seed) for seed in range(1, 100))
@@ -124,7 +124,7 @@
         kills = [place for place, each in enumerate(day_of(day_case).events) if isinstance(each, Kill)][:2]
 
         def run(tried: DayCase) -> Verdict:
-            # Only both kills together break the rule.
+            # The rule is broken only if both kills are kept.
             bad = set(kills) <= set(tried.only or ())
             return Verdict(tried, 0, 0, "", {"TWICE": ["planted"]} if bad else {})
 
--- a/tests/test_emulator_closing_losses.py
+++ b/tests/test_emulator_closing_losses.py
@@ -1,4 +1,4 @@
-"""Days that end with the loss of disks, while every other machine loses power at the same moment, sidecars too."""
+"""Days that end with the loss of disks while all other machines, including sidecars, lose power at the same moment."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
@@ -26,7 +26,7 @@
 
 
 def closing_day(seed: int) -> Day:
-    """A disk is lost and its machine taken in again; changes go on until another disk goes, and all power with it."""
+    """A disk is lost and its machine rejoins; during further changes another disk is lost together with all power."""
     changes = [Change(0.6 + 0.4 * number, "move", seed * 20 + number) for number in range(14)]
     final_fault = FinalFault(7.0, "wipe and all power", 0.5 + 0.2 * (seed % 4), TRIGGERS[seed % len(TRIGGERS)])
     lost = Kill(0.5, (f"core-{seed % 3}",), 0.5, power=True, wipe=True)
@@ -43,7 +43,7 @@
 
 
 class ClosingLosses(TestCase):
-    """Guards against losing what was acknowledged when disks go while no other machine keeps its memory."""
+    """Guards against the loss of acknowledged changes when disks are lost and no other machine keeps its memory."""
 
     def test_nothing_acknowledged_is_lost_with_a_disk_and_all_power(self) -> None:
         print("small days of seeds", SEEDS)
@@ -52,5 +52,5 @@
         self.assertThat({seed: broken for seed, (broken, _) in found.items() if broken}, Equals({}))
         for seed, (_, starts) in found.items():
             site = closing_day(seed).site
-            # Every machine was started twice, and the one that lost its disk first once more.
+            # Every machine was started twice, and the machine whose disk was lost first a third time.
             self.assertThat(starts, GreaterThan(2 * (len(site.core) + len(site.sidecars))))
--- a/tests/test_emulator_disks.py
+++ b/tests/test_emulator_disks.py
@@ -1,4 +1,4 @@
-"""Folders of the emulator after a power loss: what a sync covers stays, every other file is kept or lost on its own."""
+"""Folders after an emulated power loss: synced files are kept, every other one is kept or lost independently."""
 
 import os
 import random
@@ -30,8 +30,8 @@
         self.addCleanup(temporary.cleanup)
         self.root = Path(temporary.name)
 
-    def after(self, seed: int) -> frozenset[tuple[str, str]]:
-        """Two files are synced; one is removed, one replaced and one made before the power goes."""
+    def names_after_power_loss(self, seed: int) -> frozenset[tuple[str, str]]:
+        """Three files are synced; before power is lost, one of them is removed, one replaced, and a new one created."""
         folder = self.root / str(seed)
         folder.mkdir()
         disks = Disks(rng=random.Random(seed))
@@ -48,11 +48,11 @@
             disks.lose_power(folder, {})
         return frozenset((path.name, path.read_text()) for path in folder.iterdir())
 
-    def test_every_mix_of_kept_and_lost_names_comes_about(self) -> None:
-        found = {self.after(seed) for seed in SEEDS}
+    def test_every_combination_of_kept_and_lost_names_occurs(self) -> None:
+        found = {self.names_after_power_loss(seed) for seed in SEEDS}
         for names in found:
             self.assertIn(("kept", "old"), names)
-            # A name stands for the old or the new file, never for neither.
+            # A replaced name refers to the old or the new file; it is never missing.
             self.assertThat(len({("replaced", "old"), ("replaced", "new")} & names), Equals(1))
         self.assertThat(len(found), Equals(2**3))
 
--- a/tests/test_emulator_first_start.py
+++ b/tests/test_emulator_first_start.py
@@ -1,4 +1,4 @@
-"""First starts that are struck at every moment, in simulated time: the site comes up, and as one mesh."""
+"""Faults at any moment of the first start: the site still comes up, and as a single mesh."""
 
 import os
 import random
@@ -24,19 +24,19 @@
 
 SITE_SEED = 1
 DAY = small_day(seconds=1.0, seed=SITE_SEED)
-# Faults of a series last until 8 s after the start: traffic begins after 5 s and has to outlast them.
+# Faults of a series end at the latest 8 s after the start; traffic begins after 5 s and must outlast them.
 SERIES_SECONDS = 8.0
 CORE = tuple(machine.name for machine in DAY.site.core)
 SIDECARS = tuple(machine.name for machine in DAY.site.sidecars)
 FIRST, SECOND, _ = CORE
-# Seconds from the start of the machines: closer together while the seeds find one another and the mesh is founded.
+# Seconds from the start of the machines; denser while the seeds discover each other and the mesh is bootstrapped.
 STRIKE_TIMES = tuple(number * 0.02 for number in range(25)) + tuple(0.5 + number * 0.25 for number in range(7))
 DOWN_SECONDS = 0.5
 SERIES_SEEDS = tuple(range(1, 81))
 
 
 class Strike(NamedTuple):
-    """One kind of cut-off, and what it is at a strike_time."""
+    """One kind of fault: the machines that fail, and how."""
 
     name: str
     victims: tuple[str, ...]
@@ -44,7 +44,7 @@
     wipe: bool = False
 
     def at(self, strike_time: float) -> tuple[ScheduledEvent, ...]:
-        """The strike at this strike_time."""
+        """The fault as a scheduled event at this time."""
         return (Kill(strike_time, self.victims, DOWN_SECONDS, power=self.power, wipe=self.wipe),)
 
 
@@ -59,7 +59,7 @@
 
 
 def draw_series(seed: int) -> tuple[ScheduledEvent, ...]:
-    """Overlapping faults of all kinds within two seconds; one disk is lost at the most."""
+    """Overlapping faults of all kinds within two seconds, with at most one lost disk."""
     rng = random.Random(f"series {seed}")
     events: list[ScheduledEvent] = []
     at, wiped = rng.uniform(0, 0.4), False
@@ -93,7 +93,7 @@
 
 
 def failures_of(day: Day) -> list[str]:
-    """What is wrong after a day's first start; nothing if the site is up as one mesh."""
+    """Violations after a day's first start; empty if the site is up as one mesh."""
     played = play(day)
     found = [f"{rule}: {lines[0]}" for rule, lines in check(played.history, day).items() if lines]
     if len(set(played.meshes.values())) != 1 or "" in played.meshes.values():
@@ -111,9 +111,9 @@
 
 
 class StruckFirstStarts(TestCase):
-    """Guards against a deployment that never comes up because its founding was in one process's memory (issue 44)."""
+    """Guards against a deployment that never comes up because its bootstrap was kept only in memory (issue 44)."""
 
-    def test_it_comes_up_as_one_mesh_whenever_it_is_struck(self) -> None:
+    def test_it_comes_up_as_one_mesh_whenever_a_fault_occurs(self) -> None:
         cases = [(strike, strike_time) for strike in STRIKES for strike_time in STRIKE_TIMES]
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = zip(cases, pool.map(strike_failures, cases, chunksize=4), strict=True)
--- a/tests/test_emulator_link_bandwidth.py
+++ b/tests/test_emulator_link_bandwidth.py
@@ -1,7 +1,7 @@
-"""Uploads that ask for more than the links of their servers carry, in simulated time: they harm nobody but themselves.
+"""Uploads beyond the bandwidth of their servers' links must not affect other requests.
 
-Bounds are the platform's: a kind of request may be served less often than a less urgent one by 5 in 100, and 60 in 100
-of a kind may be refused or fail.
+The bounds are the platform's: a kind of request may be served less often than a less urgent one by at most 5 in 100,
+and at most 60 in 100 of a kind may be rejected or fail.
 """
 
 import os
@@ -27,21 +27,21 @@
 
 
 class Proportions(NamedTuple):
-    """How many sidecars stand beside each service, and how many requests a second clients send, uploads among them."""
+    """The number of sidecars of each service, the clients' requests per second, and the uploads among them."""
 
     sidecars: tuple[int, int, int]
     rate: float
     uploads: float
 
 
-# As where the fault was reported: the link of a server's machine is mostly filled by bodies that others forward.
+# The reported case: bodies that other machines forward take most of the link of a server's machine.
 FORWARDED = Proportions((20, 6, 2), 60.0, 12.0)
-# Few machines: clients' own bodies take a good part of every machine's link.
+# Few machines: bodies that clients send directly take much of every machine's link.
 SENT_BY_CLIENTS = Proportions((8, 4, 2), 60.0, 18.0)
 
 
 class Case(NamedTuple):
-    """A day's proportions and seed, and whether its links are thin."""
+    """A day's proportions and seed, and whether its links have a limited bandwidth."""
 
     proportions: Proportions
     seed: int
@@ -49,7 +49,7 @@
 
 
 class Outcome(NamedTuple):
-    """What came of a day: broken rules, the share served of each kind of request, and of bodies sent for nothing."""
+    """The outcome of a day: broken rules, the served share of each kind of request, and of body bytes sent in vain."""
 
     broken: dict[str, list[str]]
     served: dict[str, float]
@@ -57,7 +57,7 @@
 
 
 def upload_day(case: Case) -> Day:
-    """A small site whose third service takes the uploads, and the calls of the servers of the other two."""
+    """A small site whose third service handles the uploads and the nested calls of the other two services."""
     proportions = case.proportions
     site = draw_site(case.seed, small=True)
     services = [
@@ -92,10 +92,10 @@
 
 
 def shares_served(day: Day, history: History) -> dict[str, float]:
-    """The share of the requests that clients sent, and of the calls of servers, that were answered with success."""
+    """The served share of each kind of client request, and of the servers' nested calls."""
     results = {result.attempt: result for result in history.of(RequestResult)}
     kinds = {route.name: route.kind for route in day.site.routes}
-    # By kind: the requests' paths, which all tries of a request share.
+    # By kind: the requests' paths, which all attempts of a request share.
     sent: dict[str, set[str]] = defaultdict(set)
     served: dict[str, set[str]] = defaultdict(set)
     for request in history.of(RequestSent):
@@ -118,7 +118,7 @@
 
 
 class ThinLinks(TestCase):
-    """Guards against calls and other requests that fail because bodies of uploads stand before them on a full link."""
+    """Guards against nested calls and other requests that fail behind upload bodies queued on a full link."""
 
     def judge(self, proportions: Proportions) -> None:
         print("seeds", SEEDS)
--- a/tests/test_emulator_server_reports.py
+++ b/tests/test_emulator_server_reports.py
@@ -1,4 +1,4 @@
-"""Servers whose reports come late or out of order, in simulated time: what said that it leaves gets no request."""
+"""Servers that have reported that they leave get no requests, even if their heartbeats arrive late or out of order."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
@@ -27,14 +27,14 @@
 
 
 def late_day(seed: int, *, announced: bool) -> Day:
-    """Heartbeats that were sent before three servers left arrive after it."""
+    """Heartbeats that three servers sent before they left arrive afterwards."""
     late = [LateHeartbeats(0.2, machine, 6.0, 3.0) for machine in MACHINES]
     leaving = [RestartServer(1.5 + place, machine, announced) for place, machine in enumerate(MACHINES)]
     return small_day(*late, *leaving, seconds=10.0, seed=seed)
 
 
 def killed_day(seed: int) -> Day:
-    """Three servers sign off and serve on; the sidecar that acknowledged it is killed at that moment, and returns."""
+    """Three servers deregister and keep serving; the sidecar is killed right after acknowledging that, and restarts."""
     events: list[ScheduledEvent] = []
     for place, machine in enumerate(MACHINES):
         at = 1.0 + 2.5 * place
@@ -44,28 +44,28 @@
 
 
 def late_killed_day(seed: int) -> Day:
-    """Both: the sidecar that returns hears a heartbeat that was sent before the sign-off."""
+    """Both: the restarted sidecar receives a heartbeat that was sent before the server deregistered."""
     late = [LateHeartbeats(0.2, machine, 12.0, 3.0) for machine in MACHINES]
     day = killed_day(seed)
     return day._replace(events=(*late, *day.events))
 
 
 class LateReports(TestCase):
-    def assertHoldOn(self, days: list[Day]) -> None:
+    def assertNoRuleBroken(self, days: list[Day]) -> None:
         print("small days of seeds", SEEDS)
         with ProcessPoolExecutor(os.cpu_count()) as pool:
             found = dict(zip(SEEDS, pool.map(broken, days), strict=True))
         self.assertThat({seed: rules for seed, rules in found.items() if rules}, Equals({}))
 
-    def test_a_server_that_signed_off_is_not_taken_back_by_a_late_heartbeat(self) -> None:
-        self.assertHoldOn([late_day(seed, announced=False) for seed in SEEDS])
+    def test_a_deregistered_server_is_not_restored_by_a_late_heartbeat(self) -> None:
+        self.assertNoRuleBroken([late_day(seed, announced=False) for seed in SEEDS])
 
-    def test_nor_one_that_had_announced_that_it_leaves(self) -> None:
-        self.assertHoldOn([late_day(seed, announced=True) for seed in SEEDS])
+    def test_a_server_that_announced_its_leave_is_not_restored_by_a_late_heartbeat(self) -> None:
+        self.assertNoRuleBroken([late_day(seed, announced=True) for seed in SEEDS])
 
-    def test_nor_one_whose_sidecar_was_killed_right_after_it_acknowledged_that(self) -> None:
-        self.assertHoldOn([killed_day(seed) for seed in SEEDS])
+    def test_a_deregistered_server_is_not_restored_when_its_sidecar_is_killed_right_after(self) -> None:
+        self.assertNoRuleBroken([killed_day(seed) for seed in SEEDS])
 
-    def test_nor_by_a_heartbeat_that_its_killed_sidecar_hears_after_its_return(self) -> None:
-        """Seed 216 of small hunts: a returned sidecar had forgotten the sign-off, and the log took its word for it."""
-        self.assertHoldOn([late_killed_day(seed) for seed in SEEDS])
+    def test_a_late_heartbeat_at_a_restarted_sidecar_does_not_restore_the_server(self) -> None:
+        """Seed 216 of small hunts: a restarted sidecar had lost the deregistration, and the log accepted its report."""
+        self.assertNoRuleBroken([late_killed_day(seed) for seed in SEEDS])
--- a/tests/test_emulator_slow_core.py
+++ b/tests/test_emulator_slow_core.py
@@ -1,7 +1,7 @@
-"""Core machines whose processors bear the day's load, and what all keyed requests together do to them after a fault.
+"""Core machines with slow processors under the load of keyed requests, after a fault of all machines and in overload.
 
-The bounds are the platform's: service is back within `recovery_s`, and a kind of request may be served less often than
-a less urgent one by 5 in 100.
+The bounds are the platform's: service recovers within `recovery_s`, and a kind of request may be served less often than
+a less urgent one by at most 5 in 100.
 """
 
 import os
@@ -31,18 +31,18 @@
 SERVED_LESS = 0.05
 SIDECARS = (6, 12, 2)
 SLOTS = 9
-# Requests a second: keyed ones for the most part.
+# Requests per second, most of them keyed.
 RATE = 110.0
 KEYED_SHARE = 0.75
-# How many times the day's load is sent on a day of overload, and for how long.
+# Multiples of the normal load on days with overload, and their duration.
 OVERLOADS = (1.5, 2.0, 3.0)
 OVERLOAD_SECONDS = 10.0
-# Such that the core bears one and a half times the day's load, and not twice of it.
+# With this speed the core handles one and a half times the normal load, but not twice the normal load.
 SPEED = ProcessorSpeed(message_seconds=0.003, record_seconds=0.0006)
 
 
 class Outcome(NamedTuple):
-    """Broken rules, and the share served of repeatable and of keyed requests, before the final fault and at the end."""
+    """Broken rules, and the served share of each kind of request before the final fault and at the end."""
 
     broken: dict[str, list[str]]
     before: dict[str, float]
@@ -50,14 +50,14 @@
 
 
 class Load(NamedTuple):
-    """A seed, and how many times the day's load clients send."""
+    """A seed, and the multiple of the normal load."""
 
     seed: int
-    times: float
+    factor: float
 
 
 def keyed_site(seed: int, *, rate: float = RATE) -> Site:
-    """A small site with many sidecars beside the servers of keyed requests, and a core that bears their load."""
+    """A small site with many servers for keyed requests, and a core that can handle their load."""
     site = draw_site(seed, small=True)
     services = [spec.name for spec, count in zip(site.services, SIDECARS, strict=True) for _ in range(count)]
     sidecars = tuple(
@@ -86,13 +86,13 @@
 
 
 def ending_day(ending: Ending) -> Day:
-    """All machines fail at the end, as the platform does it, and traffic goes on."""
+    """All machines fail at the end, as on the platform's days, and traffic continues."""
     final_fault = FinalFault(4.0, ending.how, 0.5)
     return Day(ending.seed, keyed_site(ending.seed), (Change(1.0, "split", ending.seed), final_fault), 4.0)
 
 
 def shares_served(day: Day, history: History, *, since: float, until: float) -> dict[str, float]:
-    """The share of the requests first sent in this span that were served, by kind."""
+    """By kind, the served share of the requests that were first sent in this interval."""
     results = {result.attempt: result for result in history.of(RequestResult)}
     kinds = {route.name: route.kind for route in day.site.routes}
     # By kind: whether each request, known by its path, was served by any of its attempts.
@@ -124,9 +124,9 @@
     )
 
 
-def share_under(load: Load) -> float:
-    """The share of keyed requests that is served in the second half of a day without faults, under a lasting load."""
-    day = Day(load.seed, keyed_site(load.seed, rate=RATE * load.times), (), OVERLOAD_SECONDS)
+def share_served_under(load: Load) -> float:
+    """The served share of keyed requests in the second half of a day without faults, under a constant load."""
+    day = Day(load.seed, keyed_site(load.seed, rate=RATE * load.factor), (), OVERLOAD_SECONDS)
     history = play(day).history
     began = min(request.at for request in history.of(RequestSent))
     half = began + OVERLOAD_SECONDS / 2
@@ -134,19 +134,19 @@
 
 
 class SlowCore(TestCase):
-    """Guards against keyed requests that stay refused after a fault because the core works for those it refused."""
+    """Guards against rejecting keyed requests long after a fault because the core is busy with rejected ones."""
 
-    def test_under_a_load_above_what_the_core_bears_it_serves_no_less_than_at_the_day_s_load(self) -> None:
+    def test_overload_of_the_core_does_not_reduce_its_throughput(self) -> None:
         print("seeds", SEEDS)
-        loads = [Load(seed, times) for seed in SEEDS for times in OVERLOADS]
+        loads = [Load(seed, factor) for seed in SEEDS for factor in OVERLOADS]
         with ProcessPoolExecutor(os.cpu_count()) as pool:
-            shares = dict(zip(loads, pool.map(share_under, loads), strict=True))
+            shares = dict(zip(loads, pool.map(share_served_under, loads), strict=True))
         for load, share in shares.items():
             print(load, share)
-            # At the day's load all are served, so this is how many are served for each one served then.
-            self.assertThat(share * load.times, GreaterThan(1 - SERVED_LESS), str(load))
+            # At the normal load all are served, so this is the throughput relative to the normal load.
+            self.assertThat(share * load.factor, GreaterThan(1 - SERVED_LESS), str(load))
 
-    def judge(self, how: str) -> None:
+    def check_endings(self, how: str) -> None:
         print("seeds", SEEDS)
         endings = [Ending(seed, how) for seed in SEEDS]
         with ProcessPoolExecutor(os.cpu_count()) as pool:
@@ -159,7 +159,7 @@
                 self.assertThat(1 - served[ONCE_PER_KEY], LessThan(SERVED_LESS), f"{ending} {served}")
 
     def test_keyed_requests_are_served_again_within_the_recovery_time_after_a_restart_of_all(self) -> None:
-        self.judge("kill")
+        self.check_endings("kill")
 
     def test_keyed_requests_are_served_again_after_a_lost_disk_and_a_loss_of_all_other_power(self) -> None:
-        self.judge("wipe and all power")
+        self.check_endings("wipe and all power")
