--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -1,6 +1,6 @@
 """One checker for each rule of "What must never happen" in docs/brief.md.
 
-Each reads a history and gives a description of whatever broke its rule.
+Each checker reads a history and returns a description of every violation of its rule.
 """
 
 from collections import defaultdict
@@ -37,96 +37,100 @@
 )
 
 # Seconds, as the brief gives them, unless a comment says where they come from.
-# So long a repeat under the same key must get the first answer.
+# For this long after the first answer, a repeat under the same key must get the same answer.
 KEY_RETENTION_SECONDS = 60.0
 IN_FORCE_SECONDS = 2.0
 REPAIR_SECONDS = 2.0
-# How long a gap without a leader is waited out, one attempt to claim a key, and a step of a timer.
+# The sum of the longest wait for a leader, one attempt to claim a key, and one timer step.
 GIVE_UP_SECONDS = 3.5
-# Kinds of errors with which the mesh gives a request up.
+# Kinds of errors with which the mesh gives up on a request.
 GIVEN_UP = ("lease-lapsed", "no-leader", "no-server", "bundle-unknown")
 LEAVING_SECONDS = 2.0
-# A proxy that was seen with the former bundle may have been seen just before it applied the next.
+# A proxy may be observed under the previous bundle just before it applies the next one.
 OBSERVATION_SECONDS = 0.25
 RECOVERY_SECONDS = 15.0
 RETRY_WINDOW_SECONDS = 10.0
 
 
 def runs_twice(history: History) -> list[str]:
-    """A payment, credit posting, save or upload runs twice; a repeat gets another answer than the first."""
-    found = []
+    """A payment, credit posting, save or upload runs twice, or a repeat gets another answer than the first."""
+    violations = []
     runs = defaultdict(list)
     for started in history.of(RunStarted):
-        # By the request's own name, which no renamed route, renewed token or other address changes.
+        # Grouped by the request's own id: a renamed route, a renewed token or another address doesn't change it.
         if started.key:
             runs[(started.request, started.path, started.key)].append(started)
-    for (request, path, key), each in runs.items():
-        if len(each) > 1:
-            found.append(f"{path} {request} with key {key} ran {len(each)} times: {[started.send for started in each]}")
-    first: dict[str, RequestResult] = {}
+    for (request, path, key), same_key in runs.items():
+        if len(same_key) > 1:
+            violations.append(
+                f"{path} {request} with key {key} ran {len(same_key)} times: {[started.send for started in same_key]}"
+            )
+    first_results: dict[str, RequestResult] = {}
     for result in history.of(RequestResult):
         if result.outcome == "answered" and result.request.startswith("key-") and result.run:
-            known = first.setdefault(result.request, result)
-            if (result.run, result.status, result.body_digest) != (known.run, known.status, known.body_digest) and (
-                result.timestamp - known.timestamp <= KEY_RETENTION_SECONDS
+            first = first_results.setdefault(result.request, result)
+            if (result.run, result.status, result.body_digest) != (first.run, first.status, first.body_digest) and (
+                result.timestamp - first.timestamp <= KEY_RETENTION_SECONDS
             ):
-                found.append(f"{result.request} was answered by {known.run}, then by {result.run}")
-    return found
+                violations.append(f"{result.request} was answered by {first.run}, then by {result.run}")
+    return violations
 
 
-# Outcomes after which the request certainly didn't run.
+# Outcomes that prove that the request didn't run.
 CERTAIN = ("not-run", "refused", "unreachable")
 
 
 def not_run_runs(history: History) -> list[str]:
-    """A refusal that says "not run" is followed by the request running anyway."""
+    """A request that was answered as "not run" runs afterwards."""
     results_by_request: dict[str, list[RequestResult]] = defaultdict(list)
     for result in history.of(RequestResult):
-        # Servers make their own calls under the name of the request they answer, so those can't be told apart by it.
+        # Nested calls of a server carry the id of the request that it answers, so the id doesn't tell them apart.
         if not result.caller:
             results_by_request[result.request].append(result)
     runs: dict[str, list[RunStarted]] = defaultdict(list)
     for started in history.of(RunStarted):
         if started.caller in ("visitors", ""):
             runs[started.request].append(started)
-    found = []
-    for request, each in results_by_request.items():
-        each.sort(key=lambda result: result.timestamp)
-        for place, result in enumerate(each):
-            # An earlier attempt that ended uncertainly may still run, whatever this one was answered.
-            if result.outcome != "not-run" or any(before.outcome not in CERTAIN for before in each[:place]):
+    violations = []
+    for request, results in results_by_request.items():
+        results.sort(key=lambda result: result.timestamp)
+        for index, result in enumerate(results):
+            # An earlier attempt with an uncertain outcome may still run, whatever the answer to this one.
+            if result.outcome != "not-run" or any(before.outcome not in CERTAIN for before in results[:index]):
                 continue
-            later = [other.asked for other in each if other is not result and other.timestamp > result.timestamp]
-            until = min(later, default=float("inf"))
-            found += [
+            later_attempts = [
+                other.asked for other in results if other is not result and other.timestamp > result.timestamp
+            ]
+            until = min(later_attempts, default=float("inf"))
+            violations += [
                 f"{request} was refused as not run at {result.timestamp:.3f} but {started.run} ran it"
                 for started in runs[request]
                 if result.asked <= started.timestamp < max(until, result.timestamp)
             ]
-    return found
+    return violations
 
 
 def foreign_answers(history: History) -> list[str]:
-    """A caller gets an answer that is someone else's, cut short or altered, and that looks complete."""
+    """A caller gets an answer that belongs to another request, is truncated or was altered, and looks complete."""
     ended = {event.run: event for event in history.of(RunEnded)}
     started = {event.run: event for event in history.of(RunStarted)}
-    found = []
+    violations = []
     for result in history.of(RequestResult):
         if result.outcome != "answered" or (result.repeat and not result.body_digest):
-            # A repeat of an answer that was too large to keep is only told that the run is done.
+            # If the first answer was too large to keep, a repeat only learns that the run has ended.
             continue
-        reply = ended.get(result.run)
-        if reply is None or started[result.run].request != result.request or result.nonce != result.request:
-            found.append(f"{result.request} got the answer of {result.nonce or 'nobody'}")
-        elif (reply.status, reply.body_digest) != (result.status, result.body_digest):
-            found.append(f"{result.request} got another body or status than {result.run} sent")
+        run_ended = ended.get(result.run)
+        if run_ended is None or started[result.run].request != result.request or result.nonce != result.request:
+            violations.append(f"{result.request} got the answer of {result.nonce or 'no request'}")
+        elif (run_ended.status, run_ended.body_digest) != (result.status, result.body_digest):
+            violations.append(f"{result.request} got another body or status than {result.run} sent")
         elif result.caller and started[result.run].caller != result.caller:
-            found.append(f"{result.caller} got the answer that {started[result.run].caller} asked for")
-    return found
+            violations.append(f"{result.caller} got the answer that {started[result.run].caller} asked for")
+    return violations
 
 
 class _ActiveBundles:
-    """Which bundles may apply to a request at a proxy at a time, from what operators did and were answered."""
+    """The bundles that may apply at a proxy at a given time, derived from the operators' calls and their answers."""
 
     def __init__(self, history: History, deployment: Deployment) -> None:
         first = read_bundle(deployment.first_bundle()).unwrap()
@@ -140,7 +144,7 @@
         self.accepted = history.of(BundleAccepted)
 
     def newest_due(self, *, proxy: str, timestamp: float, grace: float) -> int:
-        """The newest bundle that must be in force there by now."""
+        """The newest bundle that must be in force at the proxy by this time."""
         numbers = [
             event.bundle
             for event in self.accepted
@@ -149,7 +153,7 @@
         return max(numbers, default=min(self.bundles))
 
     def at(self, *, proxy: str, timestamp: float, grace: float = IN_FORCE_SECONDS) -> list[Bundle]:
-        """The bundles that may apply at a proxy, oldest first; one counts as due that long after its acceptance."""
+        """The bundles that may apply at a proxy, oldest first; each is due `grace` seconds after its acceptance."""
         oldest = self.newest_due(proxy=proxy, timestamp=timestamp, grace=grace)
         return [
             self.bundles[number]
@@ -159,7 +163,7 @@
 
 
 def _allows(bundle: Bundle, started: RunStarted, *, service: str | None) -> bool:
-    """Whether a bundle allows a run, at this service or, with None, at any."""
+    """Whether a bundle allows a run at this service, or at any service for None."""
     route = bundle.match_route(method=started.method, path=started.path)
     return (
         route is not None
@@ -171,26 +175,29 @@
 
 
 def forbidden_runs(history: History, deployment: Deployment) -> list[str]:
-    """A request reaches a service that no bundle allows: neither where it entered nor where it ran."""
+    """A request runs although no bundle that may apply at its ingress proxy, or at its target proxy, allows it."""
     active_bundles = _ActiveBundles(history, deployment)
-    found = []
+    violations = []
     for started in history.of(RunStarted):
         target = active_bundles.at(proxy=started.proxy, timestamp=started.timestamp)
         ingress = active_bundles.at(proxy=started.send.partition(".")[0], timestamp=started.timestamp)
         if not any(_allows(bundle, started, service=started.service) for bundle in target) or not any(
             _allows(bundle, started, service=None) for bundle in ingress
         ):
-            found.append(
+            violations.append(
                 f"{started.service} ran {started.method} {started.path} for {started.caller} at {started.timestamp:.3f}"
             )
-    return found
+    return violations
 
 
 def refused_though_allowed(history: History, deployment: Deployment) -> list[str]:
-    """What a bundle newly allows is refused at a proxy two seconds after it was accepted for it, or between stages."""
+    """A request is refused at a proxy although every bundle that may apply there allows it, also between stages.
+
+    A bundle must apply two seconds after it was accepted for the proxy.
+    """
     active_bundles = _ActiveBundles(history, deployment)
     sent = {(event.request, event.timestamp): event for event in history.of(RequestSent)}
-    found = []
+    violations = []
     for result in history.of(RequestResult):
         event = sent.get((result.request, result.asked))
         if event is None or result.caller or result.kind not in ("no-entry", "not-allowed"):
@@ -200,28 +207,30 @@
             each for each in active_bundles.at(proxy=event.listener, timestamp=result.timestamp) if each not in bundles
         ]
         started = RunStarted(0, "", "", "", event.method, event.path, event.key, "", "visitors", "", "", "", event.size)
-        # Every bundle that may apply allows it, so none was a reason to refuse it.
+        # Every bundle that may apply allows the request, so none justifies the refusal.
         if all(_allows(bundle, started, service=None) for bundle in bundles):
-            found.append(
+            violations.append(
                 f"{event.method} {event.path} was refused as {result.kind} at {event.listener} "
                 f"at {result.timestamp:.3f}"
             )
     answers = {result.request: result for result in history.of(RequestResult) if not result.caller}
-    for wanted in history.of(AnswerRequired):
-        result = answers.get(wanted.request)
+    for required in history.of(AnswerRequired):
+        result = answers.get(required.request)
         if result is None or result.outcome != "answered":
-            found.append(f"{wanted.request} had to be served at {result.listener if result else '?'}, and got {result}")
-    return found
+            violations.append(
+                f"{required.request} had to be served at {result.listener if result else '?'}, and got {result}"
+            )
+    return violations
 
 
 def wrong_callers(history: History, deployment: Deployment) -> list[str]:
-    """A server gets the wrong calling service, or runs a request that nobody sent."""
+    """A server is told the wrong calling service, or runs a request that no client sent."""
     sent = {event.request: event for event in history.of(RequestSent)}
-    found = []
+    violations = []
     for started in history.of(RunStarted):
         event = sent.get(started.request)
         if event is None:
-            found.append(f"{started.service} ran {started.path} that nobody sent: {started.request!r}")
+            violations.append(f"{started.service} ran {started.path} that no client sent: {started.request!r}")
             continue
         direct = event.path == started.path and event.method == started.method
         callers = {"visitors"} if direct else set()
@@ -231,14 +240,14 @@
             ):
                 callers.add(service)
         if started.caller not in callers:
-            found.append(
+            violations.append(
                 f"{started.service} got {started.caller} as the caller of {started.path}, but {sorted(callers)} called"
             )
-    return found
+    return violations
 
 
 def work_after_leaving(history: History) -> list[str]:
-    """A winding-down or vanished server gets new work more than about two seconds after it was known to leave."""
+    """A server gets new work more than two seconds after it was drained, began to wind down, or vanished."""
     left: dict[str, float] = {}
     for change in history.of(ServerStateChanged):
         if change.state in ("winding down", "vanished", "gone", "drained"):
@@ -254,7 +263,7 @@
 
 def not_in_force(history: History) -> list[str]:
     """A signed-off bundle is not in force about two seconds after acceptance, or a proxy goes back to an older one."""
-    found = []
+    violations = []
     for accepted in history.of(BundleAccepted):
         for applied in history.of(BundleApplied):
             if (
@@ -262,7 +271,7 @@
                 and applied.timestamp > accepted.timestamp + OBSERVATION_SECONDS
                 and applied.bundle < accepted.bundle
             ):
-                found.append(
+                violations.append(
                     f"{applied.proxy} acts under bundle {applied.bundle} {applied.timestamp - accepted.timestamp:.2f} "
                     f"s after {accepted.bundle} was accepted"
                 )
@@ -270,19 +279,19 @@
     for applied in sorted(history.of(BundleApplied), key=lambda event: event.timestamp):
         known = newest.get((applied.proxy, applied.incarnation))
         if known is not None and applied.bundle < known.bundle:
-            found.append(f"{applied.proxy} went back from bundle {known.bundle} to {applied.bundle}")
+            violations.append(f"{applied.proxy} went back from bundle {known.bundle} to {applied.bundle}")
         newest[(applied.proxy, applied.incarnation)] = applied
-    return found
+    return violations
 
 
 def broken_bundles(history: History) -> list[str]:
-    """Any part of a broken bundle takes effect."""
+    """A broken bundle is accepted, or a proxy applies it."""
     accepted = [event for event in history.of(BundleSubmitted) if event.broken and not event.error]
     broken = {event.number for event in history.of(BundleSubmitted) if event.broken} - {
         event.number for event in history.of(BundleSubmitted) if not event.broken
     }
-    found = [f"broken bundle {event.number} was accepted" for event in accepted]
-    return found + [
+    violations = [f"broken bundle {event.number} was accepted" for event in accepted]
+    return violations + [
         f"{applied.proxy} acts under broken bundle {applied.bundle}"
         for applied in history.of(BundleApplied)
         if applied.bundle in broken
@@ -290,7 +299,7 @@
 
 
 def dropped_answers(history: History) -> list[str]:
-    """Requests are dropped mid-answer during planned restarts, releases or roll-outs."""
+    """An answer is cut off during a planned restart, release or roll-out."""
     planned = history.of(PlannedInterruption)
     return [
         f"{result.request} was cut at {result.timestamp:.3f} during {interruption.description}"
@@ -302,7 +311,7 @@
 
 
 def worst_retry_window(history: History, deployment: Deployment) -> tuple[float, str]:
-    """The part of the retries allowed that the fullest ten seconds of any service used, and which those were."""
+    """The largest share of its allowed retries that any service used in ten seconds, and a description of that case."""
     worst = (0.0, "")
     active_bundles = _ActiveBundles(history, deployment)
     attempts = defaultdict(list)
@@ -319,12 +328,12 @@
                 begin += 1
             if not retries:
                 continue
-            # The most that the bundles in force in these ten seconds declare, and not one retry more.
+            # The largest allowance among the bundles in force in these ten seconds; nothing is added to it.
             declared = [
-                found
+                declaration
                 for bundle in active_bundles.at(proxy="", timestamp=event.timestamp)
                 + active_bundles.at(proxy="", timestamp=events[begin].timestamp)
-                if (found := bundle.service(service)) is not None
+                if (declaration := bundle.service(service)) is not None
             ]
             share = max((each.further_percent for each in declared), default=0) / 100
             allowed = firsts * share + max((each.further_margin for each in declared), default=0)
@@ -335,14 +344,14 @@
 
 
 def too_many_retries(history: History, deployment: Deployment) -> list[str]:
-    """Retries to a service exceed a fifth of its traffic plus a small margin in any ten seconds."""
+    """Retries to a service exceed the declared share of its traffic plus the declared margin in any ten seconds."""
     used, which = worst_retry_window(history, deployment)
     return [which] if used > 1 else []
 
 
 def stale_read_back(history: History) -> list[str]:
-    """The configuration read back is missing, out of date, or shows something that was removed."""
-    found = []
+    """A configuration that was read back lacks something, is out of date, or shows something that was removed."""
+    violations = []
     expected: ConfigurationExpected | None = None
     for event in history.events:
         match event:
@@ -356,23 +365,23 @@
                     ("nodes", event.nodes, expected.nodes),
                     ("text", dict(event.texts).get(expected.in_force), expected.text),
                 ]
-                found += [
+                violations += [
                     f"{event.reader} read back {what} {read!r}, but it is {true!r}"
                     for what, read, true in pairs
                     if true is not None and read != true
                 ]
                 if expected.in_force and expected.in_force not in dict(event.texts):
-                    found.append(f"the text of bundle {expected.in_force} is missing")
+                    violations.append(f"the text of bundle {expected.in_force} is missing")
                 shown = sorted(set(event.names) & set(expected.removed))
                 if shown:
-                    found.append(f"{event.reader} still shows {shown}, which were removed")
-    return found
+                    violations.append(f"{event.reader} still shows {shown}, which were removed")
+    return violations
 
 
 def damage_spreads(history: History) -> list[str]:
-    """A copy of the configuration is corrupted and isn't repaired, or another one gets the same content."""
+    """A corrupted copy of the configuration isn't repaired in time, or a copy that was not corrupted diverges."""
     corrupted_at: dict[str, float] = {}
-    found = []
+    violations = []
     for event in history.events:
         match event:
             case CopyCorrupted():
@@ -380,22 +389,22 @@
             case CopyDiverged():
                 since = corrupted_at.get(event.node)
                 if since is None:
-                    found.append(f"{event.node} differs from the log, and nobody corrupted it")
+                    violations.append(f"{event.node} differs from the log without an injected corruption")
                 elif event.timestamp > since + REPAIR_SECONDS:
-                    found.append(f"{event.node} is still corrupted {event.timestamp - since:.2f} s after")
-    return found
+                    violations.append(f"{event.node} is still corrupted {event.timestamp - since:.2f} s after")
+    return violations
 
 
 def failed_expectations(history: History) -> list[str]:
-    """Something that a page for operators or an answer promises was tried, and didn't come true."""
+    """A documented or answered promise was tested and not kept."""
     return [
         f"{event.description} at {event.timestamp:.3f}" for event in history.of(ExpectationChecked) if not event.met
     ]
 
 
 def long_waits(history: History) -> list[str]:
-    """A request that was given up was answered late, or without a time to retry."""
-    found = []
+    """The mesh gave up on a request, and the answer came late or without a Retry-After time."""
+    violations = []
     pauses = history.of(ProcessPaused)
     for result in history.of(RequestResult):
         if any(
@@ -405,14 +414,16 @@
             continue
         if result.outcome == "not-run" and result.kind in GIVEN_UP:
             if result.timestamp - result.asked > GIVE_UP_SECONDS:
-                found.append(f"{result.request} got {result.kind} only after {result.timestamp - result.asked:.2f} s")
+                violations.append(
+                    f"{result.request} got {result.kind} only after {result.timestamp - result.asked:.2f} s"
+                )
             if not result.retry_after and not result.caller:
-                found.append(f"{result.request} got {result.kind} without a time to retry")
-    return found
+                violations.append(f"{result.request} got {result.kind} without a time to retry")
+    return violations
 
 
 def late_recoveries(history: History) -> list[str]:
-    """Service has not returned about fifteen seconds after machines come back."""
+    """Service returned more than fifteen seconds after the machines came back."""
     return [
         f"{recovery.description}: service came {recovery.service_at - recovery.timestamp:.1f} s after the machines"
         for recovery in history.of(ServiceRecovered)
@@ -421,20 +432,20 @@
 
 
 def lost_agreements(history: History) -> list[str]:
-    """Something that the core committed is gone, or its replicas differ."""
+    """A committed claim is missing on a replica, or the replicas differ."""
     replicas = history.of(ReplicaState)
-    found = []
+    violations = []
     if len({replica.digest for replica in replicas}) > 1:
-        found.append(
+        violations.append(
             f"replicas differ: {[(replica.name, replica.digest[:8], len(replica.claims)) for replica in replicas]}"
         )
-    agreed = [event.claim for event in history.of(ClaimWritten) if event.phase == "granted"]
+    committed = [event.claim for event in history.of(ClaimWritten) if event.phase == "granted"]
     for replica in replicas:
         present = set(replica.claims)
-        lost = [claim for claim in agreed if claim not in present]
+        lost = [claim for claim in committed if claim not in present]
         if lost:
-            found.append(f"{replica.name} lost {len(lost)} agreed claims, {lost[0]} first")
-    return found
+            violations.append(f"{replica.name} lost {len(lost)} committed claims, {lost[0]} first")
+    return violations
 
 
 CHECKERS: dict[str, Callable[..., list[str]]] = {
@@ -457,35 +468,35 @@
     "what is promised comes true": failed_expectations,
 }
 NEEDS_DEPLOYMENT = (forbidden_runs, refused_though_allowed, wrong_callers, too_many_retries)
-# These compare times. In simulated time they are exact; on a busy real machine they also measure the machine.
+# These rules compare times: exact in simulated time, but on a real machine they also measure its load.
 TIMED = (work_after_leaving, not_in_force, too_many_retries, late_recoveries, long_waits, refused_though_allowed)
 
 
 def check(
     history: History, deployment: Deployment | None = None, *, timed: bool = True, outsiders: bool = False
 ) -> dict[str, list[str]]:
-    """Each rule with what broke it.
+    """Checks every rule; returns the violations of each.
 
     Args:
-        history: what happened.
-        deployment: what it happened in; rules that need one are left out without it.
+        history: the recorded events.
+        deployment: the deployment that they happened in; without it, rules that need one are left out.
         timed: whether to check the rules that compare times.
-        outsiders: whether others sent requests by hand, too, which look like requests nobody sent.
+        outsiders: whether requests were also sent by hand; they look like requests that no client sent.
     """
-    found = {}
+    violations = {}
     for rule, checker in CHECKERS.items():
         if (checker in TIMED and not timed) or (checker is wrong_callers and outsiders):
             continue
         if checker in NEEDS_DEPLOYMENT:
             if deployment is not None and deployment.services:
-                found[rule] = checker(history, deployment)
+                violations[rule] = checker(history, deployment)
         else:
-            found[rule] = checker(history)
-    return found
+            violations[rule] = checker(history)
+    return violations
 
 
 def check_all(history: History, deployment: Deployment | None = None, *, outsiders: bool = False) -> list[str]:
-    """One printable line for each rule: held, or broken and by what first."""
+    """One printable line for each rule: held, or broken with the first violation."""
     lines = []
     for rule, broken in check(history, deployment, outsiders=outsiders).items():
         lines.append(
--- a/packages/testbed/src/hoistsaddle/testbed/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/history.py
@@ -1,4 +1,4 @@
-"""What happened, as callers, servers and operators saw it. Checkers read it afterwards."""
+"""The history of a run: events as clients, servers and operators observed them. Checkers read it afterwards."""
 
 import hashlib
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 def body_digest_of(body: bytes) -> str:
-    """The digest of a body that a history keeps; empty for an empty body."""
+    """The digest of a body as histories record it; empty for an empty body."""
     return hashlib.sha256(body).hexdigest()[:16] if body else ""
 
 
@@ -15,9 +15,9 @@
     """A client sent a request.
 
     Attributes:
-        request: the name of the request; the same for a repeat under the same key.
+        request: the id of the request; a repeat under the same key has the same id.
         key: the idempotency key; empty for none.
-        listener: where it was sent.
+        listener: the address that it was sent to.
         size: bytes of the body.
     """
 
@@ -32,17 +32,18 @@
 
 
 class RequestResult(NamedTuple):
-    """What a caller got.
+    """The result of a request at its caller.
 
     Attributes:
-        outcome: as the mesh gave it; "broken" when the connection was cut mid-answer, "unreachable" without one.
-        nonce: the name of the request that the answer carries.
-        run: the run that answered.
+        outcome: as the mesh reported it; "broken" if the connection was cut during the answer, "unreachable" if it
+            couldn't be opened.
+        nonce: the request id that the answer carries.
+        run: the id of the run that answered.
         repeat: whether the mesh marked it as a repeated answer.
         kind: the kind of the error, if any.
-        body_digest: of the whole body.
+        body_digest: the digest of the complete body.
         asked: when the request was sent.
-        caller: the service whose server asked; empty for a client.
+        caller: the service whose server sent the request; empty for a client.
         retry_after: whether the answer says when to retry.
     """
 
@@ -80,13 +81,13 @@
 
 
 class AnswerRequired(NamedTuple):
-    """This request must be answered: a bundle that allows it is in force, and nothing else is in its way."""
+    """This request must be answered: a bundle that allows it is in force, and no fault prevents the answer."""
 
     request: str
 
 
 class ProcessPaused(NamedTuple):
-    """This process stood still from timestamp to until and answered nobody meanwhile."""
+    """This process was paused from timestamp to until and answered no requests in that time."""
 
     timestamp: float
     until: float
@@ -94,7 +95,7 @@
 
 
 class ExpectationChecked(NamedTuple):
-    """Something that the mesh promises was tried; met says whether it came true."""
+    """A promise of the mesh was tested; `met` says whether it was kept."""
 
     timestamp: float
     description: str
@@ -102,7 +103,7 @@
 
 
 class RunEnded(NamedTuple):
-    """What a server answered to one run, as it left the server."""
+    """The answer of a server to one run, as it left the server."""
 
     run: str
     status: int
@@ -110,7 +111,7 @@
 
 
 class ServerStateChanged(NamedTuple):
-    """What became of a server: ready, winding down, drained, vanished."""
+    """A server changed its state: ready, winding down, drained or vanished."""
 
     timestamp: float
     service: str
@@ -119,10 +120,10 @@
 
 
 class BundleAccepted(NamedTuple):
-    """An operator got the answer that a bundle is in force on these proxies.
+    """An operator was told that a bundle is in force on these proxies.
 
     Attributes:
-        everywhere: whether its last stage was reached.
+        everywhere: whether the last stage was reached.
     """
 
     timestamp: float
@@ -133,7 +134,7 @@
 
 
 class BundleWritten(NamedTuple):
-    """A bundle's text, and from when on it may be in force: it was signed then at the earliest."""
+    """The text of a bundle; it may be in force from this time on, because it can't have been signed earlier."""
 
     timestamp: float
     number: int
@@ -141,7 +142,7 @@
 
 
 class BundleApplied(NamedTuple):
-    """A proxy was seen acting under this bundle."""
+    """A proxy was observed with this bundle in force."""
 
     timestamp: float
     proxy: str
@@ -159,14 +160,14 @@
 
 
 class ConfigurationRead(NamedTuple):
-    """What one registry showed of the configuration.
+    """The configuration as one registry returned it.
 
     Attributes:
         texts: number and text of each bundle.
         drained: proxies whose servers are drained.
-        servers: proxy, service, instance and state of every server that isn't gone.
-        nodes: name and incarnation of every node that isn't gone.
-        names: all names that show at all.
+        servers: proxy, service, instance and state of every server whose state isn't gone.
+        nodes: name and incarnation of every node whose state isn't gone.
+        names: the names of all servers and nodes in the answer, in any state.
         reader: the registry.
     """
 
@@ -181,7 +182,7 @@
 
 
 class ConfigurationExpected(NamedTuple):
-    """What a read-back begun now must show, from what operators and servers did; None where it may be in flux."""
+    """The configuration that a read-back from this time on must show; None for parts that may be changing."""
 
     timestamp: float
     in_force: int
@@ -200,14 +201,14 @@
 
 
 class CopyDiverged(NamedTuple):
-    """At this time the node's copy was not what the log says at that revision."""
+    """At this time the node's copy of the configuration differed from the log at the same revision."""
 
     timestamp: float
     node: str
 
 
 class ServiceRecovered(NamedTuple):
-    """Machines came back at timestamp, and service was seen again at service_at."""
+    """Machines came back at timestamp, and requests were answered again at service_at."""
 
     timestamp: float
     service_at: float
@@ -215,7 +216,7 @@
 
 
 class AttemptSeen(NamedTuple):
-    """A proxy sent an attempt to another one: a first one or a retry."""
+    """A proxy sent an attempt to another proxy: a first attempt or a retry."""
 
     timestamp: float
     service: str
@@ -223,7 +224,7 @@
 
 
 class ClaimWritten(NamedTuple):
-    """A writer got the answer that its claim is in the log."""
+    """A writer was told that its claim is in the log."""
 
     timestamp: float
     claim: str
@@ -231,7 +232,7 @@
 
 
 class ReplicaState(NamedTuple):
-    """What one replica held at the end; claims are sorted, so that a history is the same in every process."""
+    """The state of one replica at the end; claims are sorted, so that a history is the same in every process."""
 
     timestamp: float
     name: str
@@ -240,7 +241,7 @@
 
 
 class PlannedInterruption(NamedTuple):
-    """A planned stop or roll-out lasted from timestamp to until; answers cut in it count against the mesh."""
+    """A planned stop or roll-out lasted from timestamp to until; an answer cut off in it is a violation."""
 
     timestamp: float
     until: float
@@ -263,7 +264,7 @@
 
 
 def configuration_read_of(timestamp: float, configuration: dict, *, reader: str) -> ConfigurationRead:
-    """What a read-back shows, in the shape its checker compares."""
+    """Converts a configuration that was read back to the event that its checker compares."""
     servers = [
         (each["stall"], each["service"], each["instance"], each["state"])
         for each in configuration["servers"]
