--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -1,4 +1,4 @@
-"""Whole deployments on one machine: settings written, processes started, and everything ended again."""
+"""Complete deployments on one machine: writes settings, starts processes, and ends them again."""
 
 import asyncio
 import hashlib
@@ -26,14 +26,14 @@
 HOST = "127.0.0.1"
 AUTHOR = ("ada", "token-of-ada")
 SIGNER = ("ben", "token-of-ben")
-# Below the ports that the system gives to outgoing connections.
+# Below the range of ephemeral ports.
 FIRST_PORT, LAST_PORT = 11000, 32000
 LAUNCH_POLL_SECONDS = 0.05
 STOP_TIMEOUT_SECONDS = 30
-# At the end of a run, processes that take longer are killed.
+# At the end of a run, processes that take longer to stop are killed.
 END_TIMEOUT_SECONDS = 8
 
-# Subcommands of releases from before the packages were renamed, and the package that held them.
+# The subcommands of releases from before the packages were renamed, and the package that contained them.
 FORMER_SUBCOMMANDS = {"store": "warehouse", "registry": "bourse", "proxy": "stall"}
 FORMER_CLI = "kiosk"
 
@@ -46,10 +46,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that are free now, held open together so that none comes twice.
+    """Ports that are free now; all are bound at the same time, so that none is returned twice.
 
-    They lie below the range that the system gives to outgoing connections: in it, a killed process could find its port
-    taken by another connection when it comes back.
+    They lie below the range of ephemeral ports: within that range, an outgoing connection could take the port of a
+    killed process before it restarts.
     """
     sockets: list[socket.socket] = []
     try:
@@ -71,13 +71,13 @@
     """One deployment on real processes, with stub servers beside its proxies.
 
     Attributes:
-        history: what the stub servers and clients saw.
+        history: the events that the stub servers and clients record.
         processes: the newest process of each name.
         programs: which program each process runs: store, registry or proxy.
         core: the settings of the core machines by replica.
         proxies: settings, service and server address of each proxy.
-        former: names of the processes that run as the former release from their next start on.
-        operator_addresses: where the registries take operators' calls.
+        former: names of the processes that run the former release from their next start on.
+        operator_addresses: the registries' addresses for operators' calls.
     """
 
     def __init__(
@@ -91,16 +91,16 @@
         former: bool = False,
         older: Path | None = None,
     ) -> None:
-        """Writes the settings of all processes; nothing is started yet.
+        """Writes the settings of all processes; starts none of them.
 
         Args:
-            deployment: what to run.
+            deployment: the machines, services and load to run.
             folder: holds settings, logs and data.
-            seed: of whatever is chosen at random.
-            store_settings: more settings of the stores.
+            seed: the seed of random choices.
+            store_settings: additional settings of the stores.
             faults: whether connections can be cut.
             former: whether all processes begin at release level 1.
-            older: a checkout of the former release, whose code all processes begin with.
+            older: a checkout of the former release, whose code all processes run at first.
         """
         self.deployment = deployment
         self.folder = folder
@@ -180,14 +180,14 @@
         (self.folder / f"{name}.toml").write_text(to_toml(values))
 
     def set_former(self, name: str, *, former: bool) -> None:
-        """As which release the process runs from its next start on."""
+        """Sets which release the process runs from its next start on."""
         (self.former.add if former else self.former.discard)(name)
-        # The older code may not know the setting; it needs none.
-        capped = {"release_level": 1} if former and self.older is None else {}
-        (self.folder / f"{name}.toml").write_text(to_toml({**capped, **self.settings[name]}))
+        # Older code may not know the setting, and doesn't need it.
+        level_limit = {"release_level": 1} if former and self.older is None else {}
+        (self.folder / f"{name}.toml").write_text(to_toml({**level_limit, **self.settings[name]}))
 
     def client_addresses(self) -> list[str]:
-        """Where the proxies take clients' requests."""
+        """The proxies' addresses for clients' requests."""
         return [proxy["visitors"] for proxy in self.proxies.values()]
 
     # -- processes ---------------------------------------------------------------------------------------------------
@@ -200,7 +200,7 @@
         if name in self.former and self.older is not None:
             environment["PYTHONPATH"] = ":".join(str(path) for path in sorted(self.older.glob("packages/*/src")))
             module, subcommand = _command_of(release=self.older, program=self.programs[name])
-        # A session of its own: an interrupt at the terminal reaches this process first, which ends the others in order.
+        # Each process gets its own session: an interrupt at the terminal reaches only this process, which ends them.
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -217,7 +217,7 @@
         log.close()
 
     async def kill(self, *names: str) -> None:
-        """Kill -9, all in one go."""
+        """Kills processes by SIGKILL, all at once."""
         for name in names:
             if self.processes[name].returncode is None:
                 self.processes[name].send_signal(signal.SIGKILL)
@@ -225,59 +225,59 @@
             await self.processes[name].wait()
 
     def freeze(self, *names: str) -> None:
-        """Stops processes by SIGSTOP until they are woken."""
+        """Stops processes by SIGSTOP until `wake`."""
         for name in names:
             self.processes[name].send_signal(signal.SIGSTOP)
 
     def wake(self, *names: str) -> None:
-        """Lets frozen processes go on."""
+        """Continues frozen processes by SIGCONT."""
         for name in names:
             self.processes[name].send_signal(signal.SIGCONT)
 
     def cut_one_way(self, one_side: list[str], other_side: list[str]) -> None:
-        """From now on no call and no answer of the first side reaches the second."""
+        """Drops all calls and answers from the first side to the second."""
         address = {name: listen for listen, name in self.process_by_address.items()}
         self._write_faults(one_side, calls_to=[address[name] for name in other_side])
         self._write_faults(other_side, answers_from=[address[name] for name in one_side])
 
     def cut(self, one_side: list[str], other_side: list[str]) -> None:
-        """From now on nothing passes between two sides."""
+        """Drops all calls and answers between two sides."""
         address = {name: listen for listen, name in self.process_by_address.items()}
-        for mine, others in ((one_side, other_side), (other_side, one_side)):
+        for names, others in ((one_side, other_side), (other_side, one_side)):
             addresses = [address[name] for name in others]
-            self._write_faults(mine, calls_to=addresses, answers_from=addresses)
+            self._write_faults(names, calls_to=addresses, answers_from=addresses)
 
     def _write_faults(self, names: list[str], **faults: list[str]) -> None:
         for name in names:
             path = self.folder / f"{name}.faults.json"
-            # Renamed into place, so that a process reads the old or the new file, never a part.
-            part = path.with_suffix(".part")
-            part.write_bytes(msgspec.json.encode(faults))
-            part.rename(path)
+            # Renamed into place, so that a process reads the old or the new file, never a partial one.
+            partial = path.with_suffix(".part")
+            partial.write_bytes(msgspec.json.encode(faults))
+            partial.rename(path)
 
     def heal(self) -> None:
-        """Lets everything pass again."""
+        """Ends all cuts."""
         for path in self.folder.glob("*.faults.json"):
             path.unlink()
 
     def stall_disk(self, replica: int) -> sqlite3.Connection:
-        """Locks the log's database: the store's syncs wait until the connection that this gives is closed."""
+        """Locks the log's database: the store's syncs block until the returned connection is closed."""
         lock = sqlite3.connect(self.folder / f"data-{replica}" / "ledger.sqlite3", isolation_level=None)
         lock.execute("BEGIN IMMEDIATE")
         return lock
 
     def fill_disk(self, name: str) -> None:
-        """From now on no file of the process may grow or be written, as on a full disk."""
+        """Sets the file size limit of the process to 0, so that its writes fail as on a full disk."""
         _, hard = resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE)
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (0, hard))
 
     def free_disk(self, name: str) -> None:
-        """Lets the process write again after fill_disk."""
+        """Lifts the limit that `fill_disk` set."""
         _, hard = resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE)
         resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (hard, hard))
 
     async def stop_process(self, name: str) -> int:
-        """A planned stop by SIGTERM; gives the exit code, -9 if the process had to be killed."""
+        """Stops a process by SIGTERM; returns the exit code, -9 if the process had to be killed."""
         process = self.processes[name]
         if process.returncode is None:
             process.send_signal(signal.SIGTERM)
@@ -295,14 +295,14 @@
     # -- the whole deployment ----------------------------------------------------------------------------------------
 
     async def start(self, *, bundle: bool = True) -> None:
-        """Starts and bootstraps everything, and rolls out the first bundle unless told not to."""
+        """Starts all processes and servers, bootstraps the mesh, and rolls out the first bundle if `bundle` is set."""
         await asyncio.gather(*(self.launch(name) for name in self.programs))
         await self.bootstrap()
         for name, proxy in self.proxies.items():
             await self.start_server(name, proxy["service"])
         if bundle:
             _, configuration = await self.operate("GET", "/setup")
-            # A folder of an earlier run goes on with the bundle that was in force.
+            # With the data of an earlier run, the bundle of that run stays in force.
             if not configuration["in_force"]:
                 await self.roll_out(self.deployment.first_bundle())
             await self.wait_until(self.all_ready, seconds=20, description="every proxy is ready")
@@ -323,7 +323,7 @@
         return server
 
     async def bootstrap(self) -> None:
-        """Bootstraps the mesh, if it isn't yet, and waits for a leader."""
+        """Bootstraps the mesh unless that was done before, and waits for a leader."""
 
         async def is_bootstrapped() -> bool:
             digests = {name: token_digest(token) for name, token in (AUTHOR, SIGNER)}
@@ -350,7 +350,7 @@
         seconds: float = 10,
         addresses: tuple[str, ...] | None = None,
     ) -> tuple[int, dict]:
-        """One operators' call at the first registry that answers; gives the HTTP status and the answer."""
+        """Sends an operator's call to the first registry that answers; returns the HTTP status and the answer."""
         data = body.encode() if isinstance(body, str) else msgspec.json.encode(body) if body is not None else b""
         return await call_first_available(
             endpoints=addresses or self.operator_addresses,
@@ -362,7 +362,7 @@
         )
 
     async def roll_out(self, text: str) -> list[dict]:
-        """Submits, signs and advances a bundle through every stage; gives each stage's answer."""
+        """Submits, signs and advances a bundle through every stage; returns the answer of each stage."""
         status, answer = await self.operate("POST", "/bundles", text, token=AUTHOR[1])
         if status != 200:
             raise AssertionError(f"submit: {answer}")
@@ -379,18 +379,18 @@
         return answers
 
     async def ready_states(self) -> dict[str, dict | None]:
-        """What each proxy shows of its readiness; None for one that doesn't answer."""
+        """The readiness state of each proxy; None for a proxy that doesn't answer."""
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2)) as session:
 
-            async def one(address: str) -> dict | None:
+            async def read_state(address: str) -> dict | None:
                 try:
                     async with session.get(f"http://{address}/hoistsaddle/ready") as response:
                         return await response.json()
                 except (aiohttp.ClientError, TimeoutError, OSError):
                     return None
 
-            found = await asyncio.gather(*(one(proxy["visitors"]) for proxy in self.proxies.values()))
-        return dict(zip(self.proxies, found, strict=True))
+            states = await asyncio.gather(*(read_state(proxy["visitors"]) for proxy in self.proxies.values()))
+        return dict(zip(self.proxies, states, strict=True))
 
     async def all_ready(self) -> bool:
         """Whether all proxies and servers are ready and registered."""
@@ -401,7 +401,7 @@
         )
 
     async def servers_registered(self) -> bool:
-        """Whether the configuration shows every server as it is."""
+        """Whether the configuration has every server with its present instance and state."""
         status, configuration = await self.operate("GET", "/setup")
         if status != 200:
             return False
@@ -414,10 +414,10 @@
         )
 
     async def wait_until(self, condition: Callable[[], Awaitable[bool]], *, seconds: float, description: str) -> float:
-        """Waits until a condition holds and gives the seconds that took.
+        """Waits until a condition holds; returns how many seconds that took.
 
         Raises:
-            AssertionError: it doesn't hold in time.
+            AssertionError: the condition doesn't hold in time.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -428,14 +428,14 @@
         return loop.time() - began
 
     async def stop(self) -> None:
-        """Ends all servers and processes."""
+        """Stops all servers and processes."""
         for server in self.stub_servers.values():
             await server.stop()
         for name, process in self.processes.items():
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
                 process.send_signal(signal.SIGTERM)
-        # Proxies first finish what is mid-answer; those that hang are killed, so that nothing is left behind.
+        # Proxies first finish their requests in flight; processes that hang are killed, so that none is left running.
         waits = [asyncio.wait_for(process.wait(), END_TIMEOUT_SECONDS) for process in self.processes.values()]
         await asyncio.gather(*waits, return_exceptions=True)
         for process in self.processes.values():
@@ -446,10 +446,10 @@
     async def __aenter__(self) -> "Fleet":
         return self
 
-    async def __aexit__(self, *problem) -> None:
+    async def __aexit__(self, *exc_info) -> None:
         await self.stop()
 
 
 def token_digest(token: str) -> str:
-    """The digest under which an operator's token is kept."""
+    """The digest of an operator's token, as the mesh stores it."""
     return hashlib.sha256(token.encode()).hexdigest()
--- a/packages/testbed/src/hoistsaddle/testbed/proof.py
+++ b/packages/testbed/src/hoistsaddle/testbed/proof.py
@@ -1,4 +1,4 @@
-"""The main proof on real processes: a deployment under load goes through the faults and changes of a day."""
+"""The main proof on real processes: a deployment under load, with a sequence of faults and changes."""
 
 import asyncio
 import random
@@ -26,13 +26,13 @@
 from hoistsaddle.testbed.process_names import registry_name, replica_of, store_name
 
 LineWriter = Callable[[str], None]
-# How long a former proxy is watched that must not serve.
+# How long a proxy of the former release, which must not serve, is watched.
 FORMER_PROXY_SECONDS = 4
 OBSERVE_INTERVAL_SECONDS = 0.1
 
 
 class Proof:
-    """Causes faults and changes one after the other, and records what the checkers need.
+    """Injects faults and changes one after the other, and records the events that the checkers need.
 
     Attributes:
         number: the bundle in force.
@@ -49,7 +49,7 @@
         return asyncio.get_running_loop().time()
 
     async def observe(self) -> None:
-        """Writes down which bundle each ready proxy acts under."""
+        """Records continuously which bundle each ready proxy has in force."""
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1)) as session:
 
             async def read_ready(name: str, address: str) -> None:
@@ -59,7 +59,7 @@
                         state = await response.json()
                 except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
                     return
-                # Dated from when it was asked: what it shows held then or later.
+                # Dated with the time of the request: the state in the answer was read then or later.
                 if state["ready"]:
                     self.history.add(BundleApplied(asked, name, state["bundle"], state["life"]))
 
@@ -74,7 +74,7 @@
         return self.fleet.deployment.next_bundle(number=self.number + 1, based_on=self.number, note=note)
 
     async def change_bundle(self) -> None:
-        """A broken one first, then two at once; one of the two is accepted, and rolled out in stages."""
+        """Submits a broken bundle, then two at once, one of which is accepted and rolled out in stages."""
         broken = self.next_bundle("broken").replace('callers = ["visitors"]', 'callers = ["anybody"]')
         status, answer = await self.fleet.operate("POST", "/bundles", broken, token=AUTHOR[1])
         self.history.add(
@@ -98,12 +98,12 @@
             self.write_line(
                 f"bundle {number}: stage {stage} of {stages} ({answer['name']}) in force on "
                 f"{len(answer['machines'])} proxies after {answer['seconds']} s; the other operator "
-                f"was refused: {refusal}"
+                f"was rejected: {refusal}"
             )
         self.number = number
 
     async def _submit_two_at_once(self) -> tuple[dict, tuple[str, str], str]:
-        """Two operators submit at once; gives the accepted bundle, who must sign it, and why the other was refused."""
+        """Two operators submit at once; returns the accepted bundle, its signer, and the other's error kind."""
         one, two = self.next_bundle("one operator"), self.next_bundle("other operator")
         results = await asyncio.gather(
             *(
@@ -128,7 +128,7 @@
         return detail, signer, refusals[0]
 
     async def drain(self) -> str:
-        """Drains the server beside some proxy; gives the proxy."""
+        """Drains the server beside a random proxy; returns the name of the proxy."""
         name = self.fleet.random.choice(list(self.fleet.proxies))
         server = self.fleet.stub_servers[name]
         status, answer = await self.fleet.operate("POST", f"/servers/{name}/drain", {"drain": True}, token=AUTHOR[1])
@@ -136,7 +136,7 @@
             raise AssertionError(f"drain: {answer}")
         self.history.add(ServerStateChanged(self._now(), server.service, server.instance, "drained"))
         self.write_line(
-            f"server {server.instance} beside {name} is drained; seen everywhere after {answer['seconds']} s"
+            f"server {server.instance} beside {name} is drained; in force everywhere after {answer['seconds']} s"
         )
         return name
 
@@ -149,14 +149,14 @@
             raise AssertionError(f"undrain: {answer}")
 
     async def leader(self) -> int:
-        """The replica that leads; 0 for none."""
+        """The leading replica; 0 for none."""
         _, answer = await self.fleet.operate("GET", "/core")
         return next(
             (int(replica) for replica, machine in answer["machines"].items() if machine["standing"] == "leader"), 0
         )
 
     async def has_rejoined(self, replica: int) -> bool:
-        """Whether a replica's present disk votes and it follows or leads."""
+        """Whether a replica is a voter with its present disk, and follows or leads."""
         status, configuration = await self.fleet.operate("GET", "/setup")
         _, core = await self.fleet.operate("GET", "/core")
         machine = core["machines"][str(replica)]
@@ -164,7 +164,7 @@
         return voters.get(replica) == machine.get("incarnation") and machine["standing"] in ("follower", "leader")
 
     async def wipe_leader(self) -> None:
-        """The leading core machine loses its whole disk."""
+        """Kills the leading core machine, wipes its disk, and restarts it."""
         await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
         await self.fleet.kill(store_name(replica), registry_name(replica))
@@ -182,7 +182,7 @@
         return await self.leader() != 0
 
     async def kill_proxies(self) -> None:
-        """Some proxies die at once and come back."""
+        """Kills a third of the proxies at once and restarts them."""
         names = self.fleet.random.sample(list(self.fleet.proxies), len(self.fleet.proxies) // 3)
         await self.fleet.kill(*names)
         await asyncio.gather(*(self.fleet.launch(name) for name in names))
@@ -192,14 +192,14 @@
         self.write_line(f"{len(names)} proxies were killed and are ready again after {elapsed:.1f} s")
 
     async def freeze(self) -> None:
-        """Some proxies and the leader's whole machine stand still, and wake; a bundle is rolled out meanwhile."""
+        """Freezes a quarter of the proxies and the leading machine, rolls out a bundle, and lets them continue."""
         await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
         proxies = self.fleet.random.sample(list(self.fleet.proxies), len(self.fleet.proxies) // 4)
         names = [store_name(replica), registry_name(replica), *proxies]
         self.fleet.freeze(*names)
         await asyncio.sleep(1)
-        # The frozen registry takes no calls; operators turn to another one.
+        # The frozen registry answers no calls, so operators use the others.
         all_addresses = self.fleet.operator_addresses
         self.fleet.operator_addresses = tuple(
             address for index, address in enumerate(all_addresses) if index + 1 != replica
@@ -207,14 +207,16 @@
         await self.change_bundle()
         self.fleet.operator_addresses = all_addresses
         self.fleet.wake(*names)
-        elapsed = await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description="the woken are ready")
+        elapsed = await self.fleet.wait_until(
+            self.fleet.all_ready, seconds=30, description="the proxies are ready after the freeze"
+        )
         self.write_line(
-            f"core machine {replica}, which led, and {len(proxies)} proxies stood still while bundle "
-            f"{self.number} came into force; ready {elapsed:.1f} s after waking"
+            f"core machine {replica}, which led, and {len(proxies)} proxies were frozen while bundle "
+            f"{self.number} came into force; ready {elapsed:.1f} s after they continued"
         )
 
     async def restart_proxy(self) -> None:
-        """One proxy is stopped as planned and started again."""
+        """Stops one proxy with SIGTERM and restarts it."""
         name = self.fleet.random.choice(list(self.fleet.proxies))
         began = self._now()
         code = await self.fleet.stop_process(name)
@@ -224,7 +226,7 @@
         self.write_line(f"{name} was stopped as planned (exit {code}) and started again")
 
     async def fill_leaders_disk(self) -> None:
-        """The leader can't write any more: it must resign by itself, and follow again once there is space."""
+        """Fills the leader's disk: it must resign by itself, and follow again once there is space."""
         await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
         self.fleet.fill_disk(store_name(replica))
@@ -234,16 +236,16 @@
 
         elapsed = await self.fleet.wait_until(another_leads, seconds=30, description="another leader")
         self.fleet.free_disk(store_name(replica))
-        again = await self.fleet.wait_until(
+        follows_after = await self.fleet.wait_until(
             lambda: self.has_rejoined(replica), seconds=30, description=f"replica {replica} follows"
         )
         self.write_line(
             f"core machine {replica}, which led, had no space left: another leads after {elapsed:.1f} s; "
-            f"it follows {again:.1f} s after there was space"
+            f"it follows {follows_after:.1f} s after there was space"
         )
 
     async def restart_core(self) -> None:
-        """The leading core machine is stopped as planned: its registry, then its store, which resigns."""
+        """Stops the leading machine with SIGTERM (its registry, then its store, which resigns) and restarts both."""
         await self.fleet.wait_until(self._has_leader, seconds=20, description="a leader")
         replica = await self.leader()
         began = self._now()
@@ -260,7 +262,7 @@
         )
 
     async def kill_everything(self) -> None:
-        """All processes die at once and come back."""
+        """Kills all processes at once and restarts them."""
         names = list(self.fleet.processes)
         await self.fleet.kill(*names)
         await asyncio.gather(*(self.fleet.launch(name) for name in names))
@@ -281,7 +283,7 @@
         self.write_line(f"{description}: service is back {self._now() - began:.1f} s after the processes")
 
     async def upgrade(self) -> None:
-        """Machine by machine from the former release to the present one, under load; at the end the level rises."""
+        """Upgrades machine by machine from the former release to the present one; at the end the level rises."""
         began = self._now()
         machines = [[registry_name(replica), store_name(replica)] for replica in self.fleet.core]
         machines += [[name] for name in self.fleet.proxies]
@@ -291,13 +293,16 @@
             if index == len(machines) // 2:
                 await self.change_bundle()
                 if self.fleet.older is None:
-                    # Older code doesn't know the call; the present one held at level 1 refuses it by kind.
-                    met = await self._change_operator()
-                    self._expect(f"newer commands wait, not {met!r}", met == "release-level")
+                    # Older code doesn't know the call; present code held at level 1 rejects it with this error kind.
+                    error_kind = await self._change_operator()
+                    self._expect(
+                        f"newer commands are rejected until the level rises, not {error_kind!r}",
+                        error_kind == "release-level",
+                    )
         elapsed = await self.fleet.wait_until(self._level_has_risen, seconds=30, description="the level rises")
         self.history.add(PlannedInterruption(began, self._now(), "the upgrade"))
-        met = await self._change_operator()
-        self._expect(f"newer commands are accepted at the level, not {met!r}", met == "")
+        error_kind = await self._change_operator()
+        self._expect(f"newer commands are accepted once the level has risen, not {error_kind!r}", error_kind == "")
         await self.fleet.operate("POST", "/operators/eve/drop", token=AUTHOR[1])
         await self._start_former_proxy()
         self.write_line(
@@ -320,7 +325,7 @@
         await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description=f"ready after {machine}")
 
     async def _change_operator(self) -> str:
-        """Proposes a change of the operators, which a release before level 2 can't apply; gives the error met."""
+        """Proposes a change of the operators, which a release before level 2 can't apply; returns the error kind."""
         body = {"digest": token_digest("token-of-eve")}
         status, answer = await self.fleet.operate("POST", "/operators/eve", body, token=AUTHOR[1])
         return "" if status == 200 else answer["refused"]["kind"]
@@ -331,7 +336,7 @@
         return level == LEVEL
 
     async def _start_former_proxy(self) -> None:
-        """A proxy of the former release starts by mistake and must not serve; then the present one comes back."""
+        """Starts a proxy of the former release, which must not serve, and replaces it by the present release again."""
         name = next(iter(self.fleet.proxies))
         for former in (True, False):
             await self.fleet.stop_process(name)
@@ -340,12 +345,12 @@
             if former:
                 await asyncio.sleep(FORMER_PROXY_SECONDS)
                 state = (await self.fleet.ready_states())[name]
-                closed = state is None or not state["ready"]
-                self._expect("a former release's proxy doesn't serve", closed)
+                not_serving = state is None or not state["ready"]
+                self._expect("a former release's proxy doesn't serve", not_serving)
         await self.fleet.wait_until(self.fleet.all_ready, seconds=30, description=f"{name} is back")
 
     async def read_back(self, *, drained: tuple[str, ...] = ()) -> None:
-        """Reads the configuration back at every registry, for a checker to compare."""
+        """Reads the configuration back from every registry and records it for the checker."""
         text = next((event.text for event in self.history.of(BundleWritten) if event.number == self.number), None)
         servers = tuple(
             sorted((name, each.service, each.instance, each.state) for name, each in self.fleet.stub_servers.items())
@@ -364,8 +369,8 @@
         )
 
     async def run(self) -> None:
-        """Does everything in turn, under load."""
-        watching = asyncio.ensure_future(self.observe())
+        """Runs all faults and changes in turn, under load."""
+        observing = asyncio.ensure_future(self.observe())
         loading = asyncio.ensure_future(self.load.run(10**9))
         try:
             await asyncio.sleep(3)
@@ -390,11 +395,11 @@
         finally:
             self.load.stopping = True
             await asyncio.wait([loading], timeout=20)
-            watching.cancel()
+            observing.cancel()
 
 
 async def prove(*, fleet: Fleet, seed: int, rate: float | None, write_line: LineWriter) -> Load:
-    """Runs the whole proof on a started fleet; gives its load."""
+    """Runs the complete proof on a started fleet; returns its load."""
     async with Load(
         deployment=fleet.deployment,
         addresses=fleet.client_addresses(),
