--- a/packages/testbed/src/hoistsaddle/testbed/deployments.py
+++ b/packages/testbed/src/hoistsaddle/testbed/deployments.py
@@ -1,4 +1,4 @@
-"""The deployments that are tested: how many machines, which services, and what their clients ask for."""
+"""The deployments under test: machines, services, and the requests of their clients."""
 
 import tomllib
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class NestedCall(NamedTuple):
-    """A call a server makes of another service while it answers."""
+    """A call that a server makes to another service while it answers."""
 
     method: str
     path: str
@@ -17,7 +17,7 @@
     """One kind of request that clients send.
 
     Attributes:
-        once: whether it needs an idempotency key, and runs once.
+        once: whether it needs an idempotency key and must run only once.
         weight: how often it is sent, relative to the other kinds.
     """
 
@@ -32,7 +32,7 @@
 
     Attributes:
         core: the number of core machines.
-        services: one server beside each proxy, in this order.
+        services: the service of the server beside each proxy, in the order of the proxies.
         nested_calls: by service and path, the calls that a server makes while it answers.
     """
 
@@ -44,47 +44,47 @@
     nested_calls: dict[tuple[str, str], tuple[NestedCall, ...]]
     requests_per_second: int
 
-    def zone_of(self, place: int) -> str:
+    def zone_of(self, index: int) -> str:
         """The zone of the proxy at this index."""
-        # Shifted by one every round, so that no service has all its servers in one zone.
-        return self.zones[(place + place // len(self.zones)) % len(self.zones)]
+        # Shifted by one after each round of zones, so that no service has all its servers in one zone.
+        return self.zones[(index + index // len(self.zones)) % len(self.zones)]
 
     def first_bundle(self) -> str:
-        """The text of the bundle that a fleet starts with."""
+        """The text of the initial bundle."""
         return resources.files("hoistsaddle.testbed").joinpath("bundles", f"{self.name}-1.toml").read_text()
 
     def changed_bundle(self, change: Callable[[dict], None], *, number: int, based_on: int) -> str:
-        """The first bundle after a change of its declarations, under another number."""
+        """The first bundle with changed declarations, under another number."""
         declared = tomllib.loads(self.first_bundle())
         declared.update(number=number, based_on=based_on, note=str(number))
         change(declared)
         return to_toml(declared)
 
     def next_bundle(self, *, number: int, based_on: int, note: str = "") -> str:
-        """The first bundle under another number, as any later change of it begins."""
+        """The first bundle under another number and otherwise unchanged."""
         text = self.first_bundle().replace("number = 1\nbased_on = 0", f"number = {number}\nbased_on = {based_on}")
         return text.replace('note = "Opening day"', f'note = "{note or number}"')
 
 
 def to_toml(values: dict) -> str:
-    """Tables of plain values and of lists of tables as TOML."""
+    """Encodes plain values and lists of tables as TOML."""
 
-    def plain(value) -> str:
+    def encode_value(value) -> str:
         if isinstance(value, bool):
             return "true" if value else "false"
         if isinstance(value, list):
-            return "[" + ", ".join(plain(each) for each in value) + "]"
+            return "[" + ", ".join(encode_value(each) for each in value) + "]"
         return str(value) if isinstance(value, int | float) else '"' + str(value) + '"'
 
     lines = [
-        f"{name} = {plain(value)}"
+        f"{name} = {encode_value(value)}"
         for name, value in values.items()
         if not (isinstance(value, list) and value and isinstance(value[0], dict))
     ]
     for name, value in values.items():
         if isinstance(value, list) and value and isinstance(value[0], dict):
             for table in value:
-                lines += ["", f"[[{name}]]", *(f"{field} = {plain(each)}" for field, each in table.items())]
+                lines += ["", f"[[{name}]]", *(f"{field} = {encode_value(each)}" for field, each in table.items())]
     return "\n".join(lines) + "\n"
 
 
@@ -145,7 +145,7 @@
         nested_calls={("cards", "/drills"): (NestedCall("GET", "/decks"), NestedCall("GET", "/progress"))},
         requests_per_second=220,
     ),
-    # Core machines alone, for what concerns nothing but the log.
+    # Core machines without proxies, for tests and measurements of the log.
     "three": Deployment(
         name="three",
         core=3,
--- a/packages/testbed/src/hoistsaddle/testbed/measure.py
+++ b/packages/testbed/src/hoistsaddle/testbed/measure.py
@@ -1,4 +1,4 @@
-"""Measurements on real processes. Variants take turns within one run, so that a busy machine affects all alike."""
+"""Measurements on real processes. Variants alternate within a run, so that a busy machine affects all alike."""
 
 import asyncio
 import statistics
@@ -23,18 +23,18 @@
 
 LineWriter = Callable[[str], None]
 CLIENT_HEADERS = {"Authorization": "Bearer measure"}
-# The answer kept with each key where a measurement needs some content.
+# The answer stored with each key in measurements that need stored content.
 ANSWER_BODY = b'{"answer": "%s"}' % (b"x" * 500)
 
 
 def spread(values: list[float], *, unit: str = "") -> str:
-    """Median, least and greatest of the values of all rounds."""
+    """The median, minimum and maximum over all rounds, as text."""
     ordered = sorted(values)
     return f"{statistics.median(ordered):.3g}{unit} ({ordered[0]:.3g} to {ordered[-1]:.3g}, {len(ordered)} rounds)"
 
 
 class _Core:
-    """A fleet of core machines alone, and a writer of this process's own."""
+    """A fleet of core machines without proxies, and a writer in this process."""
 
     def __init__(self, *, folder: Path, **store_settings: Any) -> None:
         self.fleet = Fleet(deployment=DEPLOYMENTS["three"], folder=folder, store_settings=store_settings)
@@ -55,11 +55,11 @@
         return answer.unwrap() if isinstance(answer, Success) else None
 
     async def write_claims(self, *, count: int, outstanding: int, prefix: str, body: bytes = b"") -> list[float]:
-        """Writes so many claims, so many at a time; gives each one's latency in milliseconds."""
+        """Writes `count` claims, `outstanding` at a time; returns the latency of each in milliseconds."""
         latencies: list[float] = []
         numbers = iter(range(count))
 
-        async def one_after_another() -> None:
+        async def write_sequentially() -> None:
             for number in numbers:
                 began = time.perf_counter()
                 scope = f"{prefix}-{number}"
@@ -67,18 +67,18 @@
                 result = await self.writer.write(claim, within=timedelta(seconds=10))
                 if not isinstance(result, Success) or result.unwrap().error:
                     raise AssertionError(f"claim {number}: {result}")
-                name, scope = scope, result.unwrap().detail["scope"]
+                claim_id, scope = scope, result.unwrap().detail["scope"]
                 latencies.append((time.perf_counter() - began) * 1000)
                 if body:
-                    complete = CompleteKey(scope, name, 200, {}, body, True)
+                    complete = CompleteKey(scope, claim_id, 200, {}, body, True)
                     await self.writer.write(complete, within=timedelta(seconds=10))
 
-        await asyncio.gather(*(one_after_another() for _ in range(outstanding)))
+        await asyncio.gather(*(write_sequentially() for _ in range(outstanding)))
         return latencies
 
 
 async def commits(*, folder: Path, write_line: LineWriter, rounds: int = 5) -> None:
-    """Commit rate and claim latency against the most records a batch may hold."""
+    """Measures commit rate and claim latency by the largest allowed batch."""
     core = _Core(folder=folder)
     async with core.fleet:
         await core.fleet.start(bundle=False)
@@ -101,7 +101,7 @@
 
 
 async def catch_up(*, folder: Path, write_line: LineWriter, rounds: int = 3) -> None:
-    """Time from a blank follower's start until it holds everything, by records in the log and chunk size."""
+    """Measures how long a blank follower takes to catch up, by records in the log and chunk size."""
     for chunk in (16384, 65536, 262144):
         core = _Core(folder=folder / f"chunk-{chunk}", chunk_bytes=chunk, checkpoint_records=500, lag_wait_seconds=2.0)
         async with core.fleet:
@@ -114,11 +114,11 @@
                 )
                 written = target
                 seconds = [await _seconds_to_catch_up(core) for _ in range(rounds)]
-                write_line(f"chunk {chunk}: {written} records: {spread(seconds, unit=' s')} to hold everything")
+                write_line(f"chunk {chunk}: {written} records: {spread(seconds, unit=' s')} to catch up")
 
 
 async def _seconds_to_catch_up(core: _Core) -> float:
-    """Wipes a follower and gives how long it takes, once it is up, to hold what it held before."""
+    """Wipes a follower; returns the seconds from its restart until it has reached its former high watermark."""
     statuses = {replica: await core.status(replica) for replica in core.stores}
     follower = next(replica for replica, status in statuses.items() if status is not None and status.role == "follower")
     high_watermark = statuses[follower].high_watermark
@@ -129,7 +129,7 @@
     async def is_up() -> bool:
         return await core.status(follower) is not None
 
-    async def holds_everything() -> bool:
+    async def caught_up() -> bool:
         status = await core.status(follower)
         return (
             status is not None and status.role in ("observer", "follower") and status.high_watermark >= high_watermark
@@ -141,7 +141,7 @@
 
     await core.fleet.wait_until(is_up, seconds=20, description="the blank follower is up")
     began = time.perf_counter()
-    await core.fleet.wait_until(holds_everything, seconds=60, description="caught up")
+    await core.fleet.wait_until(caught_up, seconds=60, description="caught up")
     elapsed = time.perf_counter() - began
     await core.fleet.wait_until(votes, seconds=60, description="votes again")
     return elapsed
@@ -169,7 +169,7 @@
 
 
 async def update_propagation(*, folder: Path, write_line: LineWriter, deployment: Deployment, rounds: int = 8) -> None:
-    """From a bundle's commit to each proxy's applied version, as the proxies' own events date it."""
+    """Measures the time from submitting a bundle until each proxy applied it, by the proxies' own events."""
     fleet = Fleet(deployment=deployment, folder=folder)
     async with fleet:
         await fleet.start()
@@ -208,7 +208,7 @@
 
 
 async def added_latency(*, folder: Path, write_line: LineWriter, rounds: int = 5) -> None:
-    """A safe request and one under a key through the mesh, against the stub server called directly; one at a time."""
+    """Measures a safe and a keyed request through the mesh against a direct call of the stub server, one at a time."""
     deployment = DEPLOYMENTS["thimble"]
     fleet = Fleet(deployment=deployment, folder=folder)
     async with fleet, aiohttp.ClientSession() as session:
@@ -244,7 +244,7 @@
 
 
 async def versions(*, folder: Path, write_line: LineWriter, older: Path, rounds: int = 3) -> None:
-    """The former release's code against this one, in turns: requests, keys, and how long giving up takes."""
+    """Compares the former release with the present one: safe and keyed requests, and failing without a core."""
     measured: dict[str, dict[str, list[float]]] = {}
 
     async def median_latency(
@@ -276,7 +276,7 @@
                 await measure("a safe request", "GET", "/readings", 150)
                 await measure("one under a key", "POST", "/uploads", 100, keyed=True)
                 await fleet.kill(*(name for name in fleet.programs if kind_of(name) != PROXY))
-                # Past the lease and the time for which a gap is waited out: as every later caller finds it.
+                # Wait until the lease has expired and proxies no longer wait for a leader, as later callers find it.
                 await median_latency(session, "GET", address + "/readings", 1, keyed=False)
                 await asyncio.sleep(4)
                 await measure("giving up without a core", "GET", "/readings", 3)
@@ -289,7 +289,7 @@
 
 
 async def takeover(*, folder: Path, write_line: LineWriter, rounds: int = 8) -> None:
-    """From kill -9 of the leading store to the next write concluded; and the same for all core processes at once."""
+    """Measures the time from kill -9 of the leading store, and of all core processes, to the next completed write."""
     core = _Core(folder=folder)
     async with core.fleet:
         await core.fleet.start(bundle=False)
--- a/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/stub_servers.py
@@ -1,4 +1,4 @@
-"""Stub servers: they answer JSON, call each other through their proxies, report health, and record what ran."""
+"""Stub servers: they answer JSON, call each other through their proxies, report health, and record their runs."""
 
 import asyncio
 import itertools
@@ -27,13 +27,13 @@
 
 
 class StubServer:
-    """One server beside one proxy; tests can make it misbehave.
+    """One server beside one proxy; it can be made to misbehave.
 
     Attributes:
-        address: where it listens for the proxy.
-        nested_address: where the proxy takes its own calls.
-        misbehaviour: what it does instead of answering well: "lose answer", "garbage", "half close", "unmarked" or
-            "truncate"; empty for nothing.
+        address: the address on which it listens for the proxy.
+        nested_address: the address at which the proxy accepts this server's own calls.
+        misbehaviour: how it spoils its answers: "lose answer", "garbage", "half close", "unmarked" or "truncate";
+            empty for correct answers.
         slow_seconds: how long it waits before it answers.
         hold: answers wait for this event, if there is one.
     """
@@ -67,7 +67,7 @@
         return asyncio.get_running_loop().time()
 
     async def start(self) -> None:
-        """Listens for the proxy and begins to report health."""
+        """Opens the listener and begins to report health."""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_route("*", "/{tail:.*}", self._serve)
         self.runner = web.AppRunner(application, access_log=None, shutdown_timeout=0.1)
@@ -78,7 +78,7 @@
         self.task = asyncio.ensure_future(self._report_health_forever())
 
     async def report_health(self, state: str | None = None) -> bool:
-        """Sends one health report now, perhaps with a new state; whether the proxy took it."""
+        """Sends one health report, with a new state if given; returns whether the proxy accepted it."""
         if state is not None:
             self.state = state
             self.history.add(ServerStateChanged(self._now(), self.service, self.instance, state))
@@ -99,7 +99,7 @@
             await asyncio.sleep(HEALTH_INTERVAL_SECONDS)
 
     async def vanish(self) -> None:
-        """The server is gone without a report."""
+        """Stops the server without reporting that it leaves."""
         self.history.add(ServerStateChanged(self._now(), self.service, self.instance, "vanished"))
         await self.stop()
 
@@ -161,7 +161,7 @@
         return web.Response(body=data, content_type="application/json")
 
     async def _misbehave(self, request: web.Request, data: bytes) -> web.StreamResponse:
-        """Spoils an answer whose body this would have been."""
+        """Sends a spoiled version of an answer with this body."""
         match self.misbehaviour:
             case "lose answer":
                 request.transport.abort()
@@ -169,12 +169,12 @@
             case "garbage":
                 return web.Response(body=b"\x00\xff<not json", content_type="application/json")
             case "half close":
-                # Its own side of the connection ends in the middle of the answer; the other side stays open.
+                # The server closes its side of the connection in the middle of the answer; the other side stays open.
                 response = await self._write_half(request, data)
                 request.transport.write_eof()
                 return response
             case "unmarked":
-                # A complete answer whose end only the half-closed connection shows.
+                # A complete answer without a length; only the half-closed connection marks its end.
                 head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
                 request.transport.write(head + data)
                 request.transport.write_eof()
@@ -187,16 +187,16 @@
 
     @staticmethod
     async def _write_half(request: web.Request, data: bytes) -> web.StreamResponse:
-        """Begins an answer of the full length and writes the first half of its body."""
+        """Writes the head of an answer with the full length, and the first half of its body."""
         response = web.StreamResponse(headers={"Content-Length": str(len(data)), "Content-Type": "application/json"})
         await response.prepare(request)
         await response.write(data[: len(data) // 2])
         return response
 
     async def call_nested(self, method: str, path: str, nonce: str) -> dict:
-        """Makes a call of another service through the proxy, and records its result."""
+        """Calls another service through the proxy, and records the result."""
         url = f"http://{self.nested_address}{path}?nonce={nonce}"
-        # By this the proxy recognises a call of the present server, and not of a former one that still runs.
+        # By this header the proxy tells a call of the present server from one of a former server that still runs.
         headers = {"X-Hoistsaddle-Instance": self.instance}
         asked = self._now()
         try:
