--- a/packages/testbed/src/hoistsaddle/testbed/soak/clients.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: real connections that are used again until the process at their other end is gone."""
+"""Clients of a soak: real connections that are reused until the sidecar closes them or its process ends."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -7,16 +7,16 @@
 
 from hoistsaddle.testbed.emulator.clients import Call, ClientRequest, Clients
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
-from hoistsaddle.testbed.soak.wire import LIMIT, Broken, Message, in_chunks, read_message, write_head
+from hoistsaddle.testbed.soak.wire import BUFFER_LIMIT, IncompleteMessage, Message, in_chunks, read_message, write_head
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Shares of the requests that go on a kept connection, whose body comes in chunks, and whose client leaves midway.
-KEPT, CHUNKED, LEAVING = 0.8, 0.3, 0.02
-# A share of the bodies is long.
+# Shares of the requests that reuse a kept connection, send a chunked body, and are abandoned by the client.
+KEPT, CHUNKED, ABANDONED = 0.8, 0.3, 0.02
+# The share of long bodies, and the largest number of repeats of the mark in one.
 LONG_SHARE, MAX_REPEATS = 0.15, 4000
-# Kept connections are used again up to this share of the idle time that the platform's limits allow.
+# Kept connections are reused up to this share of the idle time that the platform's limits allow.
 IDLE_SHARE = 0.8
-# How a request ends whose kept connection closed without a byte: nobody may have read it.
+# The outcome of a request whose kept connection closed without any byte: it may not have been read.
 CROSSED = "crossed"
 
 
@@ -29,7 +29,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer as the emulator's clients read it."""
+    """An answer in the form that the emulator's clients read."""
 
     status: int
     headers: "CIMultiDict[str]"
@@ -41,7 +41,7 @@
 
     def __init__(self, **arguments: Any) -> None:
         super().__init__(**arguments)
-        # By machine; only a connection that closed or grew too old leaves its list.
+        # Idle connections by machine; one that closed or was idle for too long is removed when it is taken.
         self._kept: dict[str, list[Connection]] = {}
 
     def close(self) -> None:
@@ -51,7 +51,7 @@
                 connection.writer.close()
 
     def make_body(self, mark: bytes) -> bytes:
-        """Most bodies are short, and some take many reads."""
+        """Return a short body in most cases, and sometimes one that takes many reads."""
         return mark * (self.random.randint(4, MAX_REPEATS) if self.random.random() < LONG_SHARE else 4)
 
     async def _deliver(self, request: ClientRequest, call: Call) -> Any:
@@ -61,19 +61,19 @@
             connection = await self._open(request.machine)
         if connection is None:
             return "unreached"
-        left = request.until - self.environment.now()
-        leaves = self.random.random() < LEAVING
+        seconds_left = request.until - self.environment.now()
+        abandons = self.random.random() < ABANDONED
         try:
-            async with asyncio.timeout(max(0.0, left * self.random.random() if leaves else left)):
+            async with asyncio.timeout(max(0.0, seconds_left * self.random.random() if abandons else seconds_left)):
                 connection.writer.write(self._encode(request, call))
                 message = await read_message(connection.reader)
         except TimeoutError:
             connection.writer.transport.abort()
             return "given up"
-        except (Broken, OSError) as ended:
+        except (IncompleteMessage, OSError) as error:
             connection.writer.transport.abort()
-            began = isinstance(ended, Broken) and ended.began
-            return "broken" if began or not reused else CROSSED
+            started = isinstance(error, IncompleteMessage) and error.started
+            return "broken" if started or not reused else CROSSED
         self._keep(request.machine, connection, message)
         return Answer(message.status, message.headers, message.body)
 
@@ -93,18 +93,18 @@
             return None
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
-                reader, writer = await asyncio.open_connection(host, adapter("samples").EGRESS, limit=LIMIT)
+                reader, writer = await asyncio.open_connection(host, adapter("samples").EGRESS, limit=BUFFER_LIMIT)
         except (OSError, TimeoutError):
             return None
         return Connection(reader, writer, self.environment.now())
 
     def _take(self, machine: str) -> Connection | None:
-        """Return any kept connection: also one to a process that has been told to stop."""
+        """Return a random kept connection, possibly one to a process that is stopping; None if there is none."""
         kept = self._kept.get(machine, [])
         while kept:
             connection = kept.pop(self.random.randrange(len(kept)))
-            most = adapter("samples").limits(revision=0)["idle_s"] * IDLE_SHARE
-            if not connection.reader.at_eof() and self.environment.now() - connection.idle_since < most:
+            max_idle = adapter("samples").limits(revision=0)["idle_s"] * IDLE_SHARE
+            if not connection.reader.at_eof() and self.environment.now() - connection.idle_since < max_idle:
                 return connection
             connection.writer.close()
         return None
--- a/packages/testbed/src/hoistsaddle/testbed/soak/day.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/day.py
@@ -1,4 +1,4 @@
-"""What happens in a soak: series of signals, restarts and changes that overlap, drawn by the seed."""
+"""The schedule of a soak: overlapping series of signals, restarts and changes, drawn from the seed."""
 
 import random
 
@@ -22,13 +22,13 @@
 )
 from hoistsaddle.testbed.emulator.site import Site
 
-# What befalls servers, the more frequent twice.
+# Events of servers; the more frequent ones are listed twice.
 SERVER_EVENTS = ("leave", "leave unannounced", "leave unannounced", "late", "crash", "misbehave", "misbehave")
-# Seconds from one lost disk to the next: no more are lost at once than the smallest site bears.
+# Seconds between two lost disks, so that no more are lost at once than the smallest site tolerates.
 WIPE_GAP = 20.0
-# Before the end everything is left alone, so that operators can read back what is in force.
-CALM_SECONDS = 10.0
-# Mean seconds between two events of each series; they run beside each other without waiting for one another.
+# No events in the last seconds, so that operators can read back the configuration in force.
+QUIET_SECONDS = 10.0
+# Mean seconds between two events of each series; the series run independently of each other.
 SIGNAL_GAP, SERVER_GAP, CHANGE_GAP, CORE_GAP, FROZEN_GAP = 4.0, 3.0, 1.2, 14.0, 9.0
 
 
@@ -36,26 +36,26 @@
     """Draw the day of a soak.
 
     Args:
-        site: in its size.
-        seed: decides everything but what the machine's own timing does.
-        seconds: of traffic, calm at the end included.
+        site: the machines and services.
+        seed: determines the schedule; only the timing of the machine varies.
+        seconds: the duration of the traffic, with the quiet time at the end.
     """
     rng = random.Random(f"soak day {seed}")
-    end = max(2.0, seconds - CALM_SECONDS)
+    end = max(2.0, seconds - QUIET_SECONDS)
     events = _signals(rng, site, end) + _servers(rng, site, end) + _changes(rng, end) + _core(rng, site, end)
     events += _frozen_servers(random.Random(f"soak frozen servers {seed}"), site, end)
     return Day(seed, site, tuple(sorted(events, key=lambda event: event.at)), seconds)
 
 
 def _times(rng: random.Random, gap: float, end: float) -> list[float]:
-    found = [rng.uniform(0.5, 2.0)]
-    while found[-1] < end:
-        found.append(found[-1] + rng.expovariate(1 / gap))
-    return found[:-1]
+    times = [rng.uniform(0.5, 2.0)]
+    while times[-1] < end:
+        times.append(times[-1] + rng.expovariate(1 / gap))
+    return times[:-1]
 
 
 def _signals(rng: random.Random, site: Site, end: float) -> list[ScheduledEvent]:
-    """Signals to sidecars: TERM, HUP, KILL, STOP and CONT, often several at once."""
+    """Draw signals to sidecars: TERM, HUP, KILL, STOP and CONT, often several at once."""
     names = [machine.name for machine in site.sidecars]
     events: list[ScheduledEvent] = []
     for at in _times(rng, SIGNAL_GAP, end):
@@ -73,7 +73,7 @@
 
 
 def _frozen_servers(rng: random.Random, site: Site, end: float) -> list[ScheduledEvent]:
-    """Sidecars that freeze for as long as requests to their servers have: nobody can know what became of those."""
+    """Draw freezes of sidecars as long as the deadlines of requests, so that the outcome of requests is unknown."""
     longest = max(request_kind.deadline for request_kind in site.request_kinds)
     return [
         Freeze(at, (rng.choice(site.sidecars).name,), rng.uniform(1.0, longest + 1.0))
@@ -82,7 +82,7 @@
 
 
 def _servers(rng: random.Random, site: Site, end: float) -> list[ScheduledEvent]:
-    """Servers that leave in either way, crash, report late, and break answers off."""
+    """Draw servers that leave with or without notice, crash, send late heartbeats, and break answers off."""
     names = [machine.name for machine in site.sidecars]
     events: list[ScheduledEvent] = []
     for at in _times(rng, SERVER_GAP, end):
@@ -107,7 +107,7 @@
 
 
 def _changes(rng: random.Random, end: float) -> list[ScheduledEvent]:
-    """Changes one after the other whether or not the former has settled, and storms of them."""
+    """Draw configuration changes, which don't wait for the previous one, and bursts of them."""
     events: list[ScheduledEvent] = []
     for at in _times(rng, CHANGE_GAP, end):
         pick = rng.randrange(1000)
@@ -126,7 +126,7 @@
 
 
 def _core(rng: random.Random, site: Site, end: float) -> list[ScheduledEvent]:
-    """One controller after the other is stopped, killed, frozen or loses its disk; no more than may be lost at once."""
+    """Draw stops, kills, freezes and disk losses of single controllers; disk losses keep their minimum gap."""
     names = [machine.name for machine in site.core]
     events: list[ScheduledEvent] = []
     last_wipe = -WIPE_GAP
--- a/packages/testbed/src/hoistsaddle/testbed/soak/first_start.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/first_start.py
@@ -1,4 +1,4 @@
-"""First starts of real processes that are killed, stopped, frozen and wiped before anything is founded."""
+"""First starts of real processes that are killed, stopped, frozen and wiped before the mesh is bootstrapped."""
 
 import asyncio
 import random
@@ -20,46 +20,46 @@
 from hoistsaddle.testbed.soak.processes import as_process
 from hoistsaddle.testbed.soak.soak import Soak
 
-# The faults of a first start come within so many seconds of it.
+# Faults are injected within this many seconds of the start.
 SPAN_SECONDS = 2.0
 # Mean seconds between two faults of a series.
 GAP_SECONDS = 0.5
-# From an end to the next start, at the least and at the most.
+# The range of the time between the end of a process and its next start.
 DOWN_SECONDS = (0.05, 1.0)
 FROZEN_SECONDS = (0.2, 5.0)
 STATUS_TIMEOUT = timedelta(seconds=1)
-# Only ends a run that would never come up: no bound that is judged.
-PATIENCE_SECONDS = 90.0
+# Ends a run that doesn't come up; not a bound on the time that a start may take.
+RUN_TIMEOUT_SECONDS = 90.0
 POLL_SECONDS = 0.2
 
 
 class FirstStartReport(NamedTuple):
-    """What became of one first start."""
+    """The results of one first start."""
 
     seed: int
     faults: tuple[ScheduledEvent, ...]
-    # Seconds from the start to the acknowledgement of the first configuration and to the last sidecar that was ready;
-    # None where it didn't come about.
+    # Seconds from the start until the first configuration was acknowledged, and until all sidecars were ready;
+    # None if that did not happen.
     acknowledged: float | None
     ready: float | None
-    # The mesh that each controller says it belongs to; empty for a blank one.
+    # The mesh id that each controller reports; empty for one without a mesh or without an answer.
     meshes: dict[str, str]
     failures: tuple[str, ...]
 
     @property
-    def founded_once(self) -> bool:
+    def is_one_mesh(self) -> bool:
         """Whether all controllers belong to one mesh."""
         return len(set(self.meshes.values())) == 1 and "" not in self.meshes.values()
 
     @property
-    def held(self) -> bool:
-        """Whether the deployment came up, as one mesh, and no program failed."""
+    def succeeded(self) -> bool:
+        """Whether the deployment came up as one mesh and no program failed."""
         came_up = self.acknowledged is not None and self.ready is not None
-        return came_up and self.founded_once and not self.failures
+        return came_up and self.is_one_mesh and not self.failures
 
 
 def draw_first_start(site: Site, *, seed: int) -> tuple[ScheduledEvent, ...]:
-    """Draw a series of faults that overlap within the first seconds; no more disks are lost than may be."""
+    """Draw overlapping faults of the first seconds; no more disks are lost than the site tolerates."""
     rng = random.Random(f"first start {seed}")
     core = tuple(machine.name for machine in site.core)
     everyone = (*core, *(machine.name for machine in site.sidecars))
@@ -68,36 +68,36 @@
     at = rng.uniform(0.0, 1.0)
     while at < SPAN_SECONDS:
         names = rng.choice((core[:1], core[:1], (rng.choice(core),), core, everyone))
-        down = rng.uniform(*DOWN_SECONDS)
+        down_seconds = rng.uniform(*DOWN_SECONDS)
         kind = rng.choice(("kill", "kill", "stop", "freeze", "settings", "wipe" if disks_left else "kill"))
         match kind:
             case "kill":
-                events.append(Kill(at, names, down))
+                events.append(Kill(at, names, down_seconds))
             case "stop":
-                events += [Stop(at, name, down) for name in names]
+                events += [Stop(at, name, down_seconds) for name in names]
             case "freeze":
                 events.append(Freeze(at, names, rng.uniform(*FROZEN_SECONDS)))
             case "settings":
                 events.append(RewriteSettings(at))
             case "wipe":
                 disks_left -= 1
-                events.append(Kill(at, core[:1], down, power=True, wipe=True))
+                events.append(Kill(at, core[:1], down_seconds, power=True, wipe=True))
         at += rng.expovariate(1 / GAP_SECONDS)
     return tuple(events)
 
 
 class FirstStart(Soak):
-    """The first start of a site, until everything is up or the patience is over."""
+    """The first start of a site, until everything is up or the run times out."""
 
     async def run(self) -> FirstStartReport:
-        """Start everything, let the day's faults strike, and wait."""
+        """Start all machines, inject the day's faults, and wait until the deployment is up or has failed."""
         runtime = RealRuntime()
         self._start_machines()
         acknowledged: float | None = None
         ready: float | None = None
         meshes: dict[str, str] = {}
         configured = self.create_task(self._configure())
-        while self.now() - self.began_at < PATIENCE_SECONDS:
+        while self.now() - self.began_at < RUN_TIMEOUT_SECONDS:
             await asyncio.sleep(POLL_SECONDS)
             if configured.done() and acknowledged is None:
                 acknowledged = self.now() - self.began_at
@@ -106,7 +106,7 @@
             ready = self.now() - self.began_at if all_ready else None
             meshes = await self._meshes(runtime)
             report = self._report(acknowledged, ready, meshes)
-            if report.held or report.failures:
+            if report.succeeded or report.failures:
                 break
         runtime.rpc_client.close()
         return self._report(acknowledged, ready, meshes)
@@ -128,25 +128,25 @@
                 for machine in self.day.site.core
             )
         )
-        found = {}
+        meshes = {}
         for machine, answer in zip(self.day.site.core, answers, strict=True):
             match answer:
                 case Success(StatusAnswer(mesh=mesh)):
-                    found[machine.name] = mesh
+                    meshes[machine.name] = mesh
                 case _:
-                    found[machine.name] = ""
-        return found
+                    meshes[machine.name] = ""
+        return meshes
 
 
 async def run_first_start(
     day: Day, *, folder: Path, write_line: Callable[[str], None] = lambda line: None
 ) -> FirstStartReport:
-    """Play one first start on real processes; nothing is left behind.
+    """Run one first start on real processes; all processes are ended afterwards.
 
     Args:
-        day: drawn for a site on loopback addresses; only its `first_start` is played.
-        folder: of settings, data and logs.
-        write_line: takes progress for people.
+        day: a day for a site on loopback addresses; only the faults in its `first_start` are injected.
+        folder: holds settings, data and logs.
+        write_line: receives progress messages.
     """
     async with aiohttp.ClientSession() as session:
         run = FirstStart(day=day, folder=folder, session=session)
--- a/packages/testbed/src/hoistsaddle/testbed/soak/pauses.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/pauses.py
@@ -1,4 +1,4 @@
-"""When the programs of a soak stood still, by their own records: a busy machine is no fault of theirs."""
+"""Pauses of a soak's programs, read from their logs, so that a busy machine doesn't count as their fault."""
 
 import re
 from datetime import datetime, timedelta
@@ -8,14 +8,14 @@
 from hoistsaddle.testbed.emulator.history import FaultEnded, FaultStarted, History
 from hoistsaddle.testbed.emulator.site import BOUNDS
 
-# `12:34:56.789 side-03 stood still {'seconds': 0.412}`, as the programs log it.
+# The format of the logged event: `12:34:56.789 side-03 stood still {'seconds': 0.412}`.
 _PAUSE = re.compile(r"^(\d\d:\d\d:\d\d\.\d{3}) \S+ stood still \{'seconds': ([0-9.]+)\}")
-# Numbers of such faults, far above those of the fault injector.
+# The first fault number of pauses, far above the numbers that the fault injector uses.
 FIRST_NUMBER = 1_000_000
 
 
 class Pause(NamedTuple):
-    """One standstill of a machine's program, in seconds of the soak's clock."""
+    """One pause of a machine's program, in seconds of the soak's clock."""
 
     machine: str
     began: float
@@ -23,17 +23,17 @@
 
 
 def pauses_in(log: Path, *, machine: str, clock: float, wall: datetime) -> list[Pause]:
-    """Read a program's log.
+    """Read the pauses from a program's log.
 
     Args:
         log: the file; a missing one has no pauses.
-        machine: whose log it is.
-        clock: the soak's clock at a moment.
-        wall: the time of day at the same moment, by which the log's lines are dated.
+        machine: the machine of the log.
+        clock: the soak's clock at a reference time.
+        wall: the time of day at the reference time, to convert the times in the log.
     """
     if not log.exists():
         return []
-    found = []
+    pauses = []
     for line in log.read_text(errors="replace").splitlines():
         if match := _PAUSE.match(line):
             at = datetime.combine(wall.date(), datetime.strptime(match[1], "%H:%M:%S.%f").time())
@@ -41,19 +41,19 @@
                 # Logged before midnight.
                 at -= timedelta(days=1)
             ended = clock + (at - wall).total_seconds()
-            found.append(Pause(machine, ended - float(match[2]), ended))
-    return found
+            pauses.append(Pause(machine, ended - float(match[2]), ended))
+    return pauses
 
 
-def excuse(history: History, pauses: list[Pause]) -> None:
-    """Record pauses as faults of their machines, so that rules with a bound in time don't count what they explain."""
+def record_pauses(history: History, pauses: list[Pause]) -> None:
+    """Record pauses as faults of their machines, which excuse violations of rules with a bound in time."""
     for number, pause in enumerate(pauses, FIRST_NUMBER):
         history.add(FaultStarted(pause.began, number, pause.machine, "pause"))
         history.add(FaultEnded(pause.ended, number))
     history.events.sort(key=lambda event: event.at)
 
 
-def share_left_out(pauses: list[Pause], *, machines: int, seconds: float) -> float:
-    """Return the share of all machines' time in which a pause, or contact after one, leaves rules unjudged."""
+def excluded_share_of(pauses: list[Pause], *, machines: int, seconds: float) -> float:
+    """Return the share of all machines' time in which timed rules are not checked: pauses, and contact after them."""
     excused = sum(pause.ended - pause.began + BOUNDS["contact_s"] for pause in pauses)
     return min(1.0, excused / (machines * seconds))
--- a/packages/testbed/src/hoistsaddle/testbed/soak/processes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/processes.py
@@ -17,14 +17,14 @@
 from hoistsaddle.testbed.emulator.site import BOUNDS, CoreMachine, SidecarMachine
 
 READY_TIMEOUT_SECONDS = 1.0
-# The deploy file's launcher; started where nothing is built for it, it finds the inpauseed packages.
+# The launcher of the deploy file; without built libraries it imports the installed packages.
 LAUNCHER = FOLDER.parent / "run.py"
-# The platform kills what is still there this long after its grace.
+# The platform kills a process that is still running this long after its grace period.
 KILL_SLACK_SECONDS = 0.5
 
 
 class Usage(NamedTuple):
-    """What one process used at a time."""
+    """Resident memory in bytes and open descriptors of one process at one time."""
 
     at: float
     name: str
@@ -33,7 +33,7 @@
 
 
 class RealProcess:
-    """One process of a machine's program, with the interface that the emulator's faults need."""
+    """One process of a machine's program, with the interface that the emulator's fault injector needs."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         session: aiohttp.ClientSession,
         older: Path | None = None,
     ) -> None:
-        """Write nothing and start nothing yet; `older` is a built checkout of a former release, to run that."""
+        """Record the start; `start` starts the process. `older` is a built checkout of a former release to run."""
         self.environment = environment
         self.machine = machine
         self.number = number
@@ -56,16 +56,16 @@
         self._process: asyncio.subprocess.Process | None = None
         self.ended: asyncio.Future = environment.loop.create_future()
         self.frozen = False
-        # Whether the end that comes was asked for.
-        self.end_wanted = False
+        # Whether the soak stopped or killed the process.
+        self.end_requested = False
         self.powered_off = False
         environment.history.add(ProcessStarted(environment.now(), machine.name, self.service, number))
 
-    # -- what the emulator's fault injector reads and does -----------------------------------------------------------
+    # -- interface of the emulator's fault injector -------------------------------------------------------------------
 
     @property
     def simulated(self) -> "RealProcess":
-        """The process itself: it has no simulated part."""
+        """The process itself: there is no simulated process."""
         return self
 
     @property
@@ -75,22 +75,22 @@
 
     @property
     def was_started(self) -> bool:
-        """Whether there is, or was, a process."""
+        """Whether the operating system's process was started."""
         return self._process is not None
 
     @property
     def open(self) -> bool:
-        """Whether it may be called."""
+        """Whether the process can be called."""
         return not self.dead
 
     @property
     def data_folder(self) -> Path:
-        """A controller's data."""
+        """The data folder of a controller."""
         return self._folder / f"data-{self.machine.name}"
 
     @property
     def log_file(self) -> Path:
-        """Where its output goes; further processes of the machine add to it."""
+        """The log of the process; later processes of the machine append to it."""
         return self._folder / f"{self.machine.name}.log"
 
     def start(self, *, cold: bool) -> None:
@@ -98,47 +98,47 @@
         self.environment.create_task(self._run(cold=cold))
 
     def freeze(self) -> None:
-        """SIGSTOP."""
+        """Send SIGSTOP."""
         self.frozen = True
         self._signal(signal.SIGSTOP)
 
     def wake(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT."""
         self._signal(signal.SIGCONT)
         self.frozen = False
 
     def rewrite_settings(self) -> None:
-        """Write the settings file anew, and tell the process with SIGHUP."""
+        """Rewrite the settings file and send SIGHUP, if the process handles it already."""
         self._write_settings(cold=False)
         if self._handles(signal.SIGHUP):
             self._signal(signal.SIGHUP)
 
     async def wind_down(self) -> None:
-        """SIGTERM, and wait as long as the platform does; what is still there then is killed, which is a failure."""
-        self.end_wanted = True
+        """Send SIGTERM and wait as long as the platform does; a process that is still running is a failure."""
+        self.end_requested = True
         self._signal(signal.SIGTERM)
         await asyncio.wait({self.ended}, timeout=BOUNDS["grace_s"] + KILL_SLACK_SECONDS)
         if not self.dead:
-            self.environment.record_failure(f"{self.machine.name} was still there after its grace")
+            self.environment.record_failure(f"{self.machine.name} was still running after its grace period")
 
     def kill(self, *, power: bool = False) -> None:
-        """SIGKILL. Real disks keep what was written, so a loss of power is a kill here."""
-        self.end_wanted = True
+        """Send SIGKILL; a loss of power is the same here, because real disks keep what was written."""
+        self.end_requested = True
         self._signal(signal.SIGKILL)
 
     def wipe(self) -> None:
-        """Empty the data folder of a process that was killed."""
+        """Remove the data folder of a killed process."""
         shutil.rmtree(self.data_folder, ignore_errors=True)
 
     def reset(self, share: float) -> None:
-        """Connections aren't reset here: they end with their processes."""
+        """Do nothing: real connections end with their processes."""
 
     def led_epoch(self) -> int:
-        """Who leads is not looked up in real processes."""
+        """Return 0: the leader of real processes is not determined."""
         return 0
 
     async def ready(self) -> bool:
-        """What the platform's readiness check says."""
+        """Whether the platform's readiness check succeeds."""
         samples = adapter("samples")
         url = f"http://{self.machine.host}:{samples.READINESS}{adapter('handlers').READY_PATH}"
         try:
@@ -164,15 +164,15 @@
                 str(LAUNCHER if self._older is None else self._older / "platform" / "run.py"),
                 role,
                 env=environment,
-                # Where the launcher looks for what was built: nowhere for the present sources.
+                # The launcher looks for built libraries here; for the present sources there are none.
                 cwd=self._older or self._folder,
                 stdout=log,
                 stderr=log,
             )
-        if self.end_wanted:
+        if self.end_requested:
             self._process.kill()
         code = await self._process.wait()
-        if not self.end_wanted:
+        if not self.end_requested:
             self.environment.record_failure(f"{self.machine.name} ended by itself with {code}")
         if not self.ended.done():
             self.ended.set_result(None)
@@ -182,7 +182,7 @@
             self._process.send_signal(number)
 
     def _handles(self, number: signal.Signals) -> bool:
-        """Whether the process ignores or catches a signal: no program does before its first line has run."""
+        """Whether the process ignores or catches a signal; a program that just started does neither yet."""
         if self._process is None:
             return False
         try:
@@ -193,19 +193,19 @@
         return any(mask >> (number - 1) & 1 for mask in masks)
 
     def usage(self) -> Usage | None:
-        """Return what the process uses now; None if it has ended."""
+        """Return the present usage of the process; None if it has ended."""
         if self._process is None or self.dead:
             return None
-        place = Path("/proc") / str(self._process.pid)
+        proc = Path("/proc") / str(self._process.pid)
         try:
-            pages = int((place / "statm").read_text().split()[1])
-            descriptors = len(os.listdir(place / "fd"))
+            pages = int((proc / "statm").read_text().split()[1])
+            descriptors = len(os.listdir(proc / "fd"))
         except (OSError, IndexError):
             return None
         return Usage(self.environment.now(), self.machine.name, pages * os.sysconf("SC_PAGE_SIZE"), descriptors)
 
 
 def as_process(process: Any) -> RealProcess:
-    """The soak's processes are all of this kind."""
+    """Narrow the type: all processes of a soak are of this class."""
     assert isinstance(process, RealProcess)
     return process
--- a/packages/testbed/src/hoistsaddle/testbed/soak/report.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/report.py
@@ -1,30 +1,30 @@
-"""What a soak is reported as: lines for people, a file of what each process used, and a plot of it."""
+"""Reports of a soak: text lines, and the usage of each process as a CSV file and as a plot."""
 
 import csv
 from collections import defaultdict
 from pathlib import Path
 
 from hoistsaddle.testbed.soak.processes import Usage
-from hoistsaddle.testbed.soak.soak import MAX_LEFT_OUT, SoakReport
+from hoistsaddle.testbed.soak.soak import MAX_EXCLUDED_SHARE, SoakReport
 
 MEGABYTE = 1024 * 1024
-# Rules that no hesitation of a machine can break: what a verdict may rest on that must not vary.
-TIMELESS = ("MIXED", "MIXED at work", "UNASKED", "TWICE", "REFUSED", "ROUTE", "CONFIG taken", "CONFIG one content")
+# Rules that no delay of the machine can break; their violations count even if timed rules are not checked.
+UNTIMED_RULES = ("MIXED", "MIXED at work", "UNASKED", "TWICE", "REFUSED", "ROUTE", "CONFIG taken", "CONFIG one content")
 
 
 def verdict_of(report: SoakReport) -> str:
-    """Return "held", "BROKEN", or "not judged": then the machine stood still for too much of the time."""
-    if any(rule in TIMELESS or report.judged for rule in report.broken):
+    """Return "held", "BROKEN", or, if pauses took too much of the time, "not judged"."""
+    if any(rule in UNTIMED_RULES or report.timed_rules_apply for rule in report.broken):
         return "BROKEN"
-    return "held" if report.judged else "not judged"
+    return "held" if report.timed_rules_apply else "not judged"
 
 
 def lines_of(report: SoakReport, *, again: str) -> list[str]:
-    """Return a report for people.
+    """Return the report as text.
 
     Args:
-        report: of one soak.
-        again: the command that repeats it.
+        report: the results of one soak.
+        again: the command that repeats the soak.
     """
     day = report.day
     longest = max((pause.ended - pause.began for pause in report.pauses), default=0.0)
@@ -32,40 +32,44 @@
         f"seed {day.seed}: {verdict_of(report)}; {len(day.site.core)}+{len(day.site.sidecars)} processes, "
         f"{report.requests} requests, {report.changes} changes taken, signals {report.signals}",
         f"  outcomes {report.outcomes}",
-        f"  longest standstill {longest:.2f} s, {report.left_out:.1%} of the time left out"
-        + ("" if report.judged else f": over {MAX_LEFT_OUT:.0%}, rules with a bound in time are not judged"),
+        f"  longest standstill {longest:.2f} s, {report.excluded_share:.1%} of the time left out"
+        + (
+            ""
+            if report.timed_rules_apply
+            else f": over {MAX_EXCLUDED_SHARE:.0%}, rules with a bound in time are not judged"
+        ),
     ]
     lines += [f"  {line}" for line in _usage_lines(report.usage)]
-    for rule, found in report.broken.items():
-        lines.append(f"  BROKEN {rule} ({len(found)}): {found[0]} (again: {again})")
-    for name, story in report.stories.items():
-        lines += [f"    {name}", *(f"    {line}" for line in story)]
+    for rule, violations in report.broken.items():
+        lines.append(f"  BROKEN {rule} ({len(violations)}): {violations[0]} (again: {again})")
+    for name, events in report.event_traces.items():
+        lines += [f"    {name}", *(f"    {line}" for line in events)]
     return lines
 
 
 def _by_process(usage: list[Usage]) -> dict[str, list[Usage]]:
-    found: dict[str, list[Usage]] = defaultdict(list)
+    usage_by_process: dict[str, list[Usage]] = defaultdict(list)
     for each in usage:
-        found[each.name].append(each)
-    return found
+        usage_by_process[each.name].append(each)
+    return usage_by_process
 
 
 def _usage_lines(usage: list[Usage]) -> list[str]:
-    """Return the process that grew most, and the most that any used."""
+    """Return the largest usage of any process, and the process whose memory grew most."""
     if not usage:
         return []
-    series = _by_process(usage)
-    growth = {name: points[-1].memory - points[len(points) // 4].memory for name, points in series.items()}
-    grown = max(growth, key=lambda name: growth[name])
+    usage_by_process = _by_process(usage)
+    growth = {name: points[-1].memory - points[len(points) // 4].memory for name, points in usage_by_process.items()}
+    fastest_growing = max(growth, key=lambda name: growth[name])
     return [
         f"memory at most {max(each.memory for each in usage) / MEGABYTE:.0f} MB a process, "
-        f"most growth after the first quarter {growth[grown] / MEGABYTE:.1f} MB ({grown}); "
+        f"most growth after the first quarter {growth[fastest_growing] / MEGABYTE:.1f} MB ({fastest_growing}); "
         f"descriptors at most {max(each.descriptors for each in usage)}"
     ]
 
 
 def write_usage(report: SoakReport, path: Path) -> None:
-    """Write what each process used over the run as CSV."""
+    """Write the usage of each process over the run as CSV."""
     with path.open("w", newline="") as file:
         writer = csv.writer(file)
         writer.writerow(["seed", "seconds", "process", "memory_bytes", "descriptors"])
@@ -74,10 +78,10 @@
 
 
 def plot_usage(report: SoakReport, path: Path) -> None:
-    """Draw memory and descriptors of each process over the run."""
+    """Plot memory and descriptors of each process over the run."""
     import matplotlib
 
-    # Without a display: the picture goes into a file.
+    # The plot is written to a file, so no display is needed.
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
--- a/packages/testbed/src/hoistsaddle/testbed/soak/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/servers.py
@@ -1,4 +1,4 @@
-"""Application servers of a soak: the emulator's, behind a real socket, with every way to break an answer off."""
+"""Application servers of a soak: the emulator's servers behind real sockets, with many ways to break off answers."""
 
 import asyncio
 from datetime import timedelta
@@ -9,19 +9,19 @@
 from hoistsaddle.sidecar.messages import RunOnServer, ServerAnswered
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 from hoistsaddle.testbed.emulator.servers import PORT, Server
-from hoistsaddle.testbed.soak.wire import LIMIT, Broken, Message, in_chunks, read_message, write_head
+from hoistsaddle.testbed.soak.wire import BUFFER_LIMIT, IncompleteMessage, Message, in_chunks, read_message, write_head
 
-# Without a time in its request a server works so long at the most, in seconds.
+# The longest run, in seconds, for a request without a budget.
 MAX_SECONDS = 30.0
-# Shares of the answers: sent in chunks; ended by the connection alone; sent once more, late; with Connection: close.
-CHUNKED, UNFRAMED, TWICE, CLOSING = 0.3, 0.02, 0.05, 0.05
+# Shares of answers that are chunked, are ended by the connection alone, are sent again later, and close it.
+CHUNKED, UNFRAMED, REPEATED, CLOSING = 0.3, 0.02, 0.05, 0.05
 LATE_SECONDS = (0.0, 0.3)
-# An idle connection is closed after so long.
+# An idle connection is closed after a random time in this range.
 IDLE_SECONDS = (1.0, 8.0)
-# A share of the answers is long.
+# The share of long answers, and the largest number of repeats of the mark in one.
 LONG_SHARE, MAX_REPEATS = 0.1, 1500
-# Where an answer that breaks off ends: before any byte, in or right after its head, or in its body; by a reset or not.
-CUTS = ("nothing", "in head", "after head", "in body")
+# Where an answer breaks off: before any byte, in its head, after its head, or in its body.
+BREAK_POINTS = ("nothing", "in head", "after head", "in body")
 
 
 class SoakServer(Server):
@@ -30,12 +30,12 @@
     listener: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Listen beside the sidecar until the server ends; a former instance may still be closing."""
+        """Open the listener; retry while the address is still in use by a former instance."""
         self.connections: set[asyncio.StreamWriter] = set()
         while not self.ended:
             try:
                 self.listener = await asyncio.start_server(
-                    self._serve_connection, self.machine.host, PORT, limit=LIMIT, reuse_address=True
+                    self._serve_connection, self.machine.host, PORT, limit=BUFFER_LIMIT, reuse_address=True
                 )
             except OSError:
                 await asyncio.sleep(0.05)
@@ -45,7 +45,7 @@
             return
 
     def end(self) -> None:
-        """End at once: the listener closes, and all connections break off."""
+        """End at once: close the listener and abort all connections."""
         super().end()
         if self.listener is not None:
             self.listener.close()
@@ -53,7 +53,7 @@
                 writer.transport.abort()
 
     def make_body(self, mark: bytes) -> bytes:
-        """Most answers are short, and some take many reads."""
+        """Return a short body in most cases, and sometimes one that takes many reads."""
         rng = self.environment.random
         return mark * (rng.randint(3, MAX_REPEATS) if rng.random() < LONG_SHARE else 3)
 
@@ -65,7 +65,7 @@
                     request = await read_message(reader)
                 if not await self._answer(request, writer):
                     break
-        except (Broken, TimeoutError, OSError, ValueError, asyncio.LimitOverrunError):
+        except (IncompleteMessage, TimeoutError, OSError, ValueError, asyncio.LimitOverrunError):
             pass
         finally:
             self.connections.discard(writer)
@@ -76,14 +76,14 @@
         method, path, _ = request.first_line.split(" ")
         pairs = [(name.encode(), value.encode()) for name, value in request.headers.items()]
         budget = request.headers.get(names.budget)
-        within = timedelta(seconds=MAX_SECONDS if budget is None else int(budget) / 1000)
+        time_limit = timedelta(seconds=MAX_SECONDS if budget is None else int(budget) / 1000)
         call = ForwardCall(
             attempt_id="",
             service_name=self.service,
             target=self.machine.name,
             instance=request.headers.get(names.instance, ""),
-            budget=within,
-            latency_target=within,
+            budget=time_limit,
+            latency_target=time_limit,
             rank=0,
             route="",
             method=method,
@@ -93,10 +93,10 @@
             caller=request.headers.get(names.caller, ""),
             client_attempt_id=request.headers.get(names.client_attempt_id, ""),
         )
-        return RunOnServer(0, self.address, call, within)
+        return RunOnServer(0, self.address, call, time_limit)
 
     async def _answer(self, request: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; return whether the connection goes on."""
+        """Answer one request; return whether the connection stays open."""
         result = await self.serve(self._command(request))
         if not isinstance(result, ServerAnswered):
             self._break_off(request, writer)
@@ -104,7 +104,7 @@
         return await self._send(result, writer)
 
     def _break_off(self, request: Message, writer: asyncio.StreamWriter) -> None:
-        """Send a part of an answer, and end the connection in one way or the other."""
+        """Send part of an answer and end the connection, by a reset in half of the cases."""
         rng = self.environment.random
         names = adapter("headers").HEADER_NAMES
         framing = rng.choice([("Content-Length", "5000"), ("Transfer-Encoding", "chunked"), ("Connection", "close")])
@@ -117,7 +117,7 @@
             "after head": head,
             "in body": head + b"400\r\n" + b"x" * 700,
         }
-        writer.write(parts[rng.choice(CUTS)])
+        writer.write(parts[rng.choice(BREAK_POINTS)])
         if rng.random() < 0.5:
             writer.transport.abort()
 
@@ -128,14 +128,14 @@
         answer = write_head(f"HTTP/1.1 {result.status} Answer", [*pairs, *framing]) + body
         writer.write(answer)
         await writer.drain()
-        if not closes and rng.random() < TWICE:
-            # In the place of the next answer, or before anybody asks.
+        if not closes and rng.random() < REPEATED:
+            # The repeated answer arrives in place of the next one, or before any further request.
             await asyncio.sleep(rng.uniform(*LATE_SECONDS))
             writer.write(answer)
         return not closes
 
     def _frame(self, body: bytes) -> tuple[list[tuple[str, str]], bytes, bool]:
-        """Return headers, the body as it is sent, and whether the connection ends with it."""
+        """Return the framing headers, the encoded body, and whether the connection closes after the answer."""
         rng = self.environment.random
         drawn = rng.random()
         if drawn < UNFRAMED:
@@ -147,6 +147,6 @@
 
 
 def as_server(server: Any) -> SoakServer:
-    """The soak's servers are all of this kind."""
+    """Narrow the type: all servers of a soak are of this class."""
     assert isinstance(server, SoakServer)
     return server
--- a/packages/testbed/src/hoistsaddle/testbed/soak/size.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/size.py
@@ -1,4 +1,4 @@
-"""How large a soak is: its site on loopback addresses, and whether this machine has room for it."""
+"""The size of a soak: its site on loopback addresses, and whether this machine has the capacity for it."""
 
 import os
 import random
@@ -8,33 +8,33 @@
 from hoistsaddle.common.errors import ErrorKind, MeshError
 from hoistsaddle.testbed.emulator.site import CORE, CoreMachine, SidecarMachine, Site, draw_site
 
-# By the platform's rules for what may be started on a machine that others use too.
+# The platform's limits for a shared machine: processes, and the share of its memory.
 MAX_PROCESSES = 300
 MEMORY_SHARE = 0.5
-# What one of the programs needs at the most in a short run, in bytes.
+# The largest memory that one program needs in a short run.
 BYTES_PER_PROCESS = 80 * 1024 * 1024
 MIN_CONTROLLERS, MIN_SIDECARS = 3, 6
-# Client requests a second for each sidecar, and at the most in all: one Python process plays clients and servers.
+# Client requests a second per sidecar and in total: one Python process simulates all clients and servers.
 RATE_PER_SIDECAR, MAX_RATE = 5.0, 150.0
-# Each run has a loopback network of its own, 127.N.0.0, so that several fit beside each other.
+# Each run has its own loopback network, 127.N.0.0, so that several can run at the same time.
 FIRST_NETWORK, NETWORKS = 16, 200
 _SIZE = re.compile(r"(\d{1,3})\+(\d{1,3})")
 
 
 class Size(NamedTuple):
-    """Controllers and sidecars of a soak."""
+    """The numbers of controllers and sidecars of a soak."""
 
     controllers: int
     sidecars: int
 
     @property
     def processes(self) -> int:
-        """How many processes run, beside the one that plays clients and servers."""
+        """The number of processes, without the one that runs clients and servers."""
         return self.controllers + self.sidecars
 
 
 def read_size(text: str) -> Size | None:
-    """Read CONTROLLERS+SIDECARS; None if it can't be read or is too small to bear a loss."""
+    """Parse CONTROLLERS+SIDECARS; None if it can't be parsed or is too small to tolerate a loss."""
     match = _SIZE.fullmatch(text)
     if match is None:
         return None
@@ -48,22 +48,24 @@
 
 
 def check_room(size: Size, *, memory: int) -> MeshError | None:
-    """Return why this machine has no room for the soak, if so.
+    """Return an error if the soak needs more processes than this machine allows.
 
     Args:
-        size: of the soak.
-        memory: of the machine, in bytes.
+        size: the size of the soak.
+        memory: the memory of the machine, in bytes.
     """
-    room = min(MAX_PROCESSES, int(memory * MEMORY_SHARE / BYTES_PER_PROCESS))
-    if size.processes <= room:
+    max_processes = min(MAX_PROCESSES, int(memory * MEMORY_SHARE / BYTES_PER_PROCESS))
+    if size.processes <= max_processes:
         return None
     return MeshError(
-        ErrorKind.PARAMS, f"{size.processes} processes, and this machine has room for {room}.", "Ask for fewer."
+        ErrorKind.PARAMS,
+        f"{size.processes} processes, and this machine has room for {max_processes}.",
+        "Ask for fewer.",
     )
 
 
 def site_of(size: Size, *, seed: int) -> Site:
-    """Return the site of a seed in this size; its machines have loopback addresses."""
+    """Return the site of a seed in this size, with loopback addresses."""
     drawn = draw_site(seed, small=True)
     rng = random.Random(f"soak {seed}")
     network = FIRST_NETWORK + (seed * 7 + os.getpid()) % NETWORKS
--- a/packages/testbed/src/hoistsaddle/testbed/soak/soak.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: the emulator's clients, servers, operators and faults, played on real processes in real time."""
+"""One soak run: the emulator's clients, servers, operators and faults on real processes in real time."""
 
 import asyncio
 import contextvars
@@ -33,25 +33,25 @@
 from hoistsaddle.testbed.emulator.site import CoreMachine, SidecarMachine
 from hoistsaddle.testbed.emulator.statuses import OK
 from hoistsaddle.testbed.soak.clients import CROSSED, SoakClients
-from hoistsaddle.testbed.soak.pauses import Pause, excuse, pauses_in, share_left_out
+from hoistsaddle.testbed.soak.pauses import Pause, excluded_share_of, pauses_in, record_pauses
 from hoistsaddle.testbed.soak.processes import RealProcess, Usage, as_process
 from hoistsaddle.testbed.soak.servers import SoakServer, as_server
 
 USAGE_SECONDS = 1.0
-# From the start of the processes to traffic, at the least, and a little more for each process.
+# The delay between the start of the processes and the traffic: a minimum, and an addition for each process.
 LEAD_SECONDS, LEAD_SECONDS_PER_PROCESS = 6.0, 0.15
-# With more of the time than this left out by standstills, a run says nothing.
-MAX_LEFT_OUT = 0.1
-# So many requests may be passed on from a kept connection that then closes without an answer (NEWS-22).
-TOLERATED_CROSSINGS = 3
-# Requests of each broken rule whose story is told.
-STORIES_PER_RULE = 3
-# Rules of the emulator that are no rules of a soak: it has no closing fault and no quota of traffic to serve.
-NO_RULES = ("RECOVER", "GATE")
+# If pauses exclude more than this share of the time, timed rules are not checked.
+MAX_EXCLUDED_SHARE = 0.1
+# The number of forwarded requests whose kept connection may close without an answer (NEWS-22).
+MAX_CROSSED_REQUESTS = 3
+# The number of requests of each broken rule whose events are listed.
+TRACED_REQUESTS_PER_RULE = 3
+# Rules of the emulator that a soak does not check: it has no closing fault and no minimum of served traffic.
+SKIPPED_RULES = ("RECOVER", "GATE")
 
 
 class SoakReport(NamedTuple):
-    """What one soak came to."""
+    """The results of one soak run."""
 
     day: Day
     requests: int
@@ -59,23 +59,23 @@
     changes: int
     signals: dict[str, int]
     pauses: list[Pause]
-    left_out: float
+    excluded_share: float
     usage: list[Usage]
     broken: dict[str, list[str]]
-    # What was seen of each request that a broken rule names, in the order of time.
-    stories: dict[str, list[str]]
+    # The events of each request that a broken rule names, by time.
+    event_traces: dict[str, list[str]]
 
     @property
-    def judged(self) -> bool:
-        """Whether the machine was quiet enough for rules with a bound in time."""
-        return self.left_out <= MAX_LEFT_OUT
+    def timed_rules_apply(self) -> bool:
+        """Whether pauses were short enough for rules with a bound in time to be checked."""
+        return self.excluded_share <= MAX_EXCLUDED_SHARE
 
 
 class Soak(Emulator):
-    """The emulator's day with real processes. What it inherits plays clients, servers, operators and faults."""
+    """Runs the emulator's day with real processes; the base class runs clients, servers, operators and faults."""
 
     def __init__(self, *, day: Day, folder: Path, session: aiohttp.ClientSession, older: Path | None = None) -> None:
-        # Not the emulator's own: it makes a simulated world.
+        # The emulator's constructor is not called: it creates a simulated world.
         self.day = day
         self.loop: Any = asyncio.get_running_loop()
         self.random = random.Random(f"soak {day.seed}")
@@ -104,15 +104,15 @@
         self.usage: list[Usage] = []
         self.began_at, self.began_wall = self.now(), datetime.now()
 
-    # -- the emulator's surroundings, for real ----------------------------------------------------------------------
+    # -- real processes in place of the emulator's simulated ones ---------------------------------------------------
 
     def _done(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.record_failure(f"the soak itself: {error!r}")
+            self.record_failure(f"a task of the soak failed: {error!r}")
 
     def leader(self) -> str:
-        """Any controller: who leads is not looked up."""
+        """Return a random controller: the leader of real processes is not determined."""
         return self.random.choice(list(self.core))
 
     def start(self, name: str, *, cold: bool = False) -> None:
@@ -153,12 +153,12 @@
         return await as_process(process).ready()
 
     def _check_tasks(self) -> None:
-        """Programs that end by themselves are recorded where that happens."""
+        """Do nothing: a program that ends by itself is recorded when its process exits."""
 
     # -- the run ----------------------------------------------------------------------------------------------------
 
     async def _start_site(self) -> None:
-        # Like the platform's own starts of core machines: their core is not settled until they have had their time.
+        # Recorded like the platform's starts of core machines, so that the core counts as unsettled until they end.
         starting = [self.fault_injector.record_start(machine.name, "start") for machine in self.day.site.core]
         self._start_machines()
         self.create_task(self._watch_usage())
@@ -170,12 +170,12 @@
 
     async def _watch_usage(self) -> None:
         while True:
-            found = [as_process(process).usage() for process in self.processes.values()]
-            self.usage += [each for each in found if each is not None]
+            usages = [as_process(process).usage() for process in self.processes.values()]
+            self.usage += [each for each in usages if each is not None]
             await asyncio.sleep(USAGE_SECONDS)
 
     async def end(self) -> None:
-        """End all processes, and wait until they are gone."""
+        """Kill all processes and wait until they have exited."""
         for task in list(self.tasks):
             task.cancel()
         self.clients.close()
@@ -191,7 +191,7 @@
             await asyncio.wait(ends, timeout=LEAD_SECONDS)
 
     def report(self) -> SoakReport:
-        """Judge what was seen."""
+        """Check the history and return the results."""
         day, history = self.day, self.history
         machines: list[CoreMachine | SidecarMachine] = [*day.site.core, *day.site.sidecars]
         pauses = [
@@ -204,8 +204,12 @@
         signals = Counter(fault.kind for fault in history.of(FaultStarted))
         results = history.of(RequestResult)
         seconds = self.now() - self.began_at
-        excuse(history, [pause for pause in pauses if not self._explained(pause)])
-        broken = {rule: found for rule, found in check(history, day).items() if found and rule not in NO_RULES}
+        record_pauses(history, [pause for pause in pauses if not self._caused_by_freeze(pause)])
+        broken = {
+            rule: violations
+            for rule, violations in check(history, day).items()
+            if violations and rule not in SKIPPED_RULES
+        }
         if lost := lost_on_kept_connections(HistoryIndex(history=history, day=day)):
             broken["LOST kept"] = lost
         return SoakReport(
@@ -215,31 +219,34 @@
             sum(each.status == OK for each in history.of(ChangeAnswered)),
             dict(signals),
             pauses,
-            share_left_out(
-                [pause for pause in pauses if not self._explained(pause)], machines=len(machines), seconds=seconds
+            excluded_share_of(
+                [pause for pause in pauses if not self._caused_by_freeze(pause)],
+                machines=len(machines),
+                seconds=seconds,
             ),
             self.usage,
             broken,
-            self._stories(broken),
+            self._event_traces(broken),
         )
 
-    def _stories(self, broken: dict[str, list[str]]) -> dict[str, list[str]]:
-        named = [line.split()[0] for found in broken.values() for line in found[:STORIES_PER_RULE]]
+    def _event_traces(self, broken: dict[str, list[str]]) -> dict[str, list[str]]:
+        names = [line.split()[0] for violations in broken.values() for line in violations[:TRACED_REQUESTS_PER_RULE]]
         attempts = {started.run: started.attempt for started in self.history.of(RunStarted)}
-        stories: dict[str, list[str]] = {}
-        for name in dict.fromkeys(named):
+        event_traces: dict[str, list[str]] = {}
+        for name in dict.fromkeys(names):
             attempt = attempts.get(name, name)
-            about = [event for event in self.history.events if getattr(event, "attempt", "") == attempt]
-            runs = {event.run for event in about if isinstance(event, RunStarted)}
-            about += [ended for ended in self.history.of(RunEnded) if ended.run in runs]
-            about += [event for event in self.history.events if getattr(event, "change_request", "") == name]
-            stories[name] = [
-                f"{event.at - self.began_at:9.3f} s  {event}" for event in sorted(about, key=lambda event: event.at)
+            related_events = [event for event in self.history.events if getattr(event, "attempt", "") == attempt]
+            runs = {event.run for event in related_events if isinstance(event, RunStarted)}
+            related_events += [ended for ended in self.history.of(RunEnded) if ended.run in runs]
+            related_events += [event for event in self.history.events if getattr(event, "change_request", "") == name]
+            event_traces[name] = [
+                f"{event.at - self.began_at:9.3f} s  {event}"
+                for event in sorted(related_events, key=lambda event: event.at)
             ]
-        return stories
+        return event_traces
 
-    def _explained(self, pause: Pause) -> bool:
-        """Whether the soak itself made the program stand still."""
+    def _caused_by_freeze(self, pause: Pause) -> bool:
+        """Whether a freeze that the soak injected caused the pause."""
         return any(
             fault.kind == "freeze" and fault.machine == pause.machine and pause.began - 1 < fault.at < pause.ended + 1
             for fault in self.history.of(FaultStarted)
@@ -247,11 +254,12 @@
 
 
 def lost_on_kept_connections(index: HistoryIndex) -> list[str]:
-    """Requests that went on to a server which answered, while their kept connection closed without an answer.
+    """Return the requests that a server answered although their kept connection closed without an answer.
 
-    At a machine without unplanned faults that may happen a few times: a request may cross the sidecar's close.
+    On a machine without unplanned faults a few are tolerated: a request may cross the sidecar's close of the
+    connection.
     """
-    found = []
+    lost = []
     for result in index.history.of(RequestResult):
         request = index.requests[result.attempt]
         answered = [
@@ -260,26 +268,26 @@
             if (ended := index.ended_runs.get(started.run)) is not None and ended.complete
         ]
         faults = index.timeline.by_machine.get(request.machine, ())
-        excused = any(not fault.planned and fault.overlaps(request.at, result.at) for fault in faults)
-        if result.outcome == CROSSED and answered and not excused:
-            found.append(f"{result.attempt} went on as {answered[0]}, and its connection closed without an answer")
-    return found if len(found) > TOLERATED_CROSSINGS else []
+        explained = any(not fault.planned and fault.overlaps(request.at, result.at) for fault in faults)
+        if result.outcome == CROSSED and answered and not explained:
+            lost.append(f"{result.attempt} ran as {answered[0]}, and its connection closed without an answer")
+    return lost if len(lost) > MAX_CROSSED_REQUESTS else []
 
 
 async def run_soak(
     day: Day, *, folder: Path, older: Path | None = None, write_line: Callable[[str], None] = lambda line: None
 ) -> SoakReport:
-    """Play a soak's day on real processes; nothing is left behind, whatever ends it.
+    """Run a soak's day on real processes; all processes are ended, also on an error or a signal.
 
     Args:
-        day: drawn for a site on loopback addresses.
-        folder: of settings, data and logs.
-        older: a checkout of a former release, built for the platform, whose programs run in the place of these.
-        write_line: takes progress for people.
+        day: the day, for a site on loopback addresses.
+        folder: holds settings, data and logs.
+        older: a checkout of a former release, built for the platform, whose programs run instead of the present ones.
+        write_line: receives progress messages.
     """
     loop, main = asyncio.get_running_loop(), asyncio.current_task()
     for number in (signal.SIGINT, signal.SIGTERM):
-        # By default the second one would end this process at once, and leave all others behind.
+        # The default handling of SIGTERM would end this process at once and leave all others running.
         loop.add_signal_handler(number, lambda: main.cancel() if main is not None else None)
     async with aiohttp.ClientSession() as session:
         soak = Soak(day=day, folder=folder, session=session, older=older)
--- a/packages/testbed/src/hoistsaddle/testbed/soak/wire.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as soaks speak it: read and written by hand, so that every way to cut a message can be played and seen."""
+"""HTTP/1.1 messages, read and written directly, so that a message can be cut at any point and a cut detected."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,16 +6,16 @@
 from multidict import CIMultiDict
 
 HEAD_END = b"\r\n\r\n"
-LIMIT = 2**20
+BUFFER_LIMIT = 2**20
 
 
-class Broken(Exception):
+class IncompleteMessage(Exception):
     """The connection ended before the message was complete."""
 
-    def __init__(self, *, began: bool) -> None:
-        """`began`: whether any byte of the message had come."""
+    def __init__(self, *, started: bool) -> None:
+        """`started`: whether any byte of the message was received."""
         super().__init__("the message is not complete")
-        self.began = began
+        self.started = started
 
 
 class Message(NamedTuple):
@@ -27,18 +27,18 @@
 
     @property
     def status(self) -> int:
-        """Return an answer's status."""
+        """The status of an answer."""
         return int(self.first_line.split(" ")[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """Read one complete message; raises Broken where the connection ends before, ValueError for no HTTP."""
+    """Read one message; raises IncompleteMessage if the connection ends too early, ValueError if it isn't HTTP."""
     try:
         head = await reader.readuntil(HEAD_END)
-    except asyncio.IncompleteReadError as cut:
-        raise Broken(began=bool(cut.partial)) from cut
+    except asyncio.IncompleteReadError as error:
+        raise IncompleteMessage(started=bool(error.partial)) from error
     except OSError as reset:
-        raise Broken(began=False) from reset
+        raise IncompleteMessage(started=False) from reset
     lines = head.decode("latin-1").split("\r\n")
     headers: CIMultiDict[str] = CIMultiDict()
     for line in lines[1:]:
@@ -47,8 +47,8 @@
             headers.add(name, value)
     try:
         body = await _read_body(reader, headers)
-    except (asyncio.IncompleteReadError, OSError) as cut:
-        raise Broken(began=True) from cut
+    except (asyncio.IncompleteReadError, OSError) as error:
+        raise IncompleteMessage(started=True) from error
     return Message(lines[0], headers, body)
 
 
@@ -70,7 +70,7 @@
 
 
 def in_chunks(body: bytes, *, pieces: int) -> bytes:
-    """Return a body in so many chunks, with the last one."""
-    step = max(1, len(body) // pieces)
-    chunks = [body[begin : begin + step] for begin in range(0, len(body), step)]
+    """Return a body in about this many chunks, with the final empty chunk."""
+    chunk_size = max(1, len(body) // pieces)
+    chunks = [body[begin : begin + chunk_size] for begin in range(0, len(body), chunk_size)]
     return b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks) + b"0\r\n\r\n"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,11 +24,11 @@
 from hoistsaddle.testbed.emulator.history_index import HistoryIndex
 from hoistsaddle.testbed.soak.clients import CROSSED
 from hoistsaddle.testbed.soak.day import WIPE_GAP, draw_soak
-from hoistsaddle.testbed.soak.pauses import Pause, excuse, pauses_in, share_left_out
-from hoistsaddle.testbed.soak.report import TIMELESS, lines_of
+from hoistsaddle.testbed.soak.pauses import Pause, excluded_share_of, pauses_in, record_pauses
+from hoistsaddle.testbed.soak.report import UNTIMED_RULES, lines_of
 from hoistsaddle.testbed.soak.size import BYTES_PER_PROCESS, MAX_PROCESSES, Size, check_room, read_size, site_of
-from hoistsaddle.testbed.soak.soak import TOLERATED_CROSSINGS, lost_on_kept_connections, run_soak
-from hoistsaddle.testbed.soak.wire import Broken, in_chunks, read_message, write_head
+from hoistsaddle.testbed.soak.soak import MAX_CROSSED_REQUESTS, lost_on_kept_connections, run_soak
+from hoistsaddle.testbed.soak.wire import IncompleteMessage, in_chunks, read_message, write_head
 
 SEED, SECONDS = 1, 60.0
 SMALL = Size(3, 6)
@@ -52,7 +52,7 @@
         day = draw_soak(site_of(SMALL, seed=SEED), seed=SEED, seconds=SECONDS)
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-soak-") as folder:
             report = asyncio.run(run_soak(day, folder=Path(folder)))
-        broken = {rule: found for rule, found in report.broken.items() if rule in TIMELESS}
+        broken = {rule: found for rule, found in report.broken.items() if rule in UNTIMED_RULES}
         self.assertThat(broken, Equals({}), "\n".join(lines_of(report, again="")))
         self.assertThat(report.outcomes.get("answered 200", 0), GreaterThan(0))
         # As many as there are machines started, and those that the day's signals struck.
@@ -120,8 +120,8 @@
             reader.feed_eof()
             try:
                 return (await read_message(reader)).body
-            except Broken as broken:
-                return broken.began
+            except IncompleteMessage as incomplete:
+                return incomplete.started
 
         return asyncio.run(run())
 
@@ -152,9 +152,9 @@
 
     def test_it_excuses_its_machine_and_is_counted_as_left_out(self) -> None:
         history, pause = History(), Pause("side-00", 5.0, 6.0)
-        excuse(history, [pause])
+        record_pauses(history, [pause])
         self.assertThat([type(event) for event in history.events], Equals([FaultStarted, FaultEnded]))
-        self.assertThat(share_left_out([pause], machines=4, seconds=10.0), Equals(0.1))
+        self.assertThat(excluded_share_of([pause], machines=4, seconds=10.0), Equals(0.1))
 
 
 class KeptConnections(TestCase):
@@ -173,8 +173,8 @@
         return lost_on_kept_connections(HistoryIndex(history=history, day=day))
 
     def test_more_than_a_few_requests_closed_on_without_an_answer_are_lost(self) -> None:
-        self.assertThat(self.lost(TOLERATED_CROSSINGS), Equals([]))
-        self.assertThat(len(self.lost(TOLERATED_CROSSINGS + 1)), Equals(TOLERATED_CROSSINGS + 1))
+        self.assertThat(self.lost(MAX_CROSSED_REQUESTS), Equals([]))
+        self.assertThat(len(self.lost(MAX_CROSSED_REQUESTS + 1)), Equals(MAX_CROSSED_REQUESTS + 1))
         self.assertThat(len(self.lost(9, fault="stop")), Equals(9))
 
     def test_not_those_of_a_process_that_was_killed_nor_of_a_server_that_broke_off(self) -> None:
--- a/tests/test_soak_first_start.py
+++ b/tests/test_soak_first_start.py
@@ -28,11 +28,11 @@
         site = site_of(SIZE, seed=SEEDS[0])
         core = tuple(machine.name for machine in site.core)
         report = first_start(Day(SEEDS[0], site, (), 0.0, (Kill(0.3, core[:1], 0.5), Kill(1.2, core, 0.3))))
-        self.assertThat(report.held, Equals(True), str(report))
+        self.assertThat(report.succeeded, Equals(True), str(report))
 
     def test_series_of_faults(self) -> None:
         print("seeds", SEEDS)
         for seed in SEEDS:
             site = site_of(SIZE, seed=seed)
             report = first_start(Day(seed, site, (), 0.0, draw_first_start(site, seed=seed)))
-            self.assertThat(report.held, Equals(True), str(report))
+            self.assertThat(report.succeeded, Equals(True), str(report))
