--- a/tests/controller_deployment.py
+++ b/tests/controller_deployment.py
@@ -1,4 +1,4 @@
-"""Controllers and sidecars as processes on loopback, each with a server in the test's own process."""
+"""Controllers and sidecars as processes on loopback, with the sidecars' servers in the test's process."""
 
 import asyncio
 import json
@@ -11,12 +11,12 @@
 
 from aiohttp import web
 
-# It only ends a run that hangs: processes may be slow on a busy machine.
+# Ends a run that hangs; long, because processes may be slow on a busy machine.
 MAX_SECONDS = 90.0
 
 
 def free_ports(count: int, *, host: str = "127.0.0.1") -> list[int]:
-    """Ports that were free a moment ago."""
+    """Ports that are free at the time of the call."""
     sockets = [socket.socket() for _ in range(count)]
     for each in sockets:
         each.bind((host, 0))
@@ -27,7 +27,7 @@
 
 
 class Deployment:
-    """Three controllers on loopback addresses of their own, two sidecars, each with a server in this process."""
+    """Three controllers on their own loopback addresses, and sidecars, each with a server in this process."""
 
     hosts = ("127.0.77.1", "127.0.77.2", "127.0.77.3")
 
@@ -38,7 +38,7 @@
         self.runs: list[str] = []
 
     async def launch(self, name: str, kind: str, settings: dict[str, Any]) -> None:
-        """Starts a process of this subcommand, its settings in a file, its log beside it."""
+        """Writes a settings file and starts a process of this subcommand, with its log in the same folder."""
         path = self.folder / f"{name}.toml"
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items()))
         with (self.folder / f"{name}.log").open("ab") as log:
@@ -47,7 +47,7 @@
             )
 
     async def start_controller(self, index: int, *, cold: bool) -> None:
-        """Starts the controller of this place in `hosts`; cold: it may bootstrap the mesh."""
+        """Starts the controller with this index in `hosts`; with `cold` it may bootstrap the mesh."""
         registry, store, operators = self.ports
         await self.launch(
             f"market-{index}",
@@ -66,7 +66,7 @@
         )
 
     async def start_sidecar(self, number: int) -> tuple[str, str, str]:
-        """Starts a sidecar; gives the addresses of its ingress, its admin listener and its server."""
+        """Starts a sidecar; returns the addresses of its ingress, its admin listener and its server."""
         listen, ingress, admin, server = (f"127.0.0.1:{port}" for port in free_ports(4))
         await self.launch(
             f"stall-{number}",
@@ -90,7 +90,7 @@
         return [f"{host}:{self.ports[2]}" for host in self.hosts]
 
     async def command(self, *arguments: str) -> tuple[int, str]:
-        """Runs a command of the operators; gives its exit code and output."""
+        """Runs an operator command; returns its exit code and output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "hoistsaddle.cli", *arguments,
             env={**os.environ, "HOISTSADDLE_DOORS": " ".join(self.operator_addresses())},
@@ -100,7 +100,7 @@
         return process.returncode or 0, output.decode()
 
     async def serve(self, address: str) -> web.ServerRunner:
-        """A server as the mesh expects one: each answer carries the id of its request."""
+        """Starts a server that returns the id of each request with its answer, as the mesh requires."""
 
         async def handle(request: web.BaseRequest) -> web.Response:
             self.runs.append(f"{request.method} {request.path}")
@@ -114,7 +114,7 @@
         return runner
 
     async def stop(self) -> dict[str, int]:
-        """Stops every process; gives their exit codes by name."""
+        """Stops every process; returns the exit codes by name."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
@@ -129,7 +129,7 @@
 
 
 async def until(work: Any, *, seconds: float = MAX_SECONDS) -> Any:
-    """Calls `work` until its result is truthy: a process gives no event to wait on."""
+    """Polls `work` until its result is truthy, because another process offers no event to wait for."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + seconds
     while True:
@@ -137,5 +137,5 @@
         if result:
             return result
         if loop.time() > deadline:
-            raise AssertionError(f"still not after {seconds} s")
+            raise AssertionError(f"condition not met within {seconds} s")
         await asyncio.sleep(0.1)
--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -1,4 +1,4 @@
-"""Crowds of clients that don't behave, against real processes on loopback: a controller, a sidecar and its server."""
+"""Crowds of misbehaving clients against real processes on loopback: a controller, a sidecar and its server."""
 
 import asyncio
 import json
@@ -12,19 +12,19 @@
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 
 LAUNCHER = Path(__file__).parent.parent / "platform" / "run.py"
-# A loopback network of its own for each test process: several may run beside each other.
+# Each test process has its own loopback network, so that several can run at the same time.
 NETWORK = f"127.{20 + os.getpid() % 200}.83"
 HOST, CONTROLLER_HOST = f"{NETWORK}.1", f"{NETWORK}.2"
 SERVER_PORT = 8301
 ROUTE_HOST = "crowd.example"
-# The machine of the tests, smaller than any real one: MB of memory, and descriptors.
+# The limits of the tested machine, smaller than any real one: MB of memory, and descriptors.
 MEMORY_MB = 160
 FD_LIMIT = 600
 BODY_BYTES = 16 * 1024 * 1024
-# Only end what hangs; nothing is judged by them.
-PATIENCE_SECONDS = 60.0
-# How long a crowd presses at the most, and goes on to hold what it has opened.
-PRESS_SECONDS = 8.0
+# Ends a hanging test; not a bound that is checked.
+TIMEOUT_SECONDS = 60.0
+# How long the process is observed while the crowd sends and holds its connections open.
+OBSERVE_SECONDS = 8.0
 SAMPLE_SECONDS = 0.05
 BYTES_PER_MB = 1024 * 1024
 
@@ -34,14 +34,14 @@
 
 
 class Crowd(NamedTuple):
-    """So many clients, each of which sends these pieces and then stays."""
+    """A number of clients, each of which sends these pieces and then keeps its connection open."""
 
     clients: int
     pieces: Pieces
 
 
 def with_length(length: int, *, sent: int) -> Pieces:
-    """A body with a length of which so much is sent."""
+    """A body with a Content-Length, of which `sent` bytes are sent."""
 
     def pieces() -> Iterator[bytes]:
         yield HEAD + f"Content-Length: {length}\r\n\r\n".encode()
@@ -53,24 +53,24 @@
 
 
 def in_chunks(size: int, *, sent: int) -> Pieces:
-    """A body in chunks of a size, of which so much is sent and the end never."""
+    """A chunked body, of which about `sent` bytes are sent and the last chunk never."""
 
     def pieces() -> Iterator[bytes]:
         yield HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
         chunk = f"{size:x}\r\n".encode() + b"x" * size + b"\r\n"
-        together = max(1, len(PIECE) // len(chunk))
-        yield from repeat(chunk * together, sent // (size * together))
+        chunks_per_piece = max(1, len(PIECE) // len(chunk))
+        yield from repeat(chunk * chunks_per_piece, sent // (size * chunks_per_piece))
 
     return pieces
 
 
 def head_in_fields(*, sent: int) -> Pieces:
-    """A head without end, in fields of 30 kB."""
-    return lambda: chain([HEAD], (f"X-{place}: ".encode() + b"y" * 30000 + b"\r\n" for place in range(sent // 30000)))
+    """A head without an end, in fields of 30 kB."""
+    return lambda: chain([HEAD], (f"X-{index}: ".encode() + b"y" * 30000 + b"\r\n" for index in range(sent // 30000)))
 
 
 def head_in_a_line(*, sent: int) -> Pieces:
-    """A head whose one field never ends."""
+    """A head with a single field without an end."""
     return lambda: chain([HEAD, b"X: "], repeat(PIECE, sent // len(PIECE)))
 
 
@@ -80,7 +80,7 @@
 
 
 MB = 1024 * 1024
-# Fixed before any change of the product (issue 44): about twice and more of what the machine has, where it is held.
+# Fixed before the product was changed (issue 44): if held in memory, at least about twice the machine's memory.
 CROWDS = {
     "bodies short of their end": Crowd(24, with_length(15 * MB, sent=15 * MB - 65536)),
     "complete bodies": Crowd(24, with_length(12 * MB, sent=12 * MB)),
@@ -93,8 +93,8 @@
 }
 
 
-class Seen(NamedTuple):
-    """What became of a process that a crowd pressed."""
+class ProcessState(NamedTuple):
+    """The state of a process under a crowd."""
 
     alive: bool
     peak_mb: float
@@ -103,14 +103,14 @@
 
 
 class Deployment:
-    """A controller, a sidecar and the server beside it."""
+    """A controller, a sidecar and its server."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self) -> None:
-        """Start everything, and put one route in force."""
+        """Start all processes, and configure one route."""
         self.server = await asyncio.start_server(self._serve, HOST, SERVER_PORT)
         await self._launch("controller", CONTROLLER_HOST)
         await self._launch("sidecar", HOST)
@@ -147,9 +147,9 @@
                 stderr=log,
             )
 
-    async def _until(self, holds: Callable) -> None:
-        async with asyncio.timeout(PATIENCE_SECONDS):
-            while not await holds():
+    async def _until(self, condition: Callable) -> None:
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            while not await condition():
                 await asyncio.sleep(0.1)
 
     async def _configure(self) -> bool:
@@ -172,15 +172,15 @@
         sequence = 0
         while True:
             sequence += 1
-            beat = {
+            heartbeat = {
                 "service": "crowd", "address": f"{HOST}:{SERVER_PORT}", "zone_id": "a", "generation": "v1",
                 "capacity": 6, "phase": "ready", "cold_left_s": 0, "call_seq": sequence,
             }  # fmt: skip
-            await self._status(HOST, samples.CONTROL, "PUT", "/-/instances/i-1", json.dumps(beat).encode())
+            await self._status(HOST, samples.CONTROL, "PUT", "/-/instances/i-1", json.dumps(heartbeat).encode())
             await asyncio.sleep(0.5)
 
     async def answers(self) -> bool:
-        """Whether an ordinary request gets its server's answer."""
+        """Whether an ordinary request is answered by the server."""
         return await self._status(HOST, adapter("samples").EGRESS, "POST", "/crowd/x", b"one") == 200
 
     async def _status(self, host: str, port: int, method: str, path: str, body: bytes) -> int:
@@ -196,7 +196,7 @@
             return 0
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A server that reads a request and answers it under its id."""
+        """Read requests and answer each with its attempt id."""
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -209,8 +209,8 @@
 
     # -- crowds ------------------------------------------------------------------------------------------------------
 
-    async def press(self, role: str, port: int, crowds: list[Crowd]) -> Seen:
-        """Let crowds press a process at a port, all at once."""
+    async def run_crowds(self, role: str, port: int, crowds: list[Crowd]) -> ProcessState:
+        """Run all crowds at the same time against a port of a process, and observe the process."""
         process = self.processes[role]
         host = HOST if role == "sidecar" else CONTROLLER_HOST
         clients = [
@@ -220,13 +220,13 @@
         ]
         peak_mb, descriptors = 0.0, 0
         loop = asyncio.get_running_loop()
-        end = loop.time() + PRESS_SECONDS
+        end = loop.time() + OBSERVE_SECONDS
         while loop.time() < end and process.returncode is None:
             await asyncio.sleep(SAMPLE_SECONDS)
-            place = Path("/proc") / str(process.pid)
+            proc = Path("/proc") / str(process.pid)
             try:
-                status = (place / "status").read_text()
-                descriptors = max(descriptors, len(os.listdir(place / "fd")))
+                status = (proc / "status").read_text()
+                descriptors = max(descriptors, len(os.listdir(proc / "fd")))
             except OSError:
                 break
             resident = next(line for line in status.splitlines() if line.startswith("VmHWM"))
@@ -239,10 +239,10 @@
         for client in clients:
             client.cancel()
         await asyncio.gather(*clients, return_exceptions=True)
-        return Seen(process.returncode is None, peak_mb, descriptors, answered)
+        return ProcessState(process.returncode is None, peak_mb, descriptors, answered)
 
     async def _send(self, host: str, port: int, pieces: Pieces) -> None:
-        """Send all pieces as fast as they are taken, and stay until the test is over."""
+        """Send all pieces as fast as they are read, and keep the connection open until the test ends."""
         try:
             _, writer = await asyncio.open_connection(host, port)
         except OSError:
@@ -251,7 +251,7 @@
             for piece in pieces():
                 writer.write(piece)
                 await writer.drain()
-            await asyncio.sleep(PATIENCE_SECONDS * 2)
+            await asyncio.sleep(TIMEOUT_SECONDS * 2)
         except OSError:
             pass
         finally:
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -1,4 +1,4 @@
-"""A small raw server that does everything a server shouldn't, and the case in which a pool meets it."""
+"""A raw TCP server for tests of misbehaving servers, and a test case that connects a pool to it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -27,7 +27,7 @@
 
 
 class RawServer:
-    """A TCP server that reads complete requests and treats each connection as the test says."""
+    """A TCP server that reads complete requests and passes each to the test's `behave`."""
 
     def __init__(self, behave: Callable[["ServerRequest"], Awaitable[None]]) -> None:
         self.behave = behave
@@ -60,7 +60,7 @@
         except (OSError, asyncio.IncompleteReadError):
             pass
         except asyncio.CancelledError:
-            # The test is over.
+            # The test has ended.
             pass
         finally:
             writer.close()
@@ -87,7 +87,7 @@
 
 
 async def until_left(raw: RawServer, number: int) -> None:
-    """Each connection carries one request here, and is over before the next one: its other side has left it."""
+    """Waits until the connection of this request has ended, where each connection carries one request."""
     await raw.ends.reach(number + 1)
 
 
@@ -145,7 +145,7 @@
         after: Callable[[RawServer, int], Awaitable[None]] | None = None,
         **changes: Any,
     ) -> tuple[RawServer, list]:
-        """What count requests one after the other gave. After each, the test may wait for something of the server's."""
+        """Sends `count` requests in sequence, awaits `after` after each, and returns their bodies or error kinds."""
         result: list[tuple] = []
 
         async def work(line: ServerConnectionPool, raw: RawServer) -> None:
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,4 +1,4 @@
-"""Clients that don't behave end no process: memory and descriptors stay within the machine, others get answers."""
+"""Misbehaving clients against real processes: memory and descriptors stay within limits, others are answered."""
 
 import asyncio
 import tempfile
@@ -7,31 +7,31 @@
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
-from crowds import CROWDS, FD_LIMIT, MEMORY_MB, Deployment, Seen
+from crowds import CROWDS, FD_LIMIT, MEMORY_MB, Deployment, ProcessState
 from hoistsaddle.testbed.emulator.platform_adapter import adapter
 
 
-async def pressed(role: str, port: int, names: tuple[str, ...]) -> Seen:
+async def state_under_crowds(role: str, port: int, names: tuple[str, ...]) -> ProcessState:
     with tempfile.TemporaryDirectory(prefix="hoistsaddle-crowd-") as folder:
         deployment = Deployment(Path(folder))
         await deployment.start()
         try:
-            return await deployment.press(role, port, [CROWDS[name] for name in names])
+            return await deployment.run_crowds(role, port, [CROWDS[name] for name in names])
         finally:
             await deployment.end()
 
 
 class CrowdCase(TestCase):
     def check(self, role: str, port: int, *names: str) -> None:
-        seen = asyncio.run(pressed(role, port, names))
-        print(role, port, names, seen)
-        self.assertThat((seen.alive, seen.answered), Equals((True, True)), str(seen))
-        self.assertThat(seen.peak_mb, LessThan(MEMORY_MB), str(seen))
-        self.assertThat(seen.descriptors, LessThan(FD_LIMIT), str(seen))
+        state = asyncio.run(state_under_crowds(role, port, names))
+        print(role, port, names, state)
+        self.assertThat((state.alive, state.answered), Equals((True, True)), str(state))
+        self.assertThat(state.peak_mb, LessThan(MEMORY_MB), str(state))
+        self.assertThat(state.descriptors, LessThan(FD_LIMIT), str(state))
 
 
 class AtTheClientsListener(CrowdCase):
-    """Guards against bytes of clients that are held before they are counted (issue 44, second matter)."""
+    """Guards against client data that is held in memory before it is counted (issue 44, second matter)."""
 
     def test_bodies_short_of_their_end(self) -> None:
         self.check("sidecar", adapter("samples").EGRESS, "bodies short of their end")
@@ -59,7 +59,7 @@
 
 
 class AtTheOtherListeners(CrowdCase):
-    """The same at listeners that take small calls: heartbeats, readiness checks, operators' orders."""
+    """The same at the listeners of heartbeats, readiness checks and operators' calls."""
 
     def test_heartbeats_bodies(self) -> None:
         self.check("sidecar", adapter("samples").CONTROL, "bodies short of their end", "large chunks")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes. What is checked here doesn't depend on the machine's speed; timing is checked in simulated time."""
+"""Fleets of real processes. The checks don't depend on the machine's speed; timing is tested in simulated time."""
 
 import asyncio
 import sys
@@ -23,7 +23,7 @@
 
 class RealProcesses(TestCase):
     def test_a_day_of_harm(self) -> None:
-        """A rolling upgrade, racing bundles, a drain, the leader wiped, proxies killed, everything killed."""
+        """A rolling upgrade, racing bundles, a drain, a wiped leader, killed proxies, and a kill of all processes."""
         output: list[str] = []
 
         async def run(folder: Path) -> Fleet:
@@ -43,7 +43,7 @@
     def test_frozen_machines_do_nothing_on_stale_authority(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
             listener = next(name for name, proxy in fleet.proxies.items() if proxy["service"] == "portal")
-            # Frozen with the old bundle; meanwhile a new one that forbids uploads comes into force without it.
+            # The proxy is frozen with the old bundle while a new one, which forbids uploads, comes into force.
             fleet.freeze(listener)
             text = fleet.deployment.first_bundle().replace("number = 1\nbased_on = 0", "number = 2\nbased_on = 1")
             head, _, tail = text.partition('name = "uploads"')
@@ -60,7 +60,7 @@
                     listener=fleet.proxies[listener]["visitors"],
                 )
             )
-            # The request lies in the frozen machine's socket before it wakes.
+            # The request waits in the frozen process's socket before the process continues.
             await asyncio.wait([asking], timeout=0.2)
             fleet.wake(listener)
             got = await asking
@@ -85,7 +85,7 @@
                 other.close()
                 return False
 
-            await fleet.wait_until(closed, seconds=20, description="the door is closed to new connections")
+            await fleet.wait_until(closed, seconds=20, description="the listener is closed to new connections")
             writer.write(b"GET /readings?nonce=1 HTTP/1.1\r\nHost: a\r\n\r\n")
             self.assertThat((await reader.readline())[:12], Equals(b"HTTP/1.1 503"))
             answer = (await reader.read()).decode()
@@ -149,7 +149,7 @@
                     self.assertThat((line[:7], line[8:12]), Equals((b"HTTP/1.", b" 400")), repr(garbage))
                     writer.close()
                 self.assertThat(len(fleet.history.of(RunStarted)), Equals(ran))
-                # The key runs once, its repeat gets the first answer, another body under it is refused.
+                # The key runs once, its repeat gets the first answer, and another body under the key is refused.
                 first = await load.ask_until_run(request_kind=PAY, client="me", key="k2")
                 again = await load.ask_until_run(
                     request_kind=PAY, client="me", key="k2", listener=fleet.client_addresses()[1]
@@ -160,11 +160,15 @@
                 )
                 other = await load.ask_until_run(request_kind=PAY, client="me", key="k2", body=b'{"nonce": "other"}')
                 self.assertThat((other.outcome, other.status), Equals(("refused", 422)))
-                # The same request under other credentials: a renewed token or somebody else, and nothing shows which.
-                someone = await load.ask_until_run(request_kind=PAY, client="someone else", key="k2")
-                self.assertThat((someone.outcome, someone.status, someone.run), Equals(("refused", 409, "")))
-                nobody = await send("POST", "/payments", json={"nonce": "x"}, headers={"Idempotency-Key": "k9"})
-                self.assertThat(nobody, Equals((400, "refused", "visitor-missing")))
+                # The same request under other credentials: a renewed token and another client can't be told apart.
+                other_client = await load.ask_until_run(request_kind=PAY, client="someone else", key="k2")
+                self.assertThat(
+                    (other_client.outcome, other_client.status, other_client.run), Equals(("refused", 409, ""))
+                )
+                without_credentials = await send(
+                    "POST", "/payments", json={"nonce": "x"}, headers={"Idempotency-Key": "k9"}
+                )
+                self.assertThat(without_credentials, Equals((400, "refused", "visitor-missing")))
                 self.assertThat(len([ran for ran in fleet.history.of(RunStarted) if ran.key == "k2"]), Equals(1))
                 self.assertThat({ran.caller for ran in fleet.history.of(RunStarted)}, Equals({"visitors"}))
 
@@ -210,7 +214,7 @@
                 await refusal("POST", "/bundles", fleet.deployment.first_bundle(), token=SIGNER[1]),
                 Equals((409, "bundle-duplicate", "number")),
             )
-            # Its own author's call is one whose answer was lost: confirmed again.
+            # A repeat by the same author counts as a call whose answer was lost, and is confirmed again.
             status, again = await fleet.operate("POST", "/bundles", fleet.deployment.first_bundle(), token=AUTHOR[1])
             self.assertThat((status, again["submitted"]["phase"]), Equals((200, "in force")))
             self.assertThat(
@@ -287,7 +291,7 @@
             Equals(("no-leader", "Replicas [1, 2] hold no voter's disk, so no majority is left.")),
         )
         self.assertThat(core["refused"]["remedy"], Contains("replacing-core-machines.md"))
-        # Two blank disks and a survivor don't found a mesh by accident, and nothing answers as if it knew.
+        # Two blank disks and a survivor don't bootstrap a new mesh, and the configuration is not answered.
         self.assertThat((founding[0], founding[1]["refused"]["kind"]), Equals((409, "already-founded")))
         self.assertThat((configuration[0], configuration[1]["refused"]["kind"]), Equals((503, "no-leader")))
 
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -46,7 +46,7 @@
                 self.assertThat((paid.retry_after, again.retry_after), Equals((True, True)))
             for server in fleet.stub_servers.values():
                 server.misbehaviour = ""
-            # A client that closes its own half after asking: its payment runs once, whatever answer it gets.
+            # A client that closes its side after the request: its payment runs at most once, whatever its answer.
             host, _, port = fleet.client_addresses()[0].rpartition(":")
             body = b'{"nonce": "key-half"}'
             for _ in range(2):
@@ -67,7 +67,7 @@
 
         fleet = on_fleet(scenario)
         broken = {line: found for line, found in check(fleet.history, THIMBLE, timed=False).items() if found}
-        # The half-closed client's own request was sent by hand, so no caller of the history sent it.
+        # The half-closed client's request was sent by hand, so the history has no record of sending it.
         broken.pop("callers are told truly", None)
         self.assertThat(broken, Equals({}))
 
@@ -125,7 +125,7 @@
             listener = fleet.operator_addresses[first - 1]
 
             async def another() -> bool:
-                # Something must be written for the wait to show.
+                # The stall only shows if something is written.
                 await load.ask_until_run(request_kind=PAY, client="me", key=f"stalled-{fleet.random.random()}")
                 return await leader() not in (0, first)
 
@@ -147,7 +147,7 @@
     def test_planned_stops_and_rollouts_finish_what_is_slow(self) -> None:
         async def scenario(fleet: Fleet, load: Load) -> None:
             async def slow(what: Callable[[], Coroutine], *, listener: str, service: str) -> RequestResult:
-                """A payment in the middle of its run while something planned happens."""
+                """Runs a planned action while a payment is in flight; returns the result of the payment."""
                 hold = asyncio.Event()
                 for server in fleet.stub_servers.values():
                     server.hold = hold if server.service == service else None
@@ -161,7 +161,7 @@
 
                 await fleet.wait_until(running, seconds=10, description="the slow run has begun")
                 doing = asyncio.ensure_future(what())
-                # Whatever it is has begun once it is either done or waits for the run.
+                # After this time the action has either ended or waits for the payment.
                 await asyncio.wait([doing], timeout=1.5)
                 hold.set()
                 got = await asking
@@ -174,7 +174,7 @@
             async def roll() -> None:
                 await fleet.roll_out(fleet.deployment.next_bundle(number=2, based_on=1))
 
-            doors = {name: proxy["visitors"] for name, proxy in fleet.proxies.items()}
+            listeners = {name: proxy["visitors"] for name, proxy in fleet.proxies.items()}
             entry, machine = "stall-01", ["bourse-1", "warehouse-1"]
             rounds: list[tuple[str, Callable[[], Coroutine], list[str]]] = [
                 ("a roll-out", roll, []),
@@ -182,15 +182,17 @@
                 ("a core machine", lambda: asyncio.gather(*map(stop, machine)), machine),
             ]
             for what, do, names in rounds:
-                got = await slow(do, listener=doors[entry], service="ledger")
+                got = await slow(do, listener=listeners[entry], service="ledger")
                 self.assertThat((got.outcome, got.status), Equals(("answered", 200)), what)
                 for name in names:
                     await fleet.launch(name)
                 await fleet.wait_until(fleet.all_ready, seconds=30, description=f"ready after {what}")
-            # Every target's proxy in turn: one of them runs it, and all of them stop as planned.
+            # All target proxies stop as planned, one of them while it runs the payment.
             ledgers = [name for name, proxy in fleet.proxies.items() if proxy["service"] == "ledger"]
             got = await slow(
-                lambda: asyncio.gather(*(stop(name) for name in ledgers)), listener=doors["stall-03"], service="ledger"
+                lambda: asyncio.gather(*(stop(name) for name in ledgers)),
+                listener=listeners["stall-03"],
+                service="ledger",
             )
             self.assertThat((got.outcome, got.status), Equals(("answered", 200)), "the target's proxy")
 
@@ -201,7 +203,7 @@
             old = fleet.stub_servers["stall-01"]
             first = await old.call_nested("GET", "/balance", "one")
             self.assertThat((first["status"], first["outcome"]), Equals((200, "answered")))
-            # Another service's server takes the address over; the old process goes on and calls.
+            # A server of another service takes over the address; the old process continues to make calls.
             await old.runner.cleanup()
             old.runner = None
             old.task.cancel()
@@ -215,11 +217,13 @@
             )
             await fresh.start()
 
-            async def heard() -> bool:
+            async def successor_accepted() -> bool:
                 states = await fleet.ready_states()
                 return states["stall-01"]["server"] == "ready" and await fresh.report_health()
 
-            await fleet.wait_until(heard, seconds=10, description="the successor is heard")
+            await fleet.wait_until(
+                successor_accepted, seconds=10, description="the successor's health report is accepted"
+            )
             late = await old.call_nested("GET", "/balance", "two")
             self.assertThat((late["status"], late["outcome"]), Equals((403, "refused")))
             self.assertThat([ran for ran in fleet.history.of(RunStarted) if ran.request == "two"], Equals([]))
@@ -300,7 +304,7 @@
                     await send("GET", proxy["visitors"], f"/hoistsaddle/happenings?after={number}", b"")
             wrong = [each for each in answers if not 400 <= each[1] < 500 or not each[2]]
             self.assertThat(wrong, Equals([]))
-            # Bytes that are no text, in the path and in headers.
+            # Bytes that aren't valid text, in the path and in headers.
             host, _, port = proxy["visitors"].rpartition(":")
             for line in (
                 b"GET /readings\xff HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -360,7 +364,7 @@
 
         kinds = {"stall": ProxySettings, "bourse": RegistrySettings, "warehouse": StoreSettings}
         odd = ("[[1]]", "-1", HUGE, "1e300", "nan", "true", '"\\u0000"', '""', "1979-05-27", "{}")
-        # What is right for a field isn't wrong: an empty path means no faults, and 1 s is a fine number of records.
+        # Values that are valid for a field: an empty path means no faults.
         fine = {("line_faults", '""'), ("line_faults", '"\\u0000"')}
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.toml"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,6 @@
-"""The scale command on a small scale: hollow proxies beside a real core, the cores' slopes, and how they are counted.
+"""The scale command at a small size: hollow proxies with a real core, the slopes, and the counting of frames.
 
-No duration is compared with a limit here: durations are what the command measures.
+No duration is compared with a limit: durations are what the command measures.
 """
 
 import asyncio
@@ -31,24 +31,24 @@
 
 
 class Command(TestCase):
-    def test_a_small_fleet_and_one_slope_end_in_a_table_a_file_and_a_picture(self) -> None:
+    def test_a_small_fleet_and_one_slope_produce_a_table_a_file_and_a_plot(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             figures, picture = Path(folder) / "figures.csv", Path(folder) / "picture.png"
-            wanted = {"sizes": 6, "slope": "services", "whole": 1, "together": 3, "seed": 5, "losses": 1, "calls": 8}
-            wanted |= {"keyed": 8, "quiet-seconds": 1, "load-seconds": 1, "figures": figures, "plot": picture}
-            arguments = [part for name, value in wanted.items() for part in (f"--{name}", str(value))]
-            done = CliRunner().invoke(fleet, ["scale", "--small", *arguments])
-            self.assertThat(done.exit_code, Equals(0), done.output)
+            options = {"sizes": 6, "slope": "services", "whole": 1, "together": 3, "seed": 5, "losses": 1, "calls": 8}
+            options |= {"keyed": 8, "quiet-seconds": 1, "load-seconds": 1, "figures": figures, "plot": picture}
+            arguments = [part for name, value in options.items() for part in (f"--{name}", str(value))]
+            result = CliRunner().invoke(fleet, ["scale", "--small", *arguments])
+            self.assertThat(result.exit_code, Equals(0), result.output)
             with figures.open(encoding="utf-8") as file:
                 rows = list(csv.DictReader(file))
             self.assertThat(picture.read_bytes()[:4], Equals(b"\x89PNG"))
-        self.assertThat(done.output, Contains("seed 5;"))
+        self.assertThat(result.output, Contains("seed 5;"))
         found = {row["what"]: float(row["value"]) for row in rows if row["slope"] == "fleet of nodes"}
-        # Every proxy, hollow or complete, applied the changes, and knew the loss from the log.
+        # Every proxy, hollow or full, applied the changes and learned of the loss from the log.
         self.assertThat(found["a change: proxies that never had it"], Equals(0))
         self.assertThat(found["1 lost at once: proxies that never knew from the log"], Equals(0))
         self.assertThat(found["leader killed: proxies that never had it"], Equals(0))
-        # Hollow proxies speak the whole protocol: polls, health reports, probes, calls and claims were sent.
+        # Hollow proxies use the complete protocol: polls, health reports, probes, calls and claims were sent.
         for kind in ("out PollCall", "out HealthCall", "out ProbeCall"):
             self.assertThat(found[f"quiet: bytes of a proxy: {kind}"] > 0, Equals(True), kind)
         self.assertThat(found["load: answered keyed 200"] > 0, Equals(True))
@@ -58,9 +58,9 @@
 
     def test_what_cannot_be_read_is_refused_with_a_remedy(self) -> None:
         for arguments in (["--sizes", "many"], ["--slope", "hopes"], ["--losses", "x"]):
-            done = CliRunner().invoke(fleet, ["scale", *arguments])
-            self.assertThat(done.exit_code, Equals(2))
-            self.assertThat(done.output, Contains("Remedy: see --list"))
+            result = CliRunner().invoke(fleet, ["scale", *arguments])
+            self.assertThat(result.exit_code, Equals(2))
+            self.assertThat(result.output, Contains("Remedy: see --list"))
 
     def test_a_run_over_its_time_says_at_what_size_and_keeps_its_figures(self) -> None:
         lines: list[str] = []
@@ -75,7 +75,7 @@
         self.assertThat([row.what for row in rows], Equals([lines[-1].removeprefix("40 nodes ")]))
         self.assertThat(lines[-1], Contains("43 processes, 30 are allowed"))
 
-    def test_two_fleets_laid_out_together_share_no_address(self) -> None:
+    def test_two_fleets_created_together_share_no_address(self) -> None:
         plan = Plan(nodes=2, core=1, full=0, together=2)
         with tempfile.TemporaryDirectory() as folder:
             one, two = (ScaleFleet(plan=plan, folder=Path(folder), write_line=str) for _ in range(2))
@@ -90,7 +90,7 @@
             self.assertThat((len(points) >= 4, len(few) >= 4), Equals((True, True)), name)
         names = ["services", "keyed claims a second", "changes an hour"]
         one, two = (
-            # Times differ, and memory hangs on what the interpreter shares already; the rest are counts.
+            # Times vary, and memory depends on objects that the interpreter already shares; the rest are counts.
             [
                 each
                 for each in take(names, small=True, rounds=1, write_line=str)
@@ -110,7 +110,7 @@
         self.assertThat(fit_of(bent).worst > 0.1, Equals(True))
         self.assertThat(fit_of(points[:2]), Equals(None))
 
-    def test_a_configuration_of_the_size_we_head_for(self) -> None:
+    def test_a_configuration_of_the_target_size(self) -> None:
         self.assertThat(sized(760), Equals(GOAL))
         state = make_state(GOAL._replace(holds=50))
         self.assertThat(len(data_plane_items(state)), Equals(2 * 760 + 150 + 300 + 1 + 1))
@@ -121,7 +121,7 @@
 
 
 class Counted(TestCase):
-    def test_both_ends_of_a_line_count_the_same_frames_and_bytes(self) -> None:
+    def test_both_ends_of_a_connection_count_the_same_frames_and_bytes(self) -> None:
         async def scenario():
             async def answer(message):
                 return ProbeAnswer("there", ())
@@ -142,13 +142,13 @@
         self.assertThat(here.octets["in", "ProbeAnswer"], Equals(there.octets["out", "ProbeAnswer"]))
 
     def test_a_stretched_loop_reads_a_slower_clock(self) -> None:
-        machine, waits = [5000.0], []
+        machine_time, waits = [5000.0], []
         select_now = selectors.DefaultSelector.select
 
         def select(selector: selectors.BaseSelector, timeout: float | None = None) -> list:
-            # The machine's clock moves by what the loop wants to wait, and by nothing else.
-            machine[0] += max(0.0, timeout or 0.0)
-            # Less than a microsecond is what rounding leaves over.
+            # The machine's clock advances only by the timeouts that the loop requests.
+            machine_time[0] += max(0.0, timeout or 0.0)
+            # Timeouts below a microsecond are rounding errors.
             waits.extend([round(timeout, 6)] if timeout and timeout > 1e-6 else [])
             return select_now(selector, 0)
 
@@ -156,7 +156,7 @@
         try:
             with (
                 mock.patch.object(selectors.DefaultSelector, "select", select),
-                mock.patch("time.monotonic", lambda: machine[0]),
+                mock.patch("time.monotonic", lambda: machine_time[0]),
             ):
                 self.assertThat(loop.time(), Equals(625.0))
                 loop.run_until_complete(asyncio.sleep(0.01))
