--- a/packages/testbed/src/hoistsaddle/testbed/checkers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/checkers.py
@@ -36,7 +36,7 @@
     ServiceRecovered,
 )
 
-# Seconds, as the brief gives them, unless a comment says where they come from.
+# Times in seconds from the brief, unless a comment gives another source.
 # For this long after the first answer, a repeat under the same key must get the same answer.
 KEY_RETENTION_SECONDS = 60.0
 IN_FORCE_SECONDS = 2.0
@@ -344,7 +344,7 @@
 
 
 def too_many_retries(history: History, deployment: Deployment) -> list[str]:
-    """Retries to a service exceed the declared share of its traffic plus the declared margin in any ten seconds."""
+    """Retries to a service exceed a fifth of its traffic plus a small margin in any ten seconds."""
     used, which = worst_retry_window(history, deployment)
     return [which] if used > 1 else []
 
--- a/packages/testbed/src/hoistsaddle/testbed/fleet.py
+++ b/packages/testbed/src/hoistsaddle/testbed/fleet.py
@@ -200,7 +200,8 @@
         if name in self.former and self.older is not None:
             environment["PYTHONPATH"] = ":".join(str(path) for path in sorted(self.older.glob("packages/*/src")))
             module, subcommand = _command_of(release=self.older, program=self.programs[name])
-        # Each process gets its own session: an interrupt at the terminal reaches only this process, which ends them.
+        # Each process has its own session: an interrupt at the terminal reaches only this one, which ends the others in
+        # order.
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/packages/testbed/src/hoistsaddle/testbed/history.py
+++ b/packages/testbed/src/hoistsaddle/testbed/history.py
@@ -151,7 +151,7 @@
 
 
 class BundleSubmitted(NamedTuple):
-    """A bundle was submitted; error is the kind of the refusal, empty when it was accepted."""
+    """A bundle was submitted; error is the kind of the error, empty if it was accepted."""
 
     timestamp: float
     number: int
--- a/packages/testbed/src/hoistsaddle/testbed/measure.py
+++ b/packages/testbed/src/hoistsaddle/testbed/measure.py
@@ -118,7 +118,7 @@
 
 
 async def _seconds_to_catch_up(core: _Core) -> float:
-    """Wipes a follower; returns the seconds from its restart until it has reached its former high watermark."""
+    """Wipes a follower; returns the seconds from its first answer until it reaches its former high watermark."""
     statuses = {replica: await core.status(replica) for replica in core.stores}
     follower = next(replica for replica, status in statuses.items() if status is not None and status.role == "follower")
     high_watermark = statuses[follower].high_watermark
@@ -148,11 +148,11 @@
 
 
 async def growth(*, folder: Path, write_line: LineWriter) -> None:
-    """The size of each data folder while claims and their results keep coming."""
+    """Measures the size of each data folder while claims and their results are written continuously."""
     core = _Core(folder=folder)
     async with core.fleet:
         await core.fleet.start(bundle=False)
-        # Longer than a settled key is kept: only then what comes in and what expires are in balance.
+        # Longer than the retention of a completed key, so that expiry and new records are in balance at the end.
         for turn in range(24):
             await asyncio.sleep(5)
             await core.write_claims(count=2500, outstanding=64, prefix=f"{turn}", body=ANSWER_BODY)
--- a/packages/testbed/src/hoistsaddle/testbed/proof.py
+++ b/packages/testbed/src/hoistsaddle/testbed/proof.py
@@ -356,7 +356,7 @@
             sorted((name, each.service, each.instance, each.state) for name, each in self.fleet.stub_servers.items())
         )
         self.history.add(ConfigurationExpected(self._now(), self.number, drained, text, servers))
-        # Each registry must show the same, so each is asked by itself.
+        # All registries must return the same configuration, so each one is read.
         for address in self.fleet.operator_addresses:
             status, configuration = await self.fleet.operate("GET", "/setup", addresses=(address,))
             if status != 200:
--- a/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
+++ b/packages/testbed/src/hoistsaddle/testbed/scale/worker.py
@@ -251,7 +251,7 @@
             outcomes[_outcome_of(reply, keyed=with_key)] += 1
 
     def counts(self) -> dict[str, int]:
-        """What the nodes counted."""
+        """The sums of the nodes' counters."""
         counts: Counter[str] = Counter()
         for node in self.all_nodes:
             counts.update({name: int(value) for name, value in node.counters.read()["counts"].items()})
@@ -376,7 +376,7 @@
         }
 
     def counts(self) -> dict[str, int]:
-        """What the nodes counted."""
+        """The sums of the counters of controller and store."""
         counts: Counter[str] = Counter()
         for counters in (self.controller.counters, self.controller.store.counters):
             counts.update({name: int(value) for name, value in counters.read()["counts"].items()})
--- a/packages/testbed/src/hoistsaddle/testbed/soak/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/servers.py
@@ -13,7 +13,7 @@
 
 # The longest run, in seconds, for a request without a budget.
 MAX_SECONDS = 30.0
-# Shares of answers that are chunked, are ended by the connection alone, are sent again later, and close it.
+# Shares of answers: chunked; ended by the connection alone; sent again later; with Connection: close.
 CHUNKED, UNFRAMED, REPEATED, CLOSING = 0.3, 0.02, 0.05, 0.05
 LATE_SECONDS = (0.0, 0.3)
 # An idle connection is closed after a random time in this range.
