--- a/packages/testbed/src/hoistsaddle/testbed/soak/processes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/soak/processes.py
@@ -114,7 +114,7 @@
             self._signal(signal.SIGHUP)
 
     async def wind_down(self) -> None:
-        """Send SIGTERM and wait as long as the platform does; a process that still runs then is recorded as a failure."""
+        """Send SIGTERM and wait as long as the platform does; record a failure if the process still runs then."""
         self.end_requested = True
         self._signal(signal.SIGTERM)
         await asyncio.wait({self.ended}, timeout=BOUNDS["grace_s"] + KILL_SLACK_SECONDS)
