--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Soaks of real processes: one short run whose verdict rests on no bound in time, and the parts that read it."""
+"""Soaks of real processes: one short run, checked by rules without a bound in time, and tests of the soak's parts."""
 
 import asyncio
 import os
@@ -35,19 +35,19 @@
 
 
 def processes_of(folder: str) -> list[str]:
-    """The running processes whose settings lie in this folder."""
-    found = []
-    for place in Path("/proc").glob("[0-9]*"):
+    """The running processes whose settings are in this folder."""
+    processes = []
+    for proc in Path("/proc").glob("[0-9]*"):
         try:
-            if folder.encode() in (place / "environ").read_bytes():
-                found.append(place.name)
+            if folder.encode() in (proc / "environ").read_bytes():
+                processes.append(proc.name)
         except OSError:
             continue
-    return found
+    return processes
 
 
 class RealProcesses(TestCase):
-    def test_a_short_soak_holds_what_no_hesitation_of_the_machine_can_break(self) -> None:
+    def test_a_short_soak_breaks_no_rule_without_a_bound_in_time(self) -> None:
         print("seed", SEED)
         day = draw_soak(site_of(SMALL, seed=SEED), seed=SEED, seconds=SECONDS)
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-soak-") as folder:
@@ -55,13 +55,13 @@
         broken = {rule: found for rule, found in report.broken.items() if rule in UNTIMED_RULES}
         self.assertThat(broken, Equals({}), "\n".join(lines_of(report, again="")))
         self.assertThat(report.outcomes.get("answered 200", 0), GreaterThan(0))
-        # As many as there are machines started, and those that the day's signals struck.
+        # Signals were injected, of more than one kind.
         self.assertThat(len(report.signals), GreaterThan(1))
 
 
 class Interrupts(TestCase):
     def test_a_signal_in_the_middle_leaves_nothing_behind(self) -> None:
-        """A first soak that was ended by SIGTERM left its nine processes."""
+        """Guards against processes that a soak ended by SIGTERM leaves running: the first one left all nine."""
         day = draw_soak(site_of(SMALL, seed=SEED), seed=SEED, seconds=SECONDS)
         with tempfile.TemporaryDirectory(prefix="hoistsaddle-soak-") as folder:
 
@@ -82,7 +82,7 @@
 
 
 class Sizes(TestCase):
-    def test_what_can_be_read(self) -> None:
+    def test_sizes_that_can_be_parsed(self) -> None:
         self.assertThat(read_size("5+40"), Equals(Size(5, 40)))
         for text in ("", "3", "2+6", "3+5", "3+6+1", "a+b", "-3+6", "3 + 6"):
             self.assertThat(read_size(text), Is(None), text)
@@ -112,7 +112,7 @@
 
 class Wire(TestCase):
     def read(self, data: bytes) -> bytes | bool:
-        """The body of a complete message; else whether any byte of it had come."""
+        """The body of a complete message; otherwise whether any byte of it was received."""
 
         async def run() -> bytes | bool:
             reader = asyncio.StreamReader()
@@ -138,7 +138,7 @@
 
 
 class Pauses(TestCase):
-    def test_a_programs_own_record_dates_its_standstill(self) -> None:
+    def test_pauses_are_read_from_a_programs_log(self) -> None:
         wall = datetime(2026, 12, 2, 0, 0, 10)
         with tempfile.TemporaryDirectory() as folder:
             log = Path(folder) / "side-00.log"
@@ -146,11 +146,11 @@
                 "23:59:59.500 side-00 stood still {'seconds': 0.5}\n"
                 "00:00:12.000 side-00 stood still {'seconds': 1.25}\nelse\n"
             )
-            found = pauses_in(log, machine="side-00", clock=100.0, wall=wall)
+            pauses = pauses_in(log, machine="side-00", clock=100.0, wall=wall)
             self.assertThat(pauses_in(Path(folder) / "none", machine="x", clock=0.0, wall=wall), Equals([]))
-        self.assertThat(found, Equals([Pause("side-00", 89.0, 89.5), Pause("side-00", 100.75, 102.0)]))
+        self.assertThat(pauses, Equals([Pause("side-00", 89.0, 89.5), Pause("side-00", 100.75, 102.0)]))
 
-    def test_it_excuses_its_machine_and_is_counted_as_left_out(self) -> None:
+    def test_a_pause_is_recorded_as_a_fault_and_its_time_is_excluded(self) -> None:
         history, pause = History(), Pause("side-00", 5.0, 6.0)
         record_pauses(history, [pause])
         self.assertThat([type(event) for event in history.events], Equals([FaultStarted, FaultEnded]))
@@ -172,7 +172,7 @@
         day = draw_soak(site, seed=1, seconds=20)
         return lost_on_kept_connections(HistoryIndex(history=history, day=day))
 
-    def test_more_than_a_few_requests_closed_on_without_an_answer_are_lost(self) -> None:
+    def test_more_than_a_few_requests_without_an_answer_are_lost(self) -> None:
         self.assertThat(self.lost(MAX_CROSSED_REQUESTS), Equals([]))
         self.assertThat(len(self.lost(MAX_CROSSED_REQUESTS + 1)), Equals(MAX_CROSSED_REQUESTS + 1))
         self.assertThat(len(self.lost(9, fault="stop")), Equals(9))
--- a/tests/test_soak_first_start.py
+++ b/tests/test_soak_first_start.py
@@ -1,4 +1,4 @@
-"""First starts of real processes that are killed, stopped, frozen and wiped within two seconds: one mesh comes up."""
+"""First starts of real processes under kills, stops, freezes and disk losses within two seconds: one mesh comes up."""
 
 import asyncio
 import tempfile
@@ -22,7 +22,7 @@
 
 
 class StruckFirstStarts(TestCase):
-    """Guards against a founding in one process's memory, and processes that end while they start (issue 44)."""
+    """Guards against bootstrap progress kept in memory only, and processes that exit during their start (issue 44)."""
 
     def test_the_first_seed_and_then_all_controllers_are_killed(self) -> None:
         site = site_of(SIZE, seed=SEEDS[0])
