--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -125,7 +125,7 @@
             listener = fleet.operator_addresses[first - 1]
 
             async def another() -> bool:
-                # The stall only shows if something is written.
+                # A stalled disk is noticed only by a write.
                 await load.ask_until_run(request_kind=PAY, client="me", key=f"stalled-{fleet.random.random()}")
                 return await leader() not in (0, first)
 
