--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -59,20 +59,20 @@
 
 
 def latency_of(seconds: float, *, deviation: float = 0.0) -> LatencyEstimate:
-    """A latency estimate that rests on many samples."""
+    """A latency estimate based on many samples."""
     estimate = LatencyEstimate()
     estimate.count = 100
     estimate.mean, estimate.deviation = timedelta(seconds=seconds), timedelta(seconds=deviation)
     return estimate
 
 
-def server_of(name: str) -> ServerRecord:
-    """The log's record of the server beside a sidecar."""
+def server_record(name: str) -> ServerRecord:
+    """The log's record of a sidecar's local server."""
     return ServerRecord(name, "ledger", f"i-{name}", f"server-{name}", "a", READY, 1, "life", "", 1)
 
 
 class SidecarBench:
-    """Some sidecars, each with a server of one service, over one log."""
+    """Sidecars that share one log, each with a local server of the same service."""
 
     def __init__(
         self,
@@ -90,17 +90,17 @@
         self.log: State = initial_state(mesh="m", voters={1: "one"}, operators={}, level=3)
         # Whether the core answers claims of keys.
         self.core_up = True
-        # Sidecars that give no answer at all, and those whose ports refuse.
+        # Sidecars that never answer, and those whose ports refuse connections.
         self.silent: set[str] = set()
         self.refusing: set[str] = set()
-        # Whether each sidecar's lease was renewed just now.
+        # Whether each event renews the lease of its sidecar first.
         self.leased = True
         self.commands: list[tuple[str, tuple]] = []
         self.replies: dict[int, Reply] = {}
         self.answers: dict[int, Any] = {}
-        # What runs on servers now.
+        # The runs in flight on servers.
         self.runs: dict[tuple[str, int], RunOnServer] = {}
-        # Runs that were cancelled, as their client had disconnected.
+        # Runs that were cancelled because their client had disconnected.
         self.aborted: list[RunOnServer] = []
         self._pending_requests: dict[tuple[str, int], tuple[str, int]] = {}
         self._claim_queries: dict[tuple[str, int], tuple[str, int]] = {}
@@ -113,7 +113,7 @@
             revision=5,
             items=ItemConfiguration(items=items),
             item_revisions=dict.fromkeys(items, 1),
-            servers={name: server_of(name) for name in names},
+            servers={name: server_record(name) for name in names},
             nodes={name: NodeRecord(name, "stall", f"at-{name}", "a", "life", "alive", 1) for name in names},
         )
         self.cores = {name: self.make(name, margin=margin, seed=seed) for name in names}
@@ -139,7 +139,7 @@
         )
 
     def show(self, view: View) -> None:
-        """Every sidecar applies this configuration."""
+        """Delivers this configuration to every sidecar."""
         self.view = view
         for name in self.cores:
             self.feed(name, ConfigurationChanged(view))
@@ -151,7 +151,7 @@
         )
 
     def pass_time(self, seconds: float, *, step: float = 0.02, heartbeats: bool = True) -> None:
-        """Ticks every core in steps; heartbeats: the servers go on reporting themselves ready."""
+        """Ticks every core in steps; with `heartbeats`, ready servers keep reporting themselves ready."""
         until = self.timestamp + timedelta(seconds=seconds)
         while self.timestamp < until:
             self.timestamp += timedelta(seconds=step)
@@ -187,7 +187,7 @@
         self.feed(ingress, ClientDisconnected(ticket))
 
     def arrive(self, name: str, call: Any) -> int:
-        """A forwarded request straight to a sidecar; its answer is kept under the ticket."""
+        """Delivers a forwarded request directly to a sidecar; its answer is recorded under the returned ticket."""
         self.tickets += 1
         ticket = self.tickets
         self.feed(name, ForwardArrived(ticket, call))
@@ -196,14 +196,14 @@
     # -- servers -----------------------------------------------------------------------------------------
 
     def finish(self, *, status: int = 200, body: bytes = b"done", not_run: bool = False, at: str = "") -> RunOnServer:
-        """The oldest run, or the oldest at this sidecar, ends."""
+        """Ends the oldest run, or the oldest at this sidecar, with an answer."""
         name, number = next(key for key in self.runs if not at or key[0] == at)
         run = self.runs.pop((name, number))
         self.feed(name, ServerAnswered(number, status, b"", body, not_run))
         return run
 
     def lose(self, *, unsent: bool = False, at: str = "") -> RunOnServer:
-        """The oldest run, or the oldest at this sidecar, fails; unsent: before its request was written."""
+        """Fails the oldest run, or the oldest at this sidecar; with `unsent`, before its request was written."""
         name, number = next(key for key in self.runs if not at or key[0] == at)
         run = self.runs.pop((name, number))
         kind = ErrorKind.UNREACHABLE if unsent else ErrorKind.SILENT
@@ -262,7 +262,7 @@
                 self.feed(source, ClaimQueryAnswered(number, answer))
 
     def write(self, record: Any) -> Any:
-        """Commits a record to the modelled log; gives its outcome."""
+        """Commits a record to the modelled log and returns its outcome."""
         self.log, outcome = apply(
             self.log,
             offset=self.log.offset + 1,
@@ -273,5 +273,5 @@
         return outcome
 
     def sent(self, kind: type = ForwardRequest) -> list[Any]:
-        """Every command of this kind so far."""
+        """Returns every command of this kind so far."""
         return [command for _, command in self.commands if isinstance(command, kind)]
--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -37,7 +37,7 @@
 
 
 class ControlledLink:
-    """A TCP relay on one hop, under the test's control. Up is towards the callee."""
+    """A TCP relay on one hop, controlled by the test; the direction "up" is towards the callee."""
 
     def __init__(self, port: int) -> None:
         self.target = port
@@ -56,12 +56,12 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection("127.0.0.1", self.target)
+            callee_reader, callee_writer = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, far_writer}
-        for direction, source, sink in (("up", reader, far_writer), ("down", far_reader, writer)):
+        self.writers |= {writer, callee_writer}
+        for direction, source, sink in (("up", reader, callee_writer), ("down", callee_reader, writer)):
             task = asyncio.ensure_future(self._pump(direction, source, sink))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -79,17 +79,17 @@
             sink.transport.abort()
 
     def hold(self, *directions: str) -> None:
-        """Keeps back the bytes of these directions, of both by default."""
+        """Holds back the bytes of these directions, of both by default."""
         for direction in directions or ("up", "down"):
             self.open_directions[direction].clear()
 
     def release(self, *directions: str) -> None:
-        """Lets the bytes of these directions pass, of both by default, those kept back first."""
+        """Lets the bytes of these directions pass, of both by default, starting with those held back."""
         for direction in directions or ("up", "down"):
             self.open_directions[direction].set()
 
     def reset(self) -> None:
-        """What was held is lost."""
+        """Aborts every connection; the bytes held back are lost."""
         for task in list(self.tasks):
             task.cancel()
         self._end(lambda writer: writer.transport.abort())
@@ -111,7 +111,7 @@
 
 
 class LocalServer:
-    """A server: runs what names its instance, and answers when it may."""
+    """A server that runs the requests for its instance, and answers them once the test allows it."""
 
     def __init__(self, *, service: str, instance: str, history: "History") -> None:
         self.service, self.instance, self.history = service, instance, history
@@ -164,14 +164,14 @@
 
 
 class ClientRequest(NamedTuple):
-    """What one attempt asked for: kind of route, and key."""
+    """The request that one attempt sends: its kind of route and its idempotency key."""
 
     kind: str
     key: str
 
 
 class History:
-    """Clients' requests by attempt, what ran where, and the answers."""
+    """The clients' requests by attempt, the runs with the instance of each, and the answers by attempt."""
 
     def __init__(self) -> None:
         self.asked: dict[str, ClientRequest] = {}
@@ -180,32 +180,35 @@
 
 
 def judge(history: History) -> list[str]:
-    """Every violation in a history: an answer to the wrong caller, a second run, a refusal of what ran."""
-    broken = []
+    """Every violation in a history: an answer to the wrong caller, a second run, a 503 to a request that ran.
+
+    A run that no client requested is a violation, too.
+    """
+    violations = []
     ran = [attempt for attempt, _ in history.runs]
     for attempt in set(ran) - set(history.asked):
-        broken.append(f"UNASKED {attempt}")
-    for attempt, ask in history.asked.items():
-        if ask.kind not in REPEATABLE and ran.count(attempt) > 1:
-            broken.append(f"TWICE {attempt}")
+        violations.append(f"UNASKED {attempt}")
+    for attempt, request in history.asked.items():
+        if request.kind not in REPEATABLE and ran.count(attempt) > 1:
+            violations.append(f"TWICE {attempt}")
         status, body = history.answers.get(attempt, (0, b""))
-        same = {attempt} | {other for other, each in history.asked.items() if ask.key and each.key == ask.key}
+        same = {attempt} | {other for other, each in history.asked.items() if request.key and each.key == request.key}
         if status == 200 and body not in {f"run of {each}".encode() for each in same & set(ran)}:
-            broken.append(f"WRONG {attempt} heard {body!r}")
-        if status == 503 and ask.kind not in REPEATABLE and attempt in ran:
-            broken.append(f"REFUSED {attempt}")
-    for key in {ask.key for ask in history.asked.values() if ask.key}:
+            violations.append(f"WRONG {attempt} received {body!r}")
+        if status == 503 and request.kind not in REPEATABLE and attempt in ran:
+            violations.append(f"REFUSED {attempt}")
+    for key in {request.key for request in history.asked.values() if request.key}:
         if sum(history.asked[attempt].key == key for attempt in ran if attempt in history.asked) > 1:
-            broken.append(f"TWICE key {key}")
-    return broken
+            violations.append(f"TWICE key {key}")
+    return violations
 
 
 class SteppedRuntime:
     """A sidecar's runtime on the stepped clock; calls to the core stay in this process."""
 
-    def __init__(self, *, seed: int, life: int, core: Any) -> None:
+    def __init__(self, *, seed: int, start_number: int, core: Any) -> None:
         self.random = random.Random(seed)
-        self.life = life
+        self.start_number = start_number
         self.rpc_client = RpcClient(keep_alive=KEEP_ALIVE, connect_timeout=milliseconds(350))
         self.rpc_client.local_handlers[CORE] = core
 
@@ -213,7 +216,7 @@
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     def token(self, size: int) -> str:
-        return f"life{self.life}"
+        return f"life{self.start_number}"
 
     async def serve(self, address: str, handler: Any) -> RpcServer:
         server = RpcServer(address=address, handler=handler)
@@ -240,7 +243,7 @@
         return self
 
     async def boot(self, *, name: str) -> None:
-        """Starts an incarnation of the sidecar, at the ports of the one before."""
+        """Starts an incarnation of the sidecar on the ports of the previous one."""
         self.stack.starts += 1
         address = f"127.0.0.1:{self.ports['line']}"
         settings = SidecarSettings(
@@ -254,36 +257,36 @@
             service=self.service,
             server="127.0.0.1:1",
             health_seconds=60,
-            # No core is played here that would confirm the configuration again and again.
+            # No core runs here that would confirm the configuration repeatedly.
             apply_seconds=600,
-            # The clock moves in steps, so that nothing that is sent at a rate would go on by itself.
+            # The clock moves only in steps, so a transfer limited to a rate would not continue by itself.
             link_megabits=10000,
         )
-        runtime = SteppedRuntime(seed=self.stack.seed, life=self.stack.starts, core=self.stack.core)
-        # A pool of its own: an incarnation's connections die with it.
+        runtime = SteppedRuntime(seed=self.stack.seed, start_number=self.stack.starts, core=self.stack.core)
+        # Each incarnation has its own pool, as its connections end with it.
         self.server_connections = ServerConnectionPool(header_names=HEADER_NAMES, counters=None)  # type: ignore[arg-type]
         self.node = SidecarNode(settings=settings, runtime=runtime, serve=self.server_connections.serve)
         self.server_connections.counters = self.node.counters
-        self.line = await runtime.serve(address, self.node.answer)
-        self.ports["line"] = self.line._server.sockets[0].getsockname()[1]
+        self.rpc_server = await runtime.serve(address, self.node.answer)
+        self.ports["line"] = self.rpc_server._server.sockets[0].getsockname()[1]
         handler = IngressHandler(node=self.node, header_names=HEADER_NAMES).handle
         self.handler = await open_listener(address=f"127.0.0.1:{self.ports['handler']}", handler=handler)
         self.ports["handler"] = self.handler.addresses[0][1]
         self.ticking = asyncio.ensure_future(self.node._run_ticks())
 
     def tell(self) -> None:
-        """Its server reports itself, and the core's configuration arrives."""
+        """Delivers the core's configuration, a renewed lease and a health report of the local server."""
         self.node.feed(ConfigurationChanged(self.stack.view()))
         self.node.feed(LeaseRenewed(self.node.runtime.now()))
         local_server, address = self.local_server, f"127.0.0.1:{self.to_server.port}"
         self.node.feed(HealthReported(local_server.service, local_server.instance, address, READY, 8, timedelta()))
 
     async def die(self) -> None:
-        """Ends at once, as by a kill."""
+        """Stops the sidecar without a drain, as a kill does."""
         self.ticking.cancel()
         for task in self.node.work:
             task.cancel()
-        await self.line.stop()
+        await self.rpc_server.stop()
         self.node.runtime.rpc_client.close()
         self.server_connections.close()
         for connection in list(self.handler.server.connections):
@@ -291,23 +294,23 @@
                 connection.transport.abort()
         await self.handler.cleanup()
 
-    def wires(self) -> tuple[ControlledLink, ...]:
+    def links(self) -> tuple[ControlledLink, ...]:
         return self.to_server, self.to_line, self.to_handler
 
     def freeze(self) -> None:
-        """Nothing comes in or goes out, and its ticks are missed."""
+        """Suspends the sidecar: its links pass no bytes in either direction, and its ticks stop."""
         self.ticking.cancel()
-        for wire in self.wires():
-            wire.hold()
+        for link in self.links():
+            link.hold()
 
     def thaw(self) -> None:
         self.ticking = asyncio.ensure_future(self.node._run_ticks())
-        for wire in self.wires():
-            wire.release()
+        for link in self.links():
+            link.release()
 
 
 class SidecarStack:
-    """Ingress sidecar s-1, and s-2 and s-3 whose servers do the work."""
+    """Sidecar s-1 as the ingress, and s-2 and s-3, whose local servers run the requests."""
 
     def __init__(self, *, seed: int = 1) -> None:
         self.seed = seed
@@ -329,8 +332,8 @@
         for machine in self.machines.values():
             await machine.die()
             machine.local_server.stop()
-            for wire in machine.wires():
-                wire.stop()
+            for link in machine.links():
+                link.stop()
         for client in self.clients:
             client.cancel()
 
@@ -367,7 +370,11 @@
     # -- clients -----------------------------------------------------------------------------------------------------
 
     def client(self, kind: str, *, key: str = "", doors: tuple[str, ...] = ("s-1", "s-1", "s-2")) -> asyncio.Task:
-        """Tries as the platform's clients do: what may not be repeated only after a promise; keys after any failure."""
+        """Sends a request, and retries it as the platform's clients do.
+
+        A 503 promises that the request did not run, so any request is retried after it. After other failures only
+        repeatable requests and those with an idempotency key are retried.
+        """
         task = asyncio.ensure_future(self._send_with_retries(kind, key, doors))
         self.clients.add(task)
         return task
@@ -411,6 +418,6 @@
 
     @staticmethod
     async def settle() -> None:
-        """Bytes on their way over the loopback get their turns; nothing that is judged hangs on how many."""
+        """Gives the event loop turns to deliver bytes over the loopback; no checked result depends on their number."""
         for _ in range(40):
             await asyncio.sleep(0)
