--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""What KNOWN-RED.txt at the root lists fails for a known fault: tests run, and CI passes over their failures alone.
+"""KNOWN-RED.txt at the root lists tests and cases that fail for a known fault; CI ignores only their failures.
 
-One line each: a test's id or a case's folder (`review/2`), what was seen, and the open issue. The list is printed; a
-test that passes shows as an X in the dots and goes from the list. Cases of `review/` are run by hand.
+Each line has a test's id or a case's folder (`review/2`), what was seen, and the open issue. Listed tests still run,
+and the list is printed. A test that passes shows as an X among the dots and is then removed from the list. Cases of
+`review/` are run by hand.
 """
 
 import re
@@ -11,7 +12,7 @@
 
 ROOT = Path(__file__).parent.parent
 LIST = ROOT / "KNOWN-RED.txt"
-# How a line ends: the open issue, and whatever else is worth knowing of it.
+# The end of a line: the open issue, and an optional remark after a semicolon.
 _ISSUE = re.compile(r"\(issue \d+(; [^()]+)?\)$")
 
 
@@ -19,7 +20,7 @@
     """Read the list.
 
     Returns:
-        Ids of tests and folders of cases with what was seen of them.
+        Ids of tests and folders of cases, each with the observed failure and its issue.
 
     Raises:
         ValueError: a line has no cause or no issue at its end, or something is listed twice.
--- a/tests/test_docs_references.py
+++ b/tests/test_docs_references.py
@@ -1,4 +1,4 @@
-"""Links in README.md and docs/ lead somewhere, and the files that the pages name exist."""
+"""Links in README.md and docs/ point to existing files, and the files and test classes named on the pages exist."""
 
 import re
 from pathlib import Path
@@ -7,10 +7,10 @@
 from testtools.matchers import Equals, GreaterThan
 
 ROOT = Path(__file__).parent.parent
-# They tell what was seen at their time, with the names of that time.
+# Pages that record past observations, with the names in use at that time.
 HISTORY = ("docs/incidents/", "docs/measurements.md")
 LINK = re.compile(r"\]\(([^)#\s]+)(?:#[^)]*)?\)")
-# `tests/test_x.py`, `raft/core.py`, `adapter/headers.py`, `rpc/mesh.thrift`, with or without a function behind it.
+# `tests/test_x.py`, `raft/core.py`, `adapter/headers.py`, `rpc/mesh.thrift`, with or without a function after it.
 NAMED_FILE = re.compile(r"(?<![\w/.-])((?:[a-z_]+/)+[a-z_0-9]+\.(?:py|thrift|toml|sh))\b")
 NAMED_TEST = re.compile(r"`(test_[a-z_0-9]+)(?:\.(\w+))*`")
 
@@ -22,7 +22,7 @@
 
 
 def broken_links(page: str, text: str) -> list[str]:
-    """The page's relative links that lead to no file."""
+    """The page's relative links whose targets don't exist."""
     targets = [target for target in LINK.findall(text) if "://" not in target]
     return [f"{page}: {target}" for target in targets if not (ROOT / page).parent.joinpath(target).exists()]
 
@@ -36,7 +36,7 @@
 
 
 def unknown_test_classes(page: str, text: str) -> list[str]:
-    """The classes named as `test_file.Class` that the file doesn't hold."""
+    """The classes named as `test_file.Class` that the file doesn't define."""
     named = [(ROOT / "tests" / f"{file}.py", name) for file, name in NAMED_TEST.findall(text) if name]
     return [
         f"{page}: {path.stem}.{name}"
@@ -46,7 +46,7 @@
 
 
 class DocsReferences(TestCase):
-    def test_links_lead_somewhere(self) -> None:
+    def test_link_targets_exist(self) -> None:
         broken = [each for page, text in pages().items() for each in broken_links(page, text)]
         self.assertThat(broken, Equals([]))
 
@@ -56,7 +56,7 @@
         wrong = [each for page, text in current.items() for each in unknown_test_classes(page, text)]
         self.assertThat(wrong, Equals([]))
 
-    def test_the_checks_see_what_is_wrong(self) -> None:
+    def test_the_checks_find_wrong_references(self) -> None:
         self.assertThat(
             broken_links("docs/style.md", "[a](architecture.md) [b](gone.md)"), Equals(["docs/style.md: gone.md"])
         )
--- a/tests/test_former_release.py
+++ b/tests/test_former_release.py
@@ -1,4 +1,4 @@
-"""Data folders that release 9c419a2 left on disk: this release reads them, writes the same bytes, and goes on in them.
+"""Data folders that release 9c419a2 left on disk: this release reads them, writes the same bytes and continues in them.
 
 fixtures/release-9c419a2/made.txt says how the folders were made. The JSON file beside each folder records what that
 release read back from it, in encoded form, so that no name of a class or an attribute is part of the comparison.
@@ -43,10 +43,10 @@
 CONTROLLERS = ("controller", "checkpointed", "first-level")
 FOLDERS = (*CONTROLLERS, "voters")
 INCARNATION = "0123456789abcdef"
-# Of simulated time.
+# Limit in simulated time.
 MAX_SECONDS = 30.0
 Write = Callable[[Any], Awaitable[Outcome]]
-# What a state has from release level 4 on; the checkpoint of the folder "checkpointed" is of that level.
+# Parts that a state has from release level 4 on; the checkpoint of the folder "checkpointed" is of that level.
 NEWEST_PARTS = {"memories", "refusals"}
 
 
@@ -68,7 +68,7 @@
 
 
 def content_of(state: State) -> dict[str, Any]:
-    """A state as it is encoded, and what of it the data plane is sent."""
+    """A state as it is encoded, and the items of it that are distributed to the data plane."""
     packed = pack_state(state)
     distributed = data_plane_items(state)
     return {
@@ -82,7 +82,7 @@
 
 
 def replay(boot: Boot) -> tuple[State, list[list]]:
-    """The state after the whole log, and each record's outcome after its offset."""
+    """The state after the whole log is applied, and a list of each record's offset followed by its outcome."""
     state, outcomes = boot.state, []
     for record in boot.records:
         if record.offset > state.offset:
@@ -94,7 +94,7 @@
 
 
 def layout_of(folder: Path) -> dict[str, list]:
-    """The database's file, its tables with their columns, and the names of the facts."""
+    """The files of the folder, the SQL of the database's tables, and the names of the stored facts."""
     files = sorted(path.name for path in folder.iterdir() if path.is_file())
     with contextlib.closing(sqlite3.connect(folder / files[0])) as connection:
         tables = connection.execute("SELECT sql FROM sqlite_master WHERE type = 'table' ORDER BY name").fetchall()
@@ -103,7 +103,7 @@
 
 
 class FolderCase(TestCase):
-    """Copies of the former release's folders, so that the fixture stays as it is."""
+    """Works on copies of the former release's folders, so that the fixture stays unchanged."""
 
     def copy(self, name: str) -> Path:
         temporary = tempfile.TemporaryDirectory()
@@ -153,7 +153,7 @@
     def test_each_checkpoint_holds_the_former_releases_state(self) -> None:
         for name in FOLDERS:
             self.assertThat(content_of(self.boot(name).state), Equals(recorded(name)["checkpoint_state"]), name)
-        # Else a checkpoint of the newest level would be none of what is read here.
+        # Otherwise no checkpoint of the newest level would be covered here.
         self.assertThat(NEWEST_PARTS - set(recorded("checkpointed")["checkpoint_state"]["parts"]), Equals(set()))
 
     def test_every_record_has_the_former_releases_outcome_and_state(self) -> None:
@@ -192,7 +192,7 @@
 
 
 class ImmediateDiskWorker:
-    """Does the disk's jobs on the event loop: a thread beside it would let simulated time run ahead."""
+    """Does the disk's jobs on the event loop, as simulated time would run ahead of a separate thread."""
 
     def __init__(self, *, disk: Disk, report: Callable[[tuple], None], counters: Counters) -> None:
         self.jobs = DiskJobs(disk=disk, counters=counters)
@@ -214,10 +214,10 @@
 
 
 class GoingOn(FolderCase):
-    """The only voter of a folder leads again, writes, takes a checkpoint, stops, and is opened once more."""
+    """A folder's only voter becomes leader, writes, takes a checkpoint, stops, and is started once more."""
 
-    def play(self, folder: Path, work: Callable[[RaftRunner, Write], Awaitable[State]]) -> State:
-        """Runs one start of the replica in simulated time; `work` gets it as a leader, and a way to write a command."""
+    def run_replica(self, folder: Path, work: Callable[[RaftRunner, Write], Awaitable[State]]) -> State:
+        """Starts the replica in simulated time; once it leads, calls `work` with it and a function to write to it."""
         loop = SimulatedTimeLoop()
         runner = RaftRunner(
             disk=Disk(folder=folder, replica=1),
@@ -245,7 +245,7 @@
                 await runner.stop()
 
         async def run_in_time() -> State:
-            # A replica that can't apply its log answers nothing.
+            # A replica that can't apply its log never answers, so the run has a time limit.
             async with asyncio.timeout(MAX_SECONDS):
                 return await run()
 
@@ -256,13 +256,13 @@
             loop.close()
             asyncio.set_event_loop(None)
 
-    def test_it_writes_on_and_opens_again(self) -> None:
+    def test_replica_writes_more_and_restarts(self) -> None:
         for name in CONTROLLERS:
             folder, former = self.copy(name), recorded(name)
             layout = layout_of(folder)
             before = former["last_state"]["parts"]
 
-            async def first(runner: RaftRunner, write: Write, before: dict = before) -> State:
+            async def write_commands(runner: RaftRunner, write: Write, before: dict = before) -> State:
                 state = runner.core.state
                 self.assertThat((state.mesh, runner.core.incarnation), Equals((before["mesh"], INCARNATION)))
                 self.assertThat(state.offset, GreaterThan(before["offset"] - 1))
@@ -280,25 +280,29 @@
                     await write(claim._replace(claim=f"claim-{number}", bucket=f"bucket-{number}"))
                 return runner.core.state
 
-            async def second(runner: RaftRunner, write: Write) -> State:
+            async def read_state(runner: RaftRunner, write: Write) -> State:
                 return runner.core.state
 
-            left = self.play(folder, first)
+            written = self.run_replica(folder, write_commands)
             self.assertThat(layout_of(folder), Equals(layout), name)
             newest = max(path.name for path in (folder / "checkpoints").iterdir())
             self.assertThat(newest, GreaterThan(max(former["checkpoint_files"])), name)
-            found = self.play(folder, second)
+            reopened = self.run_replica(folder, read_state)
             self.assertThat(
-                (found.offset >= left.offset, found.epoch > left.epoch, found.level), Equals((True, True, LEVEL)), name
+                (reopened.offset >= written.offset, reopened.epoch > written.epoch, reopened.level),
+                Equals((True, True, LEVEL)),
+                name,
             )
-            # Its own note as the leader is all that came since.
-            found_parts, left_parts = (content_of(each)["parts"] for each in (found, left))
-            for moved in ("offset", "epoch", "stamp", "swept"):
-                del found_parts[moved], left_parts[moved]
-            self.assertThat(found_parts, Equals(left_parts), name)
-            self.assertThat([key for key, _ in found_parts["items"]], Contains("service:added"), name)
-            self.assertThat(found_parts["voters"], Equals([[1, INCARNATION]]), name)
-            for kept in ("servers", "nodes", "bundles", "operators"):
+            # Only the leader's own note was appended since.
+            reopened_parts, written_parts = (content_of(each)["parts"] for each in (reopened, written))
+            for changed_part in ("offset", "epoch", "stamp", "swept"):
+                del reopened_parts[changed_part], written_parts[changed_part]
+            self.assertThat(reopened_parts, Equals(written_parts), name)
+            self.assertThat([key for key, _ in reopened_parts["items"]], Contains("service:added"), name)
+            self.assertThat(reopened_parts["voters"], Equals([[1, INCARNATION]]), name)
+            for unchanged_part in ("servers", "nodes", "bundles", "operators"):
                 self.assertThat(
-                    [key for key, _ in found_parts[kept]], Equals([key for key, _ in before[kept]]), f"{name} {kept}"
+                    [key for key, _ in reopened_parts[unchanged_part]],
+                    Equals([key for key, _ in before[unchanged_part]]),
+                    f"{name} {unchanged_part}",
                 )
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests and cases that may fail is complete and true."""
+"""KNOWN-RED.txt, the list of tests and cases that may fail, is well-formed, and all that it lists exists."""
 
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -22,7 +22,7 @@
             ),
         )
 
-    def test_what_is_no_such_line_is_refused(self) -> None:
+    def test_malformed_lines_are_rejected(self) -> None:
         for text in (
             "tests/test_a.py::A::test_b",
             "tests/test_a.py::A::test_b: sometimes",
@@ -33,7 +33,7 @@
         ):
             self.assertRaises(ValueError, read_known_red, text)
 
-    def test_what_is_listed_exists(self) -> None:
+    def test_listed_tests_and_cases_exist(self) -> None:
         listed = read_known_red(LIST.read_text()) if LIST.exists() else {}
         for name in listed:
             path, _, test = name.partition("::")
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""The pinned formatter, linter and type checker, as part of the one test command."""
+"""Runs the pinned formatter, linter and type checker, so that the one test command covers them."""
 
 import subprocess
 import sys
@@ -11,8 +11,10 @@
 
 
 def run_module(*arguments: str) -> tuple[int, str]:
-    done = subprocess.run([sys.executable, "-m", *arguments], cwd=ROOT, capture_output=True, text=True, check=False)
-    return done.returncode, done.stdout + done.stderr
+    completed = subprocess.run(
+        [sys.executable, "-m", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
+    )
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 class Style(TestCase):
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -1,10 +1,10 @@
-"""The bytes of every message between processes are those of the commit that they were recorded from.
+"""Every message between processes is encoded in the bytes that were recorded from an earlier commit.
 
 `fixtures/wire-9c419a2/frames.txt` was recorded from the untouched code of that commit, before classes and fields were
 renamed; `fixtures/wire-36db3d2/frames.txt` holds the messages that came with commit 36db3d2, and
-`fixtures/wire-founding/frames.txt` those by which controllers look at one another's disks. A line is a message's
-number in mesh.thrift's union and the hex of a frame that carries a sample of it. A sample's values follow from the
-types and places of its fields alone, so that no renaming changes them.
+`fixtures/wire-founding/frames.txt` those with which controllers check one another's disks. A line is a message's
+number in mesh.thrift's union and the hex of a frame that carries a sample of it. A sample's values depend only on the
+types and positions of its fields, so that no renaming changes them.
 """
 
 from datetime import timedelta
@@ -22,7 +22,7 @@
 
 
 def sample(hint: Any, seed: int) -> Any:
-    """A value of the type that the hint names; nested fields count on from the seed."""
+    """A value of the type that the hint names; nested fields get the numbers that follow the seed."""
     if hint is bool:
         return True
     if hint is int:
@@ -35,12 +35,12 @@
         return timedelta(seconds=seed, microseconds=7)
     if get_origin(hint) is tuple:
         element = get_args(hint)[0]
-        return tuple(sample(element, seed + place) for place in (1, 2))
+        return tuple(sample(element, seed + position) for position in (1, 2))
     if get_origin(hint) is dict:
         key, value = get_args(hint)
         return {sample(key, seed): sample(value, seed + 1)}
     hints = get_type_hints(hint)
-    return hint(*(sample(hints[name], seed + place) for place, name in enumerate(hint._fields, start=1)))
+    return hint(*(sample(hints[name], seed + position) for position, name in enumerate(hint._fields, start=1)))
 
 
 def recorded_frames() -> dict[int, bytes]:
