--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -281,7 +281,7 @@
         local_server, address = self.local_server, f"127.0.0.1:{self.to_server.port}"
         self.node.feed(HealthReported(local_server.service, local_server.instance, address, READY, 8, timedelta()))
 
-    async def die(self) -> None:
+    async def kill(self) -> None:
         """Stops the sidecar without a drain, as a kill does."""
         self.ticking.cancel()
         for task in self.node.work:
@@ -330,7 +330,7 @@
 
     async def stop(self) -> None:
         for machine in self.machines.values():
-            await machine.die()
+            await machine.kill()
             machine.local_server.stop()
             for link in machine.links():
                 link.stop()
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -125,7 +125,7 @@
             if not other:
                 machine.tell()
             return
-        await machine.die()
+        await machine.kill()
         if other:
             machine.service = "portal"
             machine.local_server.service = "portal"
