--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -274,7 +274,7 @@
         self.ports["handler"] = self.handler.addresses[0][1]
         self.ticking = asyncio.ensure_future(self.node._run_ticks())
 
-    def tell(self) -> None:
+    def deliver_state(self) -> None:
         """Delivers the core's configuration, a renewed lease and a health report of the local server."""
         self.node.feed(ConfigurationChanged(self.stack.view()))
         self.node.feed(LeaseRenewed(self.node.runtime.now()))
@@ -325,7 +325,7 @@
         for name in ("s-1", "s-2", "s-3"):
             self.machines[name] = await Machine(name=name, stack=self).start()
         for machine in self.machines.values():
-            machine.tell()
+            machine.deliver_state()
         return self
 
     async def stop(self) -> None:
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -123,7 +123,7 @@
             # Data that was held for the previous server reaches the new one.
             controlled_link.reset()
             if not other:
-                machine.tell()
+                machine.deliver_state()
             return
         await machine.kill()
         if other:
@@ -131,7 +131,7 @@
             machine.local_server.service = "portal"
         await machine.boot(name="s-9" if other else machine.name)
         controlled_link.reset()
-        machine.tell()
+        machine.deliver_state()
 
     async def run(self) -> History:
         stack = await self.stack.start()
