--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -116,7 +116,7 @@
     def __init__(self, *, service: str, instance: str, history: "History") -> None:
         self.service, self.instance, self.history = service, instance, history
         self.go = asyncio.Event()
-        self.begun = EventCounter()
+        self.runs_started = EventCounter()
         self.surplus = False
         self.writers: set[asyncio.StreamWriter] = set()
         self.port = 0
@@ -138,7 +138,7 @@
                     writer.write(self.answer(attempt, "421 Other", b"another"))
                     continue
                 self.history.runs.append((attempt, self.instance))
-                self.begun.count_event()
+                self.runs_started.count_event()
                 await self.go.wait()
                 response = self.answer(attempt, "200 OK", f"run of {attempt}".encode())
                 if self.surplus:
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -68,7 +68,7 @@
         way = "up" if self.timestamp == "asked" else "down"
         at = 0
         if self.timestamp == "answered":
-            at = await self.first([local_server.begun for local_server in local_servers])
+            at = await self.first([local_server.runs_started for local_server in local_servers])
         for controlled_link in controlled_links:
             controlled_link.hold(way)
         if self.timestamp == "answered":
