--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -238,7 +238,7 @@
         ).start()
         self.to_server = await ControlledLink(self.local_server.port).start()
         await self.boot(name=self.name)
-        self.to_line = await ControlledLink(self.ports["line"]).start()
+        self.to_rpc_server = await ControlledLink(self.ports["line"]).start()
         self.to_handler = await ControlledLink(self.ports["handler"]).start()
         return self
 
@@ -295,7 +295,7 @@
         await self.handler.cleanup()
 
     def links(self) -> tuple[ControlledLink, ...]:
-        return self.to_server, self.to_line, self.to_handler
+        return self.to_server, self.to_rpc_server, self.to_handler
 
     def freeze(self) -> None:
         """Suspends the sidecar: its links pass no bytes in either direction, and its ticks stop."""
@@ -342,7 +342,7 @@
         items["service:ledger"] = ServiceItem("ledger")
         nodes = {
             name: NodeRecord(
-                name, "stall", f"127.0.0.1:{machine.to_line.port}", "a", machine.node.incarnation, "alive", 1
+                name, "stall", f"127.0.0.1:{machine.to_rpc_server.port}", "a", machine.node.incarnation, "alive", 1
             )
             for name, machine in self.machines.items()
         }
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -46,7 +46,7 @@
         if self.link == "client":
             return [machines["s-1"].to_handler]
         if self.link == "sidecar":
-            return [machines[name].to_line for name in ("s-2", "s-3")]
+            return [machines[name].to_rpc_server for name in ("s-2", "s-3")]
         return [machines[name].to_server for name in ("s-2", "s-3")]
 
     async def first(self, counters: list[Any]) -> int:
