--- a/tests/sidecar_stack.py
+++ b/tests/sidecar_stack.py
@@ -115,7 +115,7 @@
 
     def __init__(self, *, service: str, instance: str, history: "History") -> None:
         self.service, self.instance, self.history = service, instance, history
-        self.go = asyncio.Event()
+        self.may_answer = asyncio.Event()
         self.runs_started = EventCounter()
         self.surplus = False
         self.writers: set[asyncio.StreamWriter] = set()
@@ -139,7 +139,7 @@
                     continue
                 self.history.runs.append((attempt, self.instance))
                 self.runs_started.count_event()
-                await self.go.wait()
+                await self.may_answer.wait()
                 response = self.answer(attempt, "200 OK", f"run of {attempt}".encode())
                 if self.surplus:
                     response = self.answer(last, "200 OK", b"late") + response + self.answer("next", "200 OK", b"early")
--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -72,7 +72,7 @@
         for controlled_link in controlled_links:
             controlled_link.hold(way)
         if self.timestamp == "answered":
-            local_servers[at].go.set()
+            local_servers[at].may_answer.set()
         return await self.first([controlled_link.held[way] for controlled_link in controlled_links])
 
     async def wait_until_granted(self, controlled_links: list[ControlledLink]) -> int:
@@ -118,7 +118,7 @@
             before.stop()
             service = "portal" if other else before.service
             machine.local_server = LocalServer(service=service, instance="i-next", history=self.stack.history)
-            machine.local_server.go.set()
+            machine.local_server.may_answer.set()
             await machine.local_server.start(before.port)
             # Data that was held for the previous server reaches the new one.
             controlled_link.reset()
@@ -140,7 +140,7 @@
             index = await self.wait_until_on_link()
             await self.inject_fault(index)
             for machine in stack.machines.values():
-                machine.local_server.go.set()
+                machine.local_server.may_answer.set()
             for controlled_link in self.controlled_links():
                 controlled_link.release()
             # Further requests use the same connections right after it.
