--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -1,4 +1,4 @@
-"""Every message between processes is encoded in the bytes that were recorded from an earlier commit.
+"""Every message between processes is encoded in the bytes recorded from earlier commits.
 
 `fixtures/wire-9c419a2/frames.txt` was recorded from the untouched code of that commit, before classes and fields were
 renamed; `fixtures/wire-36db3d2/frames.txt` holds the messages that came with commit 36db3d2, and
