--- a/tests/test_sidecar_answer_pairs.py
+++ b/tests/test_sidecar_answer_pairs.py
@@ -46,7 +46,7 @@
         if self.link == "client":
             return [machines["s-1"].to_handler]
         if self.link == "sidecar":
-            return [machines[name].to_line for name in ("s-2", "s-3")]
+            return [machines[name].to_rpc_server for name in ("s-2", "s-3")]
         return [machines[name].to_server for name in ("s-2", "s-3")]
 
     async def first(self, counters: list[Any]) -> int:
@@ -68,11 +68,11 @@
         way = "up" if self.timestamp == "asked" else "down"
         at = 0
         if self.timestamp == "answered":
-            at = await self.first([local_server.begun for local_server in local_servers])
+            at = await self.first([local_server.runs_started for local_server in local_servers])
         for controlled_link in controlled_links:
             controlled_link.hold(way)
         if self.timestamp == "answered":
-            local_servers[at].go.set()
+            local_servers[at].may_answer.set()
         return await self.first([controlled_link.held[way] for controlled_link in controlled_links])
 
     async def wait_until_granted(self, controlled_links: list[ControlledLink]) -> int:
@@ -118,20 +118,20 @@
             before.stop()
             service = "portal" if other else before.service
             machine.local_server = LocalServer(service=service, instance="i-next", history=self.stack.history)
-            machine.local_server.go.set()
+            machine.local_server.may_answer.set()
             await machine.local_server.start(before.port)
             # Data that was held for the previous server reaches the new one.
             controlled_link.reset()
             if not other:
-                machine.tell()
+                machine.deliver_state()
             return
-        await machine.die()
+        await machine.kill()
         if other:
             machine.service = "portal"
             machine.local_server.service = "portal"
         await machine.boot(name="s-9" if other else machine.name)
         controlled_link.reset()
-        machine.tell()
+        machine.deliver_state()
 
     async def run(self) -> History:
         stack = await self.stack.start()
@@ -140,7 +140,7 @@
             index = await self.wait_until_on_link()
             await self.inject_fault(index)
             for machine in stack.machines.values():
-                machine.local_server.go.set()
+                machine.local_server.may_answer.set()
             for controlled_link in self.controlled_links():
                 controlled_link.release()
             # Further requests use the same connections right after it.
