--- a/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/deployment.py
@@ -156,7 +156,7 @@
 
     async def _observe_bundles(self) -> None:
         """Records the bundle that each proxy applies while it is ready."""
-        known: dict[str, tuple[int, str]] = {}
+        last_recorded: dict[str, tuple[int, str]] = {}
         while True:
             for name in self.processes.running(PROXY):
                 core = self.processes.nodes[name].core
@@ -164,9 +164,9 @@
                 if core.ready() is not None:
                     continue
                 current = (core.view.bundle_number, core.settings.incarnation)
-                if known.get(name) != current or self.random.random() < UNCHANGED_PROBABILITY:
+                if last_recorded.get(name) != current or self.random.random() < UNCHANGED_PROBABILITY:
                     self.history.add(BundleApplied(self.now(), name, *current))
-                known[name] = current
+                last_recorded[name] = current
             await asyncio.sleep(OBSERVE_INTERVAL_SECONDS)
 
     def is_serving(self) -> bool:
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/operator_changes.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/operator_changes.py
@@ -103,7 +103,7 @@
     simulation.expect("the last two operators can't be removed", last == "operator-last")
     for registry in processes.running(REGISTRY):
         answer = await processes.by_name[registry].spawn(processes.nodes[registry].read_configuration(part="operators"))
-        known = sorted(msgspec.json.decode(answer.unwrap().content))
-        simulation.expect(f"the change is in force at {registry}", known == OPERATORS_AFTER)
+        operators_read = sorted(msgspec.json.decode(answer.unwrap().content))
+        simulation.expect(f"the change is in force at {registry}", operators_read == OPERATORS_AFTER)
     result = await simulation.clients.send_request(simulation.deployment.request_kinds[0], client="v")
     simulation.history.add(AnswerRequired(result.request))
--- a/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
+++ b/packages/testbed/src/hoistsaddle/testbed/simulation/scenarios/orders.py
@@ -96,7 +96,7 @@
             self.answers.setdefault(order.name, set()).add(answer)
         return UNCLEAR if simulation.random.random() < 0.5 else answer
 
-    async def until_clear(self, order: SentOrder, *, end: float) -> str:
+    async def send_until_clear(self, order: SentOrder, *, end: float) -> str:
         """Sends an order repeatedly until there is a clear answer or `end` has passed."""
         answer = UNCLEAR
         while answer == UNCLEAR and self.simulation.now() < end:
@@ -123,7 +123,7 @@
         if book.orders and random.random() < 0.4:
             await book.send(random.choice(book.orders))
         else:
-            await asyncio.gather(*(book.until_clear(order, end=end) for order in book.draw()))
+            await asyncio.gather(*(book.send_until_clear(order, end=end) for order in book.draw()))
         await asyncio.sleep(random.uniform(0.0, 0.1))
 
 
@@ -179,7 +179,7 @@
         simulation.expect(f"clear answers stay valid: {found}", False)
     # Without faults every order gets a clear answer from any registry, the same as any earlier one.
     end = simulation.now() + 30
-    resent = [book.until_clear(order, end=end) for order in book.orders]
+    resent = [book.send_until_clear(order, end=end) for order in book.orders]
     for start in range(0, len(resent), ORDERS_IN_FLIGHT):
         answers = await asyncio.gather(*resent[start : start + ORDERS_IN_FLIGHT])
         simulation.expect("without faults, each order gets a clear answer", UNCLEAR not in answers)
