--- a/packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/emulator.py
@@ -173,7 +173,7 @@
         return self.random.choice(candidates) if candidates else ""
 
     async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any:
-        """Calls a machine's control interface; returns None if no answer arrived `within` so many seconds."""
+        """Calls a machine's control interface; returns None if no answer arrives `within` this many seconds."""
         process = self.processes.get(machine)
         await asyncio.sleep(CONTROL_LATENCY_SECONDS)
         if process is None or not process.open or process.simulated.dead:
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/environment.py
@@ -71,7 +71,7 @@
         """A machine of the zone for a client's request; empty if there is none."""
 
     async def control(self, machine: str, method: str, path: str, body: bytes, *, within: float) -> Any:
-        """Calls a machine's control interface; returns None if no answer arrived `within` so many seconds."""
+        """Calls a machine's control interface; returns None if no answer arrives `within` this many seconds."""
 
     def on_trigger(self, trigger: str, machine: str = "") -> None:
         """Reports that a trigger of faults occurred, at this machine if the trigger belongs to one."""
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/links.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/links.py
@@ -51,7 +51,7 @@
         self._hosts: dict[str, str] = {}
 
     def add(self, name: str, host: str, *, bytes_per_second: float) -> None:
-        """Adds a machine whose link carries so many bytes a second each way; 0 means unlimited."""
+        """Adds a machine whose link has this bandwidth in each direction; 0 means unlimited."""
         self._hosts[name] = host
         if bytes_per_second and host not in self._up:
             self._up[host] = _Direction(loop=self._loop, bytes_per_second=bytes_per_second)
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/network.py
@@ -166,7 +166,7 @@
         )
 
     def jam(self, name: str, host: str, *, seconds: float, backlog: float) -> None:
-        """Delays everything sent to a machine for so many seconds, and messages of other machines by `backlog` more."""
+        """Holds back all messages to a machine for these seconds, and other machines' messages for `backlog` more."""
         link = JammedUntil(self.loop.time() + seconds, self.loop.time() + seconds + backlog)
         self.jammed[name] = self.jammed[host] = link
 
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/operators.py
@@ -176,7 +176,7 @@
                         self.environment.create_task(self.environment.clients.probe(route, machine))
 
     async def read_back(self, *, seconds: float) -> None:
-        """Reads the configuration from every core machine, retrying for so many seconds."""
+        """Reads the configuration from every core machine, retrying for up to `seconds`."""
         samples = adapter("samples")
 
         async def read(name: str) -> None:
--- a/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
+++ b/packages/testbed/src/hoistsaddle/testbed/emulator/servers.py
@@ -67,7 +67,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS * self.environment.random.uniform(0.9, 1.1))
 
     def delay_heartbeats(self, seconds: float, *, latest: float) -> None:
-        """For so many seconds, delays the delivery of each heartbeat by up to `latest` seconds."""
+        """For the next `seconds`, delays the delivery of each heartbeat by up to `latest` seconds."""
         self.delay_until, self.latest = self.environment.now() + seconds, latest
 
     async def send_heartbeat(self) -> bool:
--- a/tests/emulator_faults.py
+++ b/tests/emulator_faults.py
@@ -171,36 +171,36 @@
 
 
 def _answers_swapped():
-    plain, kept = IngressHandler._respond, {}
+    original, kept = IngressHandler._respond, {}
 
     def swapped(self: IngressHandler, answer: Reply):
         before = kept.get("answer")
         if answer.error is None:
             kept["answer"] = answer
-        return plain(self, answer if before is None or answer.error else answer._replace(body=before.body))
+        return original(self, answer if before is None or answer.error else answer._replace(body=before.body))
 
     return mock.patch.object(IngressHandler, "_respond", swapped)
 
 
 def _key_answers_forgotten():
     """A repeated key gets the last answer of its ingress, whichever request that belonged to."""
-    plain, kept = IngressHandler._respond, {}
+    original, kept = IngressHandler._respond, {}
 
     def other(self: IngressHandler, answer: Reply):
         before = kept.get("answer", answer)
         if answer.error is None:
             kept["answer"] = answer
-        return plain(self, before if answer.error is None else answer)
+        return original(self, before if answer.error is None else answer)
 
     return mock.patch.object(IngressHandler, "_respond", other)
 
 
 def _unanswered_follow_calls_count_as_in_flight():
     """The fault of issue 40: between two follow calls, a call that isn't being made counts as in flight."""
-    plain = AttemptFollower._unanswered
+    original = AttemptFollower._unanswered
 
     def reopened(self: AttemptFollower, request: PendingRequest) -> AttemptOutcome:
-        outcome = plain(self, request)
+        outcome = original(self, request)
         if outcome is AttemptOutcome.UNKNOWN:
             # As before the fix: the next tick ends the request.
             outcome = AttemptOutcome.PENDING
@@ -212,23 +212,23 @@
 
 
 def _callers_unnamed():
-    plain = SidecarNode._forward_attempt
+    original = SidecarNode._forward_attempt
     return mock.patch.object(
         SidecarNode,
         "_forward_attempt",
-        lambda self, command, **needs: plain(
-            self, command._replace(call=command.call._replace(caller="somebody")), **needs
+        lambda self, command, **arguments: original(
+            self, command._replace(call=command.call._replace(caller="somebody")), **arguments
         ),
     )
 
 
 def _paths_changed():
-    plain = SidecarNode._forward_attempt
+    original = SidecarNode._forward_attempt
     return mock.patch.object(
         SidecarNode,
         "_forward_attempt",
-        lambda self, command, **needs: plain(
-            self, command._replace(call=command.call._replace(path=command.call.path + b"?more")), **needs
+        lambda self, command, **arguments: original(
+            self, command._replace(call=command.call._replace(path=command.call.path + b"?more")), **arguments
         ),
     )
 
@@ -257,9 +257,11 @@
 
 
 def _some_entries_unknown():
-    plain, rng = ItemConfiguration.match_route, random.Random(1)
+    original, rng = ItemConfiguration.match_route, random.Random(1)
     return mock.patch.object(
-        ItemConfiguration, "match_route", lambda self, **needs: None if rng.random() < 0.3 else plain(self, **needs)
+        ItemConfiguration,
+        "match_route",
+        lambda self, **arguments: None if rng.random() < 0.3 else original(self, **arguments),
     )
 
 
@@ -279,60 +281,60 @@
 
 
 def _leaves_are_not_recorded():
-    async def at_once(self: HealthReporter, serial: int, **needs) -> bool:
+    async def at_once(self: HealthReporter, serial: int, **arguments) -> bool:
         return True
 
     return mock.patch.object(HealthReporter, "wait_recorded", at_once)
 
 
 def _stops_answer_for_servers():
-    plain = SidecarNode.wind_down
+    original = SidecarNode.wind_down
 
-    async def at_once(self: SidecarNode, **needs) -> None:
+    async def at_once(self: SidecarNode, **arguments) -> None:
         for ticket in list(self.core.ingress.requests.requests):
             future = self.answers.pop(ticket, None)
             if future is not None and not future.done():
                 future.set_result(Reply(ticket, 502, b"", b"", MeshError(ErrorKind.SILENT, "planted", "planted"), None))
-        await plain(self, **needs)
+        await original(self, **arguments)
 
     return mock.patch.object(SidecarNode, "wind_down", at_once)
 
 
 def _stops_cancel_requests():
-    plain = SidecarNode.wind_down
+    original = SidecarNode.wind_down
 
-    async def at_once(self: SidecarNode, **needs) -> None:
+    async def at_once(self: SidecarNode, **arguments) -> None:
         for future in self.answers.values():
             future.cancel()
-        await plain(self, **needs)
+        await original(self, **arguments)
 
     return mock.patch.object(SidecarNode, "wind_down", at_once)
 
 
 def _first_items_kept():
-    plain = SidecarCore._configuration_changed
+    original = SidecarCore._configuration_changed
 
     def first(self: SidecarCore, view) -> None:
         kept = self.view.items
-        plain(self, view if kept is None else view._replace(items=kept))
+        original(self, view if kept is None else view._replace(items=kept))
 
     return mock.patch.object(SidecarCore, "_configuration_changed", first)
 
 
 def _items_alternate():
     """Every second request is handled by the first configuration that its proxy applied."""
-    plain = IngressCore.request_arrived
+    original = IngressCore.request_arrived
 
-    def wavering(self: IngressCore, event) -> None:
+    def alternating(self: IngressCore, event) -> None:
         now = self._state.view
         self.first_items = getattr(self, "first_items", None) or now.items
         self.turn = not getattr(self, "turn", False)
         if self.turn:
             self._state.view = now._replace(items=self.first_items)
-        plain(self, event)
+        original(self, event)
         self._state.view = now
 
-    return mock.patch.object(IngressCore, "request_arrived", wavering)
+    return mock.patch.object(IngressCore, "request_arrived", alternating)
 
 
 def _entries_unchecked():
@@ -345,11 +347,11 @@
 
         await asyncio.sleep(2.0)
 
-    plain = Controller.patch
+    original = Controller.patch
 
     async def first_alone(self: Controller, patch):
         # The first configuration is accepted, because the day depends on it.
-        return await plain(self, patch) if len(patch.sets) > 4 else await Controller.planted(self, patch)
+        return await original(self, patch) if len(patch.sets) > 4 else await Controller.planted(self, patch)
 
     return mock.patch.multiple(Controller, patch=first_alone, planted=patch, create=True)
 
@@ -364,41 +366,41 @@
 
 def _repeated_changes_are_rejected():
     """A confirmed change is rejected when it is submitted again."""
-    plain, taken = Controller.patch, set()
+    original, taken = Controller.patch, set()
 
     async def once(self: Controller, patch):
-        said = repr(patch)
-        if said in taken:
+        encoded = repr(patch)
+        if encoded in taken:
             return Failure(MeshError(ErrorKind.ITEM_BROKEN, "planted", "planted"))
-        answer = await plain(self, patch)
+        answer = await original(self, patch)
         if isinstance(answer, Success):
-            taken.add(said)
+            taken.add(encoded)
         return answer
 
     return mock.patch.object(Controller, "patch", once)
 
 
 def _contents_are_not_compared():
-    return mock.patch("hoistsaddle.statemachine.items.check_duplicate", lambda *needs: PatchCheck(None))
+    return mock.patch("hoistsaddle.statemachine.items.check_duplicate", lambda *arguments: PatchCheck(None))
 
 
 def _valid_changes_are_rejected():
-    plain = Controller.patch
+    original = Controller.patch
 
     async def refusing(self: Controller, patch):
         # The first configuration is accepted, because the day depends on it.
         if len(patch.sets) > 4:
-            return await plain(self, patch)
+            return await original(self, patch)
         return Failure(MeshError(ErrorKind.ITEM_BROKEN, "planted", "planted"))
 
     return mock.patch.object(Controller, "patch", refusing)
 
 
 def _an_item_is_missing_when_read():
-    plain = Controller.read_items
+    original = Controller.read_items
 
-    async def short(self: Controller, **needs):
-        return (await plain(self, **needs)).bind(lambda items: Success(items[1:]))
+    async def short(self: Controller, **arguments):
+        return (await original(self, **arguments)).bind(lambda items: Success(items[1:]))
 
     return mock.patch.object(Controller, "read_items", short)
 
@@ -410,21 +412,21 @@
 def _slow_elections_after_the_first():
     starts: list[None] = []
 
-    def timings(**needs) -> RaftTimings:
+    def timings(**arguments) -> RaftTimings:
         starts.append(None)
         slow = milliseconds(600000) if len(starts) > 3 else milliseconds(500)
-        return RaftTimings(election_timeout_min=slow, election_timeout_max=slow * 1.5, **needs)
+        return RaftTimings(election_timeout_min=slow, election_timeout_max=slow * 1.5, **arguments)
 
     return mock.patch.object(controller, "RaftTimings", timings)
 
 
 def _some_answers_raise():
-    plain, rng = IngressHandler._respond, random.Random(1)
+    original, rng = IngressHandler._respond, random.Random(1)
 
     def raising(self: IngressHandler, answer: Reply):
         if rng.random() < 0.05:
             raise RuntimeError("planted")
-        return plain(self, answer)
+        return original(self, answer)
 
     return mock.patch.object(IngressHandler, "_respond", raising)
 
--- a/tests/test_emulator_link_bandwidth.py
+++ b/tests/test_emulator_link_bandwidth.py
@@ -49,7 +49,7 @@
 
 
 class Outcome(NamedTuple):
-    """The outcome of a day: broken rules, the served share of each kind of request, and of body bytes sent in vain."""
+    """The outcome of a day: broken rules, the served share by kind of request, and the share of wasted body bytes."""
 
     broken: dict[str, list[str]]
     served: dict[str, float]
