--- a/packages/common/src/hoistsaddle/common/listening.py
+++ b/packages/common/src/hoistsaddle/common/listening.py
@@ -42,7 +42,7 @@
                 raise
             if not backoff.failing:
                 logger.warning(
-                    "{} is in use; waiting up to {:.0f} s for it: stop the process that uses it",
+                    "{} is taken; waiting up to {:.0f} s for it: stop the process that uses it",
                     address,
                     within.total_seconds(),
                 )
